--- a/src/currantshed/customer/directory.hpp
+++ b/src/currantshed/customer/directory.hpp
@@ -14,26 +14,27 @@
 
 namespace currantshed::customer {
 
-/// How many operations of a customer may begin, over all VMs.
+/// Rate limit on the operations of a customer, over all VMs.
 struct quota
 {
   double perSecond = 0;
-  /// Operations that may begin at once after a rest.
+  /// Operations that may start at once after an idle period.
   double burst = 0;
 
   [[nodiscard]] friend bool operator==(const quota&, const quota&) = default;
 };
 
-/// Whoever requests belong to, as operators declare it.
+/// The owner of requests, as operators declare it.
 struct customer
 {
   std::string name;
-  /// None: as many as it likes.
+  /// Empty: no limit.
   std::optional<quota> limit;
 };
 
-/// The customers of one version of the configuration, by their keys. A key that
-/// two customers hold names neither: whose request it would be can't be told.
+/// The customers of one configuration version, by name and by key. A key that
+/// two customers hold identifies neither, because requests with it cannot be
+/// attributed.
 class directory
 {
 public:
@@ -57,7 +58,8 @@
   by_text mByKey;
 };
 
-/// What stands for a key in logs: short, and no help to whoever wants the key.
+/// A short identifier of a key for logs, from which the key cannot be
+/// recovered.
 [[nodiscard]] std::string
 KeyTag(std::string_view aKey);
 
--- a/src/currantshed/customer/freshness.cpp
+++ b/src/currantshed/customer/freshness.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// What the bound is tightened by, for the way from here to the server and for
-// clocks that run at different rates.
+// Subtracted from the bound to allow for the transit time of a request to the
+// server and for clocks that run at different rates.
 constexpr std::chrono::milliseconds kReserve{ 150 };
 
 } // namespace
--- a/src/currantshed/customer/freshness.hpp
+++ b/src/currantshed/customer/freshness.hpp
@@ -7,27 +7,29 @@
 
 namespace currantshed::customer {
 
-/// How old the configuration in force may be at most. A key that operators took
-/// away must run nothing after a bound, at VMs that are cut off as well: so a
-/// VM trusts its keys only for a while after a moment at which nothing newer
-/// stood in the store. That moment is when a call was sent whose answer showed
-/// so; another VM's word gives one no later than its own. What says nothing of
-/// the state of the store, a watch that waits or a lease renewed, counts for
-/// nothing.
+/// Limits the age of the configuration in force. No operation may run with a
+/// key later than a fixed bound after operators revoked it, not even at a VM
+/// that is cut off. A VM therefore trusts its keys only for a limited time
+/// after a moment at which the store is known to have held nothing newer. That
+/// moment is the time at which a call was sent whose response showed it; a
+/// message from another VM may pass on such a time, converted so that it is not
+/// later than the true one. A pending watch or a renewed lease says nothing
+/// about the content of the store and does not count.
 class freshness
 {
 public:
-  /// Keys that were taken away may be trusted for the bound after that was
-  /// acknowledged. Zero: no such bound.
+  /// Keys may be trusted for aBound after their revocation was acknowledged.
+  /// Zero disables the limit.
   explicit freshness(std::chrono::milliseconds aBound) noexcept;
 
-  /// Nothing newer than what is in force stood in the store at that time.
+  /// Records that at aAt the store held nothing newer than what is in force.
   void Prove(clock::time_point aAt) noexcept;
 
   /// Whether keys may be trusted now.
   [[nodiscard]] bool Holds(clock::time_point aNow) const noexcept;
 
-  /// Whether the store had no newer keys than those in force at that time.
+  /// Whether the store is known to have held no newer keys than those in force
+  /// at aAt.
   [[nodiscard]] bool Covers(clock::time_point aAt) const noexcept
   {
     return !IsBounded() || mProvedAt >= aAt;
--- a/src/currantshed/customer/part.hpp
+++ b/src/currantshed/customer/part.hpp
@@ -6,11 +6,12 @@
 
 namespace currantshed::customer {
 
-/// Customers fall into so many parts, each collected by one VM of a failure
-/// domain, so that none has to collect for all: the same for every VM.
+/// Number of partitions of the customers. In each failure domain one VM
+/// collects the accrual time of a partition, so that no VM does so for all
+/// customers. Must be the same at all VMs.
 constexpr std::size_t kParts = 16;
 
-/// The part that the customer belongs to.
+/// The partition that the customer belongs to.
 [[nodiscard]] std::size_t
 PartOf(const std::string& aCustomer);
 
--- a/src/currantshed/customer/time_share.cpp
+++ b/src/currantshed/customer/time_share.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-// The least time between the end of a process and its next start. Customers
-// earn tokens in it as at any other time, and when all VMs start again nobody
-// else has kept them.
+// Minimum time between the end of a process and its next start. Customers
+// accrue tokens during it as at any other time; if all VMs restart together, no
+// other VM has accrued them.
 constexpr std::chrono::milliseconds kRestart{ 400 };
-// Longer than VMs take between two times; what is handed on at once stays small
-// beside the burst that a customer is allowed.
+// Longer than the interval between two calls of a VM. Keeps a share that is
+// handed out at once small compared with the burst of a customer.
 constexpr std::chrono::milliseconds kLongest{ 1000 };
 
 } // namespace
--- a/src/currantshed/customer/time_share.hpp
+++ b/src/currantshed/customer/time_share.hpp
@@ -9,24 +9,24 @@
 
 namespace currantshed::customer {
 
-/// A part of the time in which customers earn tokens, in seconds of their whole
-/// rate.
+/// A share of the time in which customers accrue tokens, in seconds at their
+/// full rate.
 using share = std::chrono::duration<double>;
 
-/// What this VM adds to the tokens of all customers: as time passes, each VM
-/// has an equal share of every customer's rate, and hands it on. Shares are
-/// handed on once and never made twice, so that whatever VMs believe of each
-/// other, all together make no more tokens than the rate allows; a VM that
-/// counts the fleet wrongly is wrong about its own share alone.
+/// This VM's contribution to the tokens of all customers. Each VM accrues an
+/// equal share of every customer's rate as time passes and hands it to a
+/// collector. A share is handed out only once, so that all VMs together create
+/// no more tokens than the rate allows, whatever they believe about each other.
+/// A VM that counts the VMs wrongly affects its own share only.
 class time_share
 {
 public:
-  /// The process has started at that time: shares are made from then on, and
-  /// for the time that it takes at the least until a VM that ends is back.
+  /// Starts accrual at the time at which the process started. The first share
+  /// includes the minimum time that a VM needs to restart.
   void Begin(clock::time_point aStartedAt) noexcept;
 
-  /// What has been made since the last time, as one of so many VMs; what a VM
-  /// that stood still might have made is lost.
+  /// The share accrued since the last call, as one of aVms VMs. The share of a
+  /// VM that was paused is limited; the rest is lost.
   [[nodiscard]] share Take(std::size_t aVms, clock::time_point aNow) noexcept;
 
 private:
--- a/src/currantshed/customer/token_bank.cpp
+++ b/src/currantshed/customer/token_bank.cpp
@@ -9,12 +9,12 @@
 
 using std::chrono::milliseconds;
 
-// What all banks together hold of a customer's tokens beyond its burst, which
-// the rule on quotas leaves room for: customers with a burst of less than an
-// operation a bank could begin none.
+// Tokens beyond its burst that all collectors together hold for a customer,
+// within the tolerance of the rule on quotas. Without them, a customer whose
+// burst is less than one operation per collector could start none.
 constexpr double kBeyondBurst = 12;
-// The part of a burst that can be saved up where the rest is spread over the
-// window: both fit into one window with what the rule leaves room for.
+// The part of a burst that can be saved up if the rest is spread over the
+// window. Both fit into one window within the tolerance of the rule on quotas.
 constexpr double kSavedPart = 0.3;
 constexpr milliseconds kSoonest{ 100 };
 constexpr milliseconds kLatest{ 2000 };
@@ -44,7 +44,7 @@
   mDeposited[aPart] += aShare;
 }
 
-// What can be saved up.
+// Capacity of a customer's bucket.
 double
 token_bank::Most(const quota& aLimit) const noexcept
 {
@@ -64,8 +64,8 @@
                      const quota& aLimit,
                      unsigned aWanted)
 {
-  // A customer that was not seen here before has what a rest would have left
-  // it, as far as shares came in.
+  // A new bucket gets the shares collected so far, up to its capacity, as if
+  // the customer had been idle.
   auto& held = mAccounts[aCustomer];
   const auto deposited = mDeposited[PartOf(aCustomer)];
   const auto since = (deposited - held.counted).count();
--- a/src/currantshed/customer/token_bank.hpp
+++ b/src/currantshed/customer/token_bank.hpp
@@ -16,33 +16,35 @@
 
 namespace currantshed::customer {
 
-/// What a VM gets that asks for tokens.
+/// The response to a request for tokens.
 struct token_grant
 {
   unsigned count = 0;
-  /// When there is nothing: when to ask again.
+  /// If no tokens were granted, when to retry.
   std::chrono::milliseconds retryAfter{ 0 };
 };
 
-/// The tokens of customers at a VM that collects shares of its failure domain.
-/// A token lets one operation of the customer begin. A bank that starts is
-/// empty; what it holds is bounded, so that no window of time sees more
-/// operations than the customer's rate over it and its burst. A customer that
-/// asks for more all the time gets as much in every window; one that comes
-/// after a rest finds part of its burst. Asks for no time.
+/// The token buckets of customers at a VM that collects the shares of its
+/// failure domain. A token permits one operation of the customer to start. A
+/// new bucket is empty, and its content is limited so that no time window has
+/// more operations than the customer's rate over the window and its burst
+/// allow. A customer with constant excess demand gets as many in every window;
+/// one that returns from an idle period finds part of its burst. Does not read
+/// the clock.
 class token_bank
 {
 public:
-  /// The window in which operations are counted; zero where a customer's burst
-  /// is what it may save up.
+  /// aWindow is the window in which operations are counted. Zero: a customer
+  /// may save up its whole burst.
   explicit token_bank(std::chrono::milliseconds aWindow) noexcept;
 
-  /// How many banks hold tokens: each holds that part of a burst.
+  /// Sets the number of collectors that hold buckets. Each holds an equal part
+  /// of a burst.
   void SetBanks(std::size_t aBanks) noexcept { mBanks = aBanks; }
 
-  /// A VM hands its share on, of the customers of one part. It counts once: not
-  /// a second time when the message comes twice, nor when an older one comes
-  /// later. aSentAt is the sender's clock, in its present life.
+  /// Adds the share of a VM for one partition. A message that arrives twice, or
+  /// after a later one, is ignored. aSentAt is the time on the sender's clock,
+  /// in its present incarnation.
   void Deposit(const std::string& aVm,
                std::uint64_t aIncarnation,
                std::chrono::microseconds aSentAt,
@@ -63,9 +65,9 @@
   struct account
   {
     double tokens = 0;
-    /// The shares that are counted in.
+    /// The shares that are already counted in tokens.
     share counted{ 0 };
-    /// Operations refused since the last that was granted.
+    /// Operations refused since the last grant.
     unsigned refused = 0;
   };
 
@@ -75,7 +77,7 @@
   std::chrono::duration<double> mWindow;
   std::size_t mBanks = 1;
   std::array<share, kParts> mDeposited{};
-  /// By VM, for each part.
+  /// By VM, one entry per partition.
   absl::flat_hash_map<std::string, std::array<depositor, kParts>> mDepositors;
   absl::flat_hash_map<std::string, account> mAccounts;
 };
--- a/src/currantshed/customer/token_purse.cpp
+++ b/src/currantshed/customer/token_purse.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// What is not used by then is lost: asking takes a few milliseconds.
+// Tokens not used within this time are lost. A request for tokens takes a few
+// milliseconds.
 constexpr std::chrono::milliseconds kLife{ 500 };
 
 } // namespace
--- a/src/currantshed/customer/token_purse.hpp
+++ b/src/currantshed/customer/token_purse.hpp
@@ -10,10 +10,9 @@
 
 namespace currantshed::customer {
 
-/// The tokens that this VM was granted and has not used. They are good for a
-/// moment from when they were asked for, so that a VM that stood still has none
-/// left: those who granted them have counted them as used long ago. Asks for no
-/// time.
+/// Tokens granted to this VM that it has not used. They expire shortly after
+/// they were requested, so that a VM that was paused has none left: by then the
+/// collector counts them as used. Does not read the clock.
 class token_purse
 {
 public:
@@ -21,7 +20,7 @@
            unsigned aCount,
            clock::time_point aAskedAt);
 
-  /// Takes one token, if there is one.
+  /// Takes one token. Returns false if there is none.
   [[nodiscard]] bool Take(const std::string& aCustomer, clock::time_point aNow);
 
 private:
--- a/src/currantshed/lead/actions.hpp
+++ b/src/currantshed/lead/actions.hpp
@@ -9,57 +9,61 @@
 
 namespace currantshed::lead {
 
-/// Sends a server a question or order; answered by ServerAnswered or
-/// ServerFailed.
+/// Sends a query or command to a server. The result comes back through
+/// ServerAnswered or ServerFailed.
 struct ask_server
 {
   upstream::server_id server;
   proxy::command what;
-  /// Only on a connection of this VM's own: whoever watches a group must not
-  /// take another VM's trouble for the server's.
+  /// Whether to use only this VM's own connection. The VM that monitors a group
+  /// must not mistake another VM's network fault for a failure of the server.
   bool direct = true;
 };
 
-/// Asks the platform to make the server primary; answered by
-/// PromotionAnswered. Carried out only while this VM provably holds the duty.
+/// Asks the platform to promote the server; the result comes back through
+/// PromotionAnswered. Carried out only after a read of the store confirms that
+/// this VM still holds the duty.
 struct order_promotion
 {
   upstream::server_id server;
-  /// The term that ends with it. It is recorded in the store before the
-  /// platform is asked, since the platform lifts fences when it promotes.
+  /// The term that the promotion ends. It is recorded in the store before the
+  /// platform is called, because a promotion by the platform lifts fences.
   position::term_id replaces = 0;
 };
 
-/// Reads from the store which term was replaced last; answered by
-/// TermsChecked.
+/// Reads the most recently replaced term from the store; the result comes back
+/// through ReplacedTermRead.
 struct check_terms
 {};
 
-/// Reads anew which VMs there are; answered by VmsListed.
+/// Reads the list of VMs from the store again; the result comes back through
+/// VmsListed.
 struct list_vms
 {};
 
-/// A newer proof of who leads the group.
+/// Publishes a newer confirmation of the group's primary.
 struct publish_proof
 {
   proxy::confirmation proof;
-  /// Whether this VM has put it together itself, and others may lack it.
+  /// Whether this VM obtained the confirmation itself, so that other VMs may
+  /// not have it yet.
   bool isOwn = false;
 };
 
-/// Where the confirmed primary stood.
+/// Publishes the log position that the confirmed primary reported.
 struct publish_sample
 {
   proxy::position_sample sample;
 };
 
-/// No VM may rest on proofs of this term any longer; zero lifts that.
+/// Tells all VMs to stop using confirmations of this term; zero lifts the
+/// revocation.
 struct publish_revocation
 {
   position::term_id term = 0;
 };
 
-/// A step of a change of the primary, for logs.
+/// A step of a takeover, for the log.
 struct note_step
 {
   std::string step;
--- a/src/currantshed/lead/clock_offset.cpp
+++ b/src/currantshed/lead/clock_offset.cpp
@@ -6,8 +6,8 @@
 
 using std::chrono::microseconds;
 
-// The clocks of two VMs may drift apart by this part of the time that passes:
-// 200 parts in a million, twice what quartz clocks are specified to.
+// The clocks of two VMs may drift apart by 1/5000 of the elapsed time: 200 ppm,
+// twice the specification of quartz clocks.
 constexpr int kDriftDivisor = 5000;
 
 } // namespace
--- a/src/currantshed/lead/clock_offset.hpp
+++ b/src/currantshed/lead/clock_offset.hpp
@@ -8,18 +8,19 @@
 
 namespace currantshed::lead {
 
-/// What must be added to a time of the own steady clock to get a time of
-/// another VM's steady clock, at the least. Each message that tells when it
-/// was sent gives a lower bound, short of the truth by the time that it
-/// travelled; the highest bound is kept. A time turned over by a lower bound
-/// looks older to the other VM than it is, never newer.
+/// A lower bound of the offset from this VM's steady clock to another VM's
+/// steady clock. Each message that carries its time of sending yields a bound
+/// that is too low by the transit time; the highest bound is kept. A local time
+/// converted with a lower bound looks older to the other VM than it is, never
+/// newer.
 class clock_offset
 {
 public:
-  /// A message sent at that time of the other VM's clock came.
+  /// Records a message that the other VM sent at that time of its clock.
   void Heard(std::chrono::microseconds aSentAt, clock::time_point aNow);
 
-  /// The bound, none before the first message.
+  /// The lower bound, reduced for clock drift since the message that yielded
+  /// it; empty before the first message.
   [[nodiscard]] std::optional<std::chrono::microseconds> LowerBound(
     clock::time_point aNow) const;
 
@@ -28,7 +29,7 @@
   clock::time_point mHeardAt;
 };
 
-/// The time of the own steady clock as another VM is told it.
+/// A local steady-clock time as it is sent to other VMs.
 [[nodiscard]] std::chrono::microseconds
 ToWire(clock::time_point aTime);
 
--- a/src/currantshed/lead/group_lead.cpp
+++ b/src/currantshed/lead/group_lead.cpp
@@ -16,7 +16,7 @@
 
 using std::chrono::milliseconds;
 
-// A revocation that its author does not repeat lapses.
+// A revocation that the duty holder does not repeat expires after this time.
 constexpr milliseconds kRevocationLife{ 5000 };
 
 } // namespace
@@ -131,7 +131,7 @@
                          std::optional<clock::time_point> aHeardAt,
                          clock::time_point aNow)
 {
-  // What was heard before the question failed doesn't make up for it.
+  // An answer that arrived before the query failed does not cancel the failure.
   if (aHeardAt) {
     mTable.Heard(aServer, *aHeardAt);
   }
@@ -190,7 +190,7 @@
 lead_news
 group_lead::Watch() const
 {
-  // Only the word of who holds the duty revokes and lifts revocations.
+  // Only the duty holder revokes terms and lifts revocations.
   if (!mHoldsDuty) {
     return { mProof, mSample, 0, 0, 0 };
   }
--- a/src/currantshed/lead/group_lead.hpp
+++ b/src/currantshed/lead/group_lead.hpp
@@ -18,51 +18,55 @@
 
 namespace currantshed::lead {
 
-/// Times of one group's lead.
+/// Timing of one group's monitoring.
 struct lead_settings
 {
-  /// How long a proof holds, from its asking. Shorter makes a change of the
-  /// primary faster, longer spares questions.
+  /// How long a confirmation is valid, counted from the time its queries were
+  /// sent. A shorter time makes failover faster, a longer one saves queries.
   std::chrono::milliseconds validity{ 1000 };
-  /// Time between two proofs while this VM watches the group.
+  /// Interval between confirmations at the VM that monitors the group.
   std::chrono::milliseconds askInterval{ 350 };
-  /// A report takes a server under load some 10 ms; two questions that end
-  /// this way fit into the silence after which a primary counts as lost.
+  /// A server under load takes about 10 ms for a report. Two queries that time
+  /// out fit into silentAfter.
   std::chrono::milliseconds askTimeout{ 200 };
-  /// How long the primary must be silent to every VM before it counts as lost.
+  /// How long no VM must have heard from the primary before it counts as lost.
   std::chrono::milliseconds silentAfter{ 600 };
 };
 
-/// What one VM's word on a group says of its watch.
+/// The status of a group as the VM that monitors it announces it.
 struct lead_news
 {
   proxy::confirmation proof;
   std::optional<proxy::position_sample> sample;
-  /// The term that no VM may rest on, or zero.
+  /// The term whose confirmations no VM may use, or zero.
   position::term_id revokedTerm = 0;
-  /// Number of the duty of whoever revokes; a higher one overrides.
+  /// Epoch of the duty of the VM that revokes; a higher epoch takes precedence.
   std::uint64_t epoch = 0;
-  /// Goes up whenever the holder of the duty revokes or lifts a revocation:
-  /// words that come by several ways may overtake each other.
+  /// Incremented whenever the duty holder revokes a term or lifts a revocation,
+  /// since updates that arrive over different paths may be reordered.
   std::uint64_t sequence = 0;
 };
 
-/// What one VM says of its own way to the primary.
+/// Whether one VM can reach the primary, as it tells the other VMs.
 struct reach_news
 {
   position::term_id term = 0;
   upstream::server_id primary;
-  /// When it last heard the primary.
+  /// When it last heard from the primary.
   clock::time_point heardAt;
-  /// The term that it was told not to rest on, and does not.
+  /// The revoked term whose confirmations the VM has stopped using.
   position::term_id obeyedTerm = 0;
-  /// When it said so, at the earliest.
+  /// Earliest time at which the VM can have sent this.
   clock::time_point saidAt;
 };
 
-/// One group at one VM: who leads it, with proof; and at the VM that holds the
-/// group's duty, the watch over the primary and its replacement. Does no I/O:
-/// events and the time go in, actions come out.
+/// One VM's view of one group: which server is the confirmed primary and, on
+/// the VM that holds the group's duty, monitoring of the primary and failover.
+/// The duty is the exclusive responsibility for the group's failover; it is
+/// backed by a lease in the store, and its epoch serves as a fencing token. A
+/// confirmation says that a majority of the group followed a primary in a term;
+/// it is valid for a limited time. Performs no I/O: takes events and the
+/// current time, and returns actions.
 class group_lead
 {
 public:
@@ -72,50 +76,50 @@
 
   void Configure(const std::vector<member>& aMembers, clock::time_point aNow);
 
-  /// Whether this VM holds the group's duty, and its number.
+  /// Sets whether this VM holds the group's duty, and the duty's epoch.
   void SetDuty(bool aHolds, std::uint64_t aEpoch, clock::time_point aNow);
 
-  /// Whether this VM is about to take the duty, which nobody holds: it proves
-  /// the primary for the others, but changes nothing.
+  /// Sets whether this VM is the next in line for a duty that nobody holds. It
+  /// then confirms the primary on behalf of all VMs, but starts no takeover.
   void SetStandsIn(bool aStandsIn) noexcept { mStandsIn = aStandsIn; }
 
-  /// The other VMs, as read from the store after the given time, and those
-  /// known before that may still run. A VM that is not among them began after
-  /// the old primary could be proved no more.
+  /// The other VMs, as read from the store after aAskedAt, and VMs known
+  /// earlier that may still be running. A VM that is not among them started
+  /// when the old primary could no longer be confirmed.
   void VmsListed(std::vector<std::string> aVms,
                  clock::time_point aAskedAt,
                  clock::time_point aNow);
 
-  /// The newest term that a change of the primary has replaced, as the store
-  /// shows it: no proof of it or an earlier one holds.
+  /// The latest term that a takeover has replaced, according to the store.
+  /// Confirmations of this or an earlier term are not valid.
   void SetReplaced(position::term_id aTerm, clock::time_point aNow);
 
-  /// The newest term that this VM knows to be replaced, by the store or since a
-  /// later one is proved.
+  /// The latest term that this VM knows to be replaced, either from the store
+  /// or because a later term is confirmed.
   [[nodiscard]] position::term_id ReplacedTerm() const noexcept;
 
-  /// The same, read from the store since the check was asked for; none when
-  /// the store could not be read.
+  /// The result of read_replaced_term; empty if the store could not be read.
   void TermsChecked(std::optional<position::term_id> aReplaced,
                     clock::time_point aNow);
 
-  /// Whether this VM may have proofs yet: before it stands in the store,
-  /// whoever promotes does not know that it may rest on one.
+  /// Sets whether this VM may obtain confirmations. Before it is registered in
+  /// the store, the VM that promotes does not know that this one may be using a
+  /// confirmation.
   void SetMayAsk(bool aMayAsk) { mMayAsk = aMayAsk; }
 
-  /// How many VMs may ask for proofs of this group, and this VM's place among
-  /// them, from 0 to below 1. Without a word of the holder they ask one after
-  /// the other and pass on what they learn.
+  /// Sets how many VMs may query this group and this VM's place among them, in
+  /// [0, 1). While no update arrives from the duty holder, the VMs stagger
+  /// their queries and relay the results to each other.
   void SetPlace(std::size_t aVms, double aPlace);
 
-  /// Whether another VM passes on what is known of the group: it is asked
-  /// first, and given time to answer.
+  /// Sets whether another VM relays updates on the group to this one. That VM
+  /// is then asked first and given time to answer.
   void SetIsRelayed(bool aIsRelayed) noexcept { mIsRelayed = aIsRelayed; }
 
-  /// Requests need a proof.
+  /// Requests are waiting for a confirmation.
   void Wanted(clock::time_point aNow);
 
-  /// A server denied that it leads in that term.
+  /// A server reported that it is not the primary of that term.
   void Denied(position::term_id aTerm, clock::time_point aNow);
 
   void ServerAnswered(const upstream::server_id& aServer,
@@ -127,16 +131,16 @@
                     clock::time_point aNow);
   void PromotionAnswered(bool aTaken, bool aRejected, clock::time_point aNow);
 
-  /// What another VM says; times are of this VM's clock.
+  /// Updates from other VMs, with all times converted to this VM's clock.
   void HeardWatch(const lead_news& aNews, clock::time_point aNow);
   void HeardReach(const std::string& aVm,
                   const reach_news& aNews,
                   clock::time_point aNow);
 
-  /// What this VM says to others. The reach is when traffic last heard the
-  /// primary.
+  /// The updates that this VM sends to others. aHeardAt is the time at which
+  /// regular traffic last heard from the primary.
   [[nodiscard]] lead_news Watch() const;
-  /// What it passes on of what it was told by whoever holds the duty.
+  /// The latest update from the duty holder, for relaying.
   [[nodiscard]] lead_news Relayed() const;
   [[nodiscard]] reach_news Reach(
     std::optional<clock::time_point> aHeardAt) const;
@@ -150,10 +154,10 @@
     return mProof;
   }
   [[nodiscard]] bool HoldsDuty() const noexcept { return mHoldsDuty; }
-  /// Whether its word on the group is for all VMs.
+  /// Whether this VM announces the group's status to all VMs.
   [[nodiscard]] bool Speaks() const noexcept { return mHoldsDuty || mStandsIn; }
-  /// Whether this VM watches the group and lacks the primary's own word, so
-  /// that it judges by others'.
+  /// Whether this VM monitors the group and has no recent answer from the
+  /// primary, so that it depends on other VMs' reachability updates.
   [[nodiscard]] bool DoubtsPrimary(clock::time_point aNow) const;
   [[nodiscard]] bool IsChanging() const noexcept
   {
@@ -210,8 +214,8 @@
   bool mStandsIn = false;
   bool mMayAsk = true;
   bool mIsRelayed = false;
-  // How much later than the first VM this one asks, and how long any one VM
-  // pauses between questions.
+  // How long after the first VM this one sends its queries, and the minimum
+  // pause between two queries of any one VM.
   std::chrono::milliseconds mAskDelay{ 0 };
   std::chrono::milliseconds mAskPause{ 0 };
   std::uint64_t mEpoch = 0;
@@ -219,28 +223,29 @@
   // The term that this VM revokes, and how often that has changed.
   position::term_id mOwnRevoked = 0;
   std::uint64_t mOwnSequence = 0;
-  // The newest word of whoever holds the duty.
+  // The latest revocation received from a duty holder.
   position::term_id mRevoked = 0;
   std::uint64_t mRevokedEpoch = 0;
   std::uint64_t mRevokedSequence = 0;
   clock::time_point mRevokedAt;
   position::term_id mReplaced = 0;
-  // An own proof that holds only if the store shows that its term still leads.
+  // A confirmation obtained by this VM that is valid only if the store shows
+  // that its term has not been replaced.
   std::optional<proxy::confirmation> mUnchecked;
   clock::time_point mNextCheck;
-  // The VMs that must give up a revoked term, once they are known.
+  // The VMs that must acknowledge the revocation, once they are known.
   std::optional<std::vector<std::string>> mMustObey;
   absl::btree_map<std::string, peer_reach> mReach;
   clock::time_point mWantedAt;
   clock::time_point mWantedSince;
   clock::time_point mDeniedAt;
-  // Whose word keeps a primary that this VM does not hear.
+  // The VM whose updates keep a primary in place that this VM cannot reach.
   std::string mKeptBy;
   lateness mLateness;
-  // When the holder of the duty has planned to look next.
+  // When the duty holder has scheduled its next tick.
   std::optional<clock::time_point> mPlanned;
   std::optional<clock::time_point> mVacantSince;
-  // When the next line on a group without a primary is due.
+  // When to log next that the group has no confirmed primary.
   clock::time_point mNextUnproved{};
   clock::time_point mNow;
   std::vector<action> mActions;
--- a/src/currantshed/lead/group_lead_proof.cpp
+++ b/src/currantshed/lead/group_lead_proof.cpp
@@ -1,4 +1,5 @@
-// What one VM may believe about who leads: its own reports, and their checks.
+// How a VM confirms a group's primary: its own queries, and the checks of their
+// results.
 #include "currantshed/lead/group_lead.hpp"
 
 #include <algorithm>
@@ -19,35 +20,39 @@
 
 using std::chrono::milliseconds;
 
-// Every member is asked this often by the VM that watches, so that strayed
-// fences and old primaries are seen.
+// The VM that monitors a group queries every member at this interval, to detect
+// leftover fences and old primaries.
 constexpr milliseconds kRoundPause{ 2000 };
-// A VM without the duty asks by itself once the proofs that it is told leave
-// it less than this.
+// A VM without the duty sends its own queries once the confirmation that it was
+// told is valid for less than this.
 constexpr milliseconds kOwnAskReserve{ 350 };
-// How far apart the VMs without the duty ask, and over how long at most: the
-// first answer comes back and is passed on in some 30 ms, so that a dozen of 75
-// ask, not all. What is left before the proof ends suffices for a retry.
+// Stagger between the queries of VMs without the duty, and its maximum over all
+// of them. The first answer arrives and is relayed within about 30 ms, so that
+// some 12 of 75 VMs send queries, not all. The validity that remains suffices
+// for a retry.
 constexpr milliseconds kSpreadByVm{ 2 };
 constexpr milliseconds kLongestSpread{ 150 };
-// How long a VM of the same failure domain is given to tell what it knows.
+// How long a VM of the same failure domain is given to relay what it knows.
 constexpr milliseconds kRelayTime{ 30 };
-// Pause of one VM between questions, for each VM that may ask: all together put
-// at most 250 questions a second to a server, each a slot for half a
-// millisecond.
+// Minimum pause of one VM between queries, for each VM that may query. All VMs
+// together send at most 250 queries per second to a server; each occupies a
+// connection slot for 0.5 ms.
 constexpr milliseconds kPauseByVm{ 4 };
-// How long the primary and one witness are given before all members are asked.
+// How long the primary and one witness have to answer before all members are
+// queried.
 constexpr milliseconds kFirstPairTime{ 150 };
-// A proof that is no newer than this spares the others no question.
+// A confirmation that extends the validity by less than this is not worth
+// relaying: it saves the other VMs no query.
 constexpr milliseconds kWorthTelling{ 150 };
-// How long a primary that only others reach is asked through them.
+// How long a primary that only other VMs reach is queried through them.
 constexpr milliseconds kRelayedTime{ 3000 };
-// Pause after a check of the terms that found the proof void, or that the store
-// did not answer: then it rarely does soon, and each question has its price.
+// Pause after a read of the replaced term that voided the confirmation, and
+// after a read that failed. A store that did not answer seldom recovers at
+// once, and every read adds to its load.
 constexpr milliseconds kCheckPause{ 200 };
 constexpr milliseconds kFailedCheckPause{ 1000 };
-// Reports asked for within this time of each other are one round. It is shorter
-// than the least time from a fence to the effect of a promotion.
+// Reports whose queries were sent within this time count as one poll round.
+// Shorter than the minimum time from a fence to the effect of a promotion.
 constexpr milliseconds kSameRound{ 300 };
 
 } // namespace
@@ -90,9 +95,10 @@
   }
 }
 
-// What the primary said of its position, once it is proved that it led. The
-// first reports of a term bring the proof, so that their position counts too:
-// without it no replica could be used until the primary has answered again.
+// Records the log position that the primary reported, once it is confirmed that
+// it was primary then. The reports that first confirm a term count as well:
+// without their position no replica could serve reads until the primary has
+// answered again.
 void
 group_lead::TakeSample(clock::time_point aNow)
 {
@@ -134,8 +140,8 @@
   }
 }
 
-// No own proof of this term or an earlier one counts: it was revoked or
-// replaced.
+// The latest term that was revoked or replaced. This VM's own confirmations of
+// this or an earlier term are not valid.
 position::term_id
 group_lead::EndedTerm() const
 {
@@ -143,7 +149,7 @@
   return std::max(revoked, mReplaced);
 }
 
-// Whether the primary has started again since it was proved.
+// Whether the primary has restarted since it was confirmed.
 bool
 group_lead::IsOfOldLife(const proxy::confirmation& aProof) const
 {
@@ -159,10 +165,10 @@
 }
 
 // The platform lifts fences when it promotes, so that an old primary and a
-// replica behind may look like a majority again. A majority counts by itself
-// only if no promotion can have gone unseen: a proof of the same term held
-// until the asking, every member was asked in one round, or this VM has ordered
-// the promotion itself.
+// lagging replica may look like a majority again. A majority is sufficient by
+// itself only if no promotion can have gone unnoticed: a confirmation of the
+// same term was valid when the queries were sent, every member was queried in
+// one poll round, or this VM itself requested the promotion.
 bool
 group_lead::IsTrusted(const proxy::confirmation& aProof) const
 {
@@ -183,13 +189,13 @@
   });
 }
 
-// A term that was replaced is recorded in the store before the platform is
-// asked to promote: a reading that begins after the servers answered shows it.
+// A term is recorded in the store as replaced before the platform is asked to
+// promote. A read that starts after the servers answered therefore shows it.
 void
 group_lead::CheckTerms(const proxy::confirmation& aProof,
                        clock::time_point aNow)
 {
-  // The members that have yet to answer may spare the question.
+  // The answers still outstanding may make the read of the store unnecessary.
   const auto& all = mTable.All();
   const bool isComplete =
     std::none_of(all.begin(), all.end(), [](const auto& aOne) {
@@ -203,8 +209,8 @@
   mActions.emplace_back(check_terms{});
 }
 
-// The change was given up. What was proved before it may have been replaced
-// all the same, and must be proved anew.
+// A takeover was abandoned. It may have had its effect nevertheless, so that
+// earlier confirmations are no longer valid.
 void
 group_lead::LiftRevocation(position::term_id aTerm)
 {
@@ -234,22 +240,22 @@
   mAskPause = kPauseByVm * vms;
 }
 
-// Whether this VM asks all the while, also for the others.
+// Whether this VM queries continuously, on behalf of all VMs.
 bool
 group_lead::Watches() const noexcept
 {
   return mHoldsDuty || (mStandsIn && mMayAsk);
 }
 
-// From when on the next proof is asked for.
+// The time from which the next confirmation may be requested.
 clock::time_point
 group_lead::AsksFrom() const
 {
   if (Watches()) {
     return mProof.askedAt + mSettings.askInterval;
   }
-  // A VM that knows nothing yet asks at once: of those that start together none
-  // can tell the others sooner.
+  // A VM that knows no primary yet queries at once. If several VMs start
+  // together, none of them could learn it sooner from another.
   if (mProof.term == 0) {
     return mWantedSince;
   }
@@ -267,8 +273,8 @@
            : std::max(pause, mAskPause);
 }
 
-// A proof takes the primary and as many others as make a majority with it;
-// without a primary that answers, all are asked.
+// A confirmation needs answers from the primary and enough members to form a
+// majority with it. Without a primary that answers, all members are queried.
 void
 group_lead::Ask(clock::time_point aNow)
 {
@@ -282,7 +288,8 @@
   const bool knows = primary != nullptr && primary->failures == 0 &&
                      mDeniedAt <= mProof.askedAt && !IsChanging();
   const auto* witness = Witness();
-  // One that is busy gives no report: others are asked before time runs out.
+  // A busy server gives no report, so the other members are queried while there
+  // is still time.
   const bool isLate = aNow >= AsksFrom() + kFirstPairTime;
   for (const auto& [id, view] : mTable.All()) {
     const bool inProof =
@@ -312,7 +319,8 @@
   mActions.emplace_back(ask_server{ aView.listed.id, question, direct });
 }
 
-// The member to ask besides the primary: one that answers, near by preference.
+// The member to query besides the primary: one that answers, preferably in the
+// same failure domain.
 const member_view*
 group_lead::Witness() const
 {
--- a/src/currantshed/lead/group_lead_watch.cpp
+++ b/src/currantshed/lead/group_lead_watch.cpp
@@ -1,4 +1,5 @@
-// What the holder of the duty does: judge the primary, and bring servers back.
+// The tasks of the duty holder: detects the loss of a primary, starts takeovers
+// and repairs members afterwards.
 #include "currantshed/lead/group_lead.hpp"
 
 #include <algorithm>
@@ -18,20 +19,21 @@
 
 using std::chrono::milliseconds;
 
-// How lately another VM must have heard the primary to keep it.
+// How recently another VM must have heard from the primary for it not to count
+// as lost.
 constexpr milliseconds kReachLife{ 600 };
-// How long nobody may lead before the group counts as vacant.
+// How long no server must be primary before a takeover starts.
 constexpr milliseconds kVacantAfter{ 1200 };
-// The same where the holder before left the group so, and no server can be
-// about to lead: two rounds of questions. And for how long what a new holder
-// sees counts as left by the one before.
+// The same, if the previous duty holder left the group without a primary and no
+// promotion can be in flight: two poll rounds. The second is how long after the
+// start of the duty a new holder attributes such a state to the previous one.
 constexpr milliseconds kSurelyVacantAfter{ 200 };
 constexpr milliseconds kInheritance{ 1500 };
-// A new holder of the duty looks on for this long first, so that an order of
-// the holder before it has had its effect.
+// A new duty holder takes no action for this long, so that a request of its
+// predecessor has time to take effect.
 constexpr milliseconds kFirstLook{ 400 };
 
-// Time between two lines on a group without a primary.
+// Interval between log lines on a group without a confirmed primary.
 constexpr milliseconds kUnprovedPause{ 1000 };
 
 std::int64_t
@@ -40,7 +42,7 @@
   return std::chrono::duration_cast<milliseconds>(aTime).count();
 }
 
-// Whether the member has reported lately enough to tell who leads now.
+// Whether the member's last report is recent enough to tell who is primary.
 bool
 IsFresh(const member_view& aView, clock::time_point aNow)
 {
@@ -68,8 +70,8 @@
       takeover_reason::kLost, mProof.primary, mProof.term, aNow, mActions);
     return;
   }
-  // Without a proof of its own this VM goes by the others' word: they use the
-  // primary all the while.
+  // Without a valid confirmation of its own, this VM relies on reachability
+  // updates from other VMs, which keep using the primary.
   const bool isInUse =
     aNow < mProof.askedAt + mSettings.validity || IsReachedElsewhere(aNow);
   const bool leaves = mProof.term != 0 && primary != nullptr &&
@@ -94,9 +96,9 @@
   }
 }
 
-// Nobody reaches the primary: neither this VM nor any that told lately. A VM
-// that hears none of the other members either says nothing of the primary, and
-// could not replace it.
+// Whether the primary is unreachable for this VM and for all VMs that sent
+// recent updates. A VM that cannot reach any other member either may itself be
+// cut off, and could not replace the primary.
 bool
 group_lead::IsLost(clock::time_point aNow) const
 {
@@ -116,8 +118,9 @@
   return hearsOthers && !IsReachedElsewhere(aNow);
 }
 
-// What this VM's own lateness adds to another one's silence: an answer or a
-// word may have lain unread for as long as the question before it.
+// The time by which this VM's own scheduling delay extends another one's
+// apparent silence. Both the query and the answer may have been delayed that
+// long.
 clock::duration
 group_lead::OwnDelay(clock::time_point aNow) const
 {
@@ -133,15 +136,15 @@
                         aNow >= mProof.askedAt + mSettings.validity);
 }
 
-// Whether another VM has heard the primary lately.
+// Whether another VM has heard from the primary recently.
 bool
 group_lead::IsReachedElsewhere(clock::time_point aNow) const
 {
   return !ReachedBy(aNow).empty();
 }
 
-// Tells once a second that the group has no primary that anyone could use,
-// since when, and what that may wait for.
+// Logs once a second that the group has no confirmed primary, since when, and
+// what the members report.
 void
 group_lead::NoteUnproved(clock::time_point aNow)
 {
@@ -184,7 +187,7 @@
                             ReachedBy(aNow)) });
 }
 
-// What the judgement that a primary is lost rests on.
+// Logs the observations from which this VM concludes that the primary is lost.
 void
 group_lead::NoteLost(const member_view& aPrimary, clock::time_point aNow)
 {
@@ -213,7 +216,7 @@
                             Milliseconds(mLateness.At(aNow))) });
 }
 
-// A VM that has heard the primary lately, or an empty name.
+// A VM that has heard from the primary recently, or an empty name.
 std::string
 group_lead::ReachedBy(clock::time_point aNow) const
 {
@@ -229,7 +232,7 @@
   return found == mReach.end() ? std::string() : found->first;
 }
 
-// Tells once for each silence which VM's word keeps the primary.
+// Logs once per silent period which VM's updates keep the primary in place.
 void
 group_lead::NoteKept(clock::time_point aNow)
 {
@@ -249,8 +252,8 @@
   mKeptBy = by;
 }
 
-// Whether the server has said lately, and since it was proved last, that it
-// does not lead.
+// Whether the server has reported recently, and after its last confirmation,
+// that it is not primary.
 bool
 group_lead::DeniesToLead(const member_view& aView, clock::time_point aNow) const
 {
@@ -258,10 +261,11 @@
          aView.askedAt > mProof.askedAt;
 }
 
-// A majority answers, and none of the servers leads; or the one that led is
-// gone from the list. That others hear the one that led counts only as long as
-// it does not say itself that it leads no longer: it may have stepped down on
-// the order of a holder that gave up, and answers reads as ever.
+// Whether a majority answers and no server is primary, or the last primary is
+// no longer listed. Reachability updates of other VMs count only while that
+// server does not itself report that it is not primary: it may have stepped
+// down for a duty holder that then abandoned the takeover, and still answers
+// reads.
 bool
 group_lead::IsVacant(clock::time_point aNow)
 {
@@ -285,18 +289,19 @@
   if (!mVacantSince) {
     mVacantSince = aNow;
   }
-  // What the holder before left. Without an order to promote, which it would
-  // have recorded first, no server can come to lead.
+  // The previous duty holder left the group in this state. It would have
+  // recorded the replaced term before a request to promote, so without that
+  // record no server can become primary.
   const bool mayBeOrdered = mReplaced >= mTable.HighestLog();
   const bool isSure = aNow < mDutySince + kInheritance && !mayBeOrdered &&
                       (denies || answering == mTable.All().size());
   return aNow - *mVacantSince > (isSure ? kSurelyVacantAfter : kVacantAfter);
 }
 
-// The term of a primary that leads but can't be proved, since a holder of the
-// duty before this one fenced its group and went no further; zero if there is
-// none. Taking the duty over kept that holder from recording the term as
-// replaced later, and unrecorded it may not have the platform promote.
+// The term of a server that is primary but cannot be confirmed, because an
+// earlier duty holder fenced its group and went no further; zero if there is
+// none. That holder can no longer record the term as replaced, since it has
+// lost the duty, and must not request a promotion without that record.
 position::term_id
 group_lead::UnreplacedTerm(clock::time_point aNow) const
 {
@@ -311,8 +316,8 @@
   return led > mReplaced && led >= mTable.HighestLog() ? led : 0;
 }
 
-// Brings servers back that a change of the primary left behind: old primaries
-// step down, fences of a settled term are lifted.
+// Repairs members after a takeover: old primaries are told to step down, and
+// fences of a term that has been settled are lifted.
 void
 group_lead::Repair(clock::time_point aNow)
 {
@@ -321,7 +326,7 @@
   if (IsChanging() || settled == 0) {
     return;
   }
-  // Without a proof, members are asked at short intervals all the while.
+  // Without a confirmation, the members are polled at short intervals anyway.
   const auto pause = isProved ? kRetryPause : kBusyPause;
   for (const auto& [id, view] : mTable.All()) {
     if (id == mProof.primary || !view.report || view.asking ||
--- a/src/currantshed/lead/internal/group_lead_times.hpp
+++ b/src/currantshed/lead/internal/group_lead_times.hpp
@@ -3,19 +3,19 @@
 
 #include <chrono>
 
-/// Times and counts that the parts of group_lead share.
+/// Timing and limits that the source files of group_monitor share.
 namespace currantshed::lead::internal {
 
 using std::chrono::milliseconds;
 
-// Pause before the same server is asked again when it did not answer.
+// Pause before a server that did not answer is queried again.
 inline constexpr milliseconds kRetryPause{ 150 };
-// The same for one that answered that it is busy.
+// Pause before a server that answered that it is busy is queried again.
 inline constexpr milliseconds kBusyPause{ 60 };
-// How long a wish for proof lasts.
+// How long a request keeps the demand for confirmations alive.
 inline constexpr milliseconds kDemandLife{ 1000 };
-// Questions in a row without an answer before a server may count as lost: one
-// may be owed to a connection that went silent.
+// Consecutive unanswered queries before a server may count as lost. One of them
+// may be due to a connection that has failed silently.
 inline constexpr unsigned kFailuresToLose = 2;
 
 } // namespace currantshed::lead::internal
--- a/src/currantshed/lead/lateness.cpp
+++ b/src/currantshed/lead/lateness.cpp
@@ -6,11 +6,13 @@
 
 namespace {
 
-// How long the worst delay counts in full, and then until it counts no more: a
-// VM that was slow works off what lies unread meanwhile.
+// How long the maximum delay is reported in full, and how long it then takes to
+// decay to zero. In this time a VM that was slow processes its backlog of
+// messages.
 constexpr std::chrono::milliseconds kFull{ 1000 };
 constexpr std::chrono::milliseconds kFading{ 2000 };
-// A longer delay tells no more of what lies unread: a VM that stood still, say.
+// Upper limit of a recorded delay. A longer one, for example of a VM that was
+// paused, does not mean a longer backlog.
 constexpr std::chrono::milliseconds kMost{ 2000 };
 
 } // namespace
@@ -35,7 +37,8 @@
   }
   const auto left =
     std::max<clock::duration>(kFull + kFading - since, clock::duration::zero());
-  // In milliseconds, since the product of two spans in nanoseconds overflows.
+  // Computed in milliseconds, because the product of two durations in
+  // nanoseconds overflows.
   using std::chrono::milliseconds;
   const auto part = std::chrono::duration_cast<milliseconds>(left);
   return mWorst * part.count() / kFading.count();
--- a/src/currantshed/lead/lateness.hpp
+++ b/src/currantshed/lead/lateness.hpp
@@ -5,17 +5,17 @@
 
 namespace currantshed::lead {
 
-/// How late this VM does what it planned to do, at the worst lately: by that
-/// much answers and other VMs' words may lie unread, and what looks like
-/// another one's silence is its own (after Lifeguard: Dadgar, Phillips and
-/// Currey, 2018).
+/// The recent maximum by which this VM runs its scheduled work late. Answers
+/// and updates from other VMs may lie unread for as long, so that what looks
+/// like silence of a server may be a delay of this VM (after Lifeguard: Dadgar,
+/// Phillips and Currey, 2018).
 class lateness
 {
 public:
-  /// Something that was planned for one time has been done at another one.
+  /// Records that work scheduled for aPlanned was done at aAt.
   void Ran(clock::time_point aPlanned, clock::time_point aAt) noexcept;
 
-  /// The longest delay; fades over some seconds.
+  /// The maximum delay, which decays to zero over some seconds.
   [[nodiscard]] clock::duration At(clock::time_point aNow) const noexcept;
 
 private:
--- a/src/currantshed/lead/server_table.hpp
+++ b/src/currantshed/lead/server_table.hpp
@@ -16,41 +16,42 @@
 
 namespace currantshed::lead {
 
-/// One server of a group as the platform lists it.
+/// A server of a group as the platform lists it.
 struct member
 {
   upstream::server_id id;
   /// In this VM's failure domain.
   bool isNear = false;
-  /// Leaves soon.
+  /// About to leave the group.
   bool draining = false;
-  /// Which of its lives it is.
+  /// Identifies the server's incarnation.
   proxy::start_time startedAt{};
 };
 
-/// What a member said last, and how it answers.
+/// The last report of a member and whether it responds.
 struct member_view
 {
   member listed;
   std::optional<proxy::server_report> report;
-  /// When the report was asked for.
+  /// When the query for the report was sent.
   clock::time_point askedAt;
-  /// When the question under way was sent.
+  /// When the query that is in flight was sent.
   std::optional<clock::time_point> asking;
-  /// When it was last asked, answered or not.
+  /// When the last query was sent, answered or not.
   clock::time_point lastAsked;
-  /// When this VM came to know that it has started again: what was asked for
-  /// before says nothing of it.
+  /// When this VM learned that the server had restarted. Answers to earlier
+  /// queries do not apply to the new incarnation.
   clock::time_point livesSince{};
-  /// When it last answered anything, also a caller's statement.
+  /// When it last answered anything, client statements included.
   clock::time_point heardAt;
-  /// Until when it is asked through other VMs, since only they reach it.
+  /// Until when it is queried through other VMs, because only they can reach
+  /// it.
   clock::time_point relayedUntil;
-  /// Questions without an answer since then.
+  /// Consecutive queries without an answer.
   unsigned failures = 0;
 };
 
-/// The members of one group and what follows from their reports.
+/// The members of one group, and what follows from their reports.
 class server_table
 {
 public:
@@ -62,7 +63,7 @@
                 const proxy::server_report& aReport,
                 clock::time_point aAskedAt,
                 clock::time_point aNow);
-  /// Answered, but without a report.
+  /// Records an answer without a report.
   void Heard(const upstream::server_id& aServer, clock::time_point aAt);
   void Failed(const upstream::server_id& aServer);
 
@@ -71,21 +72,22 @@
   [[nodiscard]] const member_view* Find(
     const upstream::server_id& aServer) const;
 
-  /// More than half of the members.
+  /// The smallest number of members that is more than half.
   [[nodiscard]] std::size_t Majority() const noexcept;
 
-  /// Members whose last question had no answer.
+  /// Number of members whose last query failed.
   [[nodiscard]] std::size_t Silent() const;
 
-  /// The highest term that any member told, of its log or its fence.
+  /// The highest term that any member reported, of its log or of its fence.
   [[nodiscard]] position::term_id HighestTerm() const;
 
-  /// The highest term of any member's log: fences may stand above every term
-  /// that has begun.
+  /// The highest term of any member's log. A fence may have a higher term than
+  /// any that has started.
   [[nodiscard]] position::term_id HighestLog() const;
 
-  /// The primary of the highest term that a majority, itself included, would
-  /// follow, and when the oldest of the newest such majority was asked.
+  /// The primary of the highest term, if a majority that includes it would
+  /// follow it. askedAt is the time of the oldest query of the most recent such
+  /// majority.
   [[nodiscard]] std::optional<proxy::confirmation> Proof() const;
 
 private:
--- a/src/currantshed/lead/takeover.cpp
+++ b/src/currantshed/lead/takeover.cpp
@@ -13,20 +13,20 @@
 
 using std::chrono::milliseconds;
 
-// Pause between two rounds of fences, of questions, or of orders to promote.
+// Interval between rounds of fences or queries, and between promotion requests.
 constexpr milliseconds kRound{ 100 };
 constexpr milliseconds kPromoteRound{ 400 };
-// How long after an order its effect may come: nearly twice the 1.1 s that it
-// took at the most. An order that was taken is not repeated before, since each
-// takes effect, one after the other.
+// How long after a promotion request its effect may come: nearly twice the
+// measured maximum of 1.1 s. A request that was accepted is not repeated
+// earlier, because repeated requests take effect one after the other.
 constexpr milliseconds kOrderEffect{ 2000 };
-// Time between two lines on what a change waits for.
+// Interval between log lines on what a takeover is waiting for.
 constexpr milliseconds kNotePause{ 1000 };
-// How long a planned change waits for the old primary to step down by itself:
-// twice the time after which a server that does not answer is given up.
+// How long a planned takeover waits for the old primary to step down by itself:
+// twice the time after which a server that does not answer counts as failed.
 constexpr milliseconds kStepDownTime{ 1000 };
-// How long a planned change waits for a replica to have all that the old
-// primary had.
+// How long a planned takeover waits for a replica to receive the whole log of
+// the old primary.
 constexpr milliseconds kCatchUpTime{ 500 };
 
 } // namespace
@@ -162,8 +162,8 @@
     "done", absl::StrCat("primary=", aPrimary, " took_ms=", took.count()) });
 }
 
-// Tells at intervals what keeps a change from going on: a change that never
-// ends leaves its group without a primary.
+// Logs at intervals what a takeover is waiting for. As long as it does not
+// finish, the group has no primary.
 void
 takeover::NoteWait(clock::time_point aNow, std::vector<action>& aOut)
 {
@@ -199,8 +199,9 @@
          aPrimary != mChosen && aNow < mLastOrderAt + kOrderEffect;
 }
 
-// An order of a change before, or of another holder, had its effect late. The
-// server that leads by it is about to be deposed: nobody may rest on it.
+// A promotion request of an earlier takeover, or of another duty holder, took
+// effect late. The server that became primary is about to be replaced, so no VM
+// may use it.
 void
 takeover::Overtaken(const proxy::confirmation& aProof,
                     std::vector<action>& aOut)
@@ -212,8 +213,9 @@
     note_step{ "overtaken", absl::StrCat("by=", mOld, " term=", mOldTerm) });
 }
 
-// Whether the chosen server is gone, or has started again since: it would lead
-// with nothing, over one that holds what was acknowledged.
+// Whether the chosen server is gone or has restarted since it was chosen. A
+// restarted server is empty, and must not be promoted over one that holds
+// acknowledged commits.
 bool
 takeover::IsChoiceVoid() const
 {
@@ -222,8 +224,8 @@
          (chosen == nullptr || chosen->listed.startedAt != mChosenStart);
 }
 
-// A chosen server that falls silent may have failed before the order took
-// effect; the platform tells so when it is ordered again.
+// A chosen server that stops answering may have failed before the request took
+// effect; the platform's response to another request tells.
 void
 takeover::OrderAnew(clock::time_point aNow)
 {
@@ -236,9 +238,9 @@
   }
 }
 
-// The old primary is asked to step down, replicas to follow it no longer; a
-// planned change leaves the replicas free to receive its last commits, as long
-// as the old primary can be expected to step down.
+// Tells the old primary to step down, and the replicas to stop following it. In
+// a planned takeover the replicas are not fenced, so that they receive the last
+// commits, as long as the old primary can be expected to step down.
 void
 takeover::Fence(clock::time_point aNow, std::vector<action>& aOut)
 {
@@ -264,9 +266,9 @@
   }
 }
 
-// Whether a planned change goes on without the old primary. Only this VM tells
-// it to step down, and may have no way there; a change that waited for it would
-// never end, nor would the use of a server that leaves.
+// Whether a planned takeover continues without the old primary. Only this VM
+// tells it to step down, and it may be unreachable from here. A takeover that
+// waited for it would never finish, and a draining server would remain in use.
 bool
 takeover::NeedsFences(clock::time_point aNow) const
 {
@@ -276,8 +278,8 @@
           aNow >= mBegunAt + kStepDownTime);
 }
 
-// Whether the server, if it is listed, has told since the change began that it
-// does not lead.
+// Whether the server is listed and has reported since the takeover started that
+// it is not primary.
 bool
 takeover::DoesNotLead(const member_view* aView) const
 {
@@ -291,8 +293,8 @@
   return DoesNotLead(&aView) && aView.report->fencedAt >= mFenceTerm;
 }
 
-// Once a majority won't follow the old primary, or it has stepped down itself,
-// no new proof of its term can come about.
+// Once a majority is fenced, or the old primary has stepped down by itself, no
+// further confirmation of its term is possible.
 void
 takeover::ReadFences(clock::time_point aNow, std::vector<action>& aOut)
 {
@@ -312,16 +314,16 @@
   }
 }
 
-// Whether the server has told of its log since the change began, and may be
-// promoted.
+// Whether the server has reported its log position since the takeover started
+// and may be promoted.
 bool
 takeover::IsUsable(const member_view& aView) const
 {
   return DoesNotLead(&aView) && !mRejected.contains(aView.listed.id);
 }
 
-// Whether the server has started again and holds less than the old primary,
-// which may lead on.
+// Whether the server has restarted and holds less than the old primary, which
+// may remain primary.
 bool
 takeover::IsEmptied(const member_view& aView) const
 {
@@ -331,11 +333,12 @@
          aView.report->received < old->report->received;
 }
 
-// The longest log among the servers that answered lately. A server that leaves
-// comes last. While a planned change may still bring all that the old primary
-// had to one of them, none is chosen. Where all others have started again and
-// hold less, the old primary leads on until they have caught up: what was
-// acknowledged is nowhere else.
+// Chooses the server with the longest log among those that reported since the
+// takeover started. Draining servers are left out, and so is the old primary
+// unless no server was primary. None is chosen while a planned takeover may
+// still bring the whole log of the old primary to one of them. If all others
+// have restarted and hold less, the old primary is promoted again until they
+// have caught up, since no other server holds all acknowledged commits.
 upstream::server_id
 takeover::Choose(clock::time_point aNow) const
 {
@@ -369,8 +372,8 @@
   return best->listed.id;
 }
 
-// While the platform promotes, the old primary may come back, and does not know
-// of it.
+// The old primary may come back while the platform promotes, without knowing of
+// the takeover.
 void
 takeover::DemoteOld(clock::time_point aNow, std::vector<action>& aOut)
 {
@@ -382,9 +385,9 @@
   }
 }
 
-// A server leads by now, and fences of a higher term than its own are left, by
-// this change or one before it: until they are lifted no majority follows it,
-// and the change would never end.
+// A server is primary, but fences of a higher term than its own remain, from
+// this takeover or an earlier one. Until they are lifted no majority follows
+// it, and the takeover cannot finish.
 void
 takeover::LiftFences(clock::time_point aNow, std::vector<action>& aOut)
 {
@@ -413,8 +416,9 @@
     mNextOrder = clock::time_point::max();
     return;
   }
-  // An order may have been taken although no answer came: it stays with the
-  // same server until that is known to be impossible.
+  // The platform may have accepted a request although no response arrived.
+  // Further requests name the same server until it is known that it cannot be
+  // promoted.
   if (mChosen.empty() || mRejected.contains(mChosen) || IsChoiceVoid()) {
     mChosen = chosen;
     const auto* view = mTable.Find(mChosen);
--- a/src/currantshed/lead/takeover.hpp
+++ b/src/currantshed/lead/takeover.hpp
@@ -15,83 +15,86 @@
 
 namespace currantshed::lead {
 
-/// How far a change of the primary is.
+/// Progress of a takeover.
 enum class takeover_step
 {
   kNone,
-  /// A majority of the group is being kept from following the old primary.
+  /// Fencing a majority of the group so that it no longer follows the old
+  /// primary.
   kFence,
-  /// Proofs of the old term that other VMs may hold run out.
+  /// Waiting until confirmations of the old term at other VMs have expired.
   kWaitOut,
   /// The platform has been asked to promote the chosen server.
   kPromote,
 };
 
-/// Why the group needs another primary.
+/// Why the group needs a new primary.
 enum class takeover_reason
 {
-  /// No VM reaches the primary.
+  /// No VM can reach the primary.
   kLost,
-  /// The primary leaves.
+  /// The primary is about to leave the group.
   kDraining,
-  /// No server leads.
+  /// No server is primary.
   kVacant,
 };
 
-/// The change of one group's primary: keeps the old one from being confirmed
-/// any more, waits until no proof of it holds, and has the platform promote
-/// the server with the longest log. Does no I/O.
+/// Replaces the primary of one group: prevents further confirmations of the old
+/// one, waits until no confirmation of it is valid, and asks the platform to
+/// promote the server with the longest log. Performs no I/O.
 class takeover
 {
 public:
   takeover(server_table& aTable, std::chrono::milliseconds aValidity);
 
-  /// Begins. The old primary may be empty.
+  /// Starts a takeover. aOld may be empty.
   void Begin(takeover_reason aReason,
              upstream::server_id aOld,
              position::term_id aOldTerm,
              clock::time_point aNow,
              std::vector<action>& aOut);
 
-  /// Gives up whatever is under way; what was fenced is set free.
+  /// Ends a takeover that is in progress and lifts its revocation. Fences are
+  /// lifted later, by the VM that monitors the group.
   void Abandon(std::vector<action>& aOut);
 
-  /// Every VM that may hold a proof of the old term has given it up.
+  /// Every VM that may hold a confirmation of the old term has stopped using
+  /// it.
   void AllObeyed() { mAllObeyed = true; }
 
-  /// The platform's answer: whether it took the order, or says that the server
-  /// can't be promoted.
+  /// The platform's response: whether it accepted the request, or rejected the
+  /// server as one that cannot be promoted.
   void PromotionAnswered(bool aTaken, bool aRejected, clock::time_point aNow);
 
-  /// Goes on as far as it can.
+  /// Proceeds as far as possible.
   void Tick(clock::time_point aNow, std::vector<action>& aOut);
   [[nodiscard]] clock::time_point NextTick() const noexcept;
 
   [[nodiscard]] takeover_step Step() const noexcept { return mStep; }
   [[nodiscard]] clock::time_point BegunAt() const noexcept { return mBegunAt; }
-  /// Until when orders of the last change may still take effect: no other
-  /// change begins before.
+  /// Until when promotion requests of the last takeover may still take effect.
+  /// No other takeover starts earlier.
   [[nodiscard]] clock::time_point QuietUntil() const noexcept
   {
     return mQuietUntil;
   }
-  /// Whether a server that leads a newer term will be deposed by an order to
-  /// promote another one that is still under way.
+  /// Whether the primary of a newer term will be replaced soon, because a
+  /// request to promote another server is still in flight.
   [[nodiscard]] bool IsOvertakenBy(const upstream::server_id& aPrimary,
                                    clock::time_point aNow) const;
-  /// When no new proof of the old term could come about any more.
+  /// When further confirmations of the old term became impossible.
   [[nodiscard]] clock::time_point BarredAt() const noexcept
   {
     return mBarredAt;
   }
-  /// The term that no VM may rest on any more, or zero.
+  /// The term whose confirmations no VM may use, or zero.
   [[nodiscard]] position::term_id RevokedTerm() const noexcept;
 
-  /// A server leads a newer term, but not for long: the change goes on, to
-  /// replace that one.
+  /// A server leads a newer term but will be replaced soon: the takeover
+  /// continues with that server as the old primary.
   void Overtaken(const proxy::confirmation& aProof, std::vector<action>& aOut);
 
-  /// A server leads a newer term: the change is done.
+  /// A server leads a newer term: the takeover is complete.
   void Succeeded(const upstream::server_id& aPrimary,
                  clock::time_point aNow,
                  std::vector<action>& aOut);
--- a/src/currantshed/news/exchange.cpp
+++ b/src/currantshed/news/exchange.cpp
@@ -9,23 +9,22 @@
 
 namespace {
 
-// A message has a few dozen groups at most.
+// A message covers a few dozen groups at most.
 constexpr std::int64_t kLongestNews = std::int64_t{ 256 } * 1024;
-// Messages that wait to be taken from one peer. ZeroMQ 4.3 aborts the process
-// when a connection fails while its receiving side is full, so this is far
-// above what a frozen VM leaves unread.
+// Limit of unread messages from one peer. ZeroMQ 4.3 aborts the process if a
+// connection fails while its receive queue is full, so the limit is far above
+// what a frozen VM leaves unread.
 constexpr int kHighWater = 512;
-// Messages that wait to be sent to one peer. Each says anew what those before
-// it said, so that behind a link that is busy a few suffice; with 512 for each
-// of 20 peers a VM ran out of its 160 MB.
+// Limit of unsent messages to one peer. Each message repeats the content of
+// those before it, so a few suffice on a congested connection. With 512 for
+// each of 20 peers a VM exceeded its 160 MB of memory.
 constexpr int kSendHighWater = 16;
-// How long a connection may take to stand, and how long what was sent on it may
-// stay without acknowledgement before it is given up. The kernel keeps that
-// time: pings of ZeroMQ's own cost a timer for each link, which it looks up by
-// walking all timers.
+// Timeout for establishing a connection, and for the acknowledgement of sent
+// data. The kernel enforces it: heartbeats of ZeroMQ need a timer per
+// connection, and it finds a timer by a linear search through all of them.
 constexpr std::chrono::milliseconds kSilence{ 2500 };
-// A link that nothing was sent on for this long is closed. Far longer than the
-// pause between two words of a VM, which is two seconds at most.
+// A connection on which nothing was sent for this long is closed. Far longer
+// than the interval between two updates of a VM, which is 2 s at most.
 constexpr std::chrono::milliseconds kIdle{ 6000 };
 
 net::socket_settings
@@ -104,7 +103,7 @@
   auto* dealer = DealerTo(found->second);
   found->second.usedAt = aNow;
   if (dealer != nullptr) {
-    // A peer that takes nothing now gets the next news.
+    // If the peer cannot take the message now, the next one replaces it.
     (void)dealer->Send(aNews.SerializeAsString());
   }
 }
@@ -117,7 +116,7 @@
          known->second.offset.LowerBound(aNow).has_value();
 }
 
-// Most VMs have news for few others; a connection to each would cost memory.
+// Most VMs send to few others. A connection to every VM would cost memory.
 net::dealer*
 exchange::DealerTo(link& aLink)
 {
@@ -172,8 +171,8 @@
     from = {};
     from.incarnation = told.incarnation();
   }
-  // Links are closed and opened again: what an earlier one brings late must not
-  // undo what a later one has brought.
+  // Connections are closed and reopened. Messages that arrive late over an
+  // earlier connection must not override newer ones.
   if (told.sent_at_us() < from.sentAt) {
     return;
   }
--- a/src/currantshed/news/exchange.hpp
+++ b/src/currantshed/news/exchange.hpp
@@ -28,25 +28,27 @@
 struct peer
 {
   std::string vm;
-  /// IP number.
+  /// IP address.
   std::string address;
   std::uint16_t port = 0;
 
   [[nodiscard]] friend bool operator==(const peer&, const peer&) = default;
 };
 
-/// News to and from the other VMs, and what is known of their clocks. Belongs
-/// to the thread of the io_context. Nothing waits: what a peer does not take
-/// at once is dropped, since newer news follow soon. A link to a peer is open
-/// only while there is news for it, so that a VM has as many as it speaks to,
-/// not as many as there are VMs.
+/// Exchanges announcements with the other VMs, and estimates the offsets of
+/// their clocks. Belongs to the thread of the io_context. Sending never blocks:
+/// a message that a peer cannot take at once is dropped, since a newer one
+/// follows soon. A connection to a peer is open only while it is in use, so
+/// that their number depends on the peers that a VM sends to and not on the
+/// number of VMs.
 class exchange
 {
 public:
-  /// Turns a time of the sender's clock into one of this VM's, no later than
-  /// the true one.
+  /// Converts a time of the sender's clock to one of this VM's clock that is no
+  /// later than the true one.
   using clock_reader = std::function<clock::time_point(std::int64_t)>;
-  /// News that came. The reader is empty while the clocks can't be compared.
+  /// Called with each received announcement. The converter is empty while the
+  /// offset of the clocks is unknown.
   using receiver =
     std::function<void(const News&, const clock_reader&, clock::time_point)>;
 
@@ -58,21 +60,21 @@
 
   [[nodiscard]] std::error_code Listen();
 
-  /// The VMs that may be sent to.
+  /// Sets the VMs that messages can be sent to.
   void SetPeers(const std::vector<peer>& aPeers);
 
-  /// Sends the news, with sender and clocks filled in.
+  /// Sends an announcement, after filling in the sender and the clock fields.
   void Send(const std::string& aVm, News aNews, clock::time_point aNow);
 
-  /// Whether the VM can read the times of what is sent to it now.
+  /// Whether the VM can convert the times in messages that are sent to it now.
   [[nodiscard]] bool IsReadable(const std::string& aVm,
                                 clock::time_point aNow) const;
 
-  /// Closes the links that nothing was sent on for a while. To be called about
-  /// once a second.
+  /// Closes connections that nothing was sent on for a while. To be called
+  /// about once a second.
   void CloseIdle(clock::time_point aNow);
 
-  /// How many links to peers are open.
+  /// Number of open connections to peers.
   [[nodiscard]] std::size_t Links() const noexcept;
 
   void Close();
@@ -81,7 +83,7 @@
   struct link
   {
     peer to;
-    /// Null while there is nothing to send.
+    /// Null while the connection is not in use.
     std::unique_ptr<net::dealer> dealer;
     clock::time_point usedAt{};
   };
@@ -90,7 +92,7 @@
   {
     std::uint64_t incarnation = 0;
     lead::clock_offset offset;
-    /// When the newest message was sent, by the sender's clock.
+    /// When the latest message was sent, on the sender's clock.
     std::int64_t sentAt = std::numeric_limits<std::int64_t>::min();
   };
 
