--- a/test/currantshed/customer/freshness.cpp
+++ b/test/currantshed/customer/freshness.cpp
@@ -15,7 +15,7 @@
 {
   const char* name;
   std::chrono::milliseconds bound;
-  /// After the start; none where nothing was proved.
+  /// After the start; kNever if nothing was verified.
   std::chrono::milliseconds provedAt;
   std::chrono::milliseconds now;
   bool holds;
@@ -25,12 +25,12 @@
 
 const freshness_row kRows[] = {
   { "no bound", 0ms, kNever, 0ms, true },
-  { "nothing proved", 5000ms, kNever, 0ms, false },
-  { "just proved", 5000ms, 0ms, 0ms, true },
+  { "nothing verified", 5000ms, kNever, 0ms, false },
+  { "just verified", 5000ms, 0ms, 0ms, true },
   { "within the bound", 5000ms, 0ms, 4800ms, true },
   { "too close to the bound", 5000ms, 0ms, 4900ms, false },
   { "past the bound", 5000ms, 0ms, 5001ms, false },
-  { "after standing still", 5000ms, 1000ms, 60000ms, false },
+  { "after a pause of the VM", 5000ms, 1000ms, 60000ms, false },
 };
 
 } // namespace
--- a/test/currantshed/customer/model.cpp
+++ b/test/currantshed/customer/model.cpp
@@ -16,7 +16,7 @@
 constexpr auto kKeyBound = 5000ms;
 constexpr auto kWindow = 5000ms;
 constexpr auto kShareInterval = 400ms;
-/// The longest that a request waits between its reading and its sending.
+/// The longest time between reading a request and sending it.
 constexpr int kLongestWait = 300;
 const customer::quota kLimit{ 60, 60 };
 constexpr double kExcess = 0.1;
@@ -39,7 +39,8 @@
 
 } // namespace
 
-/// One VM: the real decisions, and what the process around them holds.
+/// One VM: the real decision logic, and the state that the process around it
+/// keeps.
 struct customers_model::vm
 {
   struct waiting
@@ -52,7 +53,7 @@
   clock::time_point startedAt;
   clock::time_point downUntil{};
   clock::time_point frozenUntil{};
-  /// What came while it stood still.
+  /// Messages that arrived while it was frozen.
   std::vector<std::function<void()>> held;
   int side = 0;
   bool isCutFromStore = false;
@@ -65,7 +66,7 @@
   customer::token_purse purse;
   node::token_desk desk;
   clock::time_point nextShare{};
-  /// Requests without a token, and those that wait to be sent.
+  /// Requests without a token, and requests that wait to be sent.
   std::deque<clock::time_point> tokenless;
   std::vector<waiting> toSend;
 };
@@ -140,7 +141,7 @@
   one.downUntil = one.startedAt;
   one.checks.SetPlace(aVm);
   one.bank.SetBanks(kDomains);
-  // The first VMs of each domain collect.
+  // The first VMs of each failure domain are collectors.
   const std::vector<std::string> own{ Name(aVm % kDomains),
                                       Name(aVm % kDomains + kDomains) };
   std::vector<std::vector<std::string>> others;
@@ -289,7 +290,8 @@
   SendWaiting(aVm);
 }
 
-// Asks the store whether there is anything newer, and passes the proof on.
+// Asks the store whether there is anything newer, and passes the verification
+// time on.
 void
 customers_model::Check(std::size_t aVm)
 {
@@ -330,7 +332,8 @@
   });
 }
 
-// What another VM makes of a proof: no more than is known here.
+// Delivers a verification time to the other VMs, which use it if their
+// configuration is not newer.
 void
 customers_model::Spread(std::size_t aVm)
 {
@@ -382,14 +385,14 @@
     arrive();
   } else {
     Send(aVm, to, arrive);
-    // One message in some comes twice, whatever the network does.
+    // Some messages arrive twice, regardless of the simulated network.
     if (mMistake == mistake::kSharesCountTwice) {
       Send(aVm, to, arrive);
     }
   }
 }
 
-// A caller asks. The key is looked at as the request is read.
+// A client sends a request. Its key is checked when the request is read.
 void
 customers_model::Arrive(std::size_t aVm)
 {
@@ -449,7 +452,7 @@
       ++refused;
     }
   }
-  // Callers go away after a moment.
+  // Clients disconnect after a short time.
   const auto patience = mAreHasty ? 1ms : 200ms;
   while (!one.tokenless.empty() && now >= one.tokenless.front() + patience) {
     one.tokenless.pop_front();
@@ -488,7 +491,7 @@
   const auto now = mTime.Now();
   ++ran;
   if (mVersion % 2 == 1 && now > mRevokedAt + kKeyBound) {
-    wrong.emplace_back("a request ran with a key that was taken away");
+    wrong.emplace_back("a request ran with a key that was revoked");
   }
   mRuns.push_back({ aAskedAt, now });
   while (mRuns.front().ranAt < now - kWindow) {
--- a/test/currantshed/customer/model.hpp
+++ b/test/currantshed/customer/model.hpp
@@ -20,28 +20,29 @@
 
 namespace currantshed::test {
 
-/// A mistake that the model must find.
+/// A seeded bug that the model must find.
 enum class mistake
 {
   kNone,
-  /// A proof counts from its answer, not from its asking.
+  /// A verification is dated by its response instead of its request.
   kProofDatedByAnswer,
-  /// A proof that another VM passes on counts from its coming.
+  /// A verification passed on by another VM is dated by its arrival.
   kProofNotAged,
-  /// Keys are looked at when a request comes, not when it is sent.
+  /// Keys are checked when a request is read, but not when it is sent.
   kCheckedAtReading,
-  /// A bank keeps all that comes in.
+  /// The capacity of the buckets is unlimited.
   kBankWithoutBound,
-  /// A VM that starts finds its bank full.
+  /// A VM starts with full buckets.
   kBankStartsFull,
-  /// A share that comes twice counts twice.
+  /// A share that arrives twice counts twice.
   kSharesCountTwice,
 };
 
-/// VMs with the real decisions on keys and quotas, one customer, a store and a
-/// network in virtual time: calls and messages are late, lost and doubled, VMs
-/// are cut off, stand still and start again. Checks after each request that ran
-/// that its key was in force lately enough and its customer below its quota.
+/// VMs with the real decision logic on keys and quotas, one customer, a store
+/// and a network in virtual time. Calls and messages are delayed, lost and
+/// duplicated; VMs are partitioned, frozen and restarted. Checks after each
+/// request that ran that its key was in force recently enough and that its
+/// customer kept to its quota.
 class customers_model
 {
 public:
@@ -52,7 +53,7 @@
 
   void Run(std::chrono::seconds aSpan);
 
-  /// What is wrong, a line each.
+  /// Violations found, one line each.
   std::vector<std::string> wrong;
   std::uint64_t steps = 0;
   std::uint64_t ran = 0;
@@ -90,15 +91,15 @@
   std::uint64_t mVersion = 0;
   clock::time_point mRevokedAt{};
   clock::time_point mNextChange;
-  /// How often, of a thousand steps, such a loop begins.
+  /// How often, per thousand steps, a restart loop starts.
   unsigned mLoops;
   bool mIsStoreAway = false;
-  /// Until when those that collect tokens end and start again and again.
+  /// Until when the collectors are restarted in a loop.
   clock::time_point mLoopUntil{};
   clock::time_point mNextLoop{};
   bool mIsStoreSlow = false;
   bool mIsSurge = false;
-  /// Callers leave before they can be served.
+  /// Clients disconnect before they can be served.
   bool mAreHasty = false;
   struct run
   {
--- a/test/currantshed/customer/model_test.cpp
+++ b/test/currantshed/customer/model_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::uint32_t kSeeds = 40;
-// Some mistakes need rare troubles to meet.
+// Some bugs show only if rare faults coincide.
 constexpr std::uint32_t kMistakeSeeds = 600;
 constexpr auto kSpan = 60s;
 
@@ -30,11 +30,11 @@
 };
 
 constexpr mistake_row kMistakes[] = {
-  { "a proof dated by its answer", mistake::kProofDatedByAnswer },
-  { "a proof passed on without its age", mistake::kProofNotAged },
-  { "keys looked at when a request is read", mistake::kCheckedAtReading },
-  { "a bank without bound", mistake::kBankWithoutBound },
-  { "a bank that starts full", mistake::kBankStartsFull },
+  { "a verification dated by its response", mistake::kProofDatedByAnswer },
+  { "a verification passed on without its age", mistake::kProofNotAged },
+  { "keys checked only when a request is read", mistake::kCheckedAtReading },
+  { "buckets without a capacity", mistake::kBankWithoutBound },
+  { "buckets that start full", mistake::kBankStartsFull },
   { "shares that count twice", mistake::kSharesCountTwice },
 };
 
@@ -55,7 +55,7 @@
     ran += model.ran;
     steps += model.steps;
   }
-  // Not by refusing everything.
+  // The invariants must not hold by refusing everything.
   CHECK(ran > Seeds() * 400ULL);
   CHECK(steps > Seeds() * 60000ULL);
 }
--- a/test/currantshed/customer/tokens.cpp
+++ b/test/currantshed/customer/tokens.cpp
@@ -18,7 +18,7 @@
 const std::size_t kBakers = customer::PartOf("baker");
 const std::size_t kSmiths = customer::PartOf("smith");
 
-/// The time that passes has nothing of the start in it.
+/// The elapsed time does not include the time credited for the start.
 struct share_row
 {
   const char* name;
@@ -30,9 +30,9 @@
 const share_row kShareRows[] = {
   { "alone", 1, 400ms, 0.4 },
   { "one of four", 4, 400ms, 0.1 },
-  { "after standing still", 1, 60s, 1.0 },
-  { "no time", 1, 0ms, 0.0 },
-  { "nobody is known", 0, 400ms, 0.0 },
+  { "after a pause of the VM", 1, 60s, 1.0 },
+  { "no time elapsed", 1, 0ms, 0.0 },
+  { "no VM known", 0, 400ms, 0.0 },
 };
 
 struct withdrawal_row
@@ -42,29 +42,29 @@
   std::chrono::milliseconds window;
   std::size_t banks;
   customer::quota limit;
-  /// Seconds of the whole rate that come in before.
+  /// Accrual time added before, in seconds at the full rate.
   double deposited;
   unsigned wanted;
   unsigned expect;
 };
 
-// Twelve tokens beyond the burst are held by all banks together.
+// All collectors together hold twelve tokens beyond the burst.
 const withdrawal_row kWithdrawalRows[] = {
-  { "a bank that starts is empty", 0ms, 1, { 100, 100 }, 0.0, 1, 0 },
-  { "what has come in", 0ms, 1, { 100, 100 }, 0.1, 20, 10 },
-  { "no more than is wanted", 0ms, 1, { 100, 100 }, 0.1, 3, 3 },
-  { "no more than the burst and a little",
+  { "a new bucket is empty", 0ms, 1, { 100, 100 }, 0.0, 1, 0 },
+  { "what was added", 0ms, 1, { 100, 100 }, 0.1, 20, 10 },
+  { "no more than requested", 0ms, 1, { 100, 100 }, 0.1, 3, 3 },
+  { "no more than the capacity", 0ms, 1, { 100, 100 }, 60.0, 500, 112 },
+  { "one of three collectors holds a third",
     0ms,
-    1,
+    3,
     { 100, 100 },
     60.0,
     500,
-    112 },
-  { "a third of them in each of three", 0ms, 3, { 100, 100 }, 60.0, 500, 37 },
-  { "a small customer's whole operations", 0ms, 3, { 2, 2 }, 10.0, 9, 4 },
+    37 },
+  { "a small customer gets whole operations", 0ms, 3, { 2, 2 }, 10.0, 9, 4 },
   { "no rate", 0ms, 1, { 0, 0 }, 60.0, 1, 0 },
-  { "a burst spread over a window", 5000ms, 1, { 100, 100 }, 0.1, 20, 12 },
-  { "what is saved up of it", 5000ms, 1, { 100, 100 }, 60.0, 500, 42 },
+  { "a burst is spread over the window", 5000ms, 1, { 100, 100 }, 0.1, 20, 12 },
+  { "the saved part of a burst", 5000ms, 1, { 100, 100 }, 60.0, 500, 42 },
 };
 
 } // namespace
@@ -76,7 +76,7 @@
   for (const auto& row : kShareRows) {
     customer::time_share made;
     CHECK_EQUAL(0.0, made.Take(1, kStart).count());
-    // What a start brings is taken first.
+    // The time credited for the start is taken first.
     made.Begin(kStart);
     DOUBLES_EQUAL_TEXT(0.4, made.Take(1, kStart).count(), 1e-9, row.name);
     const auto got = made.Take(row.vms, kStart + row.passed);
@@ -107,7 +107,7 @@
   bank.Deposit("vm", 1, 5us, kBakers, share{ 0.1 });
   bank.Deposit("vm", 1, 4us, kBakers, share{ 0.1 });
   LONGS_EQUAL(10, bank.Withdraw("baker", limit, 99).count);
-  // The VM has started again, with another clock.
+  // The VM has restarted, with another clock.
   bank.Deposit("vm", 2, 1us, kBakers, share{ 0.1 });
   LONGS_EQUAL(10, bank.Withdraw("baker", limit, 99).count);
 }
@@ -125,7 +125,7 @@
   LONGS_EQUAL(10, bank.Withdraw("smith", limit, 99).count);
 }
 
-// The more are refused, the later they come back, each in turn.
+// The more operations are refused, the later each is told to retry.
 TEST(tokens, Refused_operations_come_back_in_turn)
 {
   customer::token_bank bank(0ms);
@@ -144,7 +144,7 @@
   purse.Put("baker", 1, kStart + 300ms);
   CHECK(!purse.Take("smith", kStart));
   CHECK(purse.Take("baker", kStart + 100ms));
-  // The second of the first two is lost by now.
+  // The second token of the first batch has expired by now.
   CHECK(purse.Take("baker", kStart + 600ms));
   CHECK(!purse.Take("baker", kStart + 600ms));
 }
--- a/test/currantshed/lead/abandoned_changes.cpp
+++ b/test/currantshed/lead/abandoned_changes.cpp
@@ -1,13 +1,8 @@
-// A VM that had turned slow took a healthy primary for lost, began to replace
-// it, lost its lease and gave the change up. What it had ordered was carried
-// out all the same: the primary had stepped down. The next holder of the duty
-// saw three servers of which none led, and did nothing for the rest of the day,
-// since other VMs went on telling that they heard the old primary: it answered
-// their reads. The lines that showed it:
-//   14.37 lead step=begun detail=lost old=... term=1 (a slow VM)
-//   15.78 lead step=abandoned; 15.6 duty_held by another VM
-//   19.40 to 20.41 lead step=revocation_lapsed term=1 on 44 VMs
-//   from then on no begun, and primary_not_proved 230 to 270 times a second
+// A takeover that is abandoned must not leave its group without a primary. A
+// slow VM started to replace a healthy primary, lost its lease and abandoned
+// the takeover after the primary had already stepped down. The next duty holder
+// saw three servers without a primary and did nothing, because other VMs kept
+// reporting that they heard from the old primary, which still answered reads.
 #include <chrono>
 #include <functional>
 #include <string>
@@ -25,19 +20,20 @@
 
 namespace {
 
-/// What a holder of the duty has done before it gave up.
+/// The state that a duty holder leaves behind when it abandons a takeover.
 struct left_behind
 {
   bool steppedDown = false;
   bool isFencedB = false;
   bool isFencedC = false;
-  /// The term that is recorded as replaced.
+  /// The term that the store records as replaced.
   position::term_id replaced = 0;
-  /// An order to promote b that has yet to take effect.
+  /// A promotion of b has been requested and has yet to take effect.
   bool isOrdered = false;
 };
 
-/// All that a holder may leave, in the order of the steps of a change.
+/// All states that a duty holder may leave behind, in the order of the steps of
+/// a takeover.
 std::vector<left_behind>
 AllThatIsLeft()
 {
@@ -66,8 +62,8 @@
          flag("b fenced", aLeft.isFencedB) + flag("c fenced", aLeft.isFencedC) +
          flag("recorded", aLeft.replaced != 0) +
          flag("ordered", aLeft.isOrdered) +
-         flag("others hear the old primary", aIsHeard) +
-         flag("the new holder knew it", aKnewPrimary);
+         flag("others reach the old primary", aIsHeard) +
+         flag("the new holder knew the old primary", aKnewPrimary);
 }
 
 void
@@ -82,8 +78,8 @@
   }
 }
 
-/// How long a group may have no primary after a holder has given a change up:
-/// 1.5 s, and the platform's time to promote.
+/// Maximum time without a primary after a takeover was abandoned: 1.5 s, plus
+/// the time that the platform takes to promote.
 constexpr auto kAtMost = 1500ms + 300ms;
 
 } // namespace
@@ -111,7 +107,8 @@
           made.lead.HeardReach(
             "vm-2", { 1, "a", heardAt, revoked, made.now }, made.now);
         };
-        // What the giving up of the change took: proofs from before are over.
+        // The takeover took this long, so that earlier confirmations have
+        // expired.
         made.Run(1000ms);
         made.lead.SetDuty(true, 8, made.now);
         const auto from = made.now;
@@ -136,8 +133,8 @@
   }
 }
 
-// A group without a primary shows in the log of whoever is to give it one, with
-// since when and what for, once a second.
+// A group without a primary is logged once a second by the duty holder, with
+// the time since when and the state of its members.
 TEST(abandoned_changes, a_group_without_a_primary_is_told_of)
 {
   struct row
@@ -149,7 +146,7 @@
     std::string has;
   };
   const row rows[] = {
-    { "all is well", true, true, 0, "" },
+    { "all servers answer", true, true, 0, "" },
     { "no server answers", true, false, 3, "answering=0" },
     { "another VM holds the duty", false, false, 0, "" },
   };
@@ -161,7 +158,8 @@
     for (auto& [id, server] : made.servers) {
       server.answers = row.answer;
     }
-    // The last proof ends within 1 s, and a second later the first line is due.
+    // The last confirmation expires within 1 s; the first line is due one
+    // second later.
     made.Run(4500ms);
     std::vector<std::string> told;
     for (const auto& note : made.notes) {
--- a/test/currantshed/lead/bench.hpp
+++ b/test/currantshed/lead/bench.hpp
@@ -22,11 +22,11 @@
 inline constexpr clock::time_point kStart{ 1h };
 inline constexpr auto kStep = 10ms;
 
-/// One server as the lead sees it through its answers.
+/// A server as it appears through its answers.
 struct fake_server
 {
   bool answers = true;
-  /// Answers what comes through other VMs.
+  /// Answers commands that arrive through other VMs.
   bool answersOthers = false;
   /// Answers that it is busy.
   bool busy = false;
@@ -36,7 +36,7 @@
   position::term_id fencedAt = 0;
 };
 
-/// A group, its lead at one VM, and the platform that promotes.
+/// A group, its monitor at one VM, and the platform that promotes servers.
 class bench
 {
 public:
@@ -49,7 +49,7 @@
     lead.Configure({ { "a" }, { "b" }, { "c" } }, now);
   }
 
-  /// Lets time pass, answering at once what is asked.
+  /// Advances the time and answers all queries at once.
   void Run(std::chrono::milliseconds aSpan)
   {
     for (const auto end = now + aSpan; now < end; now += kStep) {
@@ -77,14 +77,14 @@
   std::vector<position::term_id> revocations;
   std::vector<proxy::confirmation> proofs;
   std::vector<proxy::position_sample> samples;
-  /// Proofs that others are to be told of.
+  /// Number of confirmations to be relayed to other VMs.
   int passedOn = 0;
   bool takesOrders = true;
   bool rejectsFirst = false;
-  /// The VMs that the store lists; none while it does not answer.
+  /// The VMs that the store lists; empty while the store does not answer.
   std::optional<std::vector<std::string>> vms{ std::vector<std::string>{} };
   std::function<void()> everyStep;
-  /// Orders that have yet to take effect, in their order.
+  /// Promotions that have yet to take effect, in order of request.
   struct pending_promotion
   {
     std::string server;
@@ -92,27 +92,29 @@
   };
 
   std::vector<pending_promotion> promoting;
-  /// How long the platform takes from an order to its effect.
+  /// Time from a promotion request to its effect.
   std::chrono::milliseconds promotesAfter{ 300 };
-  /// Whether the platform answers orders that it takes.
+  /// Whether the platform responds to requests that it accepts.
   bool answersOrders = true;
-  /// Promotions that took effect while a proof of another primary held.
+  /// Promotions that took effect while a confirmation of another primary was
+  /// valid.
   int unsafe = 0;
-  /// Whether a promotion lifts every fence, as the platform does for servers
-  /// that it reaches.
+  /// Whether a promotion lifts all fences, as the platform does on servers that
+  /// it reaches.
   bool liftsFences = false;
-  /// How long a question without an answer takes to fail.
+  /// Timeout of a query without an answer.
   std::chrono::milliseconds failsAfter{ 0 };
-  /// When traffic heard the servers that do not answer.
+  /// When regular traffic last heard from servers that do not answer.
   std::optional<clock::time_point> heardAt;
-  /// The replaced term that the store shows; none while it does not answer.
+  /// The replaced term that the store shows; empty while the store does not
+  /// answer.
   std::optional<position::term_id> replaced{ 0 };
   int checks = 0;
-  /// The term that the last order told to replace.
+  /// The replaced term in the last promotion request.
   position::term_id replacedInOrder = 0;
-  /// Lines for the log.
+  /// Log lines.
   std::vector<std::string> notes;
-  /// Questions that are going to fail, and when.
+  /// Queries that will fail, and when.
   std::vector<std::pair<std::string, clock::time_point>> pending;
 
 private:
@@ -231,7 +233,7 @@
     }
   }
 
-  /// The server leads the next term, unless it leads already.
+  /// Makes the server primary of the next term, unless it is primary already.
   void Lead(const std::string& aServer)
   {
     position::term_id highest = 0;
@@ -257,7 +259,8 @@
   }
 };
 
-/// Another VM tells that it has just heard the primary of the first term.
+/// Another VM reports that it has just heard from the primary of the first
+/// term.
 inline void
 ReachOf(bench& aBench, const char* aVm, position::term_id aObeyed)
 {
--- a/test/currantshed/lead/clock_offset.cpp
+++ b/test/currantshed/lead/clock_offset.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr clock::time_point kNow{ 1h };
-// How much the other VM's clock is ahead.
+// By how much the other VM's clock is ahead.
 constexpr microseconds kAhead{ 5s };
 
 struct delay_row
@@ -23,8 +23,8 @@
 };
 
 constexpr delay_row kRows[] = {
-  { "the shorter way counts, when it comes second", 30ms, 2ms, 2ms },
-  { "and when it comes first", 2ms, 30ms, 2ms },
+  { "the shorter transit time counts, if it is second", 30ms, 2ms, 2ms },
+  { "the shorter transit time counts, if it is first", 2ms, 30ms, 2ms },
 };
 
 } // namespace
@@ -40,7 +40,7 @@
     offset.Heard(lead::ToWire(kNow - row.second) + kAhead, kNow);
     const auto bound = offset.LowerBound(kNow);
     CHECK_TEXT(bound && *bound == kAhead - row.shortest, row.name);
-    // With time the clocks may have drifted apart.
+    // Clock drift lowers the bound with time.
     CHECK_TEXT(*offset.LowerBound(kNow + 10s) < *bound, row.name);
   }
 }
--- a/test/currantshed/lead/empty_candidates.cpp
+++ b/test/currantshed/lead/empty_candidates.cpp
@@ -1,10 +1,8 @@
-// A primary that leaves had stepped down, and both other servers of its group
-// started again, empty, before one of them led. The change does not consider
-// the old primary, which still holds every acknowledged commit, and has an
-// empty server promoted:
-//   lead step=begun detail=draining old=group-0-0
-//   server_standing server=group-0-1 and group-0-2, each with a new start
-//   lead step=promote detail=group-0-1
+// A server that has restarted empty must not be promoted over one that holds
+// acknowledged commits. A draining primary had stepped down, and both other
+// servers of its group restarted empty before one of them became primary. The
+// takeover did not consider the old primary, which still held all acknowledged
+// commits, and had an empty server promoted.
 #include <chrono>
 
 #include "test/currantshed/lead/bench.hpp"
--- a/test/currantshed/lead/group_lead.cpp
+++ b/test/currantshed/lead/group_lead.cpp
@@ -27,7 +27,7 @@
 {
   const char* name;
   std::function<void(bench&)> given;
-  /// The server promoted in the end, or empty.
+  /// The server that is promoted in the end, or empty.
   std::string promoted;
   /// Bounds on the time until then.
   std::chrono::milliseconds atLeast;
@@ -36,7 +36,7 @@
 
 const watch_row kWatchRows[] = {
   { "a healthy primary stays", [](bench&) {}, "", 0ms, 0ms },
-  { "a silent one is replaced by the longest log",
+  { "an unresponsive primary is replaced by the server with the longest log",
     [](bench& aBench) {
       aBench.servers["a"].answers = false;
       aBench.servers["c"].received = { 1, 11 };
@@ -44,7 +44,7 @@
     "c",
     600ms,
     1600ms },
-  { "a silent one that another VM reaches stays",
+  { "an unresponsive primary that another VM reaches stays",
     [](bench& aBench) {
       aBench.servers["a"].answers = false;
       aBench.everyStep = [&aBench] { ReachOf(aBench, "vm-2", 0); };
@@ -52,7 +52,7 @@
     "",
     0ms,
     0ms },
-  { "with a VM that does not obey, its proofs run out first",
+  { "a VM that does not acknowledge delays the promotion until expiry",
     [](bench& aBench) {
       aBench.servers["a"].answers = false;
       aBench.vms = { { "vm-2" } };
@@ -60,7 +60,7 @@
     "b",
     1600ms,
     2600ms },
-  { "with the list of VMs unknown as well",
+  { "an unknown list of VMs delays the promotion until expiry",
     [](bench& aBench) {
       aBench.servers["a"].answers = false;
       aBench.vms.reset();
@@ -68,7 +68,7 @@
     "b",
     1600ms,
     2600ms },
-  { "with a VM that obeys at once, nothing is waited for",
+  { "a VM that acknowledges at once causes no delay",
     [](bench& aBench) {
       aBench.servers["a"].answers = false;
       aBench.vms = { { "vm-2" } };
@@ -82,7 +82,7 @@
     "b",
     600ms,
     1600ms },
-  { "one of three alone changes nothing while a VM may hold a proof",
+  { "one of three servers is no majority for a takeover",
     [](bench& aBench) {
       aBench.servers["a"].answers = false;
       aBench.servers["b"].answers = false;
@@ -91,7 +91,7 @@
     "",
     0ms,
     0ms },
-  { "a draining primary hands over to a server that has all it had",
+  { "a draining primary is replaced by a server with its whole log",
     [](bench& aBench) {
       aBench.servers["a"].received = { 1, 20 };
       aBench.servers["c"].received = { 1, 20 };
@@ -101,7 +101,7 @@
     "c",
     0ms,
     1000ms },
-  { "a server that the platform rejects is passed over",
+  { "a server that the platform rejects is skipped",
     [](bench& aBench) {
       aBench.servers["a"].answers = false;
       aBench.servers["b"].received = { 1, 11 };
@@ -110,7 +110,7 @@
     "c",
     600ms,
     1900ms },
-  { "a group without any primary gets one",
+  { "a group without a primary gets one",
     [](bench& aBench) { aBench.servers["a"].primary = false; },
     "a",
     1200ms,
@@ -163,7 +163,7 @@
   made.Run(3000ms);
   CHECK(!made.servers["a"].primary);
   CHECK(made.lead.Proof().primary == "b");
-  // Fences of the change are lifted.
+  // The fences of the takeover are lifted.
   CHECK_EQUAL(0, static_cast<int>(made.servers["c"].fencedAt));
 }
 
@@ -189,29 +189,27 @@
 {
   const char* name;
   std::function<void(bench&)> given;
-  /// Whether the majority of the old term counts as proof.
+  /// Whether the majority of the old term counts as a confirmation.
   bool proves;
 };
 
-// The bench's servers stand as after a promotion of c, which this VM does not
-// reach: a does not know of it, and b's fence was lifted by the platform.
+// The servers are in the state after a promotion of c, which this VM cannot
+// reach: a does not know of it, and the platform has lifted the fence of b.
 const majority_row kMajorityRows[] = {
-  { "a majority that was not replaced, as the store shows",
-    [](bench&) {},
-    true },
-  { "the store shows that its term was replaced",
+  { "the store shows that the term was not replaced", [](bench&) {}, true },
+  { "the store shows that the term was replaced",
     [](bench& aBench) { aBench.replaced = 1; },
     false },
   { "the store does not answer",
     [](bench& aBench) { aBench.replaced.reset(); },
     false },
-  { "the store does not answer, but all members say the same",
+  { "the store does not answer, but all members report the same",
     [](bench& aBench) {
       aBench.replaced.reset();
       aBench.servers["c"].answers = true;
     },
     true },
-  { "all answer, and one leads a newer term",
+  { "all answer, and one is primary of a newer term",
     [](bench& aBench) {
       aBench.replaced.reset();
       auto& promoted = aBench.servers["c"];
@@ -220,7 +218,7 @@
       promoted.term = 2;
     },
     false },
-  { "all answer, and one that no longer leads has seen a newer term",
+  { "all answer, and a former primary has a newer term",
     [](bench& aBench) {
       aBench.replaced.reset();
       auto& promoted = aBench.servers["c"];
@@ -228,7 +226,7 @@
       promoted.term = 2;
     },
     false },
-  { "a VM that knows of the replacement asks nobody",
+  { "a VM that knows of the replacement sends no query",
     [](bench& aBench) { aBench.lead.SetReplaced(1, aBench.now); },
     false },
 };
@@ -285,7 +283,7 @@
   made.lead.SetDuty(true, 7, made.now);
   made.Run(2000ms);
   made.servers["a"].answers = false;
-  // Traffic had its last answer a little after the last report.
+  // Regular traffic had its last answer a little after the last report.
   made.heardAt = made.now;
   const auto from = made.now;
   while (!made.lead.IsChanging() && made.now < from + 3s) {
@@ -312,15 +310,15 @@
 {
   const char* name;
   position::term_id replaced;
-  /// The term that is proved in the end, and its primary.
+  /// The term that is confirmed in the end, and its primary.
   position::term_id term;
   const char* primary;
 };
 
-// A holder of the duty fenced the replicas and froze; the primary is well.
+// A duty holder fenced the replicas and froze; the primary is healthy.
 constexpr stranded_row kStrandedRows[] = {
   { "the replacement was not recorded: the primary stays", 0, 1, "a" },
-  { "it was recorded, so it may have been ordered", 1, 2, "a" },
+  { "it was recorded, so a promotion may be in flight", 1, 2, "a" },
 };
 
 } // namespace
@@ -400,7 +398,8 @@
   made.lead.Wanted(made.now);
   made.Run(100ms);
   CHECK(made.lead.Proof().term == 1);
-  // Those who ask without the right to do so would be unknown to a promoter.
+  // The VM that promotes would not know of a VM that queries while it may not
+  // confirm.
   bench barred;
   barred.lead.SetMayAsk(false);
   barred.lead.Wanted(barred.now);
@@ -416,7 +415,8 @@
   made.Run(1500ms);
   CHECK(made.now < made.lead.Proof().askedAt + 500ms);
   CHECK(made.lead.Speaks());
-  // Its word must not lift what the last holder revoked.
+  // An interim monitor's update must not lift a revocation of the last duty
+  // holder.
   CHECK(made.lead.Watch().epoch == 0);
   made.servers["a"].answers = false;
   made.Run(4000ms);
@@ -433,7 +433,7 @@
   made.lead.Wanted(made.now);
   made.Run(900ms);
   CHECK(made.proofs.empty());
-  // An older holder of the duty has no say.
+  // An update with an older epoch is ignored.
   made.lead.HeardWatch({ {}, std::nullopt, 0, 8 }, made.now);
   CHECK(made.lead.Reach(std::nullopt).obeyedTerm == 1);
   made.lead.HeardWatch({ {}, std::nullopt, 0, 9 }, made.now);
@@ -469,23 +469,23 @@
 
 namespace {
 
-/// VMs that share one group and hear nothing of a holder: questions that they
-/// put in the time, when each passes on to all what it has learned.
+/// Number of queries of VMs that share one group and receive no updates from a
+/// duty holder, where each relays its results to all others.
 struct island_row
 {
   const char* name;
   std::size_t vms;
   bool passOn;
-  /// Bounds on the questions a VM and second.
+  /// Bounds on the queries per VM and second.
   double atLeast;
   double atMost;
 };
 
 const island_row kIslands[] = {
-  { "one VM asks for itself", 1, true, 2.0, 8.0 },
-  { "six VMs that tell each other", 6, true, 0.3, 2.5 },
-  { "forty VMs that tell each other", 40, true, 0.05, 0.8 },
-  { "forty VMs that do not", 40, false, 2.0, 20.0 },
+  { "one VM", 1, true, 2.0, 8.0 },
+  { "six VMs that relay results", 6, true, 0.3, 2.5 },
+  { "forty VMs that relay results", 40, true, 0.05, 0.8 },
+  { "forty VMs that do not relay results", 40, false, 2.0, 20.0 },
 };
 
 } // namespace
--- a/test/currantshed/lead/late_watcher.cpp
+++ b/test/currantshed/lead/late_watcher.cpp
@@ -1,15 +1,11 @@
-// VMs that ran at a sixth of their speed took the primaries that they watched
-// for lost, though some 290 other VMs used them. What the judgements rested on,
-// as the lines said (scale-2 at full size):
-//   14.29 lost silent_ms=984 members_silent=3 last_word_ms=0
-//         heard_elsewhere_ms=839 late_ms=662
-//   14.65 lost silent_ms=1135 members_silent=3 heard_elsewhere_ms=1284
-//         late_ms=859
-//   14.70 lost silent_ms=1266 members_silent=3 heard_elsewhere_ms=1361
-//         late_ms=572
-// A primary that was truly cut off, on the same day, by a VM in time:
-//   4.23 lost silent_ms=729 members_silent=1 heard_elsewhere_ms=907 late_ms=5
-// Answers and words lay unread at the VM that judged; it was late by as much.
+// A VM with a high scheduling delay must not conclude that a primary is lost
+// while other VMs use it. VMs that ran at a sixth of their speed started
+// takeovers, although some 290 other VMs could reach the primaries: answers and
+// updates lay unread at the slow VMs for as long as their own delay. They saw
+// 984 to 1266 ms of silence and a last reachability update that was 839 to 1361
+// ms old, with delays of 572 to 859 ms. For a primary that was really cut off,
+// a VM without delay (5 ms) saw 729 ms of silence and an update that was 907 ms
+// old.
 #include <chrono>
 #include <vector>
 
@@ -28,25 +24,40 @@
 struct watcher_row
 {
   const char* name;
-  /// By how much the VM runs late.
+  /// Scheduling delay of the VM.
   std::chrono::milliseconds late;
-  /// Which servers' answers it reads in time.
+  /// Whose answers it reads in time.
   bool readsPrimary;
   bool readsOthers;
-  /// How old the last word of another VM on the primary is, when it is read;
-  /// none where no VM hears the primary.
+  /// Age of the latest reachability update on the primary when it is read; long
+  /// if no VM reaches the primary.
   std::chrono::milliseconds heardBefore;
-  /// Within which time the primary is replaced; zero for never.
+  /// Maximum time until the primary is replaced; zero if it must stay.
   std::chrono::milliseconds atMost;
 };
 
 const watcher_row kWatcherRows[] = {
-  { "late, and reads nothing", 660ms, false, false, 840ms, 0ms },
-  { "later still", 860ms, false, false, 1290ms, 0ms },
-  { "late, and reads others' answers", 570ms, false, true, 1000ms, 0ms },
-  { "in time, and reads nothing", 0ms, false, false, 5000ms, 0ms },
-  { "in time, the primary is silent", 0ms, false, true, 5000ms, 1600ms },
-  { "late, the primary is silent", 400ms, false, true, 20000ms, 5000ms },
+  { "delayed, and reads no answers", 660ms, false, false, 840ms, 0ms },
+  { "delayed more, and reads no answers", 860ms, false, false, 1290ms, 0ms },
+  { "delayed, and reads the replicas' answers",
+    570ms,
+    false,
+    true,
+    1000ms,
+    0ms },
+  { "not delayed, and reads no answers", 0ms, false, false, 5000ms, 0ms },
+  { "not delayed, the primary does not answer",
+    0ms,
+    false,
+    true,
+    5000ms,
+    1600ms },
+  { "delayed, the primary does not answer",
+    400ms,
+    false,
+    true,
+    20000ms,
+    5000ms },
 };
 
 } // namespace
@@ -82,7 +93,8 @@
   }
 }
 
-// Whoever watches a group asks for others' words on its primary only then.
+// The duty holder asks for other VMs' reachability updates on the primary only
+// while it suspects the primary.
 TEST(late_watcher, asks_for_others_words_when_the_primary_does_not_answer)
 {
   struct row
@@ -94,8 +106,8 @@
   };
   const row rows[] = {
     { "the primary answers", true, true, false },
-    { "the primary is silent", true, false, true },
-    { "another VM watches", false, false, false },
+    { "the primary does not answer", true, false, true },
+    { "another VM monitors the group", false, false, false },
   };
   for (const auto& row : rows) {
     bench made;
--- a/test/currantshed/lead/lateness.cpp
+++ b/test/currantshed/lead/lateness.cpp
@@ -27,21 +27,21 @@
 };
 
 const late_row kRows[] = {
-  { "never ran", {}, 0ms, 0ms },
-  { "in time", { { 0ms, 0ms } }, 10ms, 0ms },
-  { "earlier than planned", { { 0ms, -20ms } }, 10ms, 0ms },
+  { "no work recorded", {}, 0ms, 0ms },
+  { "on time", { { 0ms, 0ms } }, 10ms, 0ms },
+  { "earlier than scheduled", { { 0ms, -20ms } }, 10ms, 0ms },
   { "late", { { 0ms, 300ms } }, 10ms, 300ms },
   { "late a second ago", { { 0ms, 300ms } }, 1000ms, 300ms },
-  { "half faded", { { 0ms, 300ms } }, 2000ms, 150ms },
+  { "half decayed", { { 0ms, 300ms } }, 2000ms, 150ms },
   { "faded", { { 0ms, 300ms } }, 3000ms, 0ms },
   { "long ago", { { 0ms, 300ms } }, 1h, 0ms },
-  { "the worst counts", { { 0ms, 300ms }, { 100ms, 20ms } }, 200ms, 300ms },
-  { "a later one that is worse than what is left",
+  { "the maximum counts", { { 0ms, 300ms }, { 100ms, 20ms } }, 200ms, 300ms },
+  { "a later delay above the decayed maximum",
     { { 0ms, 300ms }, { 2500ms, 200ms } },
     2600ms,
     200ms },
-  { "stood still for a minute", { { 0ms, 60s } }, 10ms, 2000ms },
-  { "stood still for a minute, half faded", { { 0ms, 60s } }, 2000ms, 1000ms },
+  { "paused for a minute", { { 0ms, 60s } }, 10ms, 2000ms },
+  { "paused for a minute, half decayed", { { 0ms, 60s } }, 2000ms, 1000ms },
 };
 
 } // namespace
--- a/test/currantshed/lead/leaving_primary.cpp
+++ b/test/currantshed/lead/leaving_primary.cpp
@@ -1,15 +1,8 @@
-// A primary said that it leaves while the VM that held the duty to replace it
-// had no way of its own to it; other VMs had. The change waited for the primary
-// to step down, which it could only do on that VM's word, so it waited until
-// the day ended. After five seconds the other VMs took the change for given up
-// and used the leaving primary again, up to its exit; after that nothing led
-// the group. The lines that settled it:
-//   9.013 lead step=begun detail=draining old=i-e17904285a term=1
-//   10.014 lead step=waits at=fence since_ms=1000 old_listed=1 members=4
-//   fenced=0 14.015 lead step=revocation_lapsed term=1 (on each of the other
-//   VMs) 16.016 a request reaches i-e17904285a, 7006 ms after it said that it
-//   leaves 37.032 lead step=waits at=fence since_ms=28019 old_listed=0
-//   members=3 fenced=0
+// A draining primary must be replaced even if the duty holder cannot reach it.
+// Only other VMs could reach it, and the takeover waited without limit for the
+// primary to step down, which only the duty holder can tell it to do. After 5 s
+// the revocation expired at the other VMs, which used the draining primary
+// again until it exited; then the group had no primary.
 #include <chrono>
 #include <functional>
 
@@ -34,16 +27,16 @@
 struct leaving_row
 {
   const char* name;
-  /// What becomes of the primary, which leaves then.
+  /// What happens to the primary, which is draining from then on.
   std::function<void(bench&)> given;
-  /// What happens half a second after that.
+  /// What happens half a second later.
   std::function<void(bench&)> later;
-  /// Within which time another server leads.
+  /// Maximum time until another server is primary.
   std::chrono::milliseconds atMost;
 };
 
 const leaving_row kLeavingRows[] = {
-  { "it is reached by this VM", Leave, [](bench&) {}, 1000ms },
+  { "this VM reaches it", Leave, [](bench&) {}, 1000ms },
   { "only other VMs reach it",
     [](bench& aBench) {
       aBench.servers["a"].answers = false;
@@ -54,7 +47,7 @@
     },
     [](bench&) {},
     3500ms },
-  { "only other VMs reach it, for long before it leaves",
+  { "only other VMs reach it, long before it drains",
     [](bench& aBench) {
       aBench.servers["a"].answers = false;
       aBench.vms = { { "vm-2" } };
@@ -64,14 +57,14 @@
     },
     [](bench&) {},
     3500ms },
-  { "it falls silent as it leaves",
+  { "it stops answering as it drains",
     [](bench& aBench) {
       aBench.servers["a"].answers = false;
       Leave(aBench);
     },
     [](bench&) {},
     3500ms },
-  { "it exits while the change waits for it",
+  { "it exits while the takeover waits for it",
     [](bench& aBench) {
       aBench.servers["a"].answers = false;
       Leave(aBench);
--- a/test/currantshed/lead/orders_under_way.cpp
+++ b/test/currantshed/lead/orders_under_way.cpp
@@ -1,16 +1,11 @@
-// The platform takes a second from an order to promote a server to its effect.
-// A change repeated its order every 400 ms, so that two more were under way
-// when the first had taken effect. The server that led then left as well; the
-// next change demoted it, and the orders still under way promoted it again.
-// Each time the change took that for its own success and began anew, and in the
-// end an order under way deposed a primary that the VMs rested on. The lines
-// that settled it:
-//   9.748, 10.141, 10.544 promotion_ordered server=i-76df943433
-//   10.809 lead step=done primary=i-76df943433, 10.810 step=begun
-//   old=i-76df943433 10.839 promotion_ordered server=i-ae525f7952 11.194 lead
-//   step=done primary=i-76df943433, 11.222 ordered i-c30ee705f1 11.889 lead
-//   step=done primary=i-ae525f7952 took_ms=292 12.251 commit 5.212 at
-//   i-ae525f7952, acknowledged after the next promotion
+// A promotion request that takes effect late must not replace a primary that is
+// in use. The platform takes 1 s from a promotion request to its effect. A
+// takeover repeated its request every 400 ms, so that two more were in flight
+// when the first took effect. The new primary then drained as well; the next
+// takeover demoted it, and the requests in flight promoted it again. The
+// takeover mistook this for its own success and started again, until a late
+// request replaced a primary with a valid confirmation, which acknowledged a
+// commit after the next promotion.
 #include <chrono>
 #include <functional>
 
@@ -29,7 +24,7 @@
 {
   const char* name;
   std::function<void(bench&)> given;
-  /// Called as soon as another server leads for the first time.
+  /// Called as soon as another server is primary for the first time.
   std::function<void(bench&)> then;
 };
 
@@ -41,8 +36,8 @@
     aBench.now);
 }
 
-/// The server that was promoted leaves, and as soon as another one has been
-/// ordered, a third one has the longest log.
+/// The promoted server drains, and as soon as another one has been requested, a
+/// third one has the longest log.
 void
 LeaveAndCatchUp(bench& aBench)
 {
@@ -55,19 +50,19 @@
 }
 
 const order_row kRows[] = {
-  { "the server that was promoted leaves at once",
+  { "the promoted server drains at once",
     [](bench& aBench) { Leave(aBench, false); },
     LeaveAndCatchUp },
-  { "it is lost at once",
+  { "the promoted server is lost at once",
     [](bench& aBench) { Leave(aBench, false); },
     [](bench& aBench) { aBench.servers["b"].answers = false; } },
-  { "it leaves at once, and orders were taken without an answer",
+  { "it drains at once, and requests were accepted without a response",
     [](bench& aBench) {
       aBench.answersOrders = false;
       Leave(aBench, false);
     },
     LeaveAndCatchUp },
-  { "an order of the holder before takes effect during the change",
+  { "a request of the previous duty holder takes effect during the takeover",
     [](bench& aBench) {
       aBench.promoting.push_back({ "d", aBench.now + 700ms });
       Leave(aBench, false);
@@ -102,7 +97,7 @@
     }
     CHECK_TEXT(isChanged, row.name);
     CHECK_EQUAL_TEXT(0, made.unsafe, row.name);
-    // In the end a server that stays leads, and is proved.
+    // In the end a server that stays is the confirmed primary.
     const auto& proof = made.lead.Proof();
     CHECK_TEXT(made.now < proof.askedAt + 1000ms, row.name);
     CHECK_TEXT(made.servers[proof.primary].primary, row.name);
--- a/test/currantshed/lead/relayed_words.cpp
+++ b/test/currantshed/lead/relayed_words.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// The word of a holder of the duty, as it comes by one way or another.
+/// An update of a duty holder, as it arrives over some path.
 struct word
 {
   std::uint64_t epoch;
@@ -21,23 +21,29 @@
 {
   const char* name;
   std::vector<word> heard;
-  /// The term that the VM does not rest on in the end.
+  /// The revoked term that the VM acknowledges in the end.
   position::term_id obeyed;
 };
 
 const order_row kRows[] = {
   { "a revocation", { { 9, 1, 1 } }, 1 },
   { "a revocation that is lifted", { { 9, 1, 1 }, { 9, 2, 0 } }, 0 },
-  { "the word before a revocation comes after it by a slower way",
+  { "the update before a revocation arrives after it over a slower path",
     { { 9, 0, 0 }, { 9, 1, 1 }, { 9, 0, 0 } },
     1 },
-  { "the same revocation by two ways", { { 9, 1, 1 }, { 9, 1, 1 } }, 1 },
-  { "a revocation that was lifted comes again by a slower way",
+  { "the same revocation over two paths", { { 9, 1, 1 }, { 9, 1, 1 } }, 1 },
+  { "a revocation that was lifted arrives again over a slower path",
     { { 9, 1, 1 }, { 9, 2, 0 }, { 9, 1, 1 } },
     0 },
-  { "a new holder begins to count anew", { { 9, 7, 1 }, { 12, 0, 0 } }, 0 },
-  { "a former holder's word comes late", { { 12, 1, 1 }, { 9, 7, 0 } }, 1 },
-  { "who only passes a proof on has no say", { { 9, 1, 1 }, { 0, 0, 0 } }, 1 },
+  { "a new duty holder restarts the sequence",
+    { { 9, 7, 1 }, { 12, 0, 0 } },
+    0 },
+  { "an update of a former duty holder arrives late",
+    { { 12, 1, 1 }, { 9, 7, 0 } },
+    1 },
+  { "an update without the duty revokes nothing",
+    { { 9, 1, 1 }, { 0, 0, 0 } },
+    1 },
 };
 
 } // namespace
--- a/test/currantshed/lead/restarted_members.cpp
+++ b/test/currantshed/lead/restarted_members.cpp
@@ -1,6 +1,6 @@
-// A member of a group that starts again under its id holds nothing of before.
-// It must not count towards a majority, nor be promoted, by what its life
-// before reported, and its silence begins anew.
+// A member that restarts under the same id has lost its data. The reports of
+// its previous incarnation must not count towards a majority or make it a
+// candidate for promotion, and the time without an answer is counted anew.
 #include <chrono>
 #include <vector>
 
@@ -25,24 +25,24 @@
 {
   const char* name;
   std::vector<lead::member> next;
-  /// Whether the primary is proved by what was reported before.
+  /// Whether the earlier reports still confirm the primary.
   bool proved;
 };
 
 const member_row kRows[] = {
-  { "all live on",
+  { "no member restarts",
     { Member("a", 1000ms), Member("b", 1000ms), Member("c", 1000ms) },
     true },
-  { "the primary starts again",
+  { "the primary restarts",
     { Member("a", 2000ms), Member("b", 1000ms), Member("c", 1000ms) },
     false },
-  { "with a clock that was set back",
+  { "the primary restarts with its clock set back",
     { Member("a", 500ms), Member("b", 1000ms), Member("c", 1000ms) },
     false },
-  { "the witness starts again",
+  { "the witness restarts",
     { Member("a", 1000ms), Member("b", 2000ms), Member("c", 1000ms) },
     false },
-  { "one that has reported nothing starts again",
+  { "a member that has reported nothing restarts",
     { Member("a", 1000ms), Member("b", 1000ms), Member("c", 2000ms) },
     true },
 };
@@ -68,7 +68,7 @@
     CHECK_TEXT(table.Proof().has_value(), row.name);
     table.Configure(row.next, kStart + 100ms);
     CHECK_TEXT(table.Proof().has_value() == row.proved, row.name);
-    // An answer that the life before was asked for comes late.
+    // A late answer to a query that was sent to the previous incarnation.
     report.isPrimary = true;
     table.Reported("a", report, kStart + 50ms, kStart + 150ms);
     report.isPrimary = false;
@@ -82,12 +82,10 @@
   }
 }
 
-// The server that a change had ordered to be promoted started again, empty,
-// just after it had begun to lead. The change had not seen it lead, stayed with
-// it, and had it promoted once more, over one that held every acknowledged
-// commit:
-//   49.761 server_standing server=group-0-1 standing=ready started_at_ms=...003
-//   50.903 promotion_ordered server=group-0-1
+// A choice made before a restart must not be promoted. The chosen server became
+// primary and restarted empty a moment later. The takeover had not seen it as
+// primary, kept its choice, and had it promoted again over a server that held
+// all acknowledged commits.
 TEST(restarted_members, are_not_promoted_by_the_choice_of_a_life_before)
 {
   test::bench made;
--- a/test/currantshed/news/exchange.cpp
+++ b/test/currantshed/news/exchange.cpp
@@ -31,7 +31,8 @@
   return acceptor.local_endpoint().port();
 }
 
-/// One VM's exchange, and the sequence numbers of the news that came to it.
+/// One VM's exchange, and the sequence numbers of the announcements that it
+/// received.
 struct vm
 {
   vm(asio::io_context& aContext, zmq::context_t& aZmq, const std::string& aName)
@@ -63,27 +64,27 @@
 struct link_row
 {
   const char* name;
-  /// After how long which peers are sent to.
+  /// Which peers are sent to, and after how long.
   std::vector<std::pair<std::chrono::milliseconds, std::string>> sent;
   std::chrono::milliseconds when;
   std::size_t links;
 };
 
 const link_row kLinkRows[] = {
-  { "no news, no link", {}, 0ms, 0 },
-  { "a link for each that there is news for",
+  { "no message, no connection", {}, 0ms, 0 },
+  { "one connection per peer that is sent to",
     { { 0ms, "a" }, { 0ms, "b" } },
     100ms,
     2 },
-  { "one link, however much there is to say",
+  { "one connection for any number of messages",
     { { 0ms, "a" }, { 10ms, "a" }, { 20ms, "a" } },
     100ms,
     1 },
-  { "a link with nothing to say is closed",
+  { "an idle connection is closed",
     { { 0ms, "a" }, { 0ms, "b" }, { 9000ms, "b" } },
     12000ms,
     1 },
-  { "a link in use stays, however long",
+  { "a connection in use stays open",
     { { 0ms, "a" }, { 9000ms, "a" }, { 18000ms, "a" } },
     20000ms,
     1 },
@@ -122,8 +123,9 @@
   }
 }
 
-// A link that was closed and opened again may be read before what still waits
-// on the former one: old news must not undo newer news.
+// After a connection was closed and reopened, the new one may be read before
+// messages that are still queued on the old one. Older messages must not
+// override newer ones.
 TEST(exchange, news_older_than_what_came_are_dropped)
 {
   vm one(mContext, mZmq, "one");
