--- a/src/currantshed/customer/time_share.hpp
+++ b/src/currantshed/customer/time_share.hpp
@@ -14,10 +14,10 @@
 using share = std::chrono::duration<double>;
 
 /// This VM's contribution to the tokens of all customers. Each VM accrues an
-/// equal share of every customer's rate as time passes and hands it to a
-/// collector. A share is handed out only once, so that all VMs together create
-/// no more tokens than the rate allows, whatever they believe about each other.
-/// A VM that counts the VMs wrongly affects its own share only.
+/// equal share of every customer's rate as time passes and hands it to a quota
+/// coordinator. A share is handed out only once, so that all VMs together
+/// create no more tokens than the rate allows, whatever they believe about each
+/// other. A VM that counts the VMs wrongly affects its own share only.
 class time_share
 {
 public:
--- a/src/currantshed/customer/token_bank.cpp
+++ b/src/currantshed/customer/token_bank.cpp
@@ -9,9 +9,10 @@
 
 using std::chrono::milliseconds;
 
-// Tokens beyond its burst that all collectors together hold for a customer,
-// within the tolerance of the rule on quotas. Without them, a customer whose
-// burst is less than one operation per collector could start none.
+// Tokens beyond its burst that all quota coordinators together hold for a
+// customer, within the tolerance of the rule on quotas. Without them, a
+// customer whose burst is less than one operation per quota coordinator could
+// start none.
 constexpr double kBeyondBurst = 12;
 // The part of a burst that can be saved up if the rest is spread over the
 // window. Both fit into one window within the tolerance of the rule on quotas.
--- a/src/currantshed/customer/token_bank.hpp
+++ b/src/currantshed/customer/token_bank.hpp
@@ -38,8 +38,8 @@
   /// may save up its whole burst.
   explicit token_bank(std::chrono::milliseconds aWindow) noexcept;
 
-  /// Sets the number of collectors that hold buckets. Each holds an equal part
-  /// of a burst.
+  /// Sets the number of quota coordinators that hold buckets. Each holds an
+  /// equal part of a burst.
   void SetBanks(std::size_t aBanks) noexcept { mBanks = aBanks; }
 
   /// Adds the share of a VM for one partition. A message that arrives twice, or
--- a/src/currantshed/customer/token_purse.hpp
+++ b/src/currantshed/customer/token_purse.hpp
@@ -12,7 +12,7 @@
 
 /// Tokens granted to this VM that it has not used. They expire shortly after
 /// they were requested, so that a VM that was paused has none left: by then the
-/// collector counts them as used. Does not read the clock.
+/// quota coordinator counts them as used. Does not read the clock.
 class token_purse
 {
 public:
--- a/src/currantshed/lead/actions.hpp
+++ b/src/currantshed/lead/actions.hpp
@@ -22,7 +22,7 @@
 
 /// Asks the platform to promote the server; the result comes back through
 /// PromotionAnswered. Carried out only after a read of the store confirms that
-/// this VM still holds the duty.
+/// this VM still holds the group's failover lock.
 struct order_promotion
 {
   upstream::server_id server;
--- a/src/currantshed/lead/group_lead.cpp
+++ b/src/currantshed/lead/group_lead.cpp
@@ -16,7 +16,7 @@
 
 using std::chrono::milliseconds;
 
-// A revocation that the duty holder does not repeat expires after this time.
+// A revocation that the lock holder does not repeat expires after this time.
 constexpr milliseconds kRevocationLife{ 5000 };
 
 } // namespace
@@ -190,7 +190,7 @@
 lead_news
 group_lead::Watch() const
 {
-  // Only the duty holder revokes terms and lifts revocations.
+  // Only the lock holder revokes terms and lifts revocations.
   if (!mHoldsDuty) {
     return { mProof, mSample, 0, 0, 0 };
   }
--- a/src/currantshed/lead/group_lead.hpp
+++ b/src/currantshed/lead/group_lead.hpp
@@ -40,9 +40,10 @@
   std::optional<proxy::position_sample> sample;
   /// The term whose confirmations no VM may use, or zero.
   position::term_id revokedTerm = 0;
-  /// Epoch of the duty of the VM that revokes; a higher epoch takes precedence.
+  /// Epoch of the failover lock of the VM that revokes; a higher epoch takes
+  /// precedence.
   std::uint64_t epoch = 0;
-  /// Incremented whenever the duty holder revokes a term or lifts a revocation,
+  /// Incremented whenever the lock holder revokes a term or lifts a revocation,
   /// since updates that arrive over different paths may be reordered.
   std::uint64_t sequence = 0;
 };
@@ -61,12 +62,11 @@
 };
 
 /// One VM's view of one group: which server is the confirmed primary and, on
-/// the VM that holds the group's duty, monitoring of the primary and failover.
-/// The duty is the exclusive responsibility for the group's failover; it is
-/// backed by a lease in the store, and its epoch serves as a fencing token. A
-/// confirmation says that a majority of the group followed a primary in a term;
-/// it is valid for a limited time. Performs no I/O: takes events and the
-/// current time, and returns actions.
+/// the VM that holds the group's failover lock, monitoring of the primary and
+/// failover. The lock is recorded in the store under a lease, and its epoch
+/// serves as a fencing token. A confirmation says that a majority of the group
+/// followed a primary in a term; it is valid for a limited time. Performs no
+/// I/O: takes events and the current time, and returns actions.
 class group_lead
 {
 public:
@@ -76,11 +76,13 @@
 
   void Configure(const std::vector<member>& aMembers, clock::time_point aNow);
 
-  /// Sets whether this VM holds the group's duty, and the duty's epoch.
+  /// Sets whether this VM holds the group's failover lock, and the lock's
+  /// epoch.
   void SetDuty(bool aHolds, std::uint64_t aEpoch, clock::time_point aNow);
 
-  /// Sets whether this VM is the next in line for a duty that nobody holds. It
-  /// then confirms the primary on behalf of all VMs, but starts no takeover.
+  /// Sets whether this VM is the next in line for a failover lock that no VM
+  /// holds. It then confirms the primary on behalf of all VMs, but starts no
+  /// takeover.
   void SetStandsIn(bool aStandsIn) noexcept { mStandsIn = aStandsIn; }
 
   /// The other VMs, as read from the store after aAskedAt, and VMs known
@@ -108,11 +110,11 @@
   void SetMayAsk(bool aMayAsk) { mMayAsk = aMayAsk; }
 
   /// Sets how many VMs may query this group and this VM's place among them, in
-  /// [0, 1). While no update arrives from the duty holder, the VMs stagger
-  /// their queries and relay the results to each other.
+  /// [0, 1). While no update arrives from the lock holder, the VMs stagger
+  /// their queries and forward the results to each other.
   void SetPlace(std::size_t aVms, double aPlace);
 
-  /// Sets whether another VM relays updates on the group to this one. That VM
+  /// Sets whether another VM forwards updates on the group to this one. That VM
   /// is then asked first and given time to answer.
   void SetIsRelayed(bool aIsRelayed) noexcept { mIsRelayed = aIsRelayed; }
 
@@ -140,7 +142,7 @@
   /// The updates that this VM sends to others. aHeardAt is the time at which
   /// regular traffic last heard from the primary.
   [[nodiscard]] lead_news Watch() const;
-  /// The latest update from the duty holder, for relaying.
+  /// The latest update from the lock holder, for forwarding.
   [[nodiscard]] lead_news Relayed() const;
   [[nodiscard]] reach_news Reach(
     std::optional<clock::time_point> aHeardAt) const;
@@ -223,7 +225,7 @@
   // The term that this VM revokes, and how often that has changed.
   position::term_id mOwnRevoked = 0;
   std::uint64_t mOwnSequence = 0;
-  // The latest revocation received from a duty holder.
+  // The latest revocation received from a lock holder.
   position::term_id mRevoked = 0;
   std::uint64_t mRevokedEpoch = 0;
   std::uint64_t mRevokedSequence = 0;
@@ -242,7 +244,7 @@
   // The VM whose updates keep a primary in place that this VM cannot reach.
   std::string mKeptBy;
   lateness mLateness;
-  // When the duty holder has scheduled its next tick.
+  // When the lock holder has scheduled its next tick.
   std::optional<clock::time_point> mPlanned;
   std::optional<clock::time_point> mVacantSince;
   // When to log next that the group has no confirmed primary.
--- a/src/currantshed/lead/group_lead_proof.cpp
+++ b/src/currantshed/lead/group_lead_proof.cpp
@@ -23,16 +23,16 @@
 // The VM that monitors a group queries every member at this interval, to detect
 // leftover fences and old primaries.
 constexpr milliseconds kRoundPause{ 2000 };
-// A VM without the duty sends its own queries once the confirmation that it was
-// told is valid for less than this.
+// A VM without the failover lock sends its own queries once the confirmation
+// that it was told is valid for less than this.
 constexpr milliseconds kOwnAskReserve{ 350 };
-// Stagger between the queries of VMs without the duty, and its maximum over all
-// of them. The first answer arrives and is relayed within about 30 ms, so that
-// some 12 of 75 VMs send queries, not all. The validity that remains suffices
-// for a retry.
+// Stagger between the queries of VMs without the failover lock, and its maximum
+// over all of them. The first answer arrives and is forwarded within about 30
+// ms, so that some 12 of 75 VMs send queries, not all. The validity that
+// remains suffices for a retry.
 constexpr milliseconds kSpreadByVm{ 2 };
 constexpr milliseconds kLongestSpread{ 150 };
-// How long a VM of the same failure domain is given to relay what it knows.
+// How long a VM of the same failure domain is given to forward what it knows.
 constexpr milliseconds kRelayTime{ 30 };
 // Minimum pause of one VM between queries, for each VM that may query. All VMs
 // together send at most 250 queries per second to a server; each occupies a
@@ -42,7 +42,7 @@
 // queried.
 constexpr milliseconds kFirstPairTime{ 150 };
 // A confirmation that extends the validity by less than this is not worth
-// relaying: it saves the other VMs no query.
+// forwarding: it saves the other VMs no query.
 constexpr milliseconds kWorthTelling{ 150 };
 // How long a primary that only other VMs reach is queried through them.
 constexpr milliseconds kRelayedTime{ 3000 };
--- a/src/currantshed/lead/group_lead_watch.cpp
+++ b/src/currantshed/lead/group_lead_watch.cpp
@@ -1,4 +1,4 @@
-// The tasks of the duty holder: detects the loss of a primary, starts takeovers
+// The tasks of the lock holder: detects the loss of a primary, starts takeovers
 // and repairs members afterwards.
 #include "currantshed/lead/group_lead.hpp"
 
@@ -24,12 +24,13 @@
 constexpr milliseconds kReachLife{ 600 };
 // How long no server must be primary before a takeover starts.
 constexpr milliseconds kVacantAfter{ 1200 };
-// The same, if the previous duty holder left the group without a primary and no
+// The same, if the previous lock holder left the group without a primary and no
 // promotion can be in flight: two poll rounds. The second is how long after the
-// start of the duty a new holder attributes such a state to the previous one.
+// acquisition of the lock a new holder attributes such a state to the previous
+// one.
 constexpr milliseconds kSurelyVacantAfter{ 200 };
 constexpr milliseconds kInheritance{ 1500 };
-// A new duty holder takes no action for this long, so that a request of its
+// A new lock holder takes no action for this long, so that a request of its
 // predecessor has time to take effect.
 constexpr milliseconds kFirstLook{ 400 };
 
@@ -264,7 +265,7 @@
 // Whether a majority answers and no server is primary, or the last primary is
 // no longer listed. Reachability updates of other VMs count only while that
 // server does not itself report that it is not primary: it may have stepped
-// down for a duty holder that then abandoned the takeover, and still answers
+// down for a lock holder that then abandoned the takeover, and still answers
 // reads.
 bool
 group_lead::IsVacant(clock::time_point aNow)
@@ -289,7 +290,7 @@
   if (!mVacantSince) {
     mVacantSince = aNow;
   }
-  // The previous duty holder left the group in this state. It would have
+  // The previous lock holder left the group in this state. It would have
   // recorded the replaced term before a request to promote, so without that
   // record no server can become primary.
   const bool mayBeOrdered = mReplaced >= mTable.HighestLog();
@@ -299,9 +300,9 @@
 }
 
 // The term of a server that is primary but cannot be confirmed, because an
-// earlier duty holder fenced its group and went no further; zero if there is
+// earlier lock holder fenced its group and went no further; zero if there is
 // none. That holder can no longer record the term as replaced, since it has
-// lost the duty, and must not request a promotion without that record.
+// lost the lock, and must not request a promotion without that record.
 position::term_id
 group_lead::UnreplacedTerm(clock::time_point aNow) const
 {
--- a/src/currantshed/lead/takeover.cpp
+++ b/src/currantshed/lead/takeover.cpp
@@ -199,7 +199,7 @@
          aPrimary != mChosen && aNow < mLastOrderAt + kOrderEffect;
 }
 
-// A promotion request of an earlier takeover, or of another duty holder, took
+// A promotion request of an earlier takeover, or of another lock holder, took
 // effect late. The server that became primary is about to be replaced, so no VM
 // may use it.
 void
--- a/test/currantshed/customer/model.cpp
+++ b/test/currantshed/customer/model.cpp
@@ -141,7 +141,7 @@
   one.downUntil = one.startedAt;
   one.checks.SetPlace(aVm);
   one.bank.SetBanks(kDomains);
-  // The first VMs of each failure domain are collectors.
+  // The first VMs of each failure domain are quota coordinators.
   const std::vector<std::string> own{ Name(aVm % kDomains),
                                       Name(aVm % kDomains + kDomains) };
   std::vector<std::vector<std::string>> others;
--- a/test/currantshed/customer/model.hpp
+++ b/test/currantshed/customer/model.hpp
@@ -94,7 +94,7 @@
   /// How often, per thousand steps, a restart loop starts.
   unsigned mLoops;
   bool mIsStoreAway = false;
-  /// Until when the collectors are restarted in a loop.
+  /// Until when the quota coordinators are restarted in a loop.
   clock::time_point mLoopUntil{};
   clock::time_point mNextLoop{};
   bool mIsStoreSlow = false;
--- a/test/currantshed/customer/tokens.cpp
+++ b/test/currantshed/customer/tokens.cpp
@@ -48,13 +48,13 @@
   unsigned expect;
 };
 
-// All collectors together hold twelve tokens beyond the burst.
+// All quota coordinators together hold twelve tokens beyond the burst.
 const withdrawal_row kWithdrawalRows[] = {
   { "a new bucket is empty", 0ms, 1, { 100, 100 }, 0.0, 1, 0 },
   { "what was added", 0ms, 1, { 100, 100 }, 0.1, 20, 10 },
   { "no more than requested", 0ms, 1, { 100, 100 }, 0.1, 3, 3 },
   { "no more than the capacity", 0ms, 1, { 100, 100 }, 60.0, 500, 112 },
-  { "one of three collectors holds a third",
+  { "one of three coordinators holds a third",
     0ms,
     3,
     { 100, 100 },
--- a/test/currantshed/lead/abandoned_changes.cpp
+++ b/test/currantshed/lead/abandoned_changes.cpp
@@ -1,6 +1,6 @@
 // A takeover that is abandoned must not leave its group without a primary. A
 // slow VM started to replace a healthy primary, lost its lease and abandoned
-// the takeover after the primary had already stepped down. The next duty holder
+// the takeover after the primary had already stepped down. The next lock holder
 // saw three servers without a primary and did nothing, because other VMs kept
 // reporting that they heard from the old primary, which still answered reads.
 #include <chrono>
@@ -20,7 +20,7 @@
 
 namespace {
 
-/// The state that a duty holder leaves behind when it abandons a takeover.
+/// The state that a lock holder leaves behind when it abandons a takeover.
 struct left_behind
 {
   bool steppedDown = false;
@@ -32,7 +32,7 @@
   bool isOrdered = false;
 };
 
-/// All states that a duty holder may leave behind, in the order of the steps of
+/// All states that a lock holder may leave behind, in the order of the steps of
 /// a takeover.
 std::vector<left_behind>
 AllThatIsLeft()
@@ -133,7 +133,7 @@
   }
 }
 
-// A group without a primary is logged once a second by the duty holder, with
+// A group without a primary is logged once a second by the lock holder, with
 // the time since when and the state of its members.
 TEST(abandoned_changes, a_group_without_a_primary_is_told_of)
 {
@@ -148,7 +148,7 @@
   const row rows[] = {
     { "all servers answer", true, true, 0, "" },
     { "no server answers", true, false, 3, "answering=0" },
-    { "another VM holds the duty", false, false, 0, "" },
+    { "another VM holds the lock", false, false, 0, "" },
   };
   for (const auto& row : rows) {
     bench made;
--- a/test/currantshed/lead/bench.hpp
+++ b/test/currantshed/lead/bench.hpp
@@ -77,7 +77,7 @@
   std::vector<position::term_id> revocations;
   std::vector<proxy::confirmation> proofs;
   std::vector<proxy::position_sample> samples;
-  /// Number of confirmations to be relayed to other VMs.
+  /// Number of confirmations to be forwarded to other VMs.
   int passedOn = 0;
   bool takesOrders = true;
   bool rejectsFirst = false;
--- a/test/currantshed/lead/group_lead.cpp
+++ b/test/currantshed/lead/group_lead.cpp
@@ -315,7 +315,7 @@
   const char* primary;
 };
 
-// A duty holder fenced the replicas and froze; the primary is healthy.
+// A lock holder fenced the replicas and froze; the primary is healthy.
 constexpr stranded_row kStrandedRows[] = {
   { "the replacement was not recorded: the primary stays", 0, 1, "a" },
   { "it was recorded, so a promotion may be in flight", 1, 2, "a" },
@@ -415,7 +415,7 @@
   made.Run(1500ms);
   CHECK(made.now < made.lead.Proof().askedAt + 500ms);
   CHECK(made.lead.Speaks());
-  // An interim monitor's update must not lift a revocation of the last duty
+  // An interim monitor's update must not lift a revocation of the last lock
   // holder.
   CHECK(made.lead.Watch().epoch == 0);
   made.servers["a"].answers = false;
@@ -470,7 +470,7 @@
 namespace {
 
 /// Number of queries of VMs that share one group and receive no updates from a
-/// duty holder, where each relays its results to all others.
+/// lock holder, where each forwards its results to all others.
 struct island_row
 {
   const char* name;
@@ -483,9 +483,9 @@
 
 const island_row kIslands[] = {
   { "one VM", 1, true, 2.0, 8.0 },
-  { "six VMs that relay results", 6, true, 0.3, 2.5 },
-  { "forty VMs that relay results", 40, true, 0.05, 0.8 },
-  { "forty VMs that do not relay results", 40, false, 2.0, 20.0 },
+  { "six VMs that forward results", 6, true, 0.3, 2.5 },
+  { "forty VMs that forward results", 40, true, 0.05, 0.8 },
+  { "forty VMs that do not forward results", 40, false, 2.0, 20.0 },
 };
 
 } // namespace
--- a/test/currantshed/lead/late_watcher.cpp
+++ b/test/currantshed/lead/late_watcher.cpp
@@ -93,7 +93,7 @@
   }
 }
 
-// The duty holder asks for other VMs' reachability updates on the primary only
+// The lock holder asks for other VMs' reachability updates on the primary only
 // while it suspects the primary.
 TEST(late_watcher, asks_for_others_words_when_the_primary_does_not_answer)
 {
--- a/test/currantshed/lead/leaving_primary.cpp
+++ b/test/currantshed/lead/leaving_primary.cpp
@@ -1,6 +1,6 @@
-// A draining primary must be replaced even if the duty holder cannot reach it.
+// A draining primary must be replaced even if the lock holder cannot reach it.
 // Only other VMs could reach it, and the takeover waited without limit for the
-// primary to step down, which only the duty holder can tell it to do. After 5 s
+// primary to step down, which only the lock holder can tell it to do. After 5 s
 // the revocation expired at the other VMs, which used the draining primary
 // again until it exited; then the group had no primary.
 #include <chrono>
--- a/test/currantshed/lead/orders_under_way.cpp
+++ b/test/currantshed/lead/orders_under_way.cpp
@@ -62,7 +62,7 @@
       Leave(aBench, false);
     },
     LeaveAndCatchUp },
-  { "a request of the previous duty holder takes effect during the takeover",
+  { "a request of the previous lock holder takes effect during the takeover",
     [](bench& aBench) {
       aBench.promoting.push_back({ "d", aBench.now + 700ms });
       Leave(aBench, false);
--- a/test/currantshed/lead/relayed_words.cpp
+++ b/test/currantshed/lead/relayed_words.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// An update of a duty holder, as it arrives over some path.
+/// An update of a lock holder, as it arrives over some path.
 struct word
 {
   std::uint64_t epoch;
@@ -35,13 +35,13 @@
   { "a revocation that was lifted arrives again over a slower path",
     { { 9, 1, 1 }, { 9, 2, 0 }, { 9, 1, 1 } },
     0 },
-  { "a new duty holder restarts the sequence",
+  { "a new lock holder restarts the sequence",
     { { 9, 7, 1 }, { 12, 0, 0 } },
     0 },
-  { "an update of a former duty holder arrives late",
+  { "an update of a former lock holder arrives late",
     { { 12, 1, 1 }, { 9, 7, 0 } },
     1 },
-  { "an update without the duty revokes nothing",
+  { "an update without the lock revokes nothing",
     { { 9, 1, 1 }, { 0, 0, 0 } },
     1 },
 };
