--- a/src/currantshed/lead/group_lead.hpp
+++ b/src/currantshed/lead/group_lead.hpp
@@ -124,6 +124,9 @@
   /// A server reported that it is not the primary of that term.
   void Denied(position::term_id aTerm, clock::time_point aNow);
 
+  /// The results of send_command. An answer without a report means that the
+  /// server is busy. After a failure, aHeardAt is the time at which regular
+  /// traffic last heard from the server, if known.
   void ServerAnswered(const upstream::server_id& aServer,
                       const std::optional<proxy::server_report>& aReport,
                       clock::time_point aAskedAt,
@@ -131,6 +134,8 @@
   void ServerFailed(const upstream::server_id& aServer,
                     std::optional<clock::time_point> aHeardAt,
                     clock::time_point aNow);
+  /// The result of request_promotion: whether the platform accepted the request,
+  /// or rejected the server as one that cannot be promoted.
   void PromotionAnswered(bool aTaken, bool aRejected, clock::time_point aNow);
 
   /// Updates from other VMs, with all times converted to this VM's clock.
