--- a/src/currantshed/customer/part.hpp
+++ b/src/currantshed/customer/partition.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_CUSTOMER_PART_HPP
-#define CURRANTSHED_CUSTOMER_PART_HPP
+#ifndef CURRANTSHED_CUSTOMER_PARTITION_HPP
+#define CURRANTSHED_CUSTOMER_PARTITION_HPP
 
 #include <cstddef>
 #include <string>
@@ -9,11 +9,11 @@
 /// Number of partitions of the customers. In each failure domain one VM
 /// collects the accrual time of a partition, so that no VM does so for all
 /// customers. Must be the same at all VMs.
-constexpr std::size_t kParts = 16;
+constexpr std::size_t kPartitions = 16;
 
 /// The partition that the customer belongs to.
 [[nodiscard]] std::size_t
-PartOf(const std::string& aCustomer);
+PartitionOf(const std::string& aCustomer);
 
 } // namespace currantshed::customer
 
--- a/src/currantshed/customer/time_share.hpp
+++ b/src/currantshed/customer/token_accrual.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_CUSTOMER_TIME_SHARE_HPP
-#define CURRANTSHED_CUSTOMER_TIME_SHARE_HPP
+#ifndef CURRANTSHED_CUSTOMER_TOKEN_ACCRUAL_HPP
+#define CURRANTSHED_CUSTOMER_TOKEN_ACCRUAL_HPP
 
 #include <chrono>
 #include <cstddef>
@@ -18,7 +18,7 @@
 /// coordinator. A share is handed out only once, so that all VMs together
 /// create no more tokens than the rate allows, whatever they believe about each
 /// other. A VM that counts the VMs wrongly affects its own share only.
-class time_share
+class token_accrual
 {
 public:
   /// Starts accrual at the time at which the process started. The first share
--- a/src/currantshed/customer/token_bank.hpp
+++ b/src/currantshed/customer/token_buckets.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_CUSTOMER_TOKEN_BANK_HPP
-#define CURRANTSHED_CUSTOMER_TOKEN_BANK_HPP
+#ifndef CURRANTSHED_CUSTOMER_TOKEN_BUCKETS_HPP
+#define CURRANTSHED_CUSTOMER_TOKEN_BUCKETS_HPP
 
 #include <array>
 #include <chrono>
@@ -11,8 +11,8 @@
 
 #include "currantshed/clock/time.hpp"
 #include "currantshed/customer/directory.hpp"
-#include "currantshed/customer/part.hpp"
-#include "currantshed/customer/time_share.hpp"
+#include "currantshed/customer/partition.hpp"
+#include "currantshed/customer/token_accrual.hpp"
 
 namespace currantshed::customer {
 
@@ -31,29 +31,29 @@
 /// allow. A customer with constant excess demand gets as many in every window;
 /// one that returns from an idle period finds part of its burst. Does not read
 /// the clock.
-class token_bank
+class token_buckets
 {
 public:
   /// aWindow is the window in which operations are counted. Zero: a customer
   /// may save up its whole burst.
-  explicit token_bank(std::chrono::milliseconds aWindow) noexcept;
+  explicit token_buckets(std::chrono::milliseconds aWindow) noexcept;
 
   /// Sets the number of quota coordinators that hold buckets. Each holds an
   /// equal part of a burst.
-  void SetBanks(std::size_t aBanks) noexcept { mBanks = aBanks; }
+  void SetCoordinatorCount(std::size_t aBanks) noexcept { mBanks = aBanks; }
 
   /// Adds the share of a VM for one partition. A message that arrives twice, or
   /// after a later one, is ignored. aSentAt is the time on the sender's clock,
   /// in its present incarnation.
-  void Deposit(const std::string& aVm,
-               std::uint64_t aIncarnation,
-               std::chrono::microseconds aSentAt,
-               std::size_t aPart,
-               share aShare);
+  void AddShare(const std::string& aVm,
+                std::uint64_t aIncarnation,
+                std::chrono::microseconds aSentAt,
+                std::size_t aPart,
+                share aShare);
 
-  [[nodiscard]] token_grant Withdraw(const std::string& aCustomer,
-                                     const quota& aLimit,
-                                     unsigned aWanted);
+  [[nodiscard]] token_grant GrantTokens(const std::string& aCustomer,
+                                        const quota& aLimit,
+                                        unsigned aWanted);
 
 private:
   struct depositor
@@ -76,9 +76,10 @@
 
   std::chrono::duration<double> mWindow;
   std::size_t mBanks = 1;
-  std::array<share, kParts> mDeposited{};
+  std::array<share, kPartitions> mDeposited{};
   /// By VM, one entry per partition.
-  absl::flat_hash_map<std::string, std::array<depositor, kParts>> mDepositors;
+  absl::flat_hash_map<std::string, std::array<depositor, kPartitions>>
+    mDepositors;
   absl::flat_hash_map<std::string, account> mAccounts;
 };
 
--- a/src/currantshed/customer/token_purse.hpp
+++ b/src/currantshed/customer/token_cache.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_CUSTOMER_TOKEN_PURSE_HPP
-#define CURRANTSHED_CUSTOMER_TOKEN_PURSE_HPP
+#ifndef CURRANTSHED_CUSTOMER_TOKEN_CACHE_HPP
+#define CURRANTSHED_CUSTOMER_TOKEN_CACHE_HPP
 
 #include <deque>
 #include <string>
@@ -13,7 +13,7 @@
 /// Tokens granted to this VM that it has not used. They expire shortly after
 /// they were requested, so that a VM that was paused has none left: by then the
 /// quota coordinator counts them as used. Does not read the clock.
-class token_purse
+class token_cache
 {
 public:
   void Put(const std::string& aCustomer,
--- a/src/currantshed/lead/actions.hpp
+++ b/src/currantshed/lead/actions.hpp
@@ -11,10 +11,10 @@
 
 /// Sends a query or command to a server. The result comes back through
 /// ServerAnswered or ServerFailed.
-struct ask_server
+struct send_command
 {
   upstream::server_id server;
-  proxy::command what;
+  proxy::command command;
   /// Whether to use only this VM's own connection. The VM that monitors a group
   /// must not mistake another VM's network fault for a failure of the server.
   bool direct = true;
@@ -23,17 +23,17 @@
 /// Asks the platform to promote the server; the result comes back through
 /// PromotionAnswered. Carried out only after a read of the store confirms that
 /// this VM still holds the group's failover lock.
-struct order_promotion
+struct request_promotion
 {
   upstream::server_id server;
   /// The term that the promotion ends. It is recorded in the store before the
   /// platform is called, because a promotion by the platform lifts fences.
-  position::term_id replaces = 0;
+  position::term_id replacedTerm = 0;
 };
 
 /// Reads the most recently replaced term from the store; the result comes back
 /// through ReplacedTermRead.
-struct check_terms
+struct read_replaced_term
 {};
 
 /// Reads the list of VMs from the store again; the result comes back through
@@ -42,9 +42,9 @@
 {};
 
 /// Publishes a newer confirmation of the group's primary.
-struct publish_proof
+struct publish_confirmation
 {
-  proxy::confirmation proof;
+  proxy::confirmation confirmation;
   /// Whether this VM obtained the confirmation itself, so that other VMs may
   /// not have it yet.
   bool isOwn = false;
@@ -64,20 +64,20 @@
 };
 
 /// A step of a takeover, for the log.
-struct note_step
+struct log_step
 {
   std::string step;
   std::string detail;
 };
 
-using action = std::variant<ask_server,
-                            order_promotion,
-                            check_terms,
+using action = std::variant<send_command,
+                            request_promotion,
+                            read_replaced_term,
                             list_vms,
-                            publish_proof,
+                            publish_confirmation,
                             publish_sample,
                             publish_revocation,
-                            note_step>;
+                            log_step>;
 
 } // namespace currantshed::lead
 
--- a/src/currantshed/lead/clock_offset.hpp
+++ b/src/currantshed/lead/clock_offset.hpp
@@ -17,7 +17,7 @@
 {
 public:
   /// Records a message that the other VM sent at that time of its clock.
-  void Heard(std::chrono::microseconds aSentAt, clock::time_point aNow);
+  void AddSample(std::chrono::microseconds aSentAt, clock::time_point aNow);
 
   /// The lower bound, reduced for clock drift since the message that yielded
   /// it; empty before the first message.
--- a/src/currantshed/lead/group_lead.hpp
+++ b/src/currantshed/lead/group_monitor.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_LEAD_GROUP_LEAD_HPP
-#define CURRANTSHED_LEAD_GROUP_LEAD_HPP
+#ifndef CURRANTSHED_LEAD_GROUP_MONITOR_HPP
+#define CURRANTSHED_LEAD_GROUP_MONITOR_HPP
 
 #include <chrono>
 #include <cstddef>
@@ -12,14 +12,14 @@
 
 #include "currantshed/clock/time.hpp"
 #include "currantshed/lead/actions.hpp"
-#include "currantshed/lead/lateness.hpp"
+#include "currantshed/lead/scheduling_delay.hpp"
 #include "currantshed/lead/server_table.hpp"
 #include "currantshed/lead/takeover.hpp"
 
 namespace currantshed::lead {
 
 /// Timing of one group's monitoring.
-struct lead_settings
+struct monitor_settings
 {
   /// How long a confirmation is valid, counted from the time its queries were
   /// sent. A shorter time makes failover faster, a longer one saves queries.
@@ -34,9 +34,9 @@
 };
 
 /// The status of a group as the VM that monitors it announces it.
-struct lead_news
+struct watch_update
 {
-  proxy::confirmation proof;
+  proxy::confirmation confirmation;
   std::optional<proxy::position_sample> sample;
   /// The term whose confirmations no VM may use, or zero.
   position::term_id revokedTerm = 0;
@@ -49,16 +49,16 @@
 };
 
 /// Whether one VM can reach the primary, as it tells the other VMs.
-struct reach_news
+struct reach_update
 {
   position::term_id term = 0;
   upstream::server_id primary;
   /// When it last heard from the primary.
   clock::time_point heardAt;
   /// The revoked term whose confirmations the VM has stopped using.
-  position::term_id obeyedTerm = 0;
+  position::term_id acknowledgedTerm = 0;
   /// Earliest time at which the VM can have sent this.
-  clock::time_point saidAt;
+  clock::time_point sentAt;
 };
 
 /// One VM's view of one group: which server is the confirmed primary and, on
@@ -67,23 +67,25 @@
 /// serves as a fencing token. A confirmation says that a majority of the group
 /// followed a primary in a term; it is valid for a limited time. Performs no
 /// I/O: takes events and the current time, and returns actions.
-class group_lead
+class group_monitor
 {
 public:
-  explicit group_lead(const lead_settings& aSettings);
-  group_lead(const group_lead&) = delete;
-  group_lead& operator=(const group_lead&) = delete;
+  explicit group_monitor(const monitor_settings& aSettings);
+  group_monitor(const group_monitor&) = delete;
+  group_monitor& operator=(const group_monitor&) = delete;
 
   void Configure(const std::vector<member>& aMembers, clock::time_point aNow);
 
   /// Sets whether this VM holds the group's failover lock, and the lock's
   /// epoch.
-  void SetDuty(bool aHolds, std::uint64_t aEpoch, clock::time_point aNow);
+  void SetFailoverLock(bool aHolds,
+                       std::uint64_t aEpoch,
+                       clock::time_point aNow);
 
   /// Sets whether this VM is the next in line for a failover lock that no VM
   /// holds. It then confirms the primary on behalf of all VMs, but starts no
   /// takeover.
-  void SetStandsIn(bool aStandsIn) noexcept { mStandsIn = aStandsIn; }
+  void SetIsInterim(bool aStandsIn) noexcept { mStandsIn = aStandsIn; }
 
   /// The other VMs, as read from the store after aAskedAt, and VMs known
   /// earlier that may still be running. A VM that is not among them started
@@ -94,35 +96,38 @@
 
   /// The latest term that a takeover has replaced, according to the store.
   /// Confirmations of this or an earlier term are not valid.
-  void SetReplaced(position::term_id aTerm, clock::time_point aNow);
+  void SetReplacedTerm(position::term_id aTerm, clock::time_point aNow);
 
   /// The latest term that this VM knows to be replaced, either from the store
   /// or because a later term is confirmed.
   [[nodiscard]] position::term_id ReplacedTerm() const noexcept;
 
   /// The result of read_replaced_term; empty if the store could not be read.
-  void TermsChecked(std::optional<position::term_id> aReplaced,
-                    clock::time_point aNow);
+  void ReplacedTermRead(std::optional<position::term_id> aReplaced,
+                        clock::time_point aNow);
 
   /// Sets whether this VM may obtain confirmations. Before it is registered in
   /// the store, the VM that promotes does not know that this one may be using a
   /// confirmation.
-  void SetMayAsk(bool aMayAsk) { mMayAsk = aMayAsk; }
+  void SetMayConfirm(bool aMayAsk) { mMayAsk = aMayAsk; }
 
   /// Sets how many VMs may query this group and this VM's place among them, in
   /// [0, 1). While no update arrives from the lock holder, the VMs stagger
   /// their queries and forward the results to each other.
-  void SetPlace(std::size_t aVms, double aPlace);
+  void SetQueryStagger(std::size_t aVms, double aPlace);
 
   /// Sets whether another VM forwards updates on the group to this one. That VM
   /// is then asked first and given time to answer.
-  void SetIsRelayed(bool aIsRelayed) noexcept { mIsRelayed = aIsRelayed; }
+  void SetIsForwarded(bool aIsForwarded) noexcept
+  {
+    mIsForwarded = aIsForwarded;
+  }
 
   /// Requests are waiting for a confirmation.
-  void Wanted(clock::time_point aNow);
+  void ConfirmationNeeded(clock::time_point aNow);
 
   /// A server reported that it is not the primary of that term.
-  void Denied(position::term_id aTerm, clock::time_point aNow);
+  void LeadershipDenied(position::term_id aTerm, clock::time_point aNow);
 
   /// The results of send_command. An answer without a report means that the
   /// server is busy. After a failure, aHeardAt is the time at which regular
@@ -134,39 +139,42 @@
   void ServerFailed(const upstream::server_id& aServer,
                     std::optional<clock::time_point> aHeardAt,
                     clock::time_point aNow);
-  /// The result of request_promotion: whether the platform accepted the request,
-  /// or rejected the server as one that cannot be promoted.
+  /// The result of request_promotion: whether the platform accepted the
+  /// request, or rejected the server as one that cannot be promoted.
   void PromotionAnswered(bool aTaken, bool aRejected, clock::time_point aNow);
 
   /// Updates from other VMs, with all times converted to this VM's clock.
-  void HeardWatch(const lead_news& aNews, clock::time_point aNow);
-  void HeardReach(const std::string& aVm,
-                  const reach_news& aNews,
-                  clock::time_point aNow);
+  void WatchUpdateReceived(const watch_update& aNews, clock::time_point aNow);
+  void ReachUpdateReceived(const std::string& aVm,
+                           const reach_update& aNews,
+                           clock::time_point aNow);
 
   /// The updates that this VM sends to others. aHeardAt is the time at which
   /// regular traffic last heard from the primary.
-  [[nodiscard]] lead_news Watch() const;
+  [[nodiscard]] watch_update WatchUpdate() const;
   /// The latest update from the lock holder, for forwarding.
-  [[nodiscard]] lead_news Relayed() const;
-  [[nodiscard]] reach_news Reach(
+  [[nodiscard]] watch_update ForwardedUpdate() const;
+  [[nodiscard]] reach_update ReachUpdate(
     std::optional<clock::time_point> aHeardAt) const;
 
   void Tick(clock::time_point aNow);
   [[nodiscard]] clock::time_point NextTick() const;
   [[nodiscard]] std::vector<action> TakeActions();
 
-  [[nodiscard]] const proxy::confirmation& Proof() const noexcept
+  [[nodiscard]] const proxy::confirmation& Confirmation() const noexcept
   {
     return mProof;
   }
-  [[nodiscard]] bool HoldsDuty() const noexcept { return mHoldsDuty; }
+  [[nodiscard]] bool HoldsFailoverLock() const noexcept { return mHoldsLock; }
   /// Whether this VM announces the group's status to all VMs.
-  [[nodiscard]] bool Speaks() const noexcept { return mHoldsDuty || mStandsIn; }
+  [[nodiscard]] bool AnnouncesStatus() const noexcept
+  {
+    return mHoldsLock || mStandsIn;
+  }
   /// Whether this VM monitors the group and has no recent answer from the
   /// primary, so that it depends on other VMs' reachability updates.
-  [[nodiscard]] bool DoubtsPrimary(clock::time_point aNow) const;
-  [[nodiscard]] bool IsChanging() const noexcept
+  [[nodiscard]] bool SuspectsPrimary(clock::time_point aNow) const;
+  [[nodiscard]] bool IsTakeoverActive() const noexcept
   {
     return mTakeover.Step() != takeover_step::kNone;
   }
@@ -174,7 +182,7 @@
 private:
   struct peer_reach
   {
-    reach_news news;
+    reach_update news;
     clock::time_point at;
   };
 
@@ -212,21 +220,21 @@
   [[nodiscard]] bool IsVacant(clock::time_point aNow);
   [[nodiscard]] const member_view* Witness() const;
 
-  lead_settings mSettings;
+  monitor_settings mSettings;
   server_table mTable;
   takeover mTakeover;
   proxy::confirmation mProof;
   std::optional<proxy::position_sample> mSample;
-  bool mHoldsDuty = false;
+  bool mHoldsLock = false;
   bool mStandsIn = false;
   bool mMayAsk = true;
-  bool mIsRelayed = false;
+  bool mIsForwarded = false;
   // How long after the first VM this one sends its queries, and the minimum
   // pause between two queries of any one VM.
   std::chrono::milliseconds mAskDelay{ 0 };
   std::chrono::milliseconds mAskPause{ 0 };
   std::uint64_t mEpoch = 0;
-  clock::time_point mDutySince;
+  clock::time_point mLockHeldSince;
   // The term that this VM revokes, and how often that has changed.
   position::term_id mOwnRevoked = 0;
   std::uint64_t mOwnSequence = 0;
@@ -248,7 +256,7 @@
   clock::time_point mDeniedAt;
   // The VM whose updates keep a primary in place that this VM cannot reach.
   std::string mKeptBy;
-  lateness mLateness;
+  scheduling_delay mLateness;
   // When the lock holder has scheduled its next tick.
   std::optional<clock::time_point> mPlanned;
   std::optional<clock::time_point> mVacantSince;
--- a/src/currantshed/lead/group_lead_watch.cpp
+++ b/src/currantshed/lead/group_monitor_failover.cpp
@@ -1,13 +1,13 @@
 // The tasks of the lock holder: detects the loss of a primary, starts takeovers
 // and repairs members afterwards.
-#include "currantshed/lead/group_lead.hpp"
+#include "currantshed/lead/group_monitor.hpp"
 
 #include <algorithm>
 #include <utility>
 
 #include <absl/strings/str_cat.h>
 
-#include "currantshed/lead/internal/group_lead_times.hpp"
+#include "currantshed/lead/internal/group_monitor_timing.hpp"
 
 namespace currantshed::lead {
 
@@ -53,13 +53,13 @@
 } // namespace
 
 void
-group_lead::Judge(clock::time_point aNow)
+group_monitor::Judge(clock::time_point aNow)
 {
-  if (IsChanging()) {
+  if (IsTakeoverActive()) {
     return;
   }
   const bool isVacant = IsVacant(aNow);
-  if (aNow < mDutySince + kFirstLook || aNow < mTakeover.QuietUntil()) {
+  if (aNow < mLockHeldSince + kFirstLook || aNow < mTakeover.HoldOffUntil()) {
     return;
   }
   mMustObey.reset();
@@ -67,7 +67,7 @@
   const auto* primary = mTable.Find(mProof.primary);
   if (mProof.term != 0 && primary != nullptr && IsLost(aNow)) {
     NoteLost(*primary, aNow);
-    mTakeover.Begin(
+    mTakeover.Start(
       takeover_reason::kLost, mProof.primary, mProof.term, aNow, mActions);
     return;
   }
@@ -84,16 +84,17 @@
              !aOne.second.listed.draining;
     });
   if (leaves && canMove) {
-    mTakeover.Begin(
+    mTakeover.Start(
       takeover_reason::kDraining, mProof.primary, mProof.term, aNow, mActions);
     return;
   }
   if (isVacant) {
-    mTakeover.Begin(takeover_reason::kVacant,
-                    mProof.primary,
-                    std::max({ mProof.term, mReplaced, mTable.HighestLog() }),
-                    aNow,
-                    mActions);
+    mTakeover.Start(
+      takeover_reason::kNoPrimary,
+      mProof.primary,
+      std::max({ mProof.term, mReplaced, mTable.HighestLogTerm() }),
+      aNow,
+      mActions);
   }
 }
 
@@ -101,7 +102,7 @@
 // recent updates. A VM that cannot reach any other member either may itself be
 // cut off, and could not replace the primary.
 bool
-group_lead::IsLost(clock::time_point aNow) const
+group_monitor::IsLost(clock::time_point aNow) const
 {
   const auto* primary = mTable.Find(mProof.primary);
   const auto silentAfter = mSettings.silentAfter + OwnDelay(aNow);
@@ -123,23 +124,23 @@
 // apparent silence. Both the query and the answer may have been delayed that
 // long.
 clock::duration
-group_lead::OwnDelay(clock::time_point aNow) const
+group_monitor::OwnDelay(clock::time_point aNow) const
 {
   constexpr int kWays = 2;
   return kWays * mLateness.At(aNow);
 }
 
 bool
-group_lead::DoubtsPrimary(clock::time_point aNow) const
+group_monitor::SuspectsPrimary(clock::time_point aNow) const
 {
   const auto* primary = mTable.Find(mProof.primary);
-  return mHoldsDuty && (primary == nullptr || primary->failures > 0 ||
+  return mHoldsLock && (primary == nullptr || primary->failures > 0 ||
                         aNow >= mProof.askedAt + mSettings.validity);
 }
 
 // Whether another VM has heard from the primary recently.
 bool
-group_lead::IsReachedElsewhere(clock::time_point aNow) const
+group_monitor::IsReachedElsewhere(clock::time_point aNow) const
 {
   return !ReachedBy(aNow).empty();
 }
@@ -147,10 +148,10 @@
 // Logs once a second that the group has no confirmed primary, since when, and
 // what the members report.
 void
-group_lead::NoteUnproved(clock::time_point aNow)
+group_monitor::NoteUnproved(clock::time_point aNow)
 {
   const auto provedUntil =
-    std::max(mProof.askedAt + mSettings.validity, mDutySince);
+    std::max(mProof.askedAt + mSettings.validity, mLockHeldSince);
   if (aNow < std::max(mNextUnproved, provedUntil + kUnprovedPause)) {
     return;
   }
@@ -165,32 +166,32 @@
     fenced += fresh && view.report->fencedAt != 0 ? 1 : 0;
   }
   mActions.emplace_back(
-    note_step{ "unproved",
-               absl::StrCat("since_ms=",
-                            Milliseconds(aNow - provedUntil),
-                            " primary=",
-                            mProof.primary,
-                            " term=",
-                            mProof.term,
-                            " replaced=",
-                            mReplaced,
-                            " change=",
-                            std::string(NameOf(mTakeover.Step())),
-                            " members=",
-                            mTable.All().size(),
-                            " answering=",
-                            answering,
-                            " leading=",
-                            leading,
-                            " fenced=",
-                            fenced,
-                            " heard_by=",
-                            ReachedBy(aNow)) });
+    log_step{ "unproved",
+              absl::StrCat("since_ms=",
+                           Milliseconds(aNow - provedUntil),
+                           " primary=",
+                           mProof.primary,
+                           " term=",
+                           mProof.term,
+                           " replaced=",
+                           mReplaced,
+                           " change=",
+                           std::string(NameOf(mTakeover.Step())),
+                           " members=",
+                           mTable.All().size(),
+                           " answering=",
+                           answering,
+                           " leading=",
+                           leading,
+                           " fenced=",
+                           fenced,
+                           " heard_by=",
+                           ReachedBy(aNow)) });
 }
 
 // Logs the observations from which this VM concludes that the primary is lost.
 void
-group_lead::NoteLost(const member_view& aPrimary, clock::time_point aNow)
+group_monitor::NoteLost(const member_view& aPrimary, clock::time_point aNow)
 {
   clock::time_point told{};
   clock::time_point heard{};
@@ -201,25 +202,25 @@
     }
   }
   mActions.emplace_back(
-    note_step{ "lost",
-               absl::StrCat(mProof.primary,
-                            " silent_ms=",
-                            Milliseconds(aNow - aPrimary.heardAt),
-                            " failures=",
-                            aPrimary.failures,
-                            " members_silent=",
-                            mTable.Silent(),
-                            " last_word_ms=",
-                            Milliseconds(aNow - told),
-                            " heard_elsewhere_ms=",
-                            Milliseconds(aNow - heard),
-                            " late_ms=",
-                            Milliseconds(mLateness.At(aNow))) });
+    log_step{ "lost",
+              absl::StrCat(mProof.primary,
+                           " silent_ms=",
+                           Milliseconds(aNow - aPrimary.heardAt),
+                           " failures=",
+                           aPrimary.failures,
+                           " members_silent=",
+                           mTable.UnresponsiveCount(),
+                           " last_word_ms=",
+                           Milliseconds(aNow - told),
+                           " heard_elsewhere_ms=",
+                           Milliseconds(aNow - heard),
+                           " late_ms=",
+                           Milliseconds(mLateness.At(aNow))) });
 }
 
 // A VM that has heard from the primary recently, or an empty name.
 std::string
-group_lead::ReachedBy(clock::time_point aNow) const
+group_monitor::ReachedBy(clock::time_point aNow) const
 {
   if (mProof.term <= mReplaced) {
     return {};
@@ -235,7 +236,7 @@
 
 // Logs once per silent period which VM's updates keep the primary in place.
 void
-group_lead::NoteKept(clock::time_point aNow)
+group_monitor::NoteKept(clock::time_point aNow)
 {
   const auto* primary = mTable.Find(mProof.primary);
   const bool silent = primary != nullptr && primary->failures > 0 &&
@@ -243,12 +244,12 @@
   const auto by = silent ? ReachedBy(aNow) : std::string();
   if (by != mKeptBy && !by.empty()) {
     mActions.emplace_back(
-      note_step{ "kept",
-                 absl::StrCat(mProof.primary,
-                              " heard_by=",
-                              by,
-                              " late_ms=",
-                              Milliseconds(mLateness.At(aNow))) });
+      log_step{ "kept",
+                absl::StrCat(mProof.primary,
+                             " heard_by=",
+                             by,
+                             " late_ms=",
+                             Milliseconds(mLateness.At(aNow))) });
   }
   mKeptBy = by;
 }
@@ -256,7 +257,8 @@
 // Whether the server has reported recently, and after its last confirmation,
 // that it is not primary.
 bool
-group_lead::DeniesToLead(const member_view& aView, clock::time_point aNow) const
+group_monitor::DeniesToLead(const member_view& aView,
+                            clock::time_point aNow) const
 {
   return IsFresh(aView, aNow) && !aView.report->isPrimary &&
          aView.askedAt > mProof.askedAt;
@@ -268,7 +270,7 @@
 // down for a lock holder that then abandoned the takeover, and still answers
 // reads.
 bool
-group_lead::IsVacant(clock::time_point aNow)
+group_monitor::IsVacant(clock::time_point aNow)
 {
   std::size_t answering = 0;
   bool leads = false;
@@ -293,8 +295,8 @@
   // The previous lock holder left the group in this state. It would have
   // recorded the replaced term before a request to promote, so without that
   // record no server can become primary.
-  const bool mayBeOrdered = mReplaced >= mTable.HighestLog();
-  const bool isSure = aNow < mDutySince + kInheritance && !mayBeOrdered &&
+  const bool mayBeOrdered = mReplaced >= mTable.HighestLogTerm();
+  const bool isSure = aNow < mLockHeldSince + kInheritance && !mayBeOrdered &&
                       (denies || answering == mTable.All().size());
   return aNow - *mVacantSince > (isSure ? kSurelyVacantAfter : kVacantAfter);
 }
@@ -304,9 +306,9 @@
 // none. That holder can no longer record the term as replaced, since it has
 // lost the lock, and must not request a promotion without that record.
 position::term_id
-group_lead::UnreplacedTerm(clock::time_point aNow) const
+group_monitor::UnreplacedTerm(clock::time_point aNow) const
 {
-  if (aNow < mDutySince + kFirstLook) {
+  if (aNow < mLockHeldSince + kFirstLook) {
     return 0;
   }
   position::term_id led = 0;
@@ -314,24 +316,24 @@
     const bool leads = IsFresh(view, aNow) && view.report->isPrimary;
     led = std::max(led, leads ? view.report->term : 0);
   }
-  return led > mReplaced && led >= mTable.HighestLog() ? led : 0;
+  return led > mReplaced && led >= mTable.HighestLogTerm() ? led : 0;
 }
 
 // Repairs members after a takeover: old primaries are told to step down, and
 // fences of a term that has been settled are lifted.
 void
-group_lead::Repair(clock::time_point aNow)
+group_monitor::Repair(clock::time_point aNow)
 {
   const bool isProved = aNow < mProof.askedAt + mSettings.validity;
   const auto settled = isProved ? mProof.term : UnreplacedTerm(aNow);
-  if (IsChanging() || settled == 0) {
+  if (IsTakeoverActive() || settled == 0) {
     return;
   }
   // Without a confirmation, the members are polled at short intervals anyway.
   const auto pause = isProved ? kRetryPause : kBusyPause;
   for (const auto& [id, view] : mTable.All()) {
-    if (id == mProof.primary || !view.report || view.asking ||
-        aNow < view.lastAsked + pause) {
+    if (id == mProof.primary || !view.report || view.pendingSince ||
+        aNow < view.lastQueriedAt + pause) {
       continue;
     }
     proxy::command order;
@@ -344,15 +346,15 @@
       continue;
     }
     auto& asked = *mTable.Find(id);
-    asked.asking = aNow;
-    asked.lastAsked = aNow;
-    mActions.emplace_back(note_step{ "repair", id });
-    mActions.emplace_back(ask_server{ id, order });
+    asked.pendingSince = aNow;
+    asked.lastQueriedAt = aNow;
+    mActions.emplace_back(log_step{ "repair", id });
+    mActions.emplace_back(send_command{ id, order });
   }
 }
 
 void
-group_lead::CheckObedience()
+group_monitor::CheckObedience()
 {
   const auto revoked = mTakeover.RevokedTerm();
   if (revoked == 0 || !mMustObey) {
@@ -362,11 +364,11 @@
     std::all_of(mMustObey->begin(), mMustObey->end(), [&](const auto& aVm) {
       const auto found = mReach.find(aVm);
       return found != mReach.end() &&
-             found->second.news.obeyedTerm >= revoked &&
-             found->second.news.saidAt >= mTakeover.BegunAt();
+             found->second.news.acknowledgedTerm >= revoked &&
+             found->second.news.sentAt >= mTakeover.StartedAt();
     });
   if (all) {
-    mTakeover.AllObeyed();
+    mTakeover.AllAcknowledged();
   }
 }
 
--- a/src/currantshed/lead/lateness.hpp
+++ b/src/currantshed/lead/scheduling_delay.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_LEAD_LATENESS_HPP
-#define CURRANTSHED_LEAD_LATENESS_HPP
+#ifndef CURRANTSHED_LEAD_SCHEDULING_DELAY_HPP
+#define CURRANTSHED_LEAD_SCHEDULING_DELAY_HPP
 
 #include "currantshed/clock/time.hpp"
 
@@ -9,11 +9,11 @@
 /// and updates from other VMs may lie unread for as long, so that what looks
 /// like silence of a server may be a delay of this VM (after Lifeguard: Dadgar,
 /// Phillips and Currey, 2018).
-class lateness
+class scheduling_delay
 {
 public:
   /// Records that work scheduled for aPlanned was done at aAt.
-  void Ran(clock::time_point aPlanned, clock::time_point aAt) noexcept;
+  void Record(clock::time_point aPlanned, clock::time_point aAt) noexcept;
 
   /// The maximum delay, which decays to zero over some seconds.
   [[nodiscard]] clock::duration At(clock::time_point aNow) const noexcept;
--- a/src/currantshed/lead/server_table.hpp
+++ b/src/currantshed/lead/server_table.hpp
@@ -21,7 +21,7 @@
 {
   upstream::server_id id;
   /// In this VM's failure domain.
-  bool isNear = false;
+  bool isInSameDomain = false;
   /// About to leave the group.
   bool draining = false;
   /// Identifies the server's incarnation.
@@ -36,12 +36,12 @@
   /// When the query for the report was sent.
   clock::time_point askedAt;
   /// When the query that is in flight was sent.
-  std::optional<clock::time_point> asking;
+  std::optional<clock::time_point> pendingSince;
   /// When the last query was sent, answered or not.
-  clock::time_point lastAsked;
+  clock::time_point lastQueriedAt;
   /// When this VM learned that the server had restarted. Answers to earlier
   /// queries do not apply to the new incarnation.
-  clock::time_point livesSince{};
+  clock::time_point restartSeenAt{};
   /// When it last answered anything, client statements included.
   clock::time_point heardAt;
   /// Until when it is queried through other VMs, because only they can reach
@@ -64,7 +64,7 @@
                 clock::time_point aAskedAt,
                 clock::time_point aNow);
   /// Records an answer without a report.
-  void Heard(const upstream::server_id& aServer, clock::time_point aAt);
+  void Contacted(const upstream::server_id& aServer, clock::time_point aAt);
   void Failed(const upstream::server_id& aServer);
 
   [[nodiscard]] const views& All() const noexcept { return mViews; }
@@ -76,19 +76,19 @@
   [[nodiscard]] std::size_t Majority() const noexcept;
 
   /// Number of members whose last query failed.
-  [[nodiscard]] std::size_t Silent() const;
+  [[nodiscard]] std::size_t UnresponsiveCount() const;
 
   /// The highest term that any member reported, of its log or of its fence.
   [[nodiscard]] position::term_id HighestTerm() const;
 
   /// The highest term of any member's log. A fence may have a higher term than
   /// any that has started.
-  [[nodiscard]] position::term_id HighestLog() const;
+  [[nodiscard]] position::term_id HighestLogTerm() const;
 
   /// The primary of the highest term, if a majority that includes it would
   /// follow it. askedAt is the time of the oldest query of the most recent such
   /// majority.
-  [[nodiscard]] std::optional<proxy::confirmation> Proof() const;
+  [[nodiscard]] std::optional<proxy::confirmation> Confirmation() const;
 
 private:
   views mViews;
--- a/src/currantshed/lead/takeover.hpp
+++ b/src/currantshed/lead/takeover.hpp
@@ -23,7 +23,7 @@
   /// primary.
   kFence,
   /// Waiting until confirmations of the old term at other VMs have expired.
-  kWaitOut,
+  kAwaitExpiry,
   /// The platform has been asked to promote the chosen server.
   kPromote,
 };
@@ -36,7 +36,7 @@
   /// The primary is about to leave the group.
   kDraining,
   /// No server is primary.
-  kVacant,
+  kNoPrimary,
 };
 
 /// Replaces the primary of one group: prevents further confirmations of the old
@@ -48,7 +48,7 @@
   takeover(server_table& aTable, std::chrono::milliseconds aValidity);
 
   /// Starts a takeover. aOld may be empty.
-  void Begin(takeover_reason aReason,
+  void Start(takeover_reason aReason,
              upstream::server_id aOld,
              position::term_id aOldTerm,
              clock::time_point aNow,
@@ -60,7 +60,7 @@
 
   /// Every VM that may hold a confirmation of the old term has stopped using
   /// it.
-  void AllObeyed() { mAllObeyed = true; }
+  void AllAcknowledged() { mAllObeyed = true; }
 
   /// The platform's response: whether it accepted the request, or rejected the
   /// server as one that cannot be promoted.
@@ -71,19 +71,22 @@
   [[nodiscard]] clock::time_point NextTick() const noexcept;
 
   [[nodiscard]] takeover_step Step() const noexcept { return mStep; }
-  [[nodiscard]] clock::time_point BegunAt() const noexcept { return mBegunAt; }
+  [[nodiscard]] clock::time_point StartedAt() const noexcept
+  {
+    return mBegunAt;
+  }
   /// Until when promotion requests of the last takeover may still take effect.
   /// No other takeover starts earlier.
-  [[nodiscard]] clock::time_point QuietUntil() const noexcept
+  [[nodiscard]] clock::time_point HoldOffUntil() const noexcept
   {
     return mQuietUntil;
   }
   /// Whether the primary of a newer term will be replaced soon, because a
   /// request to promote another server is still in flight.
-  [[nodiscard]] bool IsOvertakenBy(const upstream::server_id& aPrimary,
-                                   clock::time_point aNow) const;
+  [[nodiscard]] bool IsSupersededBy(const upstream::server_id& aPrimary,
+                                    clock::time_point aNow) const;
   /// When further confirmations of the old term became impossible.
-  [[nodiscard]] clock::time_point BarredAt() const noexcept
+  [[nodiscard]] clock::time_point BlockedAt() const noexcept
   {
     return mBarredAt;
   }
@@ -92,7 +95,7 @@
 
   /// A server leads a newer term but will be replaced soon: the takeover
   /// continues with that server as the old primary.
-  void Overtaken(const proxy::confirmation& aProof, std::vector<action>& aOut);
+  void Superseded(const proxy::confirmation& aProof, std::vector<action>& aOut);
 
   /// A server leads a newer term: the takeover is complete.
   void Succeeded(const upstream::server_id& aPrimary,
--- a/src/currantshed/news/exchange.hpp
+++ b/src/currantshed/news/exchange.hpp
@@ -46,11 +46,11 @@
 public:
   /// Converts a time of the sender's clock to one of this VM's clock that is no
   /// later than the true one.
-  using clock_reader = std::function<clock::time_point(std::int64_t)>;
+  using clock_converter = std::function<clock::time_point(std::int64_t)>;
   /// Called with each received announcement. The converter is empty while the
   /// offset of the clocks is unknown.
   using receiver =
-    std::function<void(const News&, const clock_reader&, clock::time_point)>;
+    std::function<void(const News&, const clock_converter&, clock::time_point)>;
 
   exchange(boost::asio::io_context& aContext,
            zmq::context_t& aZmq,
@@ -67,15 +67,15 @@
   void Send(const std::string& aVm, News aNews, clock::time_point aNow);
 
   /// Whether the VM can convert the times in messages that are sent to it now.
-  [[nodiscard]] bool IsReadable(const std::string& aVm,
-                                clock::time_point aNow) const;
+  [[nodiscard]] bool HasClockOffset(const std::string& aVm,
+                                    clock::time_point aNow) const;
 
   /// Closes connections that nothing was sent on for a while. To be called
   /// about once a second.
   void CloseIdle(clock::time_point aNow);
 
   /// Number of open connections to peers.
-  [[nodiscard]] std::size_t Links() const noexcept;
+  [[nodiscard]] std::size_t OpenConnectionCount() const noexcept;
 
   void Close();
 
--- a/test/currantshed/news/exchange.cpp
+++ b/test/currantshed/news/exchange.cpp
@@ -42,7 +42,7 @@
           self,
           1,
           [this](const news::News& aNews,
-                 const exchange::clock_reader&,
+                 const exchange::clock_converter&,
                  clock::time_point) { came.push_back(aNews.own_change()); })
   {
     CHECK_FALSE(own.Listen());
@@ -109,7 +109,7 @@
   }
 };
 
-TEST(exchange, a_link_is_open_while_there_is_news_for_it)
+TEST(exchange, a_connection_is_open_while_it_is_used)
 {
   for (const auto& row : kLinkRows) {
     vm one(mContext, mZmq, "one");
@@ -119,14 +119,14 @@
       one.own.Send(to, Numbered(1), kStart + at);
     }
     one.own.CloseIdle(kStart + row.when);
-    CHECK_EQUAL_TEXT(row.links, one.own.Links(), row.name);
+    CHECK_EQUAL_TEXT(row.links, one.own.OpenConnectionCount(), row.name);
   }
 }
 
 // After a connection was closed and reopened, the new one may be read before
 // messages that are still queued on the old one. Older messages must not
 // override newer ones.
-TEST(exchange, news_older_than_what_came_are_dropped)
+TEST(exchange, messages_older_than_the_latest_are_dropped)
 {
   vm one(mContext, mZmq, "one");
   vm other(mContext, mZmq, "other");
