--- a/src/currantshed/customer/freshness.cpp
+++ b/src/currantshed/customer/freshness.cpp
@@ -8,7 +8,7 @@
 
 // Subtracted from the bound to allow for the transit time of a request to the
 // server and for clocks that run at different rates.
-constexpr std::chrono::milliseconds kReserve{ 150 };
+constexpr std::chrono::milliseconds kSafetyMargin{ 150 };
 
 } // namespace
 
@@ -20,14 +20,14 @@
 void
 freshness::MarkVerified(clock::time_point aAt) noexcept
 {
-  mProvedAt = std::max(mProvedAt, aAt);
+  mVerifiedAt = std::max(mVerifiedAt, aAt);
 }
 
 bool
 freshness::Holds(clock::time_point aNow) const noexcept
 {
-  return !IsBounded() || (mProvedAt != clock::time_point{} &&
-                          aNow < mProvedAt + mBound - kReserve);
+  return !IsBounded() || (mVerifiedAt != clock::time_point{} &&
+                          aNow < mVerifiedAt + mBound - kSafetyMargin);
 }
 
 } // namespace currantshed::customer
--- a/src/currantshed/customer/freshness.hpp
+++ b/src/currantshed/customer/freshness.hpp
@@ -32,18 +32,18 @@
   /// at aAt.
   [[nodiscard]] bool Covers(clock::time_point aAt) const noexcept
   {
-    return !IsBounded() || mProvedAt >= aAt;
+    return !IsBounded() || mVerifiedAt >= aAt;
   }
 
   [[nodiscard]] bool IsBounded() const noexcept { return mBound.count() != 0; }
   [[nodiscard]] clock::time_point VerifiedAt() const noexcept
   {
-    return mProvedAt;
+    return mVerifiedAt;
   }
 
 private:
   std::chrono::milliseconds mBound;
-  clock::time_point mProvedAt{};
+  clock::time_point mVerifiedAt{};
 };
 
 } // namespace currantshed::customer
--- a/src/currantshed/customer/token_accrual.hpp
+++ b/src/currantshed/customer/token_accrual.hpp
@@ -30,7 +30,7 @@
   [[nodiscard]] share Take(std::size_t aVms, clock::time_point aNow) noexcept;
 
 private:
-  std::optional<clock::time_point> mTakenAt;
+  std::optional<clock::time_point> mLastTakenAt;
 };
 
 } // namespace currantshed::customer
--- a/src/currantshed/customer/token_buckets.cpp
+++ b/src/currantshed/customer/token_buckets.cpp
@@ -13,12 +13,12 @@
 // customer, within the tolerance of the rule on quotas. Without them, a
 // customer whose burst is less than one operation per quota coordinator could
 // start none.
-constexpr double kBeyondBurst = 12;
+constexpr double kCapacityBeyondBurst = 12;
 // The part of a burst that can be saved up if the rest is spread over the
 // window. Both fit into one window within the tolerance of the rule on quotas.
-constexpr double kSavedPart = 0.3;
-constexpr milliseconds kSoonest{ 100 };
-constexpr milliseconds kLatest{ 2000 };
+constexpr double kSavedFraction = 0.3;
+constexpr milliseconds kMinRetryDelay{ 100 };
+constexpr milliseconds kMaxRetryDelay{ 2000 };
 
 } // namespace
 
@@ -31,26 +31,27 @@
 token_buckets::AddShare(const std::string& aVm,
                         std::uint64_t aIncarnation,
                         std::chrono::microseconds aSentAt,
-                        std::size_t aPart,
+                        std::size_t aPartition,
                         share aShare)
 {
-  if (aPart >= kPartitions) {
+  if (aPartition >= kPartitions) {
     return;
   }
-  auto& from = mDepositors[aVm][aPart];
+  auto& from = mSenders[aVm][aPartition];
   if (from.incarnation == aIncarnation && aSentAt <= from.sentAt) {
     return;
   }
   from = { aIncarnation, aSentAt };
-  mDeposited[aPart] += aShare;
+  mAccrued[aPartition] += aShare;
 }
 
 // Capacity of a customer's bucket.
 double
-token_buckets::Most(const quota& aLimit) const noexcept
+token_buckets::Capacity(const quota& aLimit) const noexcept
 {
-  const double part = mWindow.count() > 0 ? kSavedPart : 1.0;
-  return (aLimit.burst * part + kBeyondBurst) / static_cast<double>(mBanks);
+  const double part = mWindow.count() > 0 ? kSavedFraction : 1.0;
+  return (aLimit.burst * part + kCapacityBeyondBurst) /
+         static_cast<double>(mCoordinatorCount);
 }
 
 double
@@ -67,28 +68,30 @@
 {
   // A new bucket gets the shares collected so far, up to its capacity, as if
   // the customer had been idle.
-  auto& held = mAccounts[aCustomer];
-  const auto deposited = mDeposited[PartitionOf(aCustomer)];
-  const auto since = (deposited - held.counted).count();
-  held.counted = deposited;
-  held.tokens = std::min(held.tokens + Rate(aLimit) * since, Most(aLimit));
-  const auto whole = std::floor(std::max(held.tokens, 0.0));
+  auto& bucket = mBuckets[aCustomer];
+  const auto accrued = mAccrued[PartitionOf(aCustomer)];
+  const auto added = (accrued - bucket.counted).count();
+  bucket.counted = accrued;
+  bucket.tokens =
+    std::min(bucket.tokens + Rate(aLimit) * added, Capacity(aLimit));
+  const auto available = std::floor(std::max(bucket.tokens, 0.0));
   const auto count =
-    static_cast<unsigned>(std::min(whole, static_cast<double>(aWanted)));
-  held.tokens -= count;
+    static_cast<unsigned>(std::min(available, static_cast<double>(aWanted)));
+  bucket.tokens -= count;
   if (count > 0) {
-    held.refused = 0;
+    bucket.refused = 0;
     return { count };
   }
-  held.refused += aWanted;
+  bucket.refused += aWanted;
   const double rate =
-    std::max(Rate(aLimit) / static_cast<double>(mBanks), 1e-3);
+    std::max(Rate(aLimit) / static_cast<double>(mCoordinatorCount), 1e-3);
   const auto until = std::chrono::duration<double>(
-    (static_cast<double>(held.refused) - held.tokens) / rate);
-  const auto bounded = std::min(until, std::chrono::duration<double>(kLatest));
-  return {
-    0, std::max(kSoonest, std::chrono::duration_cast<milliseconds>(bounded))
-  };
+    (static_cast<double>(bucket.refused) - bucket.tokens) / rate);
+  const auto bounded =
+    std::min(until, std::chrono::duration<double>(kMaxRetryDelay));
+  return { 0,
+           std::max(kMinRetryDelay,
+                    std::chrono::duration_cast<milliseconds>(bounded)) };
 }
 
 } // namespace currantshed::customer
--- a/src/currantshed/customer/token_buckets.hpp
+++ b/src/currantshed/customer/token_buckets.hpp
@@ -40,7 +40,10 @@
 
   /// Sets the number of quota coordinators that hold buckets. Each holds an
   /// equal part of a burst.
-  void SetCoordinatorCount(std::size_t aBanks) noexcept { mBanks = aBanks; }
+  void SetCoordinatorCount(std::size_t aCount) noexcept
+  {
+    mCoordinatorCount = aCount;
+  }
 
   /// Adds the share of a VM for one partition. A message that arrives twice, or
   /// after a later one, is ignored. aSentAt is the time on the sender's clock,
@@ -48,7 +51,7 @@
   void AddShare(const std::string& aVm,
                 std::uint64_t aIncarnation,
                 std::chrono::microseconds aSentAt,
-                std::size_t aPart,
+                std::size_t aPartition,
                 share aShare);
 
   [[nodiscard]] token_grant GrantTokens(const std::string& aCustomer,
@@ -56,13 +59,13 @@
                                         unsigned aWanted);
 
 private:
-  struct depositor
+  struct sender
   {
     std::uint64_t incarnation = 0;
     std::chrono::microseconds sentAt{};
   };
 
-  struct account
+  struct bucket
   {
     double tokens = 0;
     /// The shares that are already counted in tokens.
@@ -71,16 +74,15 @@
     unsigned refused = 0;
   };
 
-  [[nodiscard]] double Most(const quota& aLimit) const noexcept;
+  [[nodiscard]] double Capacity(const quota& aLimit) const noexcept;
   [[nodiscard]] double Rate(const quota& aLimit) const noexcept;
 
   std::chrono::duration<double> mWindow;
-  std::size_t mBanks = 1;
-  std::array<share, kPartitions> mDeposited{};
+  std::size_t mCoordinatorCount = 1;
+  std::array<share, kPartitions> mAccrued{};
   /// By VM, one entry per partition.
-  absl::flat_hash_map<std::string, std::array<depositor, kPartitions>>
-    mDepositors;
-  absl::flat_hash_map<std::string, account> mAccounts;
+  absl::flat_hash_map<std::string, std::array<sender, kPartitions>> mSenders;
+  absl::flat_hash_map<std::string, bucket> mBuckets;
 };
 
 } // namespace currantshed::customer
--- a/src/currantshed/customer/token_cache.cpp
+++ b/src/currantshed/customer/token_cache.cpp
@@ -8,7 +8,7 @@
 
 // Tokens not used within this time are lost. A request for tokens takes a few
 // milliseconds.
-constexpr std::chrono::milliseconds kLife{ 500 };
+constexpr std::chrono::milliseconds kTokenLifetime{ 500 };
 
 } // namespace
 
@@ -30,7 +30,7 @@
     return false;
   }
   auto& batches = found->second;
-  while (!batches.empty() && aNow >= batches.front().askedAt + kLife) {
+  while (!batches.empty() && aNow >= batches.front().askedAt + kTokenLifetime) {
     batches.pop_front();
   }
   if (batches.empty()) {
--- a/src/currantshed/lead/clock_offset.cpp
+++ b/src/currantshed/lead/clock_offset.cpp
@@ -16,10 +16,10 @@
 clock_offset::AddSample(microseconds aSentAt, clock::time_point aNow)
 {
   const auto bound = aSentAt - ToWire(aNow);
-  const auto kept = LowerBound(aNow);
-  if (!kept || bound > *kept) {
+  const auto current = LowerBound(aNow);
+  if (!current || bound > *current) {
     mBound = bound;
-    mHeardAt = aNow;
+    mSampledAt = aNow;
   }
 }
 
@@ -29,7 +29,8 @@
   if (!mBound) {
     return std::nullopt;
   }
-  const auto passed = std::chrono::duration_cast<microseconds>(aNow - mHeardAt);
+  const auto passed =
+    std::chrono::duration_cast<microseconds>(aNow - mSampledAt);
   return *mBound - passed / kDriftDivisor;
 }
 
--- a/src/currantshed/lead/clock_offset.hpp
+++ b/src/currantshed/lead/clock_offset.hpp
@@ -26,7 +26,7 @@
 
 private:
   std::optional<std::chrono::microseconds> mBound;
-  clock::time_point mHeardAt;
+  clock::time_point mSampledAt;
 };
 
 /// A local steady-clock time as it is sent to other VMs.
--- a/src/currantshed/lead/group_monitor.cpp
+++ b/src/currantshed/lead/group_monitor.cpp
@@ -10,14 +10,14 @@
 
 namespace currantshed::lead {
 
-using internal::kDemandLife;
+using internal::kDemandTimeout;
 
 namespace {
 
 using std::chrono::milliseconds;
 
 // A revocation that the lock holder does not repeat expires after this time.
-constexpr milliseconds kRevocationLife{ 5000 };
+constexpr milliseconds kRevocationTimeout{ 5000 };
 
 } // namespace
 
@@ -32,8 +32,8 @@
                          clock::time_point aNow)
 {
   mTable.Configure(aMembers, aNow);
-  if (IsOfOldLife(mProof)) {
-    mProof.askedAt = {};
+  if (PredatesRestart(mConfirmation)) {
+    mConfirmation.askedAt = {};
     mSample.reset();
   }
   Evaluate(aNow);
@@ -49,7 +49,7 @@
   }
   if (aHolds && !mHoldsLock) {
     mLockHeldSince = aNow;
-    mVacantSince.reset();
+    mNoPrimarySince.reset();
   }
   mHoldsLock = aHolds;
   mEpoch = aEpoch;
@@ -67,16 +67,16 @@
 {
   if (mTakeover.Step() == takeover_step::kAwaitExpiry &&
       aAskedAt >= mTakeover.BlockedAt()) {
-    mMustObey = std::move(aVms);
+    mMustAcknowledge = std::move(aVms);
   }
-  CheckObedience();
+  CheckAcknowledgements();
   Evaluate(aNow);
 }
 
 position::term_id
 group_monitor::ReplacedTerm() const noexcept
 {
-  return mProof.term > mReplaced ? mProof.term - 1 : mReplaced;
+  return mConfirmation.term > mReplaced ? mConfirmation.term - 1 : mReplaced;
 }
 
 void
@@ -91,19 +91,19 @@
 void
 group_monitor::ConfirmationNeeded(clock::time_point aNow)
 {
-  if (mWantedAt == clock::time_point{} || aNow >= mWantedAt + kDemandLife) {
-    mWantedSince = aNow;
+  if (mDemandAt == clock::time_point{} || aNow >= mDemandAt + kDemandTimeout) {
+    mDemandSince = aNow;
   }
-  mWantedAt = aNow;
+  mDemandAt = aNow;
   Evaluate(aNow);
 }
 
 void
 group_monitor::LeadershipDenied(position::term_id aTerm, clock::time_point aNow)
 {
-  if (aTerm >= mProof.term) {
+  if (aTerm >= mConfirmation.term) {
     mDeniedAt = aNow;
-    mWantedAt = aNow;
+    mDemandAt = aNow;
   }
   Evaluate(aNow);
 }
@@ -117,8 +117,8 @@
 {
   if (aReport) {
     mTable.Reported(aServer, *aReport, aAskedAt, aNow);
-    if (aServer == mProof.primary) {
-      TakeSample(aNow);
+    if (aServer == mConfirmation.primary) {
+      AdoptPositionSample(aNow);
     }
   } else {
     if (auto* view = mTable.Find(aServer)) {
@@ -143,51 +143,51 @@
 }
 
 void
-group_monitor::PromotionAnswered(bool aTaken,
+group_monitor::PromotionAnswered(bool aAccepted,
                                  bool aRejected,
                                  clock::time_point aNow)
 {
-  mTakeover.PromotionAnswered(aTaken, aRejected, aNow);
+  mTakeover.PromotionAnswered(aAccepted, aRejected, aNow);
   Evaluate(aNow);
 }
 
 void
-group_monitor::WatchUpdateReceived(const watch_update& aNews,
+group_monitor::WatchUpdateReceived(const watch_update& aUpdate,
                                    clock::time_point aNow)
 {
-  const bool isNewest = std::tie(aNews.epoch, aNews.sequence) >=
+  const bool isNewest = std::tie(aUpdate.epoch, aUpdate.sequence) >=
                         std::tie(mRevokedEpoch, mRevokedSequence);
   if (isNewest && !mHoldsLock) {
-    if (aNews.revokedTerm != mRevoked) {
-      mActions.emplace_back(publish_revocation{ aNews.revokedTerm });
+    if (aUpdate.revokedTerm != mRevoked) {
+      mActions.emplace_back(publish_revocation{ aUpdate.revokedTerm });
     }
-    if (aNews.revokedTerm < mRevoked) {
+    if (aUpdate.revokedTerm < mRevoked) {
       LiftRevocation(mRevoked);
     }
-    mRevoked = aNews.revokedTerm;
-    mRevokedEpoch = aNews.epoch;
-    mRevokedSequence = aNews.sequence;
+    mRevoked = aUpdate.revokedTerm;
+    mRevokedEpoch = aUpdate.epoch;
+    mRevokedSequence = aUpdate.sequence;
     mRevokedAt = aNow;
   }
-  if (mMayAsk) {
-    TakeProof(aNews.confirmation, false, aNow);
+  if (mMayConfirm) {
+    AdoptConfirmation(aUpdate.confirmation, false, aNow);
   }
-  if (aNews.sample && aNews.sample->term == mProof.term) {
-    if (!mSample || aNews.sample->askedAt > mSample->askedAt) {
-      mSample = aNews.sample;
+  if (aUpdate.sample && aUpdate.sample->term == mConfirmation.term) {
+    if (!mSample || aUpdate.sample->askedAt > mSample->askedAt) {
+      mSample = aUpdate.sample;
     }
-    mActions.emplace_back(publish_sample{ *aNews.sample });
+    mActions.emplace_back(publish_sample{ *aUpdate.sample });
   }
   Evaluate(aNow);
 }
 
 void
 group_monitor::ReachUpdateReceived(const std::string& aVm,
-                                   const reach_update& aNews,
+                                   const reach_update& aUpdate,
                                    clock::time_point aNow)
 {
-  mReach[aVm] = { aNews, aNow };
-  CheckObedience();
+  mReachUpdates[aVm] = { aUpdate, aNow };
+  CheckAcknowledgements();
   Evaluate(aNow);
 }
 
@@ -196,40 +196,42 @@
 {
   // Only the lock holder revokes terms and lifts revocations.
   if (!mHoldsLock) {
-    return { mProof, mSample, 0, 0, 0 };
+    return { mConfirmation, mSample, 0, 0, 0 };
   }
-  return { mProof, mSample, mOwnRevoked, mEpoch, mOwnSequence };
+  return { mConfirmation, mSample, mOwnRevoked, mEpoch, mOwnSequence };
 }
 
 watch_update
 group_monitor::ForwardedUpdate() const
 {
-  return { mProof, mSample, mRevoked, mRevokedEpoch, mRevokedSequence };
+  return { mConfirmation, mSample, mRevoked, mRevokedEpoch, mRevokedSequence };
 }
 
 reach_update
 group_monitor::ReachUpdate(std::optional<clock::time_point> aHeardAt) const
 {
-  reach_update news{ mProof.term, mProof.primary, {}, mRevoked };
-  if (const auto* primary = mTable.Find(mProof.primary)) {
-    news.heardAt = primary->report ? primary->heardAt : clock::time_point{};
+  reach_update update{
+    mConfirmation.term, mConfirmation.primary, {}, mRevoked
+  };
+  if (const auto* primary = mTable.Find(mConfirmation.primary)) {
+    update.heardAt = primary->report ? primary->heardAt : clock::time_point{};
   }
   if (aHeardAt) {
-    news.heardAt = std::max(news.heardAt, *aHeardAt);
+    update.heardAt = std::max(update.heardAt, *aHeardAt);
   }
-  return news;
+  return update;
 }
 
 void
 group_monitor::Tick(clock::time_point aNow)
 {
-  if (mHoldsLock && mPlanned) {
-    mLateness.Record(*mPlanned, aNow);
+  if (mHoldsLock && mScheduledTick) {
+    mSchedulingDelay.Record(*mScheduledTick, aNow);
   }
   Evaluate(aNow);
-  mPlanned.reset();
+  mScheduledTick.reset();
   if (AnnouncesStatus()) {
-    mPlanned = NextTick();
+    mScheduledTick = NextTick();
   }
 }
 
@@ -237,11 +239,11 @@
 group_monitor::NextTick() const
 {
   auto next = mTakeover.NextTick();
-  if (AnnouncesStatus() || mNow < mWantedAt + kDemandLife) {
+  if (AnnouncesStatus() || mNow < mDemandAt + kDemandTimeout) {
     next = std::min(next, mNow + milliseconds{ 50 });
   }
   if (mRevoked != 0) {
-    next = std::min(next, mRevokedAt + kRevocationLife);
+    next = std::min(next, mRevokedAt + kRevocationTimeout);
   }
   return next;
 }
@@ -256,25 +258,25 @@
 group_monitor::Evaluate(clock::time_point aNow)
 {
   mNow = std::max(mNow, aNow);
-  if (mRevoked != 0 && !mHoldsLock && mNow > mRevokedAt + kRevocationLife) {
+  if (mRevoked != 0 && !mHoldsLock && mNow > mRevokedAt + kRevocationTimeout) {
     mActions.emplace_back(
       log_step{ "revocation_lapsed", absl::StrCat("term=", mRevoked) });
     LiftRevocation(mRevoked);
     mRevoked = 0;
     mActions.emplace_back(publish_revocation{ 0 });
   }
-  TakeOwnProof(mNow);
+  AdoptOwnConfirmation(mNow);
   if (mHoldsLock) {
-    Judge(mNow);
+    MonitorPrimary(mNow);
     mTakeover.Tick(mNow, mActions);
-    Repair(mNow);
-    NoteUnproved(mNow);
+    RepairMembers(mNow);
+    LogUnconfirmed(mNow);
   }
   if (mTakeover.RevokedTerm() != mOwnRevoked) {
     mOwnRevoked = mTakeover.RevokedTerm();
     ++mOwnSequence;
   }
-  Ask(mNow);
+  SendQueries(mNow);
 }
 
 } // namespace currantshed::lead
--- a/src/currantshed/lead/group_monitor.hpp
+++ b/src/currantshed/lead/group_monitor.hpp
@@ -85,7 +85,7 @@
   /// Sets whether this VM is the next in line for a failover lock that no VM
   /// holds. It then confirms the primary on behalf of all VMs, but starts no
   /// takeover.
-  void SetIsInterim(bool aStandsIn) noexcept { mStandsIn = aStandsIn; }
+  void SetIsInterim(bool aIsInterim) noexcept { mIsInterim = aIsInterim; }
 
   /// The other VMs, as read from the store after aAskedAt, and VMs known
   /// earlier that may still be running. A VM that is not among them started
@@ -109,12 +109,12 @@
   /// Sets whether this VM may obtain confirmations. Before it is registered in
   /// the store, the VM that promotes does not know that this one may be using a
   /// confirmation.
-  void SetMayConfirm(bool aMayAsk) { mMayAsk = aMayAsk; }
+  void SetMayConfirm(bool aMayConfirm) { mMayConfirm = aMayConfirm; }
 
   /// Sets how many VMs may query this group and this VM's place among them, in
   /// [0, 1). While no update arrives from the lock holder, the VMs stagger
   /// their queries and forward the results to each other.
-  void SetQueryStagger(std::size_t aVms, double aPlace);
+  void SetQueryStagger(std::size_t aVms, double aFraction);
 
   /// Sets whether another VM forwards updates on the group to this one. That VM
   /// is then asked first and given time to answer.
@@ -141,12 +141,14 @@
                     clock::time_point aNow);
   /// The result of request_promotion: whether the platform accepted the
   /// request, or rejected the server as one that cannot be promoted.
-  void PromotionAnswered(bool aTaken, bool aRejected, clock::time_point aNow);
+  void PromotionAnswered(bool aAccepted,
+                         bool aRejected,
+                         clock::time_point aNow);
 
   /// Updates from other VMs, with all times converted to this VM's clock.
-  void WatchUpdateReceived(const watch_update& aNews, clock::time_point aNow);
+  void WatchUpdateReceived(const watch_update& aUpdate, clock::time_point aNow);
   void ReachUpdateReceived(const std::string& aVm,
-                           const reach_update& aNews,
+                           const reach_update& aUpdate,
                            clock::time_point aNow);
 
   /// The updates that this VM sends to others. aHeardAt is the time at which
@@ -163,13 +165,13 @@
 
   [[nodiscard]] const proxy::confirmation& Confirmation() const noexcept
   {
-    return mProof;
+    return mConfirmation;
   }
   [[nodiscard]] bool HoldsFailoverLock() const noexcept { return mHoldsLock; }
   /// Whether this VM announces the group's status to all VMs.
   [[nodiscard]] bool AnnouncesStatus() const noexcept
   {
-    return mHoldsLock || mStandsIn;
+    return mHoldsLock || mIsInterim;
   }
   /// Whether this VM monitors the group and has no recent answer from the
   /// primary, so that it depends on other VMs' reachability updates.
@@ -180,59 +182,65 @@
   }
 
 private:
-  struct peer_reach
+  struct received_reach_update
   {
-    reach_update news;
+    reach_update update;
     clock::time_point at;
   };
 
   void Evaluate(clock::time_point aNow);
-  void TakeProof(const proxy::confirmation& aProof,
-                 bool aIsOwn,
-                 clock::time_point aNow);
-  void TakeSample(clock::time_point aNow);
-  void TakeOwnProof(clock::time_point aNow);
-  [[nodiscard]] position::term_id EndedTerm() const;
-  [[nodiscard]] bool IsOfOldLife(const proxy::confirmation& aProof) const;
-  [[nodiscard]] bool IsNewer(const proxy::confirmation& aProof) const noexcept;
-  [[nodiscard]] bool IsTrusted(const proxy::confirmation& aProof) const;
-  void CheckTerms(const proxy::confirmation& aProof, clock::time_point aNow);
+  void AdoptConfirmation(const proxy::confirmation& aConfirmation,
+                         bool aIsOwn,
+                         clock::time_point aNow);
+  void AdoptPositionSample(clock::time_point aNow);
+  void AdoptOwnConfirmation(clock::time_point aNow);
+  [[nodiscard]] position::term_id LastInvalidTerm() const;
+  [[nodiscard]] bool PredatesRestart(
+    const proxy::confirmation& aConfirmation) const;
+  [[nodiscard]] bool IsNewer(
+    const proxy::confirmation& aConfirmation) const noexcept;
+  [[nodiscard]] bool IsSufficient(
+    const proxy::confirmation& aConfirmation) const;
+  void CheckReplacedTerm(const proxy::confirmation& aConfirmation,
+                         clock::time_point aNow);
   void LiftRevocation(position::term_id aTerm);
-  void Judge(clock::time_point aNow);
-  void Ask(clock::time_point aNow);
-  void AskOne(member_view& aView, clock::time_point aNow);
-  void Repair(clock::time_point aNow);
-  [[nodiscard]] position::term_id UnreplacedTerm(clock::time_point aNow) const;
-  void CheckObedience();
-  [[nodiscard]] bool Watches() const noexcept;
-  [[nodiscard]] clock::time_point AsksFrom() const;
-  [[nodiscard]] std::chrono::milliseconds Pause(const member_view& aView) const;
-  [[nodiscard]] bool WantsProof(clock::time_point aNow) const;
-  [[nodiscard]] bool IsLost(clock::time_point aNow) const;
-  [[nodiscard]] clock::duration OwnDelay(clock::time_point aNow) const;
-  [[nodiscard]] bool IsReachedElsewhere(clock::time_point aNow) const;
-  [[nodiscard]] std::string ReachedBy(clock::time_point aNow) const;
-  void NoteKept(clock::time_point aNow);
-  void NoteUnproved(clock::time_point aNow);
-  void NoteLost(const member_view& aPrimary, clock::time_point aNow);
-  [[nodiscard]] bool DeniesToLead(const member_view& aView,
-                                  clock::time_point aNow) const;
-  [[nodiscard]] bool IsVacant(clock::time_point aNow);
+  void MonitorPrimary(clock::time_point aNow);
+  void SendQueries(clock::time_point aNow);
+  void SendQuery(member_view& aView, clock::time_point aNow);
+  void RepairMembers(clock::time_point aNow);
+  [[nodiscard]] position::term_id UnconfirmableTerm(
+    clock::time_point aNow) const;
+  void CheckAcknowledgements();
+  [[nodiscard]] bool IsMonitoring() const noexcept;
+  [[nodiscard]] clock::time_point NextQueryAt() const;
+  [[nodiscard]] std::chrono::milliseconds QueryPause(
+    const member_view& aView) const;
+  [[nodiscard]] bool NeedsConfirmation(clock::time_point aNow) const;
+  [[nodiscard]] bool IsPrimaryLost(clock::time_point aNow) const;
+  [[nodiscard]] clock::duration DelayAllowance(clock::time_point aNow) const;
+  [[nodiscard]] bool IsReachableElsewhere(clock::time_point aNow) const;
+  [[nodiscard]] std::string ReachableFrom(clock::time_point aNow) const;
+  void LogKeptPrimary(clock::time_point aNow);
+  void LogUnconfirmed(clock::time_point aNow);
+  void LogLostPrimary(const member_view& aPrimary, clock::time_point aNow);
+  [[nodiscard]] bool DeniesLeadership(const member_view& aView,
+                                      clock::time_point aNow) const;
+  [[nodiscard]] bool HasNoPrimary(clock::time_point aNow);
   [[nodiscard]] const member_view* Witness() const;
 
   monitor_settings mSettings;
   server_table mTable;
   takeover mTakeover;
-  proxy::confirmation mProof;
+  proxy::confirmation mConfirmation;
   std::optional<proxy::position_sample> mSample;
   bool mHoldsLock = false;
-  bool mStandsIn = false;
-  bool mMayAsk = true;
+  bool mIsInterim = false;
+  bool mMayConfirm = true;
   bool mIsForwarded = false;
   // How long after the first VM this one sends its queries, and the minimum
   // pause between two queries of any one VM.
-  std::chrono::milliseconds mAskDelay{ 0 };
-  std::chrono::milliseconds mAskPause{ 0 };
+  std::chrono::milliseconds mQueryDelay{ 0 };
+  std::chrono::milliseconds mQueryPause{ 0 };
   std::uint64_t mEpoch = 0;
   clock::time_point mLockHeldSince;
   // The term that this VM revokes, and how often that has changed.
@@ -246,22 +254,22 @@
   position::term_id mReplaced = 0;
   // A confirmation obtained by this VM that is valid only if the store shows
   // that its term has not been replaced.
-  std::optional<proxy::confirmation> mUnchecked;
+  std::optional<proxy::confirmation> mUncheckedConfirmation;
   clock::time_point mNextCheck;
   // The VMs that must acknowledge the revocation, once they are known.
-  std::optional<std::vector<std::string>> mMustObey;
-  absl::btree_map<std::string, peer_reach> mReach;
-  clock::time_point mWantedAt;
-  clock::time_point mWantedSince;
+  std::optional<std::vector<std::string>> mMustAcknowledge;
+  absl::btree_map<std::string, received_reach_update> mReachUpdates;
+  clock::time_point mDemandAt;
+  clock::time_point mDemandSince;
   clock::time_point mDeniedAt;
   // The VM whose updates keep a primary in place that this VM cannot reach.
   std::string mKeptBy;
-  scheduling_delay mLateness;
+  scheduling_delay mSchedulingDelay;
   // When the lock holder has scheduled its next tick.
-  std::optional<clock::time_point> mPlanned;
-  std::optional<clock::time_point> mVacantSince;
+  std::optional<clock::time_point> mScheduledTick;
+  std::optional<clock::time_point> mNoPrimarySince;
   // When to log next that the group has no confirmed primary.
-  clock::time_point mNextUnproved{};
+  clock::time_point mNextUnconfirmedLog{};
   clock::time_point mNow;
   std::vector<action> mActions;
 };
--- a/src/currantshed/lead/group_monitor_confirmation.cpp
+++ b/src/currantshed/lead/group_monitor_confirmation.cpp
@@ -12,8 +12,8 @@
 namespace currantshed::lead {
 
 using internal::kBusyPause;
-using internal::kDemandLife;
-using internal::kFailuresToLose;
+using internal::kDemandTimeout;
+using internal::kFailuresUntilLost;
 using internal::kRetryPause;
 
 namespace {
@@ -22,30 +22,30 @@
 
 // The VM that monitors a group queries every member at this interval, to detect
 // leftover fences and old primaries.
-constexpr milliseconds kRoundPause{ 2000 };
+constexpr milliseconds kPollInterval{ 2000 };
 // A VM without the failover lock sends its own queries once the confirmation
 // that it was told is valid for less than this.
-constexpr milliseconds kOwnAskReserve{ 350 };
+constexpr milliseconds kOwnQueryReserve{ 350 };
 // Stagger between the queries of VMs without the failover lock, and its maximum
 // over all of them. The first answer arrives and is forwarded within about 30
 // ms, so that some 12 of 75 VMs send queries, not all. The validity that
 // remains suffices for a retry.
-constexpr milliseconds kSpreadByVm{ 2 };
-constexpr milliseconds kLongestSpread{ 150 };
+constexpr milliseconds kStaggerPerVm{ 2 };
+constexpr milliseconds kMaxStagger{ 150 };
 // How long a VM of the same failure domain is given to forward what it knows.
 constexpr milliseconds kForwardingTime{ 30 };
 // Minimum pause of one VM between queries, for each VM that may query. All VMs
 // together send at most 250 queries per second to a server; each occupies a
 // connection slot for 0.5 ms.
-constexpr milliseconds kPauseByVm{ 4 };
+constexpr milliseconds kPausePerVm{ 4 };
 // How long the primary and one witness have to answer before all members are
 // queried.
-constexpr milliseconds kFirstPairTime{ 150 };
+constexpr milliseconds kFirstPairWait{ 150 };
 // A confirmation that extends the validity by less than this is not worth
 // forwarding: it saves the other VMs no query.
-constexpr milliseconds kWorthTelling{ 150 };
+constexpr milliseconds kMinForwardedExtension{ 150 };
 // How long a primary that only other VMs reach is queried through them.
-constexpr milliseconds kRelayedTime{ 3000 };
+constexpr milliseconds kRelayedQueryTime{ 3000 };
 // Pause after a read of the replaced term that voided the confirmation, and
 // after a read that failed. A store that did not answer seldom recovers at
 // once, and every read adds to its load.
@@ -53,7 +53,7 @@
 constexpr milliseconds kFailedCheckPause{ 1000 };
 // Reports whose queries were sent within this time count as one poll round.
 // Shorter than the minimum time from a fence to the effect of a promotion.
-constexpr milliseconds kSameRound{ 300 };
+constexpr milliseconds kMaxRoundSpan{ 300 };
 
 } // namespace
 
@@ -61,37 +61,41 @@
 group_monitor::ReplacedTermRead(std::optional<position::term_id> aReplaced,
                                 clock::time_point aNow)
 {
-  const auto checked = std::exchange(mUnchecked, std::nullopt);
+  const auto checked = std::exchange(mUncheckedConfirmation, std::nullopt);
   mNextCheck = aNow + (aReplaced ? kCheckPause : kFailedCheckPause);
   if (!aReplaced || !checked) {
     return;
   }
   mReplaced = std::max(mReplaced, *aReplaced);
-  if (checked->term > EndedTerm()) {
-    TakeProof(*checked, true, aNow);
-    TakeSample(aNow);
+  if (checked->term > LastInvalidTerm()) {
+    AdoptConfirmation(*checked, true, aNow);
+    AdoptPositionSample(aNow);
   }
   Evaluate(aNow);
 }
 
 void
-group_monitor::TakeProof(const proxy::confirmation& aProof,
-                         bool aIsOwn,
-                         clock::time_point aNow)
+group_monitor::AdoptConfirmation(const proxy::confirmation& aConfirmation,
+                                 bool aIsOwn,
+                                 clock::time_point aNow)
 {
-  if (aProof.term <= mReplaced || !IsNewer(aProof) || IsOfOldLife(aProof)) {
+  if (aConfirmation.term <= mReplaced || !IsNewer(aConfirmation) ||
+      PredatesRestart(aConfirmation)) {
     return;
   }
-  if (aProof.term > mProof.term) {
+  if (aConfirmation.term > mConfirmation.term) {
     mSample.reset();
     mActions.emplace_back(log_step{
       "primary",
-      absl::StrCat("server=", aProof.primary, " term=", aProof.term) });
+      absl::StrCat(
+        "server=", aConfirmation.primary, " term=", aConfirmation.term) });
   }
-  const bool isNews = aProof.askedAt >= mProof.askedAt + kWorthTelling;
-  mProof = aProof;
-  if (aNow < aProof.askedAt + mSettings.validity) {
-    mActions.emplace_back(publish_confirmation{ mProof, aIsOwn && isNews });
+  const bool isWorthForwarding =
+    aConfirmation.askedAt >= mConfirmation.askedAt + kMinForwardedExtension;
+  mConfirmation = aConfirmation;
+  if (aNow < aConfirmation.askedAt + mSettings.validity) {
+    mActions.emplace_back(
+      publish_confirmation{ mConfirmation, aIsOwn && isWorthForwarding });
   }
 }
 
@@ -100,50 +104,50 @@
 // without their position no replica could serve reads until the primary has
 // answered again.
 void
-group_monitor::TakeSample(clock::time_point aNow)
+group_monitor::AdoptPositionSample(clock::time_point aNow)
 {
-  const auto* primary = mTable.Find(mProof.primary);
-  const bool isSample = primary != nullptr && primary->report &&
-                        primary->report->isPrimary &&
-                        primary->report->term == mProof.term &&
-                        primary->askedAt < mProof.askedAt + mSettings.validity;
-  if (!isSample || aNow >= mProof.askedAt + mSettings.validity ||
+  const auto* primary = mTable.Find(mConfirmation.primary);
+  const bool isSample =
+    primary != nullptr && primary->report && primary->report->isPrimary &&
+    primary->report->term == mConfirmation.term &&
+    primary->askedAt < mConfirmation.askedAt + mSettings.validity;
+  if (!isSample || aNow >= mConfirmation.askedAt + mSettings.validity ||
       (mSample && mSample->askedAt >= primary->askedAt)) {
     return;
   }
-  mSample = { mProof.term, primary->report->received, primary->askedAt };
+  mSample = { mConfirmation.term, primary->report->received, primary->askedAt };
   mActions.emplace_back(publish_sample{ *mSample });
 }
 
 void
-group_monitor::TakeOwnProof(clock::time_point aNow)
+group_monitor::AdoptOwnConfirmation(clock::time_point aNow)
 {
   const auto confirmation = mTable.Confirmation();
   if (!confirmation || !IsNewer(*confirmation)) {
     return;
   }
-  if (confirmation->term <= EndedTerm()) {
+  if (confirmation->term <= LastInvalidTerm()) {
     return;
   }
-  if (!IsTrusted(*confirmation)) {
-    CheckTerms(*confirmation, aNow);
+  if (!IsSufficient(*confirmation)) {
+    CheckReplacedTerm(*confirmation, aNow);
     return;
   }
   if (mTakeover.IsSupersededBy(confirmation->primary, aNow)) {
     mTakeover.Superseded(*confirmation, mActions);
     return;
   }
-  TakeProof(*confirmation, true, aNow);
-  TakeSample(aNow);
-  if (IsTakeoverActive() && mProof.term > mTakeover.RevokedTerm()) {
-    mTakeover.Succeeded(mProof.primary, aNow, mActions);
+  AdoptConfirmation(*confirmation, true, aNow);
+  AdoptPositionSample(aNow);
+  if (IsTakeoverActive() && mConfirmation.term > mTakeover.RevokedTerm()) {
+    mTakeover.Succeeded(mConfirmation.primary, aNow, mActions);
   }
 }
 
 // The latest term that was revoked or replaced. This VM's own confirmations of
 // this or an earlier term are not valid.
 position::term_id
-group_monitor::EndedTerm() const
+group_monitor::LastInvalidTerm() const
 {
   const auto revoked = mHoldsLock ? mTakeover.RevokedTerm() : mRevoked;
   return std::max(revoked, mReplaced);
@@ -151,17 +155,18 @@
 
 // Whether the primary has restarted since it was confirmed.
 bool
-group_monitor::IsOfOldLife(const proxy::confirmation& aProof) const
+group_monitor::PredatesRestart(const proxy::confirmation& aConfirmation) const
 {
-  const auto* primary = mTable.Find(aProof.primary);
-  return primary != nullptr && aProof.askedAt < primary->restartSeenAt;
+  const auto* primary = mTable.Find(aConfirmation.primary);
+  return primary != nullptr && aConfirmation.askedAt < primary->restartSeenAt;
 }
 
 bool
-group_monitor::IsNewer(const proxy::confirmation& aProof) const noexcept
+group_monitor::IsNewer(const proxy::confirmation& aConfirmation) const noexcept
 {
-  return aProof.term > mProof.term ||
-         (aProof.term == mProof.term && aProof.askedAt > mProof.askedAt);
+  return aConfirmation.term > mConfirmation.term ||
+         (aConfirmation.term == mConfirmation.term &&
+          aConfirmation.askedAt > mConfirmation.askedAt);
 }
 
 // The platform lifts fences when it promotes, so that an old primary and a
@@ -170,30 +175,31 @@
 // same term was valid when the queries were sent, every member was queried in
 // one poll round, or this VM itself requested the promotion.
 bool
-group_monitor::IsTrusted(const proxy::confirmation& aProof) const
+group_monitor::IsSufficient(const proxy::confirmation& aConfirmation) const
 {
-  if (aProof.term == mProof.term &&
-      aProof.askedAt < mProof.askedAt + mSettings.validity) {
+  if (aConfirmation.term == mConfirmation.term &&
+      aConfirmation.askedAt < mConfirmation.askedAt + mSettings.validity) {
     return true;
   }
   if (mHoldsLock && mTakeover.Step() == takeover_step::kPromote) {
     return true;
   }
   const auto& all = mTable.All();
-  return std::all_of(all.begin(), all.end(), [&aProof](const auto& aOne) {
-    const auto& view = aOne.second;
-    return view.report && view.report->term <= aProof.term &&
-           view.report->fencedAt <= aProof.term &&
-           view.askedAt >= aProof.askedAt &&
-           view.askedAt <= aProof.askedAt + kSameRound;
-  });
+  return std::all_of(
+    all.begin(), all.end(), [&aConfirmation](const auto& aOne) {
+      const auto& view = aOne.second;
+      return view.report && view.report->term <= aConfirmation.term &&
+             view.report->fencedAt <= aConfirmation.term &&
+             view.askedAt >= aConfirmation.askedAt &&
+             view.askedAt <= aConfirmation.askedAt + kMaxRoundSpan;
+    });
 }
 
 // A term is recorded in the store as replaced before the platform is asked to
 // promote. A read that starts after the servers answered therefore shows it.
 void
-group_monitor::CheckTerms(const proxy::confirmation& aProof,
-                          clock::time_point aNow)
+group_monitor::CheckReplacedTerm(const proxy::confirmation& aConfirmation,
+                                 clock::time_point aNow)
 {
   // The answers still outstanding may make the read of the store unnecessary.
   const auto& all = mTable.All();
@@ -201,11 +207,11 @@
     std::none_of(all.begin(), all.end(), [](const auto& aOne) {
       return aOne.second.pendingSince.has_value();
     });
-  if (mUnchecked || !isComplete || aNow < mNextCheck ||
-      aNow >= aProof.askedAt + mSettings.validity) {
+  if (mUncheckedConfirmation || !isComplete || aNow < mNextCheck ||
+      aNow >= aConfirmation.askedAt + mSettings.validity) {
     return;
   }
-  mUnchecked = aProof;
+  mUncheckedConfirmation = aConfirmation;
   mActions.emplace_back(read_replaced_term{});
 }
 
@@ -214,70 +220,71 @@
 void
 group_monitor::LiftRevocation(position::term_id aTerm)
 {
-  if (mProof.term <= aTerm) {
-    mProof.askedAt = {};
+  if (mConfirmation.term <= aTerm) {
+    mConfirmation.askedAt = {};
   }
 }
 
 bool
-group_monitor::WantsProof(clock::time_point aNow) const
+group_monitor::NeedsConfirmation(clock::time_point aNow) const
 {
   if (IsTakeoverActive()) {
     return true;
   }
   const bool wanted =
-    mWantedAt != clock::time_point{} && aNow < mWantedAt + kDemandLife;
-  const bool isDue = aNow >= AsksFrom() || mDeniedAt > mProof.askedAt;
-  return isDue && (Watches() || (mMayAsk && wanted));
+    mDemandAt != clock::time_point{} && aNow < mDemandAt + kDemandTimeout;
+  const bool isDue = aNow >= NextQueryAt() || mDeniedAt > mConfirmation.askedAt;
+  return isDue && (IsMonitoring() || (mMayConfirm && wanted));
 }
 
 void
-group_monitor::SetQueryStagger(std::size_t aVms, double aPlace)
+group_monitor::SetQueryStagger(std::size_t aVms, double aFraction)
 {
   const auto vms = static_cast<int>(aVms);
-  const auto spread = std::min(kLongestSpread, kSpreadByVm * vms);
-  mAskDelay = std::chrono::duration_cast<milliseconds>(spread * aPlace);
-  mAskPause = kPauseByVm * vms;
+  const auto spread = std::min(kMaxStagger, kStaggerPerVm * vms);
+  mQueryDelay = std::chrono::duration_cast<milliseconds>(spread * aFraction);
+  mQueryPause = kPausePerVm * vms;
 }
 
 // Whether this VM queries continuously, on behalf of all VMs.
 bool
-group_monitor::Watches() const noexcept
+group_monitor::IsMonitoring() const noexcept
 {
-  return mHoldsLock || (mStandsIn && mMayAsk);
+  return mHoldsLock || (mIsInterim && mMayConfirm);
 }
 
 // The time from which the next confirmation may be requested.
 clock::time_point
-group_monitor::AsksFrom() const
+group_monitor::NextQueryAt() const
 {
-  if (Watches()) {
-    return mProof.askedAt + mSettings.askInterval;
+  if (IsMonitoring()) {
+    return mConfirmation.askedAt + mSettings.askInterval;
   }
   // A VM that knows no primary yet queries at once. If several VMs start
   // together, none of them could learn it sooner from another.
-  if (mProof.term == 0) {
-    return mWantedSince;
+  if (mConfirmation.term == 0) {
+    return mDemandSince;
   }
-  const auto ending = mProof.askedAt + mSettings.validity - kOwnAskReserve;
+  const auto ending =
+    mConfirmation.askedAt + mSettings.validity - kOwnQueryReserve;
   const auto wanted =
-    mWantedSince + (mIsForwarded ? kForwardingTime : milliseconds{});
-  return std::max(ending, wanted) + mAskDelay;
+    mDemandSince + (mIsForwarded ? kForwardingTime : milliseconds{});
+  return std::max(ending, wanted) + mQueryDelay;
 }
 
 milliseconds
-group_monitor::Pause(const member_view& aView) const
+group_monitor::QueryPause(const member_view& aView) const
 {
   const auto pause = aView.failures > 0 ? kRetryPause : kBusyPause;
-  return Watches() || IsTakeoverActive() || mProof.term == 0
+  return IsMonitoring() || IsTakeoverActive() || mConfirmation.term == 0
            ? pause
-           : std::max(pause, mAskPause);
+           : std::max(pause, mQueryPause);
 }
 
 // A confirmation needs answers from the primary and enough members to form a
 // majority with it. Without a primary that answers, all members are queried.
 void
-group_monitor::Ask(clock::time_point aNow)
+group_monitor::SendQueries(clock::time_point aNow)
 {
   for (const auto& [id, view] : mTable.All()) {
     if (view.pendingSince &&
@@ -285,42 +292,43 @@
       mTable.Failed(id);
     }
   }
-  const bool wantsProof = WantsProof(aNow);
-  auto* primary = mTable.Find(mProof.primary);
-  const bool knows = primary != nullptr && primary->failures == 0 &&
-                     mDeniedAt <= mProof.askedAt && !IsTakeoverActive();
+  const bool needsConfirmation = NeedsConfirmation(aNow);
+  auto* primary = mTable.Find(mConfirmation.primary);
+  const bool knowsPrimary = primary != nullptr && primary->failures == 0 &&
+                            mDeniedAt <= mConfirmation.askedAt &&
+                            !IsTakeoverActive();
   const auto* witness = Witness();
   // A busy server gives no report, so the other members are queried while there
   // is still time.
-  const bool isLate = aNow >= AsksFrom() + kFirstPairTime;
+  const bool isPairLate = aNow >= NextQueryAt() + kFirstPairWait;
   for (const auto& [id, view] : mTable.All()) {
-    const bool inProof =
-      !knows || isLate || &view == primary || &view == witness;
-    const bool roundDue =
-      mHoldsLock && aNow >= view.lastQueriedAt + kRoundPause;
-    const bool paused = aNow < view.lastQueriedAt + Pause(view);
+    const bool isNeeded =
+      !knowsPrimary || isPairLate || &view == primary || &view == witness;
+    const bool isPollDue =
+      mHoldsLock && aNow >= view.lastQueriedAt + kPollInterval;
+    const bool paused = aNow < view.lastQueriedAt + QueryPause(view);
     if (!view.pendingSince && !paused &&
-        ((wantsProof && inProof) || roundDue)) {
-      AskOne(*mTable.Find(id), aNow);
+        ((needsConfirmation && isNeeded) || isPollDue)) {
+      SendQuery(*mTable.Find(id), aNow);
     }
   }
 }
 
 void
-group_monitor::AskOne(member_view& aView, clock::time_point aNow)
+group_monitor::SendQuery(member_view& aView, clock::time_point aNow)
 {
   aView.pendingSince = aNow;
   aView.lastQueriedAt = aNow;
-  const bool cutOff = aView.failures >= kFailuresToLose &&
-                      aView.listed.id == mProof.primary &&
-                      IsReachedElsewhere(aNow);
-  if (cutOff) {
-    aView.relayedUntil = aNow + kRelayedTime;
+  const bool isCutOff = aView.failures >= kFailuresUntilLost &&
+                        aView.listed.id == mConfirmation.primary &&
+                        IsReachableElsewhere(aNow);
+  if (isCutOff) {
+    aView.relayedUntil = aNow + kRelayedQueryTime;
   }
   const bool direct = mHoldsLock && aNow >= aView.relayedUntil;
-  proxy::command question;
-  question.kind = proxy::command_kind::kReport;
-  mActions.emplace_back(send_command{ aView.listed.id, question, direct });
+  proxy::command query;
+  query.kind = proxy::command_kind::kReport;
+  mActions.emplace_back(send_command{ aView.listed.id, query, direct });
 }
 
 // The member to query besides the primary: one that answers, preferably in the
@@ -330,7 +338,7 @@
 {
   const member_view* best = nullptr;
   for (const auto& [id, view] : mTable.All()) {
-    if (id == mProof.primary || view.failures > 0) {
+    if (id == mConfirmation.primary || view.failures > 0) {
       continue;
     }
     if (best == nullptr ||
--- a/src/currantshed/lead/group_monitor_failover.cpp
+++ b/src/currantshed/lead/group_monitor_failover.cpp
@@ -12,7 +12,7 @@
 namespace currantshed::lead {
 
 using internal::kBusyPause;
-using internal::kFailuresToLose;
+using internal::kFailuresUntilLost;
 using internal::kRetryPause;
 
 namespace {
@@ -21,21 +21,21 @@
 
 // How recently another VM must have heard from the primary for it not to count
 // as lost.
-constexpr milliseconds kReachLife{ 600 };
+constexpr milliseconds kReachValidity{ 600 };
 // How long no server must be primary before a takeover starts.
-constexpr milliseconds kVacantAfter{ 1200 };
+constexpr milliseconds kNoPrimaryAfter{ 1200 };
 // The same, if the previous lock holder left the group without a primary and no
 // promotion can be in flight: two poll rounds. The second is how long after the
 // acquisition of the lock a new holder attributes such a state to the previous
 // one.
-constexpr milliseconds kSurelyVacantAfter{ 200 };
-constexpr milliseconds kInheritance{ 1500 };
+constexpr milliseconds kInheritedNoPrimaryAfter{ 200 };
+constexpr milliseconds kInheritedStateTime{ 1500 };
 // A new lock holder takes no action for this long, so that a request of its
 // predecessor has time to take effect.
-constexpr milliseconds kFirstLook{ 400 };
+constexpr milliseconds kInitialObservation{ 400 };
 
 // Interval between log lines on a group without a confirmed primary.
-constexpr milliseconds kUnprovedPause{ 1000 };
+constexpr milliseconds kUnconfirmedLogInterval{ 1000 };
 
 std::int64_t
 Milliseconds(clock::duration aTime)
@@ -47,52 +47,59 @@
 bool
 IsFresh(const member_view& aView, clock::time_point aNow)
 {
-  return aView.report && aNow - aView.askedAt < kVacantAfter;
+  return aView.report && aNow - aView.askedAt < kNoPrimaryAfter;
 }
 
 } // namespace
 
 void
-group_monitor::Judge(clock::time_point aNow)
+group_monitor::MonitorPrimary(clock::time_point aNow)
 {
   if (IsTakeoverActive()) {
     return;
   }
-  const bool isVacant = IsVacant(aNow);
-  if (aNow < mLockHeldSince + kFirstLook || aNow < mTakeover.HoldOffUntil()) {
+  const bool hasNoPrimary = HasNoPrimary(aNow);
+  if (aNow < mLockHeldSince + kInitialObservation ||
+      aNow < mTakeover.HoldOffUntil()) {
     return;
   }
-  mMustObey.reset();
-  NoteKept(aNow);
-  const auto* primary = mTable.Find(mProof.primary);
-  if (mProof.term != 0 && primary != nullptr && IsLost(aNow)) {
-    NoteLost(*primary, aNow);
-    mTakeover.Start(
-      takeover_reason::kLost, mProof.primary, mProof.term, aNow, mActions);
+  mMustAcknowledge.reset();
+  LogKeptPrimary(aNow);
+  const auto* primary = mTable.Find(mConfirmation.primary);
+  if (mConfirmation.term != 0 && primary != nullptr && IsPrimaryLost(aNow)) {
+    LogLostPrimary(*primary, aNow);
+    mTakeover.Start(takeover_reason::kLost,
+                    mConfirmation.primary,
+                    mConfirmation.term,
+                    aNow,
+                    mActions);
     return;
   }
   // Without a valid confirmation of its own, this VM relies on reachability
   // updates from other VMs, which keep using the primary.
-  const bool isInUse =
-    aNow < mProof.askedAt + mSettings.validity || IsReachedElsewhere(aNow);
-  const bool leaves = mProof.term != 0 && primary != nullptr &&
-                      primary->listed.draining && isInUse;
+  const bool isInUse = aNow < mConfirmation.askedAt + mSettings.validity ||
+                       IsReachableElsewhere(aNow);
+  const bool isLeaving = mConfirmation.term != 0 && primary != nullptr &&
+                         primary->listed.draining && isInUse;
   const auto& all = mTable.All();
   const bool canMove =
     std::any_of(all.begin(), all.end(), [](const auto& aOne) {
       return aOne.second.report && !aOne.second.report->isPrimary &&
              !aOne.second.listed.draining;
     });
-  if (leaves && canMove) {
-    mTakeover.Start(
-      takeover_reason::kDraining, mProof.primary, mProof.term, aNow, mActions);
+  if (isLeaving && canMove) {
+    mTakeover.Start(takeover_reason::kDraining,
+                    mConfirmation.primary,
+                    mConfirmation.term,
+                    aNow,
+                    mActions);
     return;
   }
-  if (isVacant) {
+  if (hasNoPrimary) {
     mTakeover.Start(
       takeover_reason::kNoPrimary,
-      mProof.primary,
-      std::max({ mProof.term, mReplaced, mTable.HighestLogTerm() }),
+      mConfirmation.primary,
+      std::max({ mConfirmation.term, mReplaced, mTable.HighestLogTerm() }),
       aNow,
       mActions);
   }
@@ -102,60 +109,61 @@
 // recent updates. A VM that cannot reach any other member either may itself be
 // cut off, and could not replace the primary.
 bool
-group_monitor::IsLost(clock::time_point aNow) const
+group_monitor::IsPrimaryLost(clock::time_point aNow) const
 {
-  const auto* primary = mTable.Find(mProof.primary);
-  const auto silentAfter = mSettings.silentAfter + OwnDelay(aNow);
-  if (primary->failures < kFailuresToLose ||
+  const auto* primary = mTable.Find(mConfirmation.primary);
+  const auto silentAfter = mSettings.silentAfter + DelayAllowance(aNow);
+  if (primary->failures < kFailuresUntilLost ||
       aNow - primary->heardAt < silentAfter) {
     return false;
   }
   const auto& all = mTable.All();
-  const bool hearsOthers =
+  const bool reachesOthers =
     std::any_of(all.begin(), all.end(), [&](const auto& aOne) {
       const auto& view = aOne.second;
       return &view != primary && view.heardAt > primary->heardAt &&
              aNow - view.heardAt < silentAfter;
     });
-  return hearsOthers && !IsReachedElsewhere(aNow);
+  return reachesOthers && !IsReachableElsewhere(aNow);
 }
 
 // The time by which this VM's own scheduling delay extends another one's
 // apparent silence. Both the query and the answer may have been delayed that
 // long.
 clock::duration
-group_monitor::OwnDelay(clock::time_point aNow) const
+group_monitor::DelayAllowance(clock::time_point aNow) const
 {
   constexpr int kWays = 2;
-  return kWays * mLateness.At(aNow);
+  return kWays * mSchedulingDelay.At(aNow);
 }
 
 bool
 group_monitor::SuspectsPrimary(clock::time_point aNow) const
 {
-  const auto* primary = mTable.Find(mProof.primary);
+  const auto* primary = mTable.Find(mConfirmation.primary);
   return mHoldsLock && (primary == nullptr || primary->failures > 0 ||
-                        aNow >= mProof.askedAt + mSettings.validity);
+                        aNow >= mConfirmation.askedAt + mSettings.validity);
 }
 
 // Whether another VM has heard from the primary recently.
 bool
-group_monitor::IsReachedElsewhere(clock::time_point aNow) const
+group_monitor::IsReachableElsewhere(clock::time_point aNow) const
 {
-  return !ReachedBy(aNow).empty();
+  return !ReachableFrom(aNow).empty();
 }
 
 // Logs once a second that the group has no confirmed primary, since when, and
 // what the members report.
 void
-group_monitor::NoteUnproved(clock::time_point aNow)
+group_monitor::LogUnconfirmed(clock::time_point aNow)
 {
-  const auto provedUntil =
-    std::max(mProof.askedAt + mSettings.validity, mLockHeldSince);
-  if (aNow < std::max(mNextUnproved, provedUntil + kUnprovedPause)) {
+  const auto confirmedUntil =
+    std::max(mConfirmation.askedAt + mSettings.validity, mLockHeldSince);
+  if (aNow <
+      std::max(mNextUnconfirmedLog, confirmedUntil + kUnconfirmedLogInterval)) {
     return;
   }
-  mNextUnproved = aNow + kUnprovedPause;
+  mNextUnconfirmedLog = aNow + kUnconfirmedLogInterval;
   std::size_t answering = 0;
   std::size_t leading = 0;
   std::size_t fenced = 0;
@@ -168,11 +176,11 @@
   mActions.emplace_back(
     log_step{ "unproved",
               absl::StrCat("since_ms=",
-                           Milliseconds(aNow - provedUntil),
+                           Milliseconds(aNow - confirmedUntil),
                            " primary=",
-                           mProof.primary,
+                           mConfirmation.primary,
                            " term=",
-                           mProof.term,
+                           mConfirmation.term,
                            " replaced=",
                            mReplaced,
                            " change=",
@@ -186,24 +194,25 @@
                            " fenced=",
                            fenced,
                            " heard_by=",
-                           ReachedBy(aNow)) });
+                           ReachableFrom(aNow)) });
 }
 
 // Logs the observations from which this VM concludes that the primary is lost.
 void
-group_monitor::NoteLost(const member_view& aPrimary, clock::time_point aNow)
+group_monitor::LogLostPrimary(const member_view& aPrimary,
+                              clock::time_point aNow)
 {
-  clock::time_point told{};
-  clock::time_point heard{};
-  for (const auto& [vm, reach] : mReach) {
-    told = std::max(told, reach.at);
-    if (reach.news.primary == mProof.primary) {
-      heard = std::max(heard, reach.news.heardAt);
+  clock::time_point lastUpdateAt{};
+  clock::time_point lastHeardAt{};
+  for (const auto& [vm, reach] : mReachUpdates) {
+    lastUpdateAt = std::max(lastUpdateAt, reach.at);
+    if (reach.update.primary == mConfirmation.primary) {
+      lastHeardAt = std::max(lastHeardAt, reach.update.heardAt);
     }
   }
   mActions.emplace_back(
     log_step{ "lost",
-              absl::StrCat(mProof.primary,
+              absl::StrCat(mConfirmation.primary,
                            " silent_ms=",
                            Milliseconds(aNow - aPrimary.heardAt),
                            " failures=",
@@ -211,45 +220,46 @@
                            " members_silent=",
                            mTable.UnresponsiveCount(),
                            " last_word_ms=",
-                           Milliseconds(aNow - told),
+                           Milliseconds(aNow - lastUpdateAt),
                            " heard_elsewhere_ms=",
-                           Milliseconds(aNow - heard),
+                           Milliseconds(aNow - lastHeardAt),
                            " late_ms=",
-                           Milliseconds(mLateness.At(aNow))) });
+                           Milliseconds(mSchedulingDelay.At(aNow))) });
 }
 
 // A VM that has heard from the primary recently, or an empty name.
 std::string
-group_monitor::ReachedBy(clock::time_point aNow) const
+group_monitor::ReachableFrom(clock::time_point aNow) const
 {
-  if (mProof.term <= mReplaced) {
+  if (mConfirmation.term <= mReplaced) {
     return {};
   }
-  const auto life = kReachLife + OwnDelay(aNow);
-  const auto found =
-    std::find_if(mReach.begin(), mReach.end(), [&](const auto& aEntry) {
-      const auto& news = aEntry.second.news;
-      return news.primary == mProof.primary && aNow - news.heardAt < life;
+  const auto validity = kReachValidity + DelayAllowance(aNow);
+  const auto found = std::find_if(
+    mReachUpdates.begin(), mReachUpdates.end(), [&](const auto& aEntry) {
+      const auto& update = aEntry.second.update;
+      return update.primary == mConfirmation.primary &&
+             aNow - update.heardAt < validity;
     });
-  return found == mReach.end() ? std::string() : found->first;
+  return found == mReachUpdates.end() ? std::string() : found->first;
 }
 
 // Logs once per silent period which VM's updates keep the primary in place.
 void
-group_monitor::NoteKept(clock::time_point aNow)
+group_monitor::LogKeptPrimary(clock::time_point aNow)
 {
-  const auto* primary = mTable.Find(mProof.primary);
+  const auto* primary = mTable.Find(mConfirmation.primary);
   const bool silent = primary != nullptr && primary->failures > 0 &&
                       aNow - primary->heardAt >= mSettings.silentAfter;
-  const auto by = silent ? ReachedBy(aNow) : std::string();
+  const auto by = silent ? ReachableFrom(aNow) : std::string();
   if (by != mKeptBy && !by.empty()) {
     mActions.emplace_back(
       log_step{ "kept",
-                absl::StrCat(mProof.primary,
+                absl::StrCat(mConfirmation.primary,
                              " heard_by=",
                              by,
                              " late_ms=",
-                             Milliseconds(mLateness.At(aNow))) });
+                             Milliseconds(mSchedulingDelay.At(aNow))) });
   }
   mKeptBy = by;
 }
@@ -257,11 +267,11 @@
 // Whether the server has reported recently, and after its last confirmation,
 // that it is not primary.
 bool
-group_monitor::DeniesToLead(const member_view& aView,
-                            clock::time_point aNow) const
+group_monitor::DeniesLeadership(const member_view& aView,
+                                clock::time_point aNow) const
 {
   return IsFresh(aView, aNow) && !aView.report->isPrimary &&
-         aView.askedAt > mProof.askedAt;
+         aView.askedAt > mConfirmation.askedAt;
 }
 
 // Whether a majority answers and no server is primary, or the last primary is
@@ -270,7 +280,7 @@
 // down for a lock holder that then abandoned the takeover, and still answers
 // reads.
 bool
-group_monitor::IsVacant(clock::time_point aNow)
+group_monitor::HasNoPrimary(clock::time_point aNow)
 {
   std::size_t answering = 0;
   bool leads = false;
@@ -280,25 +290,28 @@
     leads = leads ||
             (fresh && view.report->isPrimary && view.report->term > mReplaced);
   }
-  const auto* primary = mTable.Find(mProof.primary);
-  const bool unlisted = mProof.term == 0 || primary == nullptr;
-  const bool stale = aNow - mProof.askedAt > kVacantAfter;
-  const bool denies = !unlisted && DeniesToLead(*primary, aNow);
+  const auto* primary = mTable.Find(mConfirmation.primary);
+  const bool unlisted = mConfirmation.term == 0 || primary == nullptr;
+  const bool stale = aNow - mConfirmation.askedAt > kNoPrimaryAfter;
+  const bool denies = !unlisted && DeniesLeadership(*primary, aNow);
   if (leads || answering < mTable.Majority() ||
-      !(unlisted || stale || denies) || (!denies && IsReachedElsewhere(aNow))) {
-    mVacantSince.reset();
+      !(unlisted || stale || denies) ||
+      (!denies && IsReachableElsewhere(aNow))) {
+    mNoPrimarySince.reset();
     return false;
   }
-  if (!mVacantSince) {
-    mVacantSince = aNow;
+  if (!mNoPrimarySince) {
+    mNoPrimarySince = aNow;
   }
   // The previous lock holder left the group in this state. It would have
   // recorded the replaced term before a request to promote, so without that
   // record no server can become primary.
-  const bool mayBeOrdered = mReplaced >= mTable.HighestLogTerm();
-  const bool isSure = aNow < mLockHeldSince + kInheritance && !mayBeOrdered &&
-                      (denies || answering == mTable.All().size());
-  return aNow - *mVacantSince > (isSure ? kSurelyVacantAfter : kVacantAfter);
+  const bool mayBeRequested = mReplaced >= mTable.HighestLogTerm();
+  const bool isInherited = aNow < mLockHeldSince + kInheritedStateTime &&
+                           !mayBeRequested &&
+                           (denies || answering == mTable.All().size());
+  return aNow - *mNoPrimarySince >
+         (isInherited ? kInheritedNoPrimaryAfter : kNoPrimaryAfter);
 }
 
 // The term of a server that is primary but cannot be confirmed, because an
@@ -306,66 +319,70 @@
 // none. That holder can no longer record the term as replaced, since it has
 // lost the lock, and must not request a promotion without that record.
 position::term_id
-group_monitor::UnreplacedTerm(clock::time_point aNow) const
+group_monitor::UnconfirmableTerm(clock::time_point aNow) const
 {
-  if (aNow < mLockHeldSince + kFirstLook) {
+  if (aNow < mLockHeldSince + kInitialObservation) {
     return 0;
   }
-  position::term_id led = 0;
+  position::term_id primaryTerm = 0;
   for (const auto& [id, view] : mTable.All()) {
     const bool leads = IsFresh(view, aNow) && view.report->isPrimary;
-    led = std::max(led, leads ? view.report->term : 0);
+    primaryTerm = std::max(primaryTerm, leads ? view.report->term : 0);
   }
-  return led > mReplaced && led >= mTable.HighestLogTerm() ? led : 0;
+  return primaryTerm > mReplaced && primaryTerm >= mTable.HighestLogTerm()
+           ? primaryTerm
+           : 0;
 }
 
 // Repairs members after a takeover: old primaries are told to step down, and
 // fences of a term that has been settled are lifted.
 void
-group_monitor::Repair(clock::time_point aNow)
+group_monitor::RepairMembers(clock::time_point aNow)
 {
-  const bool isProved = aNow < mProof.askedAt + mSettings.validity;
-  const auto settled = isProved ? mProof.term : UnreplacedTerm(aNow);
-  if (IsTakeoverActive() || settled == 0) {
+  const bool isConfirmed = aNow < mConfirmation.askedAt + mSettings.validity;
+  const auto settledTerm =
+    isConfirmed ? mConfirmation.term : UnconfirmableTerm(aNow);
+  if (IsTakeoverActive() || settledTerm == 0) {
     return;
   }
   // Without a confirmation, the members are polled at short intervals anyway.
-  const auto pause = isProved ? kRetryPause : kBusyPause;
+  const auto pause = isConfirmed ? kRetryPause : kBusyPause;
   for (const auto& [id, view] : mTable.All()) {
-    if (id == mProof.primary || !view.report || view.pendingSince ||
+    if (id == mConfirmation.primary || !view.report || view.pendingSince ||
         aNow < view.lastQueriedAt + pause) {
       continue;
     }
-    proxy::command order;
-    if (isProved && view.report->isPrimary && view.report->term < settled) {
-      order.kind = proxy::command_kind::kDemote;
-      order.term = settled;
-    } else if (view.report->fencedAt >= settled) {
-      order.kind = proxy::command_kind::kUnfence;
+    proxy::command command;
+    if (isConfirmed && view.report->isPrimary &&
+        view.report->term < settledTerm) {
+      command.kind = proxy::command_kind::kDemote;
+      command.term = settledTerm;
+    } else if (view.report->fencedAt >= settledTerm) {
+      command.kind = proxy::command_kind::kUnfence;
     } else {
       continue;
     }
-    auto& asked = *mTable.Find(id);
-    asked.pendingSince = aNow;
-    asked.lastQueriedAt = aNow;
+    auto& queried = *mTable.Find(id);
+    queried.pendingSince = aNow;
+    queried.lastQueriedAt = aNow;
     mActions.emplace_back(log_step{ "repair", id });
-    mActions.emplace_back(send_command{ id, order });
+    mActions.emplace_back(send_command{ id, command });
   }
 }
 
 void
-group_monitor::CheckObedience()
+group_monitor::CheckAcknowledgements()
 {
   const auto revoked = mTakeover.RevokedTerm();
-  if (revoked == 0 || !mMustObey) {
+  if (revoked == 0 || !mMustAcknowledge) {
     return;
   }
-  const bool all =
-    std::all_of(mMustObey->begin(), mMustObey->end(), [&](const auto& aVm) {
-      const auto found = mReach.find(aVm);
-      return found != mReach.end() &&
-             found->second.news.acknowledgedTerm >= revoked &&
-             found->second.news.sentAt >= mTakeover.StartedAt();
+  const bool all = std::all_of(
+    mMustAcknowledge->begin(), mMustAcknowledge->end(), [&](const auto& aVm) {
+      const auto found = mReachUpdates.find(aVm);
+      return found != mReachUpdates.end() &&
+             found->second.update.acknowledgedTerm >= revoked &&
+             found->second.update.sentAt >= mTakeover.StartedAt();
     });
   if (all) {
     mTakeover.AllAcknowledged();
--- a/src/currantshed/lead/internal/group_monitor_timing.hpp
+++ b/src/currantshed/lead/internal/group_monitor_timing.hpp
@@ -13,10 +13,10 @@
 // Pause before a server that answered that it is busy is queried again.
 inline constexpr milliseconds kBusyPause{ 60 };
 // How long a request keeps the demand for confirmations alive.
-inline constexpr milliseconds kDemandLife{ 1000 };
+inline constexpr milliseconds kDemandTimeout{ 1000 };
 // Consecutive unanswered queries before a server may count as lost. One of them
 // may be due to a connection that has failed silently.
-inline constexpr unsigned kFailuresToLose = 2;
+inline constexpr unsigned kFailuresUntilLost = 2;
 
 } // namespace currantshed::lead::internal
 
--- a/src/currantshed/lead/scheduling_delay.cpp
+++ b/src/currantshed/lead/scheduling_delay.cpp
@@ -9,11 +9,11 @@
 // How long the maximum delay is reported in full, and how long it then takes to
 // decay to zero. In this time a VM that was slow processes its backlog of
 // messages.
-constexpr std::chrono::milliseconds kFull{ 1000 };
-constexpr std::chrono::milliseconds kFading{ 2000 };
+constexpr std::chrono::milliseconds kHoldTime{ 1000 };
+constexpr std::chrono::milliseconds kDecayTime{ 2000 };
 // Upper limit of a recorded delay. A longer one, for example of a VM that was
 // paused, does not mean a longer backlog.
-constexpr std::chrono::milliseconds kMost{ 2000 };
+constexpr std::chrono::milliseconds kMaxDelay{ 2000 };
 
 } // namespace
 
@@ -21,28 +21,28 @@
 scheduling_delay::Record(clock::time_point aPlanned,
                          clock::time_point aAt) noexcept
 {
-  const auto late =
-    std::clamp<clock::duration>(aAt - aPlanned, clock::duration::zero(), kMost);
-  if (late >= At(aAt)) {
-    mWorst = late;
-    mSeenAt = aAt;
+  const auto delay = std::clamp<clock::duration>(
+    aAt - aPlanned, clock::duration::zero(), kMaxDelay);
+  if (delay >= At(aAt)) {
+    mMax = delay;
+    mMaxAt = aAt;
   }
 }
 
 clock::duration
 scheduling_delay::At(clock::time_point aNow) const noexcept
 {
-  const auto since = aNow - mSeenAt;
-  if (since <= kFull) {
-    return mWorst;
+  const auto since = aNow - mMaxAt;
+  if (since <= kHoldTime) {
+    return mMax;
   }
-  const auto left =
-    std::max<clock::duration>(kFull + kFading - since, clock::duration::zero());
+  const auto left = std::max<clock::duration>(kHoldTime + kDecayTime - since,
+                                              clock::duration::zero());
   // Computed in milliseconds, because the product of two durations in
   // nanoseconds overflows.
   using std::chrono::milliseconds;
   const auto part = std::chrono::duration_cast<milliseconds>(left);
-  return mWorst * part.count() / kFading.count();
+  return mMax * part.count() / kDecayTime.count();
 }
 
 } // namespace currantshed::lead
--- a/src/currantshed/lead/scheduling_delay.hpp
+++ b/src/currantshed/lead/scheduling_delay.hpp
@@ -19,8 +19,8 @@
   [[nodiscard]] clock::duration At(clock::time_point aNow) const noexcept;
 
 private:
-  clock::duration mWorst{};
-  clock::time_point mSeenAt;
+  clock::duration mMax{};
+  clock::time_point mMaxAt;
 };
 
 } // namespace currantshed::lead
--- a/src/currantshed/lead/server_table.cpp
+++ b/src/currantshed/lead/server_table.cpp
@@ -16,13 +16,13 @@
     listed.insert(one.id);
     const auto [place, added] = mViews.try_emplace(one.id);
     auto& view = place->second;
-    const bool isAnew = !added && view.listed.startedAt != one.startedAt;
-    if (isAnew) {
+    const bool hasRestarted = !added && view.listed.startedAt != one.startedAt;
+    if (hasRestarted) {
       view = {};
       view.restartSeenAt = aNow;
     }
     view.listed = one;
-    if (added || isAnew) {
+    if (added || hasRestarted) {
       view.heardAt = aNow;
     }
   }
@@ -136,23 +136,23 @@
     return std::nullopt;
   }
   const auto term = primary->report->term;
-  std::vector<clock::time_point> asked;
+  std::vector<clock::time_point> queryTimes;
   for (const auto& [id, view] : mViews) {
     const bool follows = &view != primary && view.report &&
                          !view.report->isPrimary && view.report->term <= term &&
                          view.report->fencedAt <= term;
     if (follows) {
-      asked.push_back(view.askedAt);
+      queryTimes.push_back(view.askedAt);
     }
   }
   const auto needed = Majority() - 1;
-  if (asked.size() < needed) {
+  if (queryTimes.size() < needed) {
     return std::nullopt;
   }
-  std::sort(asked.begin(), asked.end(), std::greater<>());
+  std::sort(queryTimes.begin(), queryTimes.end(), std::greater<>());
   auto oldest = primary->askedAt;
   if (needed > 0) {
-    oldest = std::min(oldest, asked[needed - 1]);
+    oldest = std::min(oldest, queryTimes[needed - 1]);
   }
   return proxy::confirmation{ term, primary->listed.id, oldest };
 }
--- a/src/currantshed/lead/takeover.cpp
+++ b/src/currantshed/lead/takeover.cpp
@@ -14,20 +14,20 @@
 using std::chrono::milliseconds;
 
 // Interval between rounds of fences or queries, and between promotion requests.
-constexpr milliseconds kRound{ 100 };
-constexpr milliseconds kPromoteRound{ 400 };
+constexpr milliseconds kRoundInterval{ 100 };
+constexpr milliseconds kPromoteInterval{ 400 };
 // How long after a promotion request its effect may come: nearly twice the
 // measured maximum of 1.1 s. A request that was accepted is not repeated
 // earlier, because repeated requests take effect one after the other.
-constexpr milliseconds kOrderEffect{ 2000 };
+constexpr milliseconds kMaxPromotionDelay{ 2000 };
 // Interval between log lines on what a takeover is waiting for.
-constexpr milliseconds kNotePause{ 1000 };
+constexpr milliseconds kLogInterval{ 1000 };
 // How long a planned takeover waits for the old primary to step down by itself:
 // twice the time after which a server that does not answer counts as failed.
-constexpr milliseconds kStepDownTime{ 1000 };
+constexpr milliseconds kStepDownTimeout{ 1000 };
 // How long a planned takeover waits for a replica to receive the whole log of
 // the old primary.
-constexpr milliseconds kCatchUpTime{ 500 };
+constexpr milliseconds kCatchUpTimeout{ 500 };
 
 } // namespace
 
@@ -39,30 +39,32 @@
 
 void
 takeover::Start(takeover_reason aReason,
-                upstream::server_id aOld,
+                upstream::server_id aOldPrimary,
                 position::term_id aOldTerm,
                 clock::time_point aNow,
                 std::vector<action>& aOut)
 {
   mStep = takeover_step::kFence;
   mReason = aReason;
-  mOld = std::move(aOld);
+  mOldPrimary = std::move(aOldPrimary);
   mOldTerm = aOldTerm;
   mFenceTerm = std::max(mTable.HighestTerm(), mOldTerm) + 1;
-  mBegunAt = aNow;
+  mStartedAt = aNow;
   mNextSend = aNow;
-  mNextNote = aNow + kNotePause;
-  mNextOrder = clock::time_point::max();
-  mAllObeyed = false;
-  mFences = mReason != takeover_reason::kDraining;
+  mNextLog = aNow + kLogInterval;
+  mNextRequest = clock::time_point::max();
+  mAllAcknowledged = false;
+  mFencesReplicas = mReason != takeover_reason::kDraining;
   mChosen.clear();
-  mOrders = 0;
+  mRequests = 0;
   mRejected.clear();
   aOut.emplace_back(publish_revocation{ mOldTerm });
-  aOut.emplace_back(log_step{
-    "begun",
-    absl::StrCat(
-      std::string(NameOf(aReason)), " old=", mOld, " term=", mOldTerm) });
+  aOut.emplace_back(log_step{ "begun",
+                              absl::StrCat(std::string(NameOf(aReason)),
+                                           " old=",
+                                           mOldPrimary,
+                                           " term=",
+                                           mOldTerm) });
   Tick(aNow, aOut);
 }
 
@@ -84,7 +86,9 @@
 }
 
 void
-takeover::PromotionAnswered(bool aTaken, bool aRejected, clock::time_point aNow)
+takeover::PromotionAnswered(bool aAccepted,
+                            bool aRejected,
+                            clock::time_point aNow)
 {
   if (mStep != takeover_step::kPromote) {
     return;
@@ -95,12 +99,12 @@
       mRejected.clear();
     }
     mStep = takeover_step::kFence;
-    mNextSend = aNow + kRound;
-    mNextOrder = clock::time_point::max();
-  } else if (aTaken) {
-    mNextOrder = mLastOrderAt + kOrderEffect;
+    mNextSend = aNow + kRoundInterval;
+    mNextRequest = clock::time_point::max();
+  } else if (aAccepted) {
+    mNextRequest = mLastRequestAt + kMaxPromotionDelay;
   } else {
-    mNextOrder = std::min(mNextOrder, aNow + kRound);
+    mNextRequest = std::min(mNextRequest, aNow + kRoundInterval);
   }
 }
 
@@ -111,25 +115,26 @@
     return;
   }
   if (mStep != takeover_step::kPromote) {
-    ReadFences(aNow, aOut);
+    CheckFences(aNow, aOut);
   }
-  NoteWait(aNow, aOut);
+  LogProgress(aNow, aOut);
   if (mStep == takeover_step::kAwaitExpiry &&
-      (mAllObeyed || aNow >= mWaitUntil) && !Choose(aNow).empty()) {
+      (mAllAcknowledged || aNow >= mWaitUntil) &&
+      !ChooseCandidate(aNow).empty()) {
     mStep = takeover_step::kPromote;
-    mNextOrder = aNow;
+    mNextRequest = aNow;
   }
   if (mStep == takeover_step::kPromote) {
-    OrderAnew(aNow);
+    ScheduleRetry(aNow);
   }
-  if (mStep == takeover_step::kPromote && aNow >= mNextOrder) {
+  if (mStep == takeover_step::kPromote && aNow >= mNextRequest) {
     Promote(aNow, aOut);
   }
   if (aNow < mNextSend) {
     return;
   }
   if (mStep == takeover_step::kPromote) {
-    DemoteOld(aNow, aOut);
+    DemoteOldPrimary(aNow, aOut);
     LiftFences(aNow, aOut);
   } else {
     Fence(aNow, aOut);
@@ -142,8 +147,9 @@
   if (mStep == takeover_step::kNone) {
     return clock::time_point::max();
   }
-  return std::min(
-    mNextSend, mStep == takeover_step::kAwaitExpiry ? mWaitUntil : mNextOrder);
+  return std::min(mNextSend,
+                  mStep == takeover_step::kAwaitExpiry ? mWaitUntil
+                                                       : mNextRequest);
 }
 
 void
@@ -151,11 +157,11 @@
                     clock::time_point aNow,
                     std::vector<action>& aOut)
 {
-  const auto took = std::chrono::duration_cast<milliseconds>(aNow - mBegunAt);
+  const auto took = std::chrono::duration_cast<milliseconds>(aNow - mStartedAt);
   mStep = takeover_step::kNone;
-  const bool allCameTrue = mOrders == 1 && aPrimary == mChosen;
-  if (mOrders > 0 && !allCameTrue) {
-    mQuietUntil = mLastOrderAt + kOrderEffect;
+  const bool isAsRequested = mRequests == 1 && aPrimary == mChosen;
+  if (mRequests > 0 && !isAsRequested) {
+    mHoldOffUntil = mLastRequestAt + kMaxPromotionDelay;
   }
   aOut.emplace_back(publish_revocation{ 0 });
   aOut.emplace_back(log_step{
@@ -165,24 +171,24 @@
 // Logs at intervals what a takeover is waiting for. As long as it does not
 // finish, the group has no primary.
 void
-takeover::NoteWait(clock::time_point aNow, std::vector<action>& aOut)
+takeover::LogProgress(clock::time_point aNow, std::vector<action>& aOut)
 {
-  if (aNow < mNextNote) {
+  if (aNow < mNextLog) {
     return;
   }
-  mNextNote = aNow + kNotePause;
+  mNextLog = aNow + kLogInterval;
   std::size_t fenced = 0;
   for (const auto& [id, view] : mTable.All()) {
     fenced += IsFenced(view) ? 1 : 0;
   }
-  const auto took = std::chrono::duration_cast<milliseconds>(aNow - mBegunAt);
+  const auto took = std::chrono::duration_cast<milliseconds>(aNow - mStartedAt);
   aOut.emplace_back(log_step{ "waits",
                               absl::StrCat("at=",
                                            std::string(NameOf(mStep)),
                                            " since_ms=",
                                            took.count(),
                                            " old_listed=",
-                                           mTable.Find(mOld) != nullptr,
+                                           mTable.Find(mOldPrimary) != nullptr,
                                            " members=",
                                            mTable.All().size(),
                                            " fenced=",
@@ -195,46 +201,46 @@
 takeover::IsSupersededBy(const upstream::server_id& aPrimary,
                          clock::time_point aNow) const
 {
-  return mStep == takeover_step::kPromote && mOrders > 0 &&
-         aPrimary != mChosen && aNow < mLastOrderAt + kOrderEffect;
+  return mStep == takeover_step::kPromote && mRequests > 0 &&
+         aPrimary != mChosen && aNow < mLastRequestAt + kMaxPromotionDelay;
 }
 
 // A promotion request of an earlier takeover, or of another lock holder, took
 // effect late. The server that became primary is about to be replaced, so no VM
 // may use it.
 void
-takeover::Superseded(const proxy::confirmation& aProof,
+takeover::Superseded(const proxy::confirmation& aConfirmation,
                      std::vector<action>& aOut)
 {
-  mOld = aProof.primary;
-  mOldTerm = aProof.term;
+  mOldPrimary = aConfirmation.primary;
+  mOldTerm = aConfirmation.term;
   aOut.emplace_back(publish_revocation{ mOldTerm });
-  aOut.emplace_back(
-    log_step{ "overtaken", absl::StrCat("by=", mOld, " term=", mOldTerm) });
+  aOut.emplace_back(log_step{
+    "overtaken", absl::StrCat("by=", mOldPrimary, " term=", mOldTerm) });
 }
 
 // Whether the chosen server is gone or has restarted since it was chosen. A
 // restarted server is empty, and must not be promoted over one that holds
 // acknowledged commits.
 bool
-takeover::IsChoiceVoid() const
+takeover::IsChoiceInvalid() const
 {
   const auto* chosen = mTable.Find(mChosen);
   return !mChosen.empty() &&
-         (chosen == nullptr || chosen->listed.startedAt != mChosenStart);
+         (chosen == nullptr || chosen->listed.startedAt != mChosenStartedAt);
 }
 
 // A chosen server that stops answering may have failed before the request took
 // effect; the platform's response to another request tells.
 void
-takeover::OrderAnew(clock::time_point aNow)
+takeover::ScheduleRetry(clock::time_point aNow)
 {
   const auto* chosen = mTable.Find(mChosen);
   const bool isSilent =
-    chosen != nullptr && chosen->failures >= internal::kFailuresToLose;
-  if ((isSilent || IsChoiceVoid()) && mOrders > 0) {
-    mNextOrder =
-      std::min(mNextOrder, std::max(aNow, mLastOrderAt + kPromoteRound));
+    chosen != nullptr && chosen->failures >= internal::kFailuresUntilLost;
+  if ((isSilent || IsChoiceInvalid()) && mRequests > 0) {
+    mNextRequest =
+      std::min(mNextRequest, std::max(aNow, mLastRequestAt + kPromoteInterval));
   }
 }
 
@@ -244,10 +250,11 @@
 void
 takeover::Fence(clock::time_point aNow, std::vector<action>& aOut)
 {
-  mNextSend = aNow + kRound;
-  mFences = mFences || NeedsFences(aNow);
+  mNextSend = aNow + kRoundInterval;
+  mFencesReplicas = mFencesReplicas || NeedsReplicaFences(aNow);
   for (const auto& [id, view] : mTable.All()) {
-    const bool isOld = id == mOld || (view.report && view.report->isPrimary);
+    const bool isOld =
+      id == mOldPrimary || (view.report && view.report->isPrimary);
     if (view.pendingSince) {
       continue;
     }
@@ -258,7 +265,7 @@
                        : proxy::command_kind::kDemote,
            aNow,
            aOut);
-    } else if (!mFences || IsFenced(view)) {
+    } else if (!mFencesReplicas || IsFenced(view)) {
       Send(id, proxy::command_kind::kReport, aNow, aOut);
     } else {
       Send(id, proxy::command_kind::kFence, aNow, aOut);
@@ -270,46 +277,47 @@
 // tells it to step down, and it may be unreachable from here. A takeover that
 // waited for it would never finish, and a draining server would remain in use.
 bool
-takeover::NeedsFences(clock::time_point aNow) const
+takeover::NeedsReplicaFences(clock::time_point aNow) const
 {
-  const auto* old = mTable.Find(mOld);
-  return !DoesNotLead(old) &&
-         (old == nullptr || old->failures >= internal::kFailuresToLose ||
-          aNow >= mBegunAt + kStepDownTime);
+  const auto* old = mTable.Find(mOldPrimary);
+  return !HasReportedNotPrimary(old) &&
+         (old == nullptr || old->failures >= internal::kFailuresUntilLost ||
+          aNow >= mStartedAt + kStepDownTimeout);
 }
 
 // Whether the server is listed and has reported since the takeover started that
 // it is not primary.
 bool
-takeover::DoesNotLead(const member_view* aView) const
+takeover::HasReportedNotPrimary(const member_view* aView) const
 {
-  return aView != nullptr && aView->report && aView->askedAt >= mBegunAt &&
+  return aView != nullptr && aView->report && aView->askedAt >= mStartedAt &&
          !aView->report->isPrimary;
 }
 
 bool
 takeover::IsFenced(const member_view& aView) const
 {
-  return DoesNotLead(&aView) && aView.report->fencedAt >= mFenceTerm;
+  return HasReportedNotPrimary(&aView) && aView.report->fencedAt >= mFenceTerm;
 }
 
 // Once a majority is fenced, or the old primary has stepped down by itself, no
 // further confirmation of its term is possible.
 void
-takeover::ReadFences(clock::time_point aNow, std::vector<action>& aOut)
+takeover::CheckFences(clock::time_point aNow, std::vector<action>& aOut)
 {
   std::size_t fenced = 0;
   for (const auto& [id, view] : mTable.All()) {
     fenced += IsFenced(view) ? 1 : 0;
   }
-  const bool barred = DoesNotLead(mTable.Find(mOld)) ||
-                      fenced >= mTable.Majority() || (mAllObeyed && fenced > 0);
-  if (!barred) {
+  const bool isBlocked = HasReportedNotPrimary(mTable.Find(mOldPrimary)) ||
+                         fenced >= mTable.Majority() ||
+                         (mAllAcknowledged && fenced > 0);
+  if (!isBlocked) {
     mStep = takeover_step::kFence;
   } else if (mStep == takeover_step::kFence) {
     mStep = takeover_step::kAwaitExpiry;
     mWaitUntil = aNow + mValidity;
-    mBarredAt = aNow;
+    mBlockedAt = aNow;
     aOut.emplace_back(list_vms{});
   }
 }
@@ -317,18 +325,18 @@
 // Whether the server has reported its log position since the takeover started
 // and may be promoted.
 bool
-takeover::IsUsable(const member_view& aView) const
+takeover::IsCandidate(const member_view& aView) const
 {
-  return DoesNotLead(&aView) && !mRejected.contains(aView.listed.id);
+  return HasReportedNotPrimary(&aView) && !mRejected.contains(aView.listed.id);
 }
 
 // Whether the server has restarted and holds less than the old primary, which
 // may remain primary.
 bool
-takeover::IsEmptied(const member_view& aView) const
+takeover::HasLostData(const member_view& aView) const
 {
-  const auto* old = mTable.Find(mOld);
-  return old != nullptr && IsUsable(*old) &&
+  const auto* old = mTable.Find(mOldPrimary);
+  return old != nullptr && IsCandidate(*old) &&
          aView.restartSeenAt != clock::time_point{} &&
          aView.report->received < old->report->received;
 }
@@ -340,22 +348,23 @@
 // have restarted and hold less, the old primary is promoted again until they
 // have caught up, since no other server holds all acknowledged commits.
 upstream::server_id
-takeover::Choose(clock::time_point aNow) const
+takeover::ChooseCandidate(clock::time_point aNow) const
 {
   const member_view* best = nullptr;
-  position::log_position goal;
-  bool isAnyEmptied = false;
+  position::log_position target;
+  bool anyLostData = false;
   for (const auto& [id, view] : mTable.All()) {
-    if (id == mOld && view.report) {
-      goal = view.report->received;
+    if (id == mOldPrimary && view.report) {
+      target = view.report->received;
     }
-    const bool leaves = view.listed.draining ||
-                        (id == mOld && mReason != takeover_reason::kNoPrimary);
-    if (!IsUsable(view) || leaves) {
+    const bool isExcluded =
+      view.listed.draining ||
+      (id == mOldPrimary && mReason != takeover_reason::kNoPrimary);
+    if (!IsCandidate(view) || isExcluded) {
       continue;
     }
-    if (IsEmptied(view)) {
-      isAnyEmptied = true;
+    if (HasLostData(view)) {
+      anyLostData = true;
       continue;
     }
     if (best == nullptr || view.report->received > best->report->received) {
@@ -363,10 +372,11 @@
     }
   }
   if (best == nullptr) {
-    return isAnyEmptied ? mOld : upstream::server_id{};
+    return anyLostData ? mOldPrimary : upstream::server_id{};
   }
-  const bool mayCatchUp = !mFences && aNow < mBegunAt + kCatchUpTime;
-  if (mayCatchUp && best->report->received < goal) {
+  const bool mayCatchUp =
+    !mFencesReplicas && aNow < mStartedAt + kCatchUpTimeout;
+  if (mayCatchUp && best->report->received < target) {
     return {};
   }
   return best->listed.id;
@@ -375,13 +385,14 @@
 // The old primary may come back while the platform promotes, without knowing of
 // the takeover.
 void
-takeover::DemoteOld(clock::time_point aNow, std::vector<action>& aOut)
+takeover::DemoteOldPrimary(clock::time_point aNow, std::vector<action>& aOut)
 {
-  mNextSend = aNow + kRound;
-  const auto* old = mTable.Find(mOld);
-  const bool isDone = old == nullptr || mChosen == mOld || DoesNotLead(old);
+  mNextSend = aNow + kRoundInterval;
+  const auto* old = mTable.Find(mOldPrimary);
+  const bool isDone =
+    old == nullptr || mChosen == mOldPrimary || HasReportedNotPrimary(old);
   if (!isDone && !old->pendingSince) {
-    Send(mOld, proxy::command_kind::kDemote, aNow, aOut);
+    Send(mOldPrimary, proxy::command_kind::kDemote, aNow, aOut);
   }
 }
 
@@ -391,17 +402,18 @@
 void
 takeover::LiftFences(clock::time_point aNow, std::vector<action>& aOut)
 {
-  position::term_id led = 0;
+  position::term_id primaryTerm = 0;
   for (const auto& [id, view] : mTable.All()) {
     const bool leads =
-      view.report && view.report->isPrimary && view.askedAt >= mLastOrderAt;
-    led = std::max(led, leads ? view.report->term : 0);
+      view.report && view.report->isPrimary && view.askedAt >= mLastRequestAt;
+    primaryTerm = std::max(primaryTerm, leads ? view.report->term : 0);
   }
-  if (mOrders == 0 || led <= mOldTerm) {
+  if (mRequests == 0 || primaryTerm <= mOldTerm) {
     return;
   }
   for (const auto& [id, view] : mTable.All()) {
-    if (view.report && view.report->fencedAt > led && !view.pendingSince) {
+    if (view.report && view.report->fencedAt > primaryTerm &&
+        !view.pendingSince) {
       Send(id, proxy::command_kind::kUnfence, aNow, aOut);
     }
   }
@@ -410,24 +422,24 @@
 void
 takeover::Promote(clock::time_point aNow, std::vector<action>& aOut)
 {
-  const auto chosen = Choose(aNow);
-  if (chosen.empty() && (mChosen.empty() || IsChoiceVoid())) {
+  const auto chosen = ChooseCandidate(aNow);
+  if (chosen.empty() && (mChosen.empty() || IsChoiceInvalid())) {
     mStep = takeover_step::kFence;
-    mNextOrder = clock::time_point::max();
+    mNextRequest = clock::time_point::max();
     return;
   }
   // The platform may have accepted a request although no response arrived.
   // Further requests name the same server until it is known that it cannot be
   // promoted.
-  if (mChosen.empty() || mRejected.contains(mChosen) || IsChoiceVoid()) {
+  if (mChosen.empty() || mRejected.contains(mChosen) || IsChoiceInvalid()) {
     mChosen = chosen;
     const auto* view = mTable.Find(mChosen);
-    mChosenStart =
+    mChosenStartedAt =
       view == nullptr ? proxy::start_time{} : view->listed.startedAt;
   }
-  ++mOrders;
-  mLastOrderAt = aNow;
-  mNextOrder = aNow + kPromoteRound;
+  ++mRequests;
+  mLastRequestAt = aNow;
+  mNextRequest = aNow + kPromoteInterval;
   aOut.emplace_back(log_step{ "promote", mChosen });
   aOut.emplace_back(request_promotion{ mChosen, mOldTerm });
 }
--- a/src/currantshed/lead/takeover.hpp
+++ b/src/currantshed/lead/takeover.hpp
@@ -47,9 +47,9 @@
 public:
   takeover(server_table& aTable, std::chrono::milliseconds aValidity);
 
-  /// Starts a takeover. aOld may be empty.
+  /// Starts a takeover. aOldPrimary may be empty.
   void Start(takeover_reason aReason,
-             upstream::server_id aOld,
+             upstream::server_id aOldPrimary,
              position::term_id aOldTerm,
              clock::time_point aNow,
              std::vector<action>& aOut);
@@ -60,11 +60,13 @@
 
   /// Every VM that may hold a confirmation of the old term has stopped using
   /// it.
-  void AllAcknowledged() { mAllObeyed = true; }
+  void AllAcknowledged() { mAllAcknowledged = true; }
 
   /// The platform's response: whether it accepted the request, or rejected the
   /// server as one that cannot be promoted.
-  void PromotionAnswered(bool aTaken, bool aRejected, clock::time_point aNow);
+  void PromotionAnswered(bool aAccepted,
+                         bool aRejected,
+                         clock::time_point aNow);
 
   /// Proceeds as far as possible.
   void Tick(clock::time_point aNow, std::vector<action>& aOut);
@@ -73,13 +75,13 @@
   [[nodiscard]] takeover_step Step() const noexcept { return mStep; }
   [[nodiscard]] clock::time_point StartedAt() const noexcept
   {
-    return mBegunAt;
+    return mStartedAt;
   }
   /// Until when promotion requests of the last takeover may still take effect.
   /// No other takeover starts earlier.
   [[nodiscard]] clock::time_point HoldOffUntil() const noexcept
   {
-    return mQuietUntil;
+    return mHoldOffUntil;
   }
   /// Whether the primary of a newer term will be replaced soon, because a
   /// request to promote another server is still in flight.
@@ -88,14 +90,15 @@
   /// When further confirmations of the old term became impossible.
   [[nodiscard]] clock::time_point BlockedAt() const noexcept
   {
-    return mBarredAt;
+    return mBlockedAt;
   }
   /// The term whose confirmations no VM may use, or zero.
   [[nodiscard]] position::term_id RevokedTerm() const noexcept;
 
   /// A server leads a newer term but will be replaced soon: the takeover
   /// continues with that server as the old primary.
-  void Superseded(const proxy::confirmation& aProof, std::vector<action>& aOut);
+  void Superseded(const proxy::confirmation& aConfirmation,
+                  std::vector<action>& aOut);
 
   /// A server leads a newer term: the takeover is complete.
   void Succeeded(const upstream::server_id& aPrimary,
@@ -103,46 +106,47 @@
                  std::vector<action>& aOut);
 
 private:
-  void NoteWait(clock::time_point aNow, std::vector<action>& aOut);
+  void LogProgress(clock::time_point aNow, std::vector<action>& aOut);
   void Fence(clock::time_point aNow, std::vector<action>& aOut);
-  void ReadFences(clock::time_point aNow, std::vector<action>& aOut);
-  void OrderAnew(clock::time_point aNow);
-  [[nodiscard]] bool IsChoiceVoid() const;
-  [[nodiscard]] bool IsUsable(const member_view& aView) const;
-  [[nodiscard]] bool IsEmptied(const member_view& aView) const;
-  void DemoteOld(clock::time_point aNow, std::vector<action>& aOut);
+  void CheckFences(clock::time_point aNow, std::vector<action>& aOut);
+  void ScheduleRetry(clock::time_point aNow);
+  [[nodiscard]] bool IsChoiceInvalid() const;
+  [[nodiscard]] bool IsCandidate(const member_view& aView) const;
+  [[nodiscard]] bool HasLostData(const member_view& aView) const;
+  void DemoteOldPrimary(clock::time_point aNow, std::vector<action>& aOut);
   void LiftFences(clock::time_point aNow, std::vector<action>& aOut);
   void Promote(clock::time_point aNow, std::vector<action>& aOut);
   void Send(const upstream::server_id& aServer,
             proxy::command_kind aKind,
             clock::time_point aNow,
             std::vector<action>& aOut);
-  [[nodiscard]] bool DoesNotLead(const member_view* aView) const;
+  [[nodiscard]] bool HasReportedNotPrimary(const member_view* aView) const;
   [[nodiscard]] bool IsFenced(const member_view& aView) const;
-  [[nodiscard]] bool NeedsFences(clock::time_point aNow) const;
-  [[nodiscard]] upstream::server_id Choose(clock::time_point aNow) const;
+  [[nodiscard]] bool NeedsReplicaFences(clock::time_point aNow) const;
+  [[nodiscard]] upstream::server_id ChooseCandidate(
+    clock::time_point aNow) const;
 
   server_table& mTable;
   std::chrono::milliseconds mValidity;
   takeover_step mStep = takeover_step::kNone;
   takeover_reason mReason = takeover_reason::kLost;
-  upstream::server_id mOld;
+  upstream::server_id mOldPrimary;
   position::term_id mOldTerm = 0;
   position::term_id mFenceTerm = 0;
-  clock::time_point mBegunAt;
+  clock::time_point mStartedAt;
   clock::time_point mNextSend;
-  clock::time_point mNextNote;
-  clock::time_point mNextOrder;
+  clock::time_point mNextLog;
+  clock::time_point mNextRequest;
   clock::time_point mWaitUntil;
-  clock::time_point mBarredAt;
-  bool mAllObeyed = false;
+  clock::time_point mBlockedAt;
+  bool mAllAcknowledged = false;
   // Whether replicas are kept from following the old primary.
-  bool mFences = true;
+  bool mFencesReplicas = true;
   upstream::server_id mChosen;
-  proxy::start_time mChosenStart{};
-  clock::time_point mLastOrderAt;
-  unsigned mOrders = 0;
-  clock::time_point mQuietUntil;
+  proxy::start_time mChosenStartedAt{};
+  clock::time_point mLastRequestAt;
+  unsigned mRequests = 0;
+  clock::time_point mHoldOffUntil;
   absl::btree_set<upstream::server_id> mRejected;
 };
 
--- a/src/currantshed/news/exchange.cpp
+++ b/src/currantshed/news/exchange.cpp
@@ -10,33 +10,33 @@
 namespace {
 
 // A message covers a few dozen groups at most.
-constexpr std::int64_t kLongestNews = std::int64_t{ 256 } * 1024;
+constexpr std::int64_t kMaxMessageBytes = std::int64_t{ 256 } * 1024;
 // Limit of unread messages from one peer. ZeroMQ 4.3 aborts the process if a
 // connection fails while its receive queue is full, so the limit is far above
 // what a frozen VM leaves unread.
-constexpr int kHighWater = 512;
+constexpr int kReceiveHighWaterMark = 512;
 // Limit of unsent messages to one peer. Each message repeats the content of
 // those before it, so a few suffice on a congested connection. With 512 for
 // each of 20 peers a VM exceeded its 160 MB of memory.
-constexpr int kSendHighWater = 16;
+constexpr int kSendHighWaterMark = 16;
 // Timeout for establishing a connection, and for the acknowledgement of sent
 // data. The kernel enforces it: heartbeats of ZeroMQ need a timer per
 // connection, and it finds a timer by a linear search through all of them.
-constexpr std::chrono::milliseconds kSilence{ 2500 };
+constexpr std::chrono::milliseconds kUnresponsiveTimeout{ 2500 };
 // A connection on which nothing was sent for this long is closed. Far longer
 // than the interval between two updates of a VM, which is 2 s at most.
-constexpr std::chrono::milliseconds kIdle{ 6000 };
+constexpr std::chrono::milliseconds kIdleTimeout{ 6000 };
 
 net::socket_settings
-NewsSettings()
+SocketSettings()
 {
   net::socket_settings settings;
-  settings.longestMessage = kLongestNews;
-  settings.highWater = kHighWater;
-  settings.sendHighWater = kSendHighWater;
+  settings.longestMessage = kMaxMessageBytes;
+  settings.highWater = kReceiveHighWaterMark;
+  settings.sendHighWater = kSendHighWaterMark;
   settings.pingInterval = std::chrono::milliseconds{ 0 };
-  settings.pingTimeout = kSilence;
-  settings.unacknowledged = kSilence;
+  settings.pingTimeout = kUnresponsiveTimeout;
+  settings.unacknowledged = kUnresponsiveTimeout;
   return settings;
 }
 
@@ -52,7 +52,7 @@
   , mSelf(std::move(aSelf))
   , mIncarnation(aIncarnation)
   , mReceiver(std::move(aReceiver))
-  , mRouter(aContext, aZmq, NewsSettings())
+  , mRouter(aContext, aZmq, SocketSettings())
 {
 }
 
@@ -62,49 +62,49 @@
   return mRouter.Bind(
     mSelf.address,
     mSelf.port,
-    [this](std::string_view, std::string_view aBytes) { Received(aBytes); });
+    [this](std::string_view, std::string_view aBytes) { OnMessage(aBytes); });
 }
 
 void
 exchange::SetPeers(const std::vector<peer>& aPeers)
 {
-  absl::btree_map<std::string, link> kept;
+  absl::btree_map<std::string, connection> kept;
   for (const auto& one : aPeers) {
     if (one.vm == mSelf.vm) {
       continue;
     }
-    const auto found = mLinks.find(one.vm);
-    if (found != mLinks.end() && found->second.to == one) {
+    const auto found = mConnections.find(one.vm);
+    if (found != mConnections.end() && found->second.to == one) {
       kept[one.vm] = std::move(found->second);
       continue;
     }
     kept[one.vm] = { one, nullptr };
   }
-  mLinks = std::move(kept);
+  mConnections = std::move(kept);
 }
 
 void
-exchange::Send(const std::string& aVm, News aNews, clock::time_point aNow)
+exchange::Send(const std::string& aVm, News aMessage, clock::time_point aNow)
 {
-  const auto found = mLinks.find(aVm);
-  if (found == mLinks.end()) {
+  const auto found = mConnections.find(aVm);
+  if (found == mConnections.end()) {
     return;
   }
-  aNews.set_vm(mSelf.vm);
-  aNews.set_incarnation(mIncarnation);
-  aNews.set_sent_at_us(lead::ToWire(aNow).count());
+  aMessage.set_vm(mSelf.vm);
+  aMessage.set_incarnation(mIncarnation);
+  aMessage.set_sent_at_us(lead::ToWire(aNow).count());
   const auto known = mSenders.find(aVm);
   if (known != mSenders.end()) {
     if (const auto bound = known->second.offset.LowerBound(aNow)) {
-      aNews.set_to_your_clock_us(bound->count());
-      aNews.set_your_incarnation(known->second.incarnation);
+      aMessage.set_to_your_clock_us(bound->count());
+      aMessage.set_your_incarnation(known->second.incarnation);
     }
   }
   auto* dealer = DealerTo(found->second);
   found->second.usedAt = aNow;
   if (dealer != nullptr) {
     // If the peer cannot take the message now, the next one replaces it.
-    (void)dealer->Send(aNews.SerializeAsString());
+    (void)dealer->Send(aMessage.SerializeAsString());
   }
 }
 
@@ -118,24 +118,25 @@
 
 // Most VMs send to few others. A connection to every VM would cost memory.
 net::dealer*
-exchange::DealerTo(link& aLink)
+exchange::DealerTo(connection& aConnection)
 {
-  if (aLink.dealer == nullptr) {
-    auto made = std::make_unique<net::dealer>(mContext, mZmq, NewsSettings());
-    const auto error =
-      made->Connect(aLink.to.address, aLink.to.port, [](std::string_view) {});
+  if (aConnection.dealer == nullptr) {
+    auto created =
+      std::make_unique<net::dealer>(mContext, mZmq, SocketSettings());
+    const auto error = created->Connect(
+      aConnection.to.address, aConnection.to.port, [](std::string_view) {});
     if (!error) {
-      aLink.dealer = std::move(made);
+      aConnection.dealer = std::move(created);
     }
   }
-  return aLink.dealer.get();
+  return aConnection.dealer.get();
 }
 
 void
 exchange::CloseIdle(clock::time_point aNow)
 {
-  for (auto& [name, one] : mLinks) {
-    if (one.dealer != nullptr && aNow - one.usedAt >= kIdle) {
+  for (auto& [name, one] : mConnections) {
+    if (one.dealer != nullptr && aNow - one.usedAt >= kIdleTimeout) {
       one.dealer.reset();
     }
   }
@@ -144,8 +145,8 @@
 std::size_t
 exchange::OpenConnectionCount() const noexcept
 {
-  return static_cast<std::size_t>(
-    std::count_if(mLinks.begin(), mLinks.end(), [](const auto& aEntry) {
+  return static_cast<std::size_t>(std::count_if(
+    mConnections.begin(), mConnections.end(), [](const auto& aEntry) {
       return aEntry.second.dealer != nullptr;
     }));
 }
@@ -154,37 +155,38 @@
 exchange::Close()
 {
   mRouter.Close();
-  mLinks.clear();
+  mConnections.clear();
 }
 
 void
-exchange::Received(std::string_view aBytes)
+exchange::OnMessage(std::string_view aBytes)
 {
   const auto now = std::chrono::steady_clock::now();
-  News told;
-  if (!told.ParseFromArray(aBytes.data(), static_cast<int>(aBytes.size())) ||
-      told.vm().empty()) {
+  News message;
+  if (!message.ParseFromArray(aBytes.data(), static_cast<int>(aBytes.size())) ||
+      message.vm().empty()) {
     return;
   }
-  auto& from = mSenders[told.vm()];
-  if (from.incarnation != told.incarnation()) {
+  auto& from = mSenders[message.vm()];
+  if (from.incarnation != message.incarnation()) {
     from = {};
-    from.incarnation = told.incarnation();
+    from.incarnation = message.incarnation();
   }
   // Connections are closed and reopened. Messages that arrive late over an
   // earlier connection must not override newer ones.
-  if (told.sent_at_us() < from.sentAt) {
+  if (message.sent_at_us() < from.sentAt) {
     return;
   }
-  from.sentAt = told.sent_at_us();
-  from.offset.AddSample(std::chrono::microseconds{ told.sent_at_us() }, now);
-  clock_converter reader;
-  if (told.has_to_your_clock_us() && told.your_incarnation() == mIncarnation) {
-    reader = [offset = told.to_your_clock_us()](std::int64_t aTime) {
+  from.sentAt = message.sent_at_us();
+  from.offset.AddSample(std::chrono::microseconds{ message.sent_at_us() }, now);
+  clock_converter converter;
+  if (message.has_to_your_clock_us() &&
+      message.your_incarnation() == mIncarnation) {
+    converter = [offset = message.to_your_clock_us()](std::int64_t aTime) {
       return lead::FromWire(std::chrono::microseconds{ aTime + offset });
     };
   }
-  mReceiver(told, reader, now);
+  mReceiver(message, converter, now);
 }
 
 } // namespace currantshed::news
--- a/src/currantshed/news/exchange.hpp
+++ b/src/currantshed/news/exchange.hpp
@@ -64,7 +64,7 @@
   void SetPeers(const std::vector<peer>& aPeers);
 
   /// Sends an announcement, after filling in the sender and the clock fields.
-  void Send(const std::string& aVm, News aNews, clock::time_point aNow);
+  void Send(const std::string& aVm, News aMessage, clock::time_point aNow);
 
   /// Whether the VM can convert the times in messages that are sent to it now.
   [[nodiscard]] bool HasClockOffset(const std::string& aVm,
@@ -80,7 +80,7 @@
   void Close();
 
 private:
-  struct link
+  struct connection
   {
     peer to;
     /// Null while the connection is not in use.
@@ -96,8 +96,8 @@
     std::int64_t sentAt = std::numeric_limits<std::int64_t>::min();
   };
 
-  [[nodiscard]] net::dealer* DealerTo(link& aLink);
-  void Received(std::string_view aBytes);
+  [[nodiscard]] net::dealer* DealerTo(connection& aConnection);
+  void OnMessage(std::string_view aBytes);
 
   boost::asio::io_context& mContext;
   zmq::context_t& mZmq;
@@ -105,7 +105,7 @@
   std::uint64_t mIncarnation;
   receiver mReceiver;
   net::router mRouter;
-  absl::btree_map<std::string, link> mLinks;
+  absl::btree_map<std::string, connection> mConnections;
   absl::btree_map<std::string, sender> mSenders;
 };
 
--- a/test/currantshed/customer/freshness.cpp
+++ b/test/currantshed/customer/freshness.cpp
@@ -16,7 +16,7 @@
   const char* name;
   std::chrono::milliseconds bound;
   /// After the start; kNever if nothing was verified.
-  std::chrono::milliseconds provedAt;
+  std::chrono::milliseconds verifiedAt;
   std::chrono::milliseconds now;
   bool holds;
 };
@@ -40,20 +40,20 @@
 TEST(freshness, Keys_are_trusted_within_the_bound_after_verification)
 {
   for (const auto& row : kRows) {
-    customer::freshness made(row.bound);
-    if (row.provedAt != kNever) {
-      made.MarkVerified(kStart + row.provedAt);
+    customer::freshness subject(row.bound);
+    if (row.verifiedAt != kNever) {
+      subject.MarkVerified(kStart + row.verifiedAt);
     }
-    CHECK_TEXT(made.Holds(kStart + row.now) == row.holds, row.name);
+    CHECK_TEXT(subject.Holds(kStart + row.now) == row.holds, row.name);
   }
 }
 
 TEST(freshness, An_older_verification_is_ignored)
 {
-  customer::freshness made(5000ms);
-  made.MarkVerified(kStart + 2000ms);
-  made.MarkVerified(kStart);
-  CHECK(made.Holds(kStart + 6000ms));
-  CHECK(made.Covers(kStart + 2000ms));
-  CHECK(!made.Covers(kStart + 2001ms));
+  customer::freshness subject(5000ms);
+  subject.MarkVerified(kStart + 2000ms);
+  subject.MarkVerified(kStart);
+  CHECK(subject.Holds(kStart + 6000ms));
+  CHECK(subject.Covers(kStart + 2000ms));
+  CHECK(!subject.Covers(kStart + 2001ms));
 }
--- a/test/currantshed/customer/model.cpp
+++ b/test/currantshed/customer/model.cpp
@@ -17,7 +17,7 @@
 constexpr auto kWindow = 5000ms;
 constexpr auto kShareInterval = 400ms;
 /// The longest time between reading a request and sending it.
-constexpr int kLongestWait = 300;
+constexpr int kMaxQueueTimeMs = 300;
 const customer::quota kLimit{ 60, 60 };
 constexpr double kExcess = 0.1;
 constexpr double kTolerance = 20;
@@ -49,7 +49,7 @@
     clock::time_point sendAt;
   };
 
-  std::uint64_t life = 1;
+  std::uint64_t incarnation = 1;
   clock::time_point startedAt;
   clock::time_point downUntil{};
   clock::time_point frozenUntil{};
@@ -62,8 +62,8 @@
   customer::freshness freshness{ kKeyBound };
   node::freshness_check_schedule checks;
   customer::token_accrual share;
-  customer::token_buckets bank{ kWindow };
-  customer::token_cache purse;
+  customer::token_buckets buckets{ kWindow };
+  customer::token_cache cache;
   node::token_client desk;
   clock::time_point nextShare{};
   /// Requests without a token, and requests that wait to be sent.
@@ -71,13 +71,12 @@
   std::vector<waiting> toSend;
 };
 
-customers_model::customers_model(std::uint32_t aSeed,
-                                 customers_model_bug aMistake)
+customers_model::customers_model(std::uint32_t aSeed, customers_model_bug aBug)
   : mRandom(aSeed)
-  , mMistake(aMistake)
+  , mBug(aBug)
   , mVms(kVms)
   , mNextChange(mTime.Now() + 4s)
-  , mLoops(aSeed % 4 == 0 ? 6 : 1)
+  , mRestartLoopRate(aSeed % 4 == 0 ? 6 : 1)
 {
   for (std::size_t i = 0; i < kVms; ++i) {
     Restart(i);
@@ -90,7 +89,7 @@
 customers_model::Limit() const
 {
   auto limit = kLimit;
-  if (mMistake == customers_model_bug::kBankWithoutBound) {
+  if (mBug == customers_model_bug::kUnboundedBuckets) {
     limit.burst = 1e6;
   }
   return limit;
@@ -131,17 +130,17 @@
 customers_model::Restart(std::size_t aVm)
 {
   auto& one = mVms[aVm];
-  const auto life = one.life + 1;
+  const auto incarnation = one.incarnation + 1;
   const auto side = one.side;
   const auto cut = one.isCutFromStore;
   one = vm{};
-  one.life = life;
+  one.incarnation = incarnation;
   one.side = side;
   one.isCutFromStore = cut;
   one.startedAt = mTime.Now() + 400ms;
   one.downUntil = one.startedAt;
   one.checks.SetRank(aVm);
-  one.bank.SetCoordinatorCount(kDomains);
+  one.buckets.SetCoordinatorCount(kDomains);
   // The first VMs of each failure domain are quota coordinators.
   const std::vector<std::string> own{ Name(aVm % kDomains),
                                       Name(aVm % kDomains + kDomains) };
@@ -152,16 +151,16 @@
     }
   }
   one.desk.SetCoordinators(own, others);
-  if (mMistake == customers_model_bug::kBankStartsFull) {
+  if (mBug == customers_model_bug::kBucketsStartFull) {
     // A third of the whole burst.
-    one.bank = customer::token_buckets{ 0ms };
-    one.bank.SetCoordinatorCount(kDomains);
-    (void)one.bank.GrantTokens(kCustomer, kLimit, 0);
-    one.bank.AddShare("full",
-                      life,
-                      1us,
-                      customer::PartitionOf(kCustomer),
-                      customer::share{ 60 });
+    one.buckets = customer::token_buckets{ 0ms };
+    one.buckets.SetCoordinatorCount(kDomains);
+    (void)one.buckets.GrantTokens(kCustomer, kLimit, 0);
+    one.buckets.AddShare("full",
+                         incarnation,
+                         1us,
+                         customer::PartitionOf(kCustomer),
+                         customer::share{ 60 });
   }
 }
 
@@ -170,10 +169,10 @@
                       std::size_t aTo,
                       std::function<void()> aWhat)
 {
-  const auto life = mVms[aTo].life;
-  auto arrive = [this, aFrom, aTo, life, what = std::move(aWhat)] {
+  const auto incarnation = mVms[aTo].incarnation;
+  auto arrive = [this, aFrom, aTo, incarnation, what = std::move(aWhat)] {
     auto& to = mVms[aTo];
-    if (to.life != life || !Reaches(aFrom, aTo)) {
+    if (to.incarnation != incarnation || !Reaches(aFrom, aTo)) {
       return;
     }
     if (mTime.Now() < to.frozenUntil) {
@@ -192,7 +191,7 @@
 customers_model::Run(std::chrono::seconds aSpan)
 {
   const auto end = mTime.Now() + aSpan;
-  while (mTime.Now() < end && wrong.size() < 5) {
+  while (mTime.Now() < end && violations.size() < 5) {
     mTime.RunUntil(mTime.Now() + kStep);
     Step();
   }
@@ -201,7 +200,7 @@
 void
 customers_model::Step()
 {
-  Trouble();
+  InjectFaults();
   for (std::size_t i = 0; i < kVms; ++i) {
     ++steps;
     if (!IsUp(i) || mTime.Now() < mVms[i].frozenUntil) {
@@ -210,12 +209,12 @@
     for (auto& what : std::exchange(mVms[i].held, {})) {
       what();
     }
-    Work(i);
+    RunVm(i);
   }
 }
 
 void
-customers_model::Trouble()
+customers_model::InjectFaults()
 {
   const auto now = mTime.Now();
   if (now >= mNextChange) {
@@ -226,16 +225,16 @@
     mNextChange = now + std::chrono::milliseconds{ 500 + mRandom() % 16000 };
   }
   if (Chance(2)) {
-    mIsStoreAway = !mIsStoreAway && Chance(500);
+    mIsStoreDown = !mIsStoreDown && Chance(500);
   }
   if (Chance(4)) {
     mIsStoreSlow = !mIsStoreSlow;
   }
   if (Chance(2)) {
-    mIsSurge = !mIsSurge;
+    mIsLoadSurge = !mIsLoadSurge;
   }
   if (Chance(3)) {
-    mAreHasty = !mAreHasty && Chance(300);
+    mAreClientsImpatient = !mAreClientsImpatient && Chance(300);
   }
   if (Chance(2)) {
     const bool heals = Chance(600);
@@ -256,11 +255,11 @@
       one.frozenUntil = Chance(250) ? until : one.frozenUntil;
     }
   }
-  if (Chance(mLoops)) {
-    mLoopUntil = now + 6s;
+  if (Chance(mRestartLoopRate)) {
+    mRestartLoopUntil = now + 6s;
   }
-  if (now < mLoopUntil && now >= mNextLoop) {
-    mNextLoop = now + 900ms;
+  if (now < mRestartLoopUntil && now >= mNextLoopRestart) {
+    mNextLoopRestart = now + 900ms;
     for (std::size_t i = 0; i < kDomains; ++i) {
       Restart(i);
     }
@@ -276,28 +275,28 @@
 }
 
 void
-customers_model::Work(std::size_t aVm)
+customers_model::RunVm(std::size_t aVm)
 {
   auto& one = mVms[aVm];
   const auto now = mTime.Now();
   one.share.Begin(one.startedAt);
   one.desk.Tick(now);
-  Check(aVm);
-  Share(aVm);
-  const unsigned asked = mIsSurge ? 150 : 20;
+  CheckStore(aVm);
+  SendShare(aVm);
+  const unsigned asked = mIsLoadSurge ? 150 : 20;
   for (int i = 0; i < 2; ++i) {
     if (Chance(asked)) {
-      Arrive(aVm);
+      ReceiveRequest(aVm);
     }
   }
-  Carry(aVm);
-  SendWaiting(aVm);
+  DeliverTokenRequests(aVm);
+  SendQueued(aVm);
 }
 
 // Asks the store whether there is anything newer, and passes the verification
 // time on.
 void
-customers_model::Check(std::size_t aVm)
+customers_model::CheckStore(std::size_t aVm)
 {
   auto& one = mVms[aVm];
   const auto asked = mTime.Now();
@@ -305,17 +304,17 @@
     return;
   }
   one.checks.OnRequestSent();
-  const auto life = one.life;
-  mTime.After(StoreDelay(), [this, aVm, asked, life] {
-    const bool isLost =
-      mIsStoreAway || mVms[aVm].isCutFromStore || mVms[aVm].life != life;
+  const auto incarnation = one.incarnation;
+  mTime.After(StoreDelay(), [this, aVm, asked, incarnation] {
+    const bool isLost = mIsStoreDown || mVms[aVm].isCutFromStore ||
+                        mVms[aVm].incarnation != incarnation;
     const auto seen = mVersion;
-    mTime.After(StoreDelay(), [this, aVm, asked, life, isLost, seen] {
+    mTime.After(StoreDelay(), [this, aVm, asked, incarnation, isLost, seen] {
       auto& back = mVms[aVm];
-      if (back.life != life) {
+      if (back.incarnation != incarnation) {
         return;
       }
-      const auto take = [this, aVm, asked, isLost, seen] {
+      const auto apply = [this, aVm, asked, isLost, seen] {
         auto& self = mVms[aVm];
         self.checks.OnResponse(!isLost, mTime.Now());
         if (isLost || seen < self.version) {
@@ -324,14 +323,15 @@
         self.version = seen;
         self.isConfigured = true;
         self.freshness.MarkVerified(
-          mMistake == customers_model_bug::kProofDatedByAnswer ? mTime.Now()
-                                                               : asked);
-        Spread(aVm);
+          mBug == customers_model_bug::kVerificationDatedByResponse
+            ? mTime.Now()
+            : asked);
+        BroadcastVerification(aVm);
       };
       if (mTime.Now() < back.frozenUntil) {
-        back.held.push_back(take);
+        back.held.push_back(apply);
       } else {
-        take();
+        apply();
       }
     });
   });
@@ -340,15 +340,15 @@
 // Delivers a verification time to the other VMs, which use it if their
 // configuration is not newer.
 void
-customers_model::Spread(std::size_t aVm)
+customers_model::BroadcastVerification(std::size_t aVm)
 {
   const auto version = mVms[aVm].version;
-  const auto provedAt = mVms[aVm].freshness.VerifiedAt();
+  const auto verifiedAt = mVms[aVm].freshness.VerifiedAt();
   for (std::size_t to = 0; to < kVms; ++to) {
     if (to == aVm) {
       continue;
     }
-    Send(aVm, to, [this, to, version, provedAt] {
+    Send(aVm, to, [this, to, version, verifiedAt] {
       auto& other = mVms[to];
       if (version < other.version) {
         return;
@@ -356,14 +356,15 @@
       other.version = version;
       other.isConfigured = true;
       other.freshness.MarkVerified(
-        mMistake == customers_model_bug::kProofNotAged ? mTime.Now()
-                                                       : provedAt - 1ms);
+        mBug == customers_model_bug::kForwardedVerificationNotAged
+          ? mTime.Now()
+          : verifiedAt - 1ms);
     });
   }
 }
 
 void
-customers_model::Share(std::size_t aVm)
+customers_model::SendShare(std::size_t aVm)
 {
   auto& one = mVms[aVm];
   const auto now = mTime.Now();
@@ -375,25 +376,25 @@
   one.nextShare = now + kShareInterval;
   const auto to = std::stoul(collector);
   const auto share = one.share.Take(kVms, now);
-  const auto life = one.life;
-  const auto arrive = [this, aVm, to, share, life, now] {
+  const auto incarnation = one.incarnation;
+  const auto arrive = [this, aVm, to, share, incarnation, now] {
     if (mTime.Now() - now >= 700ms) {
       return;
     }
     auto sentAt = std::chrono::duration_cast<std::chrono::microseconds>(
       now.time_since_epoch());
-    if (mMistake == customers_model_bug::kSharesCountTwice) {
+    if (mBug == customers_model_bug::kSharesCountTwice) {
       sentAt = std::chrono::microseconds{ static_cast<std::int64_t>(++steps) };
     }
-    mVms[to].bank.AddShare(
-      Name(aVm), life, sentAt, customer::PartitionOf(kCustomer), share);
+    mVms[to].buckets.AddShare(
+      Name(aVm), incarnation, sentAt, customer::PartitionOf(kCustomer), share);
   };
   if (to == aVm) {
     arrive();
   } else {
     Send(aVm, to, arrive);
     // Some messages arrive twice, regardless of the simulated network.
-    if (mMistake == customers_model_bug::kSharesCountTwice) {
+    if (mBug == customers_model_bug::kSharesCountTwice) {
       Send(aVm, to, arrive);
     }
   }
@@ -401,19 +402,19 @@
 
 // A client sends a request. Its key is checked when the request is read.
 void
-customers_model::Arrive(std::size_t aVm)
+customers_model::ReceiveRequest(std::size_t aVm)
 {
   auto& one = mVms[aVm];
   const auto now = mTime.Now();
-  const bool isInForce =
+  const bool isKeyInForce =
     one.isConfigured && one.version % 2 == 0 && one.freshness.Holds(now);
-  if (!isInForce) {
+  if (!isKeyInForce) {
     ++refused;
     return;
   }
-  if (one.tokenless.empty() && one.purse.Take(kCustomer, now)) {
+  if (one.tokenless.empty() && one.cache.Take(kCustomer, now)) {
     one.toSend.push_back(
-      { now, now + std::chrono::milliseconds{ mRandom() % kLongestWait } });
+      { now, now + std::chrono::milliseconds{ mRandom() % kMaxQueueTimeMs } });
     return;
   }
   one.tokenless.push_back(now);
@@ -421,60 +422,62 @@
 }
 
 void
-customers_model::Carry(std::size_t aVm)
+customers_model::DeliverTokenRequests(std::size_t aVm)
 {
   auto& one = mVms[aVm];
   const auto now = mTime.Now();
   for (auto& ask : one.desk.TakeRequests()) {
     const auto to = std::stoul(ask.vm);
     if (to == aVm) {
-      const auto got = one.bank.GrantTokens(kCustomer, Limit(), ask.count);
+      const auto got = one.buckets.GrantTokens(kCustomer, Limit(), ask.count);
       one.desk.OnResponse(ask.number, got.count, got.retryAfter, now);
       continue;
     }
-    const auto life = one.life;
-    Send(aVm, to, [this, aVm, to, ask, life] {
-      const auto got = mVms[to].bank.GrantTokens(kCustomer, Limit(), ask.count);
-      Send(to, aVm, [this, aVm, ask, got, life] {
-        if (mVms[aVm].life == life) {
+    const auto incarnation = one.incarnation;
+    Send(aVm, to, [this, aVm, to, ask, incarnation] {
+      const auto got =
+        mVms[to].buckets.GrantTokens(kCustomer, Limit(), ask.count);
+      Send(to, aVm, [this, aVm, ask, got, incarnation] {
+        if (mVms[aVm].incarnation == incarnation) {
           mVms[aVm].desk.OnResponse(
             ask.number, got.count, got.retryAfter, mTime.Now());
         }
       });
     });
   }
-  Granted(aVm, one.desk.TakeResults());
+  ApplyOutcomes(aVm, one.desk.TakeResults());
 }
 
 void
-customers_model::Granted(std::size_t aVm,
-                         const std::vector<node::token_result>& aWhat)
+customers_model::ApplyOutcomes(std::size_t aVm,
+                               const std::vector<node::token_result>& aWhat)
 {
   auto& one = mVms[aVm];
   const auto now = mTime.Now();
   for (const auto& outcome : aWhat) {
-    one.purse.Put(kCustomer, outcome.granted, outcome.askedAt);
+    one.cache.Put(kCustomer, outcome.granted, outcome.askedAt);
     for (unsigned i = 0; i < outcome.refused && !one.tokenless.empty(); ++i) {
       one.tokenless.pop_front();
       ++refused;
     }
   }
   // Clients disconnect after a short time.
-  const auto patience = mAreHasty ? 1ms : 200ms;
-  while (!one.tokenless.empty() && now >= one.tokenless.front() + patience) {
+  const auto clientTimeout = mAreClientsImpatient ? 1ms : 200ms;
+  while (!one.tokenless.empty() &&
+         now >= one.tokenless.front() + clientTimeout) {
     one.tokenless.pop_front();
     ++refused;
   }
-  while (!one.tokenless.empty() && one.purse.Take(kCustomer, now)) {
+  while (!one.tokenless.empty() && one.cache.Take(kCustomer, now)) {
     one.toSend.push_back(
       { one.tokenless.front(),
-        now + std::chrono::milliseconds{ mRandom() % kLongestWait } });
+        now + std::chrono::milliseconds{ mRandom() % kMaxQueueTimeMs } });
     one.tokenless.pop_front();
   }
 }
 
 void
-customers_model::SendWaiting(std::size_t aVm)
+customers_model::SendQueued(std::size_t aVm)
 {
   auto& one = mVms[aVm];
   const auto now = mTime.Now();
@@ -483,22 +486,22 @@
       one.toSend.push_back(waiting);
       continue;
     }
-    const bool isInForce = one.version % 2 == 0 && one.freshness.Holds(now);
-    if (mMistake != customers_model_bug::kCheckedAtReading && !isInForce) {
+    const bool isKeyInForce = one.version % 2 == 0 && one.freshness.Holds(now);
+    if (mBug != customers_model_bug::kKeyCheckedOnlyAtRead && !isKeyInForce) {
       ++refused;
       continue;
     }
-    Ran(waiting.askedAt);
+    RecordRun(waiting.askedAt);
   }
 }
 
 void
-customers_model::Ran(clock::time_point aAskedAt)
+customers_model::RecordRun(clock::time_point aAskedAt)
 {
   const auto now = mTime.Now();
   ++ran;
   if (mVersion % 2 == 1 && now > mRevokedAt + kKeyBound) {
-    wrong.emplace_back("a request ran with a key that was revoked");
+    violations.emplace_back("a request ran with a key that was revoked");
   }
   mRuns.push_back({ aAskedAt, now });
   while (mRuns.front().ranAt < now - kWindow) {
@@ -509,7 +512,7 @@
       return aRun.askedAt >= now - kWindow;
     });
   if (static_cast<std::size_t>(counted) > MostInWindow()) {
-    wrong.emplace_back("more operations than the quota allows");
+    violations.emplace_back("more operations than the quota allows");
   }
 }
 
--- a/test/currantshed/customer/model.hpp
+++ b/test/currantshed/customer/model.hpp
@@ -25,15 +25,15 @@
 {
   kNone,
   /// A verification is dated by its response instead of its request.
-  kProofDatedByAnswer,
+  kVerificationDatedByResponse,
   /// A verification passed on by another VM is dated by its arrival.
-  kProofNotAged,
+  kForwardedVerificationNotAged,
   /// Keys are checked when a request is read, but not when it is sent.
-  kCheckedAtReading,
+  kKeyCheckedOnlyAtRead,
   /// The capacity of the buckets is unlimited.
-  kBankWithoutBound,
+  kUnboundedBuckets,
   /// A VM starts with full buckets.
-  kBankStartsFull,
+  kBucketsStartFull,
   /// A share that arrives twice counts twice.
   kSharesCountTwice,
 };
@@ -46,7 +46,7 @@
 class customers_model
 {
 public:
-  customers_model(std::uint32_t aSeed, customers_model_bug aMistake);
+  customers_model(std::uint32_t aSeed, customers_model_bug aBug);
   ~customers_model();
   customers_model(const customers_model&) = delete;
   customers_model& operator=(const customers_model&) = delete;
@@ -54,7 +54,7 @@
   void Run(std::chrono::seconds aSpan);
 
   /// Violations found, one line each.
-  std::vector<std::string> wrong;
+  std::vector<std::string> violations;
   std::uint64_t steps = 0;
   std::uint64_t ran = 0;
   std::uint64_t refused = 0;
@@ -64,16 +64,17 @@
   struct message;
 
   void Step();
-  void Trouble();
-  void Work(std::size_t aVm);
-  void Check(std::size_t aVm);
-  void Spread(std::size_t aVm);
-  void Carry(std::size_t aVm);
-  void Share(std::size_t aVm);
-  void Arrive(std::size_t aVm);
-  void Granted(std::size_t aVm, const std::vector<node::token_result>& aWhat);
-  void SendWaiting(std::size_t aVm);
-  void Ran(clock::time_point aAskedAt);
+  void InjectFaults();
+  void RunVm(std::size_t aVm);
+  void CheckStore(std::size_t aVm);
+  void BroadcastVerification(std::size_t aVm);
+  void DeliverTokenRequests(std::size_t aVm);
+  void SendShare(std::size_t aVm);
+  void ReceiveRequest(std::size_t aVm);
+  void ApplyOutcomes(std::size_t aVm,
+                     const std::vector<node::token_result>& aWhat);
+  void SendQueued(std::size_t aVm);
+  void RecordRun(clock::time_point aAskedAt);
   void Send(std::size_t aFrom, std::size_t aTo, std::function<void()> aWhat);
   void Restart(std::size_t aVm);
   [[nodiscard]] customer::quota Limit() const;
@@ -85,22 +86,22 @@
 
   timeline mTime;
   std::mt19937 mRandom;
-  customers_model_bug mMistake;
+  customers_model_bug mBug;
   std::vector<vm> mVms;
   /// The key is in force in even versions of the store's configuration.
   std::uint64_t mVersion = 0;
   clock::time_point mRevokedAt{};
   clock::time_point mNextChange;
   /// How often, per thousand steps, a restart loop starts.
-  unsigned mLoops;
-  bool mIsStoreAway = false;
+  unsigned mRestartLoopRate;
+  bool mIsStoreDown = false;
   /// Until when the quota coordinators are restarted in a loop.
-  clock::time_point mLoopUntil{};
-  clock::time_point mNextLoop{};
+  clock::time_point mRestartLoopUntil{};
+  clock::time_point mNextLoopRestart{};
   bool mIsStoreSlow = false;
-  bool mIsSurge = false;
+  bool mIsLoadSurge = false;
   /// Clients disconnect before they can be served.
-  bool mAreHasty = false;
+  bool mAreClientsImpatient = false;
   struct run
   {
     clock::time_point askedAt;
--- a/test/currantshed/customer/model_test.cpp
+++ b/test/currantshed/customer/model_test.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::uint32_t kSeeds = 40;
 // Some bugs show only if rare faults coincide.
-constexpr std::uint32_t kMistakeSeeds = 600;
+constexpr std::uint32_t kBugSeeds = 600;
 constexpr auto kSpan = 60s;
 
 std::uint32_t
@@ -23,21 +23,21 @@
   return currantshed::test::ModelSeeds(kSeeds);
 }
 
-struct mistake_row
+struct bug_row
 {
   const char* name;
   customers_model_bug what;
 };
 
-constexpr mistake_row kMistakes[] = {
+constexpr bug_row kBugRows[] = {
   { "a verification dated by its response",
-    customers_model_bug::kProofDatedByAnswer },
+    customers_model_bug::kVerificationDatedByResponse },
   { "a verification passed on without its age",
-    customers_model_bug::kProofNotAged },
+    customers_model_bug::kForwardedVerificationNotAged },
   { "keys checked only when a request is read",
-    customers_model_bug::kCheckedAtReading },
-  { "buckets without a capacity", customers_model_bug::kBankWithoutBound },
-  { "buckets that start full", customers_model_bug::kBankStartsFull },
+    customers_model_bug::kKeyCheckedOnlyAtRead },
+  { "buckets without a capacity", customers_model_bug::kUnboundedBuckets },
+  { "buckets that start full", customers_model_bug::kBucketsStartFull },
   { "shares that count twice", customers_model_bug::kSharesCountTwice },
 };
 
@@ -52,8 +52,9 @@
   for (std::uint32_t seed = 1; seed <= Seeds(); ++seed) {
     customers_model model(seed, customers_model_bug::kNone);
     model.Run(kSpan);
-    const auto what = model.wrong.empty() ? std::string() : model.wrong.front();
-    CHECK_TEXT(model.wrong.empty(),
+    const auto what =
+      model.violations.empty() ? std::string() : model.violations.front();
+    CHECK_TEXT(model.violations.empty(),
                (what + ", seed " + std::to_string(seed)).c_str());
     ran += model.ran;
     steps += model.steps;
@@ -65,12 +66,12 @@
 
 TEST(customers_model, Each_mistake_is_found)
 {
-  for (const auto& row : kMistakes) {
+  for (const auto& row : kBugRows) {
     bool found = false;
-    for (std::uint32_t seed = 1; seed <= kMistakeSeeds && !found; ++seed) {
+    for (std::uint32_t seed = 1; seed <= kBugSeeds && !found; ++seed) {
       customers_model model(seed, row.what);
       model.Run(kSpan);
-      found = !model.wrong.empty();
+      found = !model.violations.empty();
     }
     CHECK_TEXT(found, row.name);
   }
--- a/test/currantshed/customer/tokens.cpp
+++ b/test/currantshed/customer/tokens.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr clock::time_point kStart{ 1h };
-const std::size_t kBakers = customer::PartitionOf("baker");
-const std::size_t kSmiths = customer::PartitionOf("smith");
+const std::size_t kBakerPartition = customer::PartitionOf("baker");
+const std::size_t kSmithPartition = customer::PartitionOf("smith");
 
 /// The elapsed time does not include the time credited for the start.
 struct share_row
@@ -35,21 +35,21 @@
   { "no VM known", 0, 400ms, 0.0 },
 };
 
-struct withdrawal_row
+struct grant_row
 {
   const char* name;
   /// Zero for none.
   std::chrono::milliseconds window;
-  std::size_t banks;
+  std::size_t coordinators;
   customer::quota limit;
   /// Accrual time added before, in seconds at the full rate.
-  double deposited;
+  double accrued;
   unsigned wanted;
   unsigned expect;
 };
 
 // All quota coordinators together hold twelve tokens beyond the burst.
-const withdrawal_row kWithdrawalRows[] = {
+const grant_row kGrantRows[] = {
   { "a new bucket is empty", 0ms, 1, { 100, 100 }, 0.0, 1, 0 },
   { "what was added", 0ms, 1, { 100, 100 }, 0.1, 20, 10 },
   { "no more than requested", 0ms, 1, { 100, 100 }, 0.1, 3, 3 },
@@ -74,77 +74,77 @@
 TEST(tokens, Accrued_time_is_handed_out_once)
 {
   for (const auto& row : kShareRows) {
-    customer::token_accrual made;
-    CHECK_EQUAL(0.0, made.Take(1, kStart).count());
+    customer::token_accrual accrual;
+    CHECK_EQUAL(0.0, accrual.Take(1, kStart).count());
     // The time credited for the start is taken first.
-    made.Begin(kStart);
-    DOUBLES_EQUAL_TEXT(0.4, made.Take(1, kStart).count(), 1e-9, row.name);
-    const auto got = made.Take(row.vms, kStart + row.passed);
-    DOUBLES_EQUAL_TEXT(row.expect, got.count(), 1e-9, row.name);
-    const auto again = made.Take(row.vms, kStart + row.passed);
+    accrual.Begin(kStart);
+    DOUBLES_EQUAL_TEXT(0.4, accrual.Take(1, kStart).count(), 1e-9, row.name);
+    const auto result = accrual.Take(row.vms, kStart + row.passed);
+    DOUBLES_EQUAL_TEXT(row.expect, result.count(), 1e-9, row.name);
+    const auto again = accrual.Take(row.vms, kStart + row.passed);
     DOUBLES_EQUAL_TEXT(0.0, again.count(), 1e-9, row.name);
   }
 }
 
 TEST(tokens, A_bucket_grants_what_was_added)
 {
-  for (const auto& row : kWithdrawalRows) {
-    customer::token_buckets bank(row.window);
-    bank.SetCoordinatorCount(row.banks);
-    (void)bank.GrantTokens("baker", row.limit, 0);
-    bank.AddShare("vm", 1, 1us, kBakers, share{ row.deposited });
-    const auto got = bank.GrantTokens("baker", row.limit, row.wanted);
-    LONGS_EQUAL_TEXT(row.expect, got.count, row.name);
-    CHECK_TEXT((got.count == 0) == (got.retryAfter > 0ms), row.name);
+  for (const auto& row : kGrantRows) {
+    customer::token_buckets buckets(row.window);
+    buckets.SetCoordinatorCount(row.coordinators);
+    (void)buckets.GrantTokens("baker", row.limit, 0);
+    buckets.AddShare("vm", 1, 1us, kBakerPartition, share{ row.accrued });
+    const auto result = buckets.GrantTokens("baker", row.limit, row.wanted);
+    LONGS_EQUAL_TEXT(row.expect, result.count, row.name);
+    CHECK_TEXT((result.count == 0) == (result.retryAfter > 0ms), row.name);
   }
 }
 
 TEST(tokens, A_share_counts_once)
 {
-  customer::token_buckets bank(0ms);
+  customer::token_buckets buckets(0ms);
   const customer::quota limit{ 100, 100 };
-  bank.AddShare("vm", 1, 5us, kBakers, share{ 0.1 });
-  bank.AddShare("vm", 1, 5us, kBakers, share{ 0.1 });
-  bank.AddShare("vm", 1, 4us, kBakers, share{ 0.1 });
-  LONGS_EQUAL(10, bank.GrantTokens("baker", limit, 99).count);
+  buckets.AddShare("vm", 1, 5us, kBakerPartition, share{ 0.1 });
+  buckets.AddShare("vm", 1, 5us, kBakerPartition, share{ 0.1 });
+  buckets.AddShare("vm", 1, 4us, kBakerPartition, share{ 0.1 });
+  LONGS_EQUAL(10, buckets.GrantTokens("baker", limit, 99).count);
   // The VM has restarted, with another clock.
-  bank.AddShare("vm", 2, 1us, kBakers, share{ 0.1 });
-  LONGS_EQUAL(10, bank.GrantTokens("baker", limit, 99).count);
+  buckets.AddShare("vm", 2, 1us, kBakerPartition, share{ 0.1 });
+  LONGS_EQUAL(10, buckets.GrantTokens("baker", limit, 99).count);
 }
 
 TEST(tokens, Customers_have_separate_buckets)
 {
-  customer::token_buckets bank(0ms);
+  customer::token_buckets buckets(0ms);
   const customer::quota limit{ 100, 100 };
-  bank.AddShare("vm", 1, 1us, kBakers, share{ 0.1 });
-  LONGS_EQUAL(10, bank.GrantTokens("baker", limit, 99).count);
-  LONGS_EQUAL(0, bank.GrantTokens("baker", limit, 1).count);
-  CHECK(kBakers != kSmiths);
-  LONGS_EQUAL(0, bank.GrantTokens("smith", limit, 99).count);
-  bank.AddShare("vm", 1, 1us, kSmiths, share{ 0.1 });
-  LONGS_EQUAL(10, bank.GrantTokens("smith", limit, 99).count);
+  buckets.AddShare("vm", 1, 1us, kBakerPartition, share{ 0.1 });
+  LONGS_EQUAL(10, buckets.GrantTokens("baker", limit, 99).count);
+  LONGS_EQUAL(0, buckets.GrantTokens("baker", limit, 1).count);
+  CHECK(kBakerPartition != kSmithPartition);
+  LONGS_EQUAL(0, buckets.GrantTokens("smith", limit, 99).count);
+  buckets.AddShare("vm", 1, 1us, kSmithPartition, share{ 0.1 });
+  LONGS_EQUAL(10, buckets.GrantTokens("smith", limit, 99).count);
 }
 
 // The more operations are refused, the later each is told to retry.
 TEST(tokens, Refused_operations_are_told_to_retry_in_turn)
 {
-  customer::token_buckets bank(0ms);
+  customer::token_buckets buckets(0ms);
   const customer::quota limit{ 10, 0 };
-  const auto first = bank.GrantTokens("baker", limit, 5).retryAfter;
-  const auto second = bank.GrantTokens("baker", limit, 5).retryAfter;
+  const auto first = buckets.GrantTokens("baker", limit, 5).retryAfter;
+  const auto second = buckets.GrantTokens("baker", limit, 5).retryAfter;
   CHECK(first == 500ms);
   CHECK(second == 1000ms);
-  CHECK(bank.GrantTokens("baker", limit, 500).retryAfter == 2000ms);
+  CHECK(buckets.GrantTokens("baker", limit, 500).retryAfter == 2000ms);
 }
 
 TEST(tokens, Cached_tokens_expire)
 {
-  customer::token_cache purse;
-  purse.Put("baker", 2, kStart);
-  purse.Put("baker", 1, kStart + 300ms);
-  CHECK(!purse.Take("smith", kStart));
-  CHECK(purse.Take("baker", kStart + 100ms));
+  customer::token_cache cache;
+  cache.Put("baker", 2, kStart);
+  cache.Put("baker", 1, kStart + 300ms);
+  CHECK(!cache.Take("smith", kStart));
+  CHECK(cache.Take("baker", kStart + 100ms));
   // The second token of the first batch has expired by now.
-  CHECK(purse.Take("baker", kStart + 600ms));
-  CHECK(!purse.Take("baker", kStart + 600ms));
+  CHECK(cache.Take("baker", kStart + 600ms));
+  CHECK(!cache.Take("baker", kStart + 600ms));
 }
--- a/test/currantshed/lead/abandoned_takeovers.cpp
+++ b/test/currantshed/lead/abandoned_takeovers.cpp
@@ -16,12 +16,12 @@
 using namespace std::chrono_literals;
 using test::kStep;
 using test::monitor_fixture;
-using test::ReachOf;
+using test::ReceiveReachUpdate;
 
 namespace {
 
 /// The state that a lock holder leaves behind when it abandons a takeover.
-struct left_behind
+struct abandoned_state
 {
   bool steppedDown = false;
   bool isFencedB = false;
@@ -29,15 +29,15 @@
   /// The term that the store records as replaced.
   position::term_id replaced = 0;
   /// A promotion of b has been requested and has yet to take effect.
-  bool isOrdered = false;
+  bool isPromotionRequested = false;
 };
 
 /// All states that a lock holder may leave behind, in the order of the steps of
 /// a takeover.
-std::vector<left_behind>
-AllThatIsLeft()
+std::vector<abandoned_state>
+AllAbandonedStates()
 {
-  std::vector<left_behind> all;
+  std::vector<abandoned_state> all;
   for (const bool steppedDown : { false, true }) {
     for (const bool fencedB : { false, true }) {
       for (const bool fencedC : { false, true }) {
@@ -53,34 +53,35 @@
 }
 
 std::string
-NameOf(const left_behind& aLeft, bool aIsHeard, bool aKnewPrimary)
+NameOf(const abandoned_state& aState, bool aIsReached, bool aKnewPrimary)
 {
   const auto flag = [](const char* aName, bool aIsSet) {
     return aIsSet ? std::string(aName) + " " : std::string();
   };
-  return flag("stepped down", aLeft.steppedDown) +
-         flag("b fenced", aLeft.isFencedB) + flag("c fenced", aLeft.isFencedC) +
-         flag("recorded", aLeft.replaced != 0) +
-         flag("ordered", aLeft.isOrdered) +
-         flag("others reach the old primary", aIsHeard) +
+  return flag("stepped down", aState.steppedDown) +
+         flag("b fenced", aState.isFencedB) +
+         flag("c fenced", aState.isFencedC) +
+         flag("recorded", aState.replaced != 0) +
+         flag("ordered", aState.isPromotionRequested) +
+         flag("others reach the old primary", aIsReached) +
          flag("the new holder knew the old primary", aKnewPrimary);
 }
 
 void
-Leave(monitor_fixture& aBench, const left_behind& aLeft)
+ApplyState(monitor_fixture& aFixture, const abandoned_state& aState)
 {
-  aBench.servers["a"].primary = !aLeft.steppedDown;
-  aBench.servers["b"].fencedAt = aLeft.isFencedB ? 2 : 0;
-  aBench.servers["c"].fencedAt = aLeft.isFencedC ? 2 : 0;
-  aBench.replaced = aLeft.replaced;
-  if (aLeft.isOrdered) {
-    aBench.promoting.push_back({ "b", aBench.now + 600ms });
+  aFixture.servers["a"].primary = !aState.steppedDown;
+  aFixture.servers["b"].fencedAt = aState.isFencedB ? 2 : 0;
+  aFixture.servers["c"].fencedAt = aState.isFencedC ? 2 : 0;
+  aFixture.replaced = aState.replaced;
+  if (aState.isPromotionRequested) {
+    aFixture.pendingPromotions.push_back({ "b", aFixture.now + 600ms });
   }
 }
 
 /// Maximum time without a primary after a takeover was abandoned: 1.5 s, plus
 /// the time that the platform takes to promote.
-constexpr auto kAtMost = 1500ms + 300ms;
+constexpr auto kMaxOutage = 1500ms + 300ms;
 
 } // namespace
 
@@ -88,47 +89,48 @@
 
 TEST(abandoned_takeovers, leave_no_group_without_a_primary)
 {
-  for (const auto& left : AllThatIsLeft()) {
-    for (const bool isHeard : { false, true }) {
+  for (const auto& state : AllAbandonedStates()) {
+    for (const bool isReached : { false, true }) {
       for (const bool knewPrimary : { false, true }) {
-        const auto name = NameOf(left, isHeard, knewPrimary);
-        monitor_fixture made;
-        made.vms = { { "vm-2" } };
+        const auto name = NameOf(state, isReached, knewPrimary);
+        monitor_fixture fixture;
+        fixture.vms = { { "vm-2" } };
         if (knewPrimary) {
-          made.lead.ConfirmationNeeded(made.now);
-          made.Run(500ms);
-          CHECK_TEXT(made.lead.Confirmation().primary == "a", name.c_str());
+          fixture.monitor.ConfirmationNeeded(fixture.now);
+          fixture.Run(500ms);
+          CHECK_TEXT(fixture.monitor.Confirmation().primary == "a",
+                     name.c_str());
         }
-        Leave(made, left);
-        made.lead.SetReplacedTerm(left.replaced, made.now);
-        made.everyStep = [&made, isHeard] {
-          const auto revoked = made.lead.WatchUpdate().revokedTerm;
-          const auto heardAt = isHeard ? made.now : clock::time_point{};
-          made.lead.ReachUpdateReceived(
-            "vm-2", { 1, "a", heardAt, revoked, made.now }, made.now);
+        ApplyState(fixture, state);
+        fixture.monitor.SetReplacedTerm(state.replaced, fixture.now);
+        fixture.onStep = [&fixture, isReached] {
+          const auto revoked = fixture.monitor.WatchUpdate().revokedTerm;
+          const auto heardAt = isReached ? fixture.now : clock::time_point{};
+          fixture.monitor.ReachUpdateReceived(
+            "vm-2", { 1, "a", heardAt, revoked, fixture.now }, fixture.now);
         };
         // The takeover took this long, so that earlier confirmations have
         // expired.
-        made.Run(1000ms);
-        made.lead.SetFailoverLock(true, 8, made.now);
-        const auto from = made.now;
-        const auto isProved = [&made] {
-          const auto& confirmation = made.lead.Confirmation();
+        fixture.Run(1000ms);
+        fixture.monitor.SetFailoverLock(true, 8, fixture.now);
+        const auto from = fixture.now;
+        const auto isConfirmed = [&fixture] {
+          const auto& confirmation = fixture.monitor.Confirmation();
           return confirmation.term != 0 &&
-                 made.now < confirmation.askedAt + 1000ms &&
-                 made.servers[confirmation.primary].primary;
+                 fixture.now < confirmation.askedAt + 1000ms &&
+                 fixture.servers[confirmation.primary].primary;
         };
-        while (!isProved() && made.now < from + 20s) {
-          made.Run(kStep);
+        while (!isConfirmed() && fixture.now < from + 20s) {
+          fixture.Run(kStep);
         }
-        CHECK_TEXT(isProved(), name.c_str());
+        CHECK_TEXT(isConfirmed(), name.c_str());
         const auto took = std::chrono::duration_cast<std::chrono::milliseconds>(
-          made.now - from);
-        CHECK_TEXT(took <= kAtMost,
+          fixture.now - from);
+        CHECK_TEXT(took <= kMaxOutage,
                    (name + std::to_string(took.count()) + " ms").c_str());
-        made.Run(5000ms);
-        CHECK_TEXT(isProved(), (name + "later").c_str());
-        LONGS_EQUAL_TEXT(0, made.unsafe, name.c_str());
+        fixture.Run(5000ms);
+        CHECK_TEXT(isConfirmed(), (name + "later").c_str());
+        LONGS_EQUAL_TEXT(0, fixture.unsafePromotions, name.c_str());
       }
     }
   }
@@ -152,26 +154,26 @@
     { "another VM holds the lock", false, false, 0, "" },
   };
   for (const auto& row : rows) {
-    monitor_fixture made;
-    made.lead.SetFailoverLock(true, 7, made.now);
-    made.Run(1000ms);
-    made.lead.SetFailoverLock(row.holdsLock, 7, made.now);
-    for (auto& [id, server] : made.servers) {
+    monitor_fixture fixture;
+    fixture.monitor.SetFailoverLock(true, 7, fixture.now);
+    fixture.Run(1000ms);
+    fixture.monitor.SetFailoverLock(row.holdsLock, 7, fixture.now);
+    for (auto& [id, server] : fixture.servers) {
       server.answers = row.answer;
     }
     // The last confirmation expires within 1 s; the first line is due one
     // second later.
-    made.Run(4500ms);
-    std::vector<std::string> told;
-    for (const auto& note : made.notes) {
-      if (note.rfind("unproved ", 0) == 0) {
-        told.push_back(note);
+    fixture.Run(4500ms);
+    std::vector<std::string> logged;
+    for (const auto& line : fixture.logLines) {
+      if (line.rfind("unproved ", 0) == 0) {
+        logged.push_back(line);
       }
     }
-    CHECK_EQUAL_TEXT(row.lines, told.size(), row.name);
-    for (const auto& note : told) {
-      CHECK_TEXT(note.find(row.has) != std::string::npos, note.c_str());
-      CHECK_TEXT(note.find("since_ms=") != std::string::npos, note.c_str());
+    CHECK_EQUAL_TEXT(row.lines, logged.size(), row.name);
+    for (const auto& line : logged) {
+      CHECK_TEXT(line.find(row.has) != std::string::npos, line.c_str());
+      CHECK_TEXT(line.find("since_ms=") != std::string::npos, line.c_str());
     }
   }
 }
--- a/test/currantshed/lead/delayed_monitor.cpp
+++ b/test/currantshed/lead/delayed_monitor.cpp
@@ -21,22 +21,22 @@
 
 namespace {
 
-struct watcher_row
+struct delay_row
 {
   const char* name;
   /// Scheduling delay of the VM.
-  std::chrono::milliseconds late;
+  std::chrono::milliseconds delay;
   /// Whose answers it reads in time.
   bool readsPrimary;
   bool readsOthers;
   /// Age of the latest reachability update on the primary when it is read; long
   /// if no VM reaches the primary.
-  std::chrono::milliseconds heardBefore;
+  std::chrono::milliseconds updateAge;
   /// Maximum time until the primary is replaced; zero if it must stay.
   std::chrono::milliseconds atMost;
 };
 
-const watcher_row kWatcherRows[] = {
+const delay_row kDelayRows[] = {
   { "delayed, and reads no answers", 660ms, false, false, 840ms, 0ms },
   { "delayed more, and reads no answers", 860ms, false, false, 1290ms, 0ms },
   { "delayed, and reads the replicas' answers",
@@ -66,29 +66,29 @@
 
 TEST(delayed_monitor, declares_no_primary_lost_that_others_use)
 {
-  for (const auto& row : kWatcherRows) {
-    monitor_fixture made;
-    made.lead.SetFailoverLock(true, 7, made.now);
-    made.Run(2000ms);
-    CHECK_TEXT(made.lead.Confirmation().primary == "a", row.name);
-    made.failsAfter = 200ms;
-    made.servers["a"].answers = row.readsPrimary;
-    made.servers["b"].answers = row.readsOthers;
-    made.servers["c"].answers = row.readsOthers;
-    const auto from = made.now;
-    while (made.now < from + 5s && made.promoted.empty()) {
-      made.now += row.late;
-      const auto heardAt = made.now - row.heardBefore;
-      made.lead.ReachUpdateReceived(
-        "vm-2", { 1, "a", heardAt, 0, heardAt }, made.now);
-      made.Run(kStep);
+  for (const auto& row : kDelayRows) {
+    monitor_fixture fixture;
+    fixture.monitor.SetFailoverLock(true, 7, fixture.now);
+    fixture.Run(2000ms);
+    CHECK_TEXT(fixture.monitor.Confirmation().primary == "a", row.name);
+    fixture.queryTimeout = 200ms;
+    fixture.servers["a"].answers = row.readsPrimary;
+    fixture.servers["b"].answers = row.readsOthers;
+    fixture.servers["c"].answers = row.readsOthers;
+    const auto from = fixture.now;
+    while (fixture.now < from + 5s && fixture.promoted.empty()) {
+      fixture.now += row.delay;
+      const auto heardAt = fixture.now - row.updateAge;
+      fixture.monitor.ReachUpdateReceived(
+        "vm-2", { 1, "a", heardAt, 0, heardAt }, fixture.now);
+      fixture.Run(kStep);
     }
-    const auto took = made.now - from;
+    const auto took = fixture.now - from;
     if (row.atMost == 0ms) {
-      CHECK_TEXT(made.revocations.empty(), row.name);
-      CHECK_TEXT(made.promoted.empty(), row.name);
+      CHECK_TEXT(fixture.revocations.empty(), row.name);
+      CHECK_TEXT(fixture.promoted.empty(), row.name);
     } else {
-      CHECK_TEXT(!made.promoted.empty(), row.name);
+      CHECK_TEXT(!fixture.promoted.empty(), row.name);
       CHECK_TEXT(took <= row.atMost, row.name);
     }
   }
@@ -103,7 +103,7 @@
     const char* name;
     bool holdsLock;
     bool answers;
-    bool doubts;
+    bool suspects;
   };
   const row rows[] = {
     { "the primary answers", true, true, false },
@@ -111,13 +111,14 @@
     { "another VM monitors the group", false, false, false },
   };
   for (const auto& row : rows) {
-    monitor_fixture made;
-    made.lead.SetFailoverLock(row.holdsLock, 7, made.now);
-    made.lead.ConfirmationNeeded(made.now);
-    made.Run(500ms);
-    CHECK_FALSE_TEXT(made.lead.SuspectsPrimary(made.now), row.name);
-    made.servers["a"].answers = row.answers;
-    made.Run(500ms);
-    CHECK_EQUAL_TEXT(row.doubts, made.lead.SuspectsPrimary(made.now), row.name);
+    monitor_fixture fixture;
+    fixture.monitor.SetFailoverLock(row.holdsLock, 7, fixture.now);
+    fixture.monitor.ConfirmationNeeded(fixture.now);
+    fixture.Run(500ms);
+    CHECK_FALSE_TEXT(fixture.monitor.SuspectsPrimary(fixture.now), row.name);
+    fixture.servers["a"].answers = row.answers;
+    fixture.Run(500ms);
+    CHECK_EQUAL_TEXT(
+      row.suspects, fixture.monitor.SuspectsPrimary(fixture.now), row.name);
   }
 }
--- a/test/currantshed/lead/draining_primary.cpp
+++ b/test/currantshed/lead/draining_primary.cpp
@@ -14,17 +14,18 @@
 using namespace std::chrono_literals;
 using test::kStep;
 using test::monitor_fixture;
-using test::ReachOf;
+using test::ReceiveReachUpdate;
 
 namespace {
 
 void
-Leave(monitor_fixture& aBench)
+StartDraining(monitor_fixture& aFixture)
 {
-  aBench.lead.Configure({ { "a", false, true }, { "b" }, { "c" } }, aBench.now);
+  aFixture.monitor.Configure({ { "a", false, true }, { "b" }, { "c" } },
+                             aFixture.now);
 }
 
-struct leaving_row
+struct draining_row
 {
   const char* name;
   /// What happens to the primary, which is draining from then on.
@@ -35,42 +36,46 @@
   std::chrono::milliseconds atMost;
 };
 
-const leaving_row kLeavingRows[] = {
-  { "this VM reaches it", Leave, [](monitor_fixture&) {}, 1000ms },
+const draining_row kDrainingRows[] = {
+  { "this VM reaches it", StartDraining, [](monitor_fixture&) {}, 1000ms },
   { "only other VMs reach it",
-    [](monitor_fixture& aBench) {
-      aBench.servers["a"].answers = false;
-      aBench.servers["a"].answersOthers = true;
-      aBench.vms = { { "vm-2" } };
-      aBench.everyStep = [&aBench] { ReachOf(aBench, "vm-2", 0); };
-      Leave(aBench);
+    [](monitor_fixture& aFixture) {
+      aFixture.servers["a"].answers = false;
+      aFixture.servers["a"].answersThroughOthers = true;
+      aFixture.vms = { { "vm-2" } };
+      aFixture.onStep = [&aFixture] {
+        ReceiveReachUpdate(aFixture, "vm-2", 0);
+      };
+      StartDraining(aFixture);
     },
     [](monitor_fixture&) {},
     3500ms },
   { "only other VMs reach it, long before it drains",
-    [](monitor_fixture& aBench) {
-      aBench.servers["a"].answers = false;
-      aBench.vms = { { "vm-2" } };
-      aBench.everyStep = [&aBench] { ReachOf(aBench, "vm-2", 0); };
-      aBench.Run(3000ms);
-      Leave(aBench);
+    [](monitor_fixture& aFixture) {
+      aFixture.servers["a"].answers = false;
+      aFixture.vms = { { "vm-2" } };
+      aFixture.onStep = [&aFixture] {
+        ReceiveReachUpdate(aFixture, "vm-2", 0);
+      };
+      aFixture.Run(3000ms);
+      StartDraining(aFixture);
     },
     [](monitor_fixture&) {},
     3500ms },
   { "it stops answering as it drains",
-    [](monitor_fixture& aBench) {
-      aBench.servers["a"].answers = false;
-      Leave(aBench);
+    [](monitor_fixture& aFixture) {
+      aFixture.servers["a"].answers = false;
+      StartDraining(aFixture);
     },
     [](monitor_fixture&) {},
     3500ms },
   { "it exits while the takeover waits for it",
-    [](monitor_fixture& aBench) {
-      aBench.servers["a"].answers = false;
-      Leave(aBench);
+    [](monitor_fixture& aFixture) {
+      aFixture.servers["a"].answers = false;
+      StartDraining(aFixture);
     },
-    [](monitor_fixture& aBench) {
-      aBench.lead.Configure({ { "b" }, { "c" } }, aBench.now);
+    [](monitor_fixture& aFixture) {
+      aFixture.monitor.Configure({ { "b" }, { "c" } }, aFixture.now);
     },
     3500ms },
 };
@@ -81,20 +86,21 @@
 
 TEST(draining_primary, is_replaced_whichever_VM_reaches_it)
 {
-  for (const auto& row : kLeavingRows) {
-    monitor_fixture made;
-    made.lead.SetFailoverLock(true, 7, made.now);
-    made.Run(2000ms);
-    CHECK_TEXT(made.lead.Confirmation().primary == "a", row.name);
-    row.given(made);
-    const auto from = made.now;
-    made.Run(500ms);
-    row.later(made);
-    while (made.lead.Confirmation().term != 2 && made.now < from + 20s) {
-      made.Run(kStep);
+  for (const auto& row : kDrainingRows) {
+    monitor_fixture fixture;
+    fixture.monitor.SetFailoverLock(true, 7, fixture.now);
+    fixture.Run(2000ms);
+    CHECK_TEXT(fixture.monitor.Confirmation().primary == "a", row.name);
+    row.given(fixture);
+    const auto from = fixture.now;
+    fixture.Run(500ms);
+    row.later(fixture);
+    while (fixture.monitor.Confirmation().term != 2 &&
+           fixture.now < from + 20s) {
+      fixture.Run(kStep);
     }
-    CHECK_TEXT(made.lead.Confirmation().term == 2, row.name);
-    CHECK_TEXT(made.lead.Confirmation().primary != "a", row.name);
-    CHECK_TEXT(made.now - from <= row.atMost, row.name);
+    CHECK_TEXT(fixture.monitor.Confirmation().term == 2, row.name);
+    CHECK_TEXT(fixture.monitor.Confirmation().primary != "a", row.name);
+    CHECK_TEXT(fixture.now - from <= row.atMost, row.name);
   }
 }
--- a/test/currantshed/lead/empty_candidates.cpp
+++ b/test/currantshed/lead/empty_candidates.cpp
@@ -17,26 +17,27 @@
 
 TEST(empty_candidates, are_not_promoted_over_a_server_with_acknowledged_commits)
 {
-  monitor_fixture made;
-  made.promotesAfter = 1000ms;
-  made.servers["a"].received = { 1, 20 };
-  made.servers["b"].received = { 1, 20 };
-  made.lead.SetFailoverLock(true, 7, made.now);
-  made.Run(2000ms);
-  made.lead.Configure({ { "a", false, true }, { "b" }, { "c" } }, made.now);
-  made.Run(100ms);
-  made.promoting.clear();
+  monitor_fixture fixture;
+  fixture.promotionDelay = 1000ms;
+  fixture.servers["a"].received = { 1, 20 };
+  fixture.servers["b"].received = { 1, 20 };
+  fixture.monitor.SetFailoverLock(true, 7, fixture.now);
+  fixture.Run(2000ms);
+  fixture.monitor.Configure({ { "a", false, true }, { "b" }, { "c" } },
+                            fixture.now);
+  fixture.Run(100ms);
+  fixture.pendingPromotions.clear();
   const proxy::start_time again{ 2000ms };
-  made.servers["b"].received = { 1, 0 };
-  made.servers["c"].received = { 1, 0 };
-  made.lead.Configure({ { "a", false, true },
-                        { "b", false, false, again },
-                        { "c", false, false, again } },
-                      made.now);
-  const auto ordered = made.promoted.size();
-  made.Run(3000ms);
-  for (auto order = ordered; order < made.promoted.size(); ++order) {
-    CHECK(made.promoted[order] == "a");
+  fixture.servers["b"].received = { 1, 0 };
+  fixture.servers["c"].received = { 1, 0 };
+  fixture.monitor.Configure({ { "a", false, true },
+                              { "b", false, false, again },
+                              { "c", false, false, again } },
+                            fixture.now);
+  const auto ordered = fixture.promoted.size();
+  fixture.Run(3000ms);
+  for (auto order = ordered; order < fixture.promoted.size(); ++order) {
+    CHECK(fixture.promoted[order] == "a");
   }
-  CHECK(made.promoted.size() > ordered);
+  CHECK(fixture.promoted.size() > ordered);
 }
--- a/test/currantshed/lead/forwarded_updates.cpp
+++ b/test/currantshed/lead/forwarded_updates.cpp
@@ -10,22 +10,22 @@
 namespace {
 
 /// An update of a lock holder, as it arrives over some path.
-struct word
+struct received_update
 {
   std::uint64_t epoch;
   std::uint64_t sequence;
   position::term_id revoked;
 };
 
-struct order_row
+struct promotion_row
 {
   const char* name;
-  std::vector<word> heard;
+  std::vector<received_update> received;
   /// The revoked term that the VM acknowledges in the end.
-  position::term_id obeyed;
+  position::term_id acknowledged;
 };
 
-const order_row kRows[] = {
+const promotion_row kRows[] = {
   { "a revocation", { { 9, 1, 1 } }, 1 },
   { "a revocation that is lifted", { { 9, 1, 1 }, { 9, 2, 0 } }, 0 },
   { "the update before a revocation arrives after it over a slower path",
@@ -53,48 +53,50 @@
 TEST(forwarded_updates, apply_in_the_order_in_which_they_were_sent)
 {
   for (const auto& row : kRows) {
-    monitor_fixture made;
-    for (const auto& one : row.heard) {
-      made.lead.WatchUpdateReceived(
-        { {}, std::nullopt, one.revoked, one.epoch, one.sequence }, made.now);
+    monitor_fixture fixture;
+    for (const auto& one : row.received) {
+      fixture.monitor.WatchUpdateReceived(
+        { {}, std::nullopt, one.revoked, one.epoch, one.sequence },
+        fixture.now);
     }
-    CHECK_TEXT(made.lead.ReachUpdate(std::nullopt).acknowledgedTerm ==
-                 row.obeyed,
+    CHECK_TEXT(fixture.monitor.ReachUpdate(std::nullopt).acknowledgedTerm ==
+                 row.acknowledged,
                row.name);
-    const auto passedOn = made.lead.ForwardedUpdate();
-    CHECK_TEXT(passedOn.revokedTerm == row.obeyed, row.name);
+    const auto forwarded = fixture.monitor.ForwardedUpdate();
+    CHECK_TEXT(forwarded.revokedTerm == row.acknowledged, row.name);
   }
 }
 
 TEST(forwarded_updates, the_sequence_rises_with_each_revocation_change)
 {
-  monitor_fixture made;
-  made.lead.SetFailoverLock(true, 9, made.now);
-  made.Run(1000ms);
-  const auto before = made.lead.WatchUpdate();
+  monitor_fixture fixture;
+  fixture.monitor.SetFailoverLock(true, 9, fixture.now);
+  fixture.Run(1000ms);
+  const auto before = fixture.monitor.WatchUpdate();
   CHECK(before.epoch == 9);
   CHECK(before.revokedTerm == 0);
-  made.Run(1000ms);
-  CHECK(made.lead.WatchUpdate().sequence == before.sequence);
-  made.servers["a"].answers = false;
-  for (int step = 0; step < 300 && made.lead.WatchUpdate().revokedTerm == 0;
+  fixture.Run(1000ms);
+  CHECK(fixture.monitor.WatchUpdate().sequence == before.sequence);
+  fixture.servers["a"].answers = false;
+  for (int step = 0;
+       step < 300 && fixture.monitor.WatchUpdate().revokedTerm == 0;
        ++step) {
-    made.Run(10ms);
+    fixture.Run(10ms);
   }
-  const auto revoking = made.lead.WatchUpdate();
+  const auto revoking = fixture.monitor.WatchUpdate();
   CHECK(revoking.revokedTerm == 1);
   CHECK(revoking.sequence > before.sequence);
 }
 
 TEST(forwarded_updates, carry_the_position_sample)
 {
-  monitor_fixture made;
-  const proxy::position_sample sample{ 1, { 1, 10 }, made.now };
-  made.lead.WatchUpdateReceived({ { 1, "a", made.now }, sample, 0, 9, 0 },
-                                made.now);
-  const auto passedOn = made.lead.ForwardedUpdate();
-  CHECK(passedOn.confirmation.primary == "a");
-  CHECK(passedOn.sample.has_value());
-  CHECK(passedOn.sample->position == sample.position);
-  CHECK(passedOn.epoch == 9);
+  monitor_fixture fixture;
+  const proxy::position_sample sample{ 1, { 1, 10 }, fixture.now };
+  fixture.monitor.WatchUpdateReceived(
+    { { 1, "a", fixture.now }, sample, 0, 9, 0 }, fixture.now);
+  const auto forwarded = fixture.monitor.ForwardedUpdate();
+  CHECK(forwarded.confirmation.primary == "a");
+  CHECK(forwarded.sample.has_value());
+  CHECK(forwarded.sample->position == sample.position);
+  CHECK(forwarded.epoch == 9);
 }
--- a/test/currantshed/lead/group_monitor.cpp
+++ b/test/currantshed/lead/group_monitor.cpp
@@ -19,11 +19,11 @@
 using test::kStart;
 using test::kStep;
 using test::monitor_fixture;
-using test::ReachOf;
+using test::ReceiveReachUpdate;
 
 namespace {
 
-struct watch_row
+struct takeover_row
 {
   const char* name;
   std::function<void(monitor_fixture&)> given;
@@ -34,84 +34,88 @@
   std::chrono::milliseconds atMost;
 };
 
-const watch_row kWatchRows[] = {
+const takeover_row kTakeoverRows[] = {
   { "a healthy primary stays", [](monitor_fixture&) {}, "", 0ms, 0ms },
   { "an unresponsive primary is replaced by the server with the longest log",
-    [](monitor_fixture& aBench) {
-      aBench.servers["a"].answers = false;
-      aBench.servers["c"].received = { 1, 11 };
+    [](monitor_fixture& aFixture) {
+      aFixture.servers["a"].answers = false;
+      aFixture.servers["c"].received = { 1, 11 };
     },
     "c",
     600ms,
     1600ms },
   { "an unresponsive primary that another VM reaches stays",
-    [](monitor_fixture& aBench) {
-      aBench.servers["a"].answers = false;
-      aBench.everyStep = [&aBench] { ReachOf(aBench, "vm-2", 0); };
+    [](monitor_fixture& aFixture) {
+      aFixture.servers["a"].answers = false;
+      aFixture.onStep = [&aFixture] {
+        ReceiveReachUpdate(aFixture, "vm-2", 0);
+      };
     },
     "",
     0ms,
     0ms },
   { "a VM that does not acknowledge delays the promotion until expiry",
-    [](monitor_fixture& aBench) {
-      aBench.servers["a"].answers = false;
-      aBench.vms = { { "vm-2" } };
+    [](monitor_fixture& aFixture) {
+      aFixture.servers["a"].answers = false;
+      aFixture.vms = { { "vm-2" } };
     },
     "b",
     1600ms,
     2600ms },
   { "an unknown list of VMs delays the promotion until expiry",
-    [](monitor_fixture& aBench) {
-      aBench.servers["a"].answers = false;
-      aBench.vms.reset();
+    [](monitor_fixture& aFixture) {
+      aFixture.servers["a"].answers = false;
+      aFixture.vms.reset();
     },
     "b",
     1600ms,
     2600ms },
   { "a VM that acknowledges at once causes no delay",
-    [](monitor_fixture& aBench) {
-      aBench.servers["a"].answers = false;
-      aBench.vms = { { "vm-2" } };
-      aBench.everyStep = [&aBench] {
-        const bool told =
-          !aBench.revocations.empty() && aBench.revocations.back() == 1;
-        aBench.lead.ReachUpdateReceived(
-          "vm-2", { 1, "", {}, told ? 1U : 0U, aBench.now }, aBench.now);
+    [](monitor_fixture& aFixture) {
+      aFixture.servers["a"].answers = false;
+      aFixture.vms = { { "vm-2" } };
+      aFixture.onStep = [&aFixture] {
+        const bool isRevoked =
+          !aFixture.revocations.empty() && aFixture.revocations.back() == 1;
+        aFixture.monitor.ReachUpdateReceived(
+          "vm-2",
+          { 1, "", {}, isRevoked ? 1U : 0U, aFixture.now },
+          aFixture.now);
       };
     },
     "b",
     600ms,
     1600ms },
   { "one of three servers is no majority for a takeover",
-    [](monitor_fixture& aBench) {
-      aBench.servers["a"].answers = false;
-      aBench.servers["b"].answers = false;
-      aBench.vms = { { "vm-2" } };
+    [](monitor_fixture& aFixture) {
+      aFixture.servers["a"].answers = false;
+      aFixture.servers["b"].answers = false;
+      aFixture.vms = { { "vm-2" } };
     },
     "",
     0ms,
     0ms },
   { "a draining primary is replaced by a server with its whole log",
-    [](monitor_fixture& aBench) {
-      aBench.servers["a"].received = { 1, 20 };
-      aBench.servers["c"].received = { 1, 20 };
-      aBench.lead.Configure({ { "a", false, true }, { "b" }, { "c" } },
-                            aBench.now);
+    [](monitor_fixture& aFixture) {
+      aFixture.servers["a"].received = { 1, 20 };
+      aFixture.servers["c"].received = { 1, 20 };
+      aFixture.monitor.Configure({ { "a", false, true }, { "b" }, { "c" } },
+                                 aFixture.now);
     },
     "c",
     0ms,
     1000ms },
   { "a server that the platform rejects is skipped",
-    [](monitor_fixture& aBench) {
-      aBench.servers["a"].answers = false;
-      aBench.servers["b"].received = { 1, 11 };
-      aBench.rejectsFirst = true;
+    [](monitor_fixture& aFixture) {
+      aFixture.servers["a"].answers = false;
+      aFixture.servers["b"].received = { 1, 11 };
+      aFixture.rejectsFirst = true;
     },
     "c",
     600ms,
     1900ms },
   { "a group without a primary gets one",
-    [](monitor_fixture& aBench) { aBench.servers["a"].primary = false; },
+    [](monitor_fixture& aFixture) { aFixture.servers["a"].primary = false; },
     "a",
     1200ms,
     4500ms },
@@ -123,65 +127,67 @@
 
 TEST(group_monitor, monitors_and_replaces_the_primary)
 {
-  for (const auto& row : kWatchRows) {
-    monitor_fixture made;
-    made.lead.SetFailoverLock(true, 7, made.now);
-    made.Run(2000ms);
-    CHECK_TEXT(made.promoted.empty(), row.name);
-    CHECK_TEXT(!made.proofs.empty(), row.name);
-    row.given(made);
-    const auto from = made.now;
+  for (const auto& row : kTakeoverRows) {
+    monitor_fixture fixture;
+    fixture.monitor.SetFailoverLock(true, 7, fixture.now);
+    fixture.Run(2000ms);
+    CHECK_TEXT(fixture.promoted.empty(), row.name);
+    CHECK_TEXT(!fixture.confirmations.empty(), row.name);
+    row.given(fixture);
+    const auto from = fixture.now;
     clock::time_point at{};
-    while (made.now < from + 6s) {
-      made.Run(kStep);
-      if (at == clock::time_point{} && made.lead.Confirmation().term == 2) {
-        at = made.now;
+    while (fixture.now < from + 6s) {
+      fixture.Run(kStep);
+      if (at == clock::time_point{} &&
+          fixture.monitor.Confirmation().term == 2) {
+        at = fixture.now;
       }
     }
     if (row.promoted.empty()) {
-      CHECK_TEXT(made.promoted.empty(), row.name);
+      CHECK_TEXT(fixture.promoted.empty(), row.name);
       continue;
     }
     CHECK_TEXT(at != clock::time_point{}, row.name);
-    CHECK_TEXT(made.promoted.back() == row.promoted, row.name);
+    CHECK_TEXT(fixture.promoted.back() == row.promoted, row.name);
     CHECK_TEXT(at - from >= row.atLeast, row.name);
     CHECK_TEXT(at - from <= row.atMost, row.name);
-    CHECK_TEXT(made.lead.Confirmation().primary == row.promoted, row.name);
-    CHECK_TEXT(made.revocations.back() == 0, row.name);
+    CHECK_TEXT(fixture.monitor.Confirmation().primary == row.promoted,
+               row.name);
+    CHECK_TEXT(fixture.revocations.back() == 0, row.name);
   }
 }
 
 TEST(group_monitor, an_old_primary_that_comes_back_steps_down)
 {
-  monitor_fixture made;
-  made.lead.SetFailoverLock(true, 7, made.now);
-  made.Run(2000ms);
-  made.servers["a"].answers = false;
-  made.Run(3000ms);
-  CHECK(made.lead.Confirmation().term == 2);
-  made.servers["a"].answers = true;
-  made.Run(3000ms);
-  CHECK(!made.servers["a"].primary);
-  CHECK(made.lead.Confirmation().primary == "b");
+  monitor_fixture fixture;
+  fixture.monitor.SetFailoverLock(true, 7, fixture.now);
+  fixture.Run(2000ms);
+  fixture.servers["a"].answers = false;
+  fixture.Run(3000ms);
+  CHECK(fixture.monitor.Confirmation().term == 2);
+  fixture.servers["a"].answers = true;
+  fixture.Run(3000ms);
+  CHECK(!fixture.servers["a"].primary);
+  CHECK(fixture.monitor.Confirmation().primary == "b");
   // The fences of the takeover are lifted.
-  CHECK_EQUAL(0, static_cast<int>(made.servers["c"].fencedAt));
+  CHECK_EQUAL(0, static_cast<int>(fixture.servers["c"].fencedAt));
 }
 
 TEST(group_monitor,
      a_primary_that_only_other_VMs_reach_is_confirmed_through_them)
 {
-  monitor_fixture made;
-  made.lead.SetFailoverLock(true, 7, made.now);
-  made.Run(2000ms);
-  made.servers["a"].answers = false;
-  made.servers["a"].answersOthers = true;
-  made.everyStep = [&made] { ReachOf(made, "vm-2", 0); };
-  made.Run(3000ms);
+  monitor_fixture fixture;
+  fixture.monitor.SetFailoverLock(true, 7, fixture.now);
+  fixture.Run(2000ms);
+  fixture.servers["a"].answers = false;
+  fixture.servers["a"].answersThroughOthers = true;
+  fixture.onStep = [&fixture] { ReceiveReachUpdate(fixture, "vm-2", 0); };
+  fixture.Run(3000ms);
   for (int step = 0; step < 300; ++step) {
-    made.Run(kStep);
-    CHECK(made.now < made.lead.Confirmation().askedAt + 1000ms);
+    fixture.Run(kStep);
+    CHECK(fixture.now < fixture.monitor.Confirmation().askedAt + 1000ms);
   }
-  CHECK(made.promoted.empty());
+  CHECK(fixture.promoted.empty());
 }
 
 namespace {
@@ -191,7 +197,7 @@
   const char* name;
   std::function<void(monitor_fixture&)> given;
   /// Whether the majority of the old term counts as a confirmation.
-  bool proves;
+  bool confirms;
 };
 
 // The servers are in the state after a promotion of c, which this VM cannot
@@ -201,36 +207,38 @@
     [](monitor_fixture&) {},
     true },
   { "the store shows that the term was replaced",
-    [](monitor_fixture& aBench) { aBench.replaced = 1; },
+    [](monitor_fixture& aFixture) { aFixture.replaced = 1; },
     false },
   { "the store does not answer",
-    [](monitor_fixture& aBench) { aBench.replaced.reset(); },
+    [](monitor_fixture& aFixture) { aFixture.replaced.reset(); },
     false },
   { "the store does not answer, but all members report the same",
-    [](monitor_fixture& aBench) {
-      aBench.replaced.reset();
-      aBench.servers["c"].answers = true;
+    [](monitor_fixture& aFixture) {
+      aFixture.replaced.reset();
+      aFixture.servers["c"].answers = true;
     },
     true },
   { "all answer, and one is primary of a newer term",
-    [](monitor_fixture& aBench) {
-      aBench.replaced.reset();
-      auto& promoted = aBench.servers["c"];
+    [](monitor_fixture& aFixture) {
+      aFixture.replaced.reset();
+      auto& promoted = aFixture.servers["c"];
       promoted.answers = true;
       promoted.primary = true;
       promoted.term = 2;
     },
     false },
   { "all answer, and a former primary has a newer term",
-    [](monitor_fixture& aBench) {
-      aBench.replaced.reset();
-      auto& promoted = aBench.servers["c"];
+    [](monitor_fixture& aFixture) {
+      aFixture.replaced.reset();
+      auto& promoted = aFixture.servers["c"];
       promoted.answers = true;
       promoted.term = 2;
     },
     false },
   { "a VM that knows of the replacement sends no query",
-    [](monitor_fixture& aBench) { aBench.lead.SetReplacedTerm(1, aBench.now); },
+    [](monitor_fixture& aFixture) {
+      aFixture.monitor.SetReplacedTerm(1, aFixture.now);
+    },
     false },
 };
 
@@ -240,78 +248,78 @@
      a_majority_after_a_pause_counts_only_if_its_term_was_not_replaced)
 {
   for (const auto& row : kMajorityRows) {
-    monitor_fixture made;
-    made.servers["c"].answers = false;
-    row.given(made);
-    made.lead.ConfirmationNeeded(made.now);
-    made.Run(900ms);
-    const auto& confirmation = made.lead.Confirmation();
-    CHECK_TEXT((confirmation.term == 1) == row.proves, row.name);
+    monitor_fixture fixture;
+    fixture.servers["c"].answers = false;
+    row.given(fixture);
+    fixture.monitor.ConfirmationNeeded(fixture.now);
+    fixture.Run(900ms);
+    const auto& confirmation = fixture.monitor.Confirmation();
+    CHECK_TEXT((confirmation.term == 1) == row.confirms, row.name);
   }
 }
 
 TEST(group_monitor, a_confirmation_that_is_renewed_in_time_needs_no_store_read)
 {
-  monitor_fixture made;
-  made.lead.ConfirmationNeeded(made.now);
-  made.Run(100ms);
-  made.servers["c"].answers = false;
-  made.replaced.reset();
+  monitor_fixture fixture;
+  fixture.monitor.ConfirmationNeeded(fixture.now);
+  fixture.Run(100ms);
+  fixture.servers["c"].answers = false;
+  fixture.replaced.reset();
   for (int step = 0; step < 300; ++step) {
-    made.lead.ConfirmationNeeded(made.now);
-    made.Run(kStep);
-    CHECK(made.now < made.lead.Confirmation().askedAt + 1000ms);
+    fixture.monitor.ConfirmationNeeded(fixture.now);
+    fixture.Run(kStep);
+    CHECK(fixture.now < fixture.monitor.Confirmation().askedAt + 1000ms);
   }
-  CHECK_EQUAL(0, made.checks);
+  CHECK_EQUAL(0, fixture.storeReads);
 }
 
 TEST(group_monitor, an_old_primary_that_is_back_during_the_promotion_steps_down)
 {
-  monitor_fixture made;
-  made.lead.SetFailoverLock(true, 7, made.now);
-  made.Run(2000ms);
-  made.servers["a"].answers = false;
-  made.takesOrders = false;
-  made.Run(2500ms);
-  CHECK(made.lead.IsTakeoverActive());
-  CHECK(made.replacedInOrder == 1);
-  made.servers["a"].answers = true;
-  made.Run(200ms);
-  CHECK(!made.servers["a"].primary);
+  monitor_fixture fixture;
+  fixture.monitor.SetFailoverLock(true, 7, fixture.now);
+  fixture.Run(2000ms);
+  fixture.servers["a"].answers = false;
+  fixture.acceptsRequests = false;
+  fixture.Run(2500ms);
+  CHECK(fixture.monitor.IsTakeoverActive());
+  CHECK(fixture.requestedReplacedTerm == 1);
+  fixture.servers["a"].answers = true;
+  fixture.Run(200ms);
+  CHECK(!fixture.servers["a"].primary);
 }
 
 TEST(group_monitor, a_silent_primary_is_lost_within_its_bound)
 {
-  monitor_fixture made;
-  made.failsAfter = lead::monitor_settings{}.askTimeout;
-  made.lead.SetFailoverLock(true, 7, made.now);
-  made.Run(2000ms);
-  made.servers["a"].answers = false;
+  monitor_fixture fixture;
+  fixture.queryTimeout = lead::monitor_settings{}.askTimeout;
+  fixture.monitor.SetFailoverLock(true, 7, fixture.now);
+  fixture.Run(2000ms);
+  fixture.servers["a"].answers = false;
   // Regular traffic had its last answer a little after the last report.
-  made.heardAt = made.now;
-  const auto from = made.now;
-  while (!made.lead.IsTakeoverActive() && made.now < from + 3s) {
-    made.Run(kStep);
+  fixture.heardAt = fixture.now;
+  const auto from = fixture.now;
+  while (!fixture.monitor.IsTakeoverActive() && fixture.now < from + 3s) {
+    fixture.Run(kStep);
   }
-  CHECK(made.now - from >= 600ms);
-  CHECK(made.now - from <= 800ms);
+  CHECK(fixture.now - from >= 600ms);
+  CHECK(fixture.now - from <= 800ms);
 }
 
 TEST(group_monitor,
      a_group_whose_replacement_was_recorded_but_not_carried_out_gets_a_primary)
 {
-  monitor_fixture made;
-  made.lead.SetReplacedTerm(1, made.now);
-  made.replaced = 1;
-  made.lead.SetFailoverLock(true, 8, made.now);
-  made.everyStep = [&made] { ReachOf(made, "vm-2", 0); };
-  made.Run(5000ms);
-  CHECK(made.lead.Confirmation().term == 2);
+  monitor_fixture fixture;
+  fixture.monitor.SetReplacedTerm(1, fixture.now);
+  fixture.replaced = 1;
+  fixture.monitor.SetFailoverLock(true, 8, fixture.now);
+  fixture.onStep = [&fixture] { ReceiveReachUpdate(fixture, "vm-2", 0); };
+  fixture.Run(5000ms);
+  CHECK(fixture.monitor.Confirmation().term == 2);
 }
 
 namespace {
 
-struct stranded_row
+struct abandoned_row
 {
   const char* name;
   position::term_id replaced;
@@ -321,7 +329,7 @@
 };
 
 // A lock holder fenced the replicas and froze; the primary is healthy.
-constexpr stranded_row kStrandedRows[] = {
+constexpr abandoned_row kAbandonedRows[] = {
   { "the replacement was not recorded: the primary stays", 0, 1, "a" },
   { "it was recorded, so a promotion may be in flight", 1, 2, "a" },
 };
@@ -330,166 +338,169 @@
 
 TEST(group_monitor, a_group_left_fenced_by_a_former_lock_holder_recovers)
 {
-  for (const auto& row : kStrandedRows) {
-    monitor_fixture made;
-    made.servers["b"].fencedAt = 2;
-    made.servers["c"].fencedAt = 2;
-    made.liftsFences = true;
-    made.replaced = row.replaced;
-    made.lead.SetReplacedTerm(row.replaced, made.now);
-    made.lead.SetFailoverLock(true, 8, made.now);
-    made.Run(6000ms);
-    CHECK_TEXT(made.lead.Confirmation().term == row.term, row.name);
-    CHECK_TEXT(made.lead.Confirmation().primary == row.primary, row.name);
-    CHECK_TEXT(made.now < made.lead.Confirmation().askedAt + 1000ms, row.name);
+  for (const auto& row : kAbandonedRows) {
+    monitor_fixture fixture;
+    fixture.servers["b"].fencedAt = 2;
+    fixture.servers["c"].fencedAt = 2;
+    fixture.liftsFences = true;
+    fixture.replaced = row.replaced;
+    fixture.monitor.SetReplacedTerm(row.replaced, fixture.now);
+    fixture.monitor.SetFailoverLock(true, 8, fixture.now);
+    fixture.Run(6000ms);
+    CHECK_TEXT(fixture.monitor.Confirmation().term == row.term, row.name);
+    CHECK_TEXT(fixture.monitor.Confirmation().primary == row.primary, row.name);
+    CHECK_TEXT(fixture.now < fixture.monitor.Confirmation().askedAt + 1000ms,
+               row.name);
   }
 }
 
 TEST(group_monitor, an_abandoned_takeover_invalidates_earlier_confirmations)
 {
-  monitor_fixture made;
-  made.lead.SetFailoverLock(true, 7, made.now);
-  made.Run(2000ms);
-  made.servers["a"].answers = false;
-  made.takesOrders = false;
-  made.Run(1500ms);
-  CHECK(made.lead.IsTakeoverActive());
-  made.servers["a"].answers = true;
-  made.servers["b"].fencedAt = 0;
-  made.servers["c"].fencedAt = 0;
-  const auto proofs = made.proofs.size();
-  made.replaced = 1;
-  made.lead.SetFailoverLock(false, 7, made.now);
-  made.lead.ConfirmationNeeded(made.now);
-  made.servers["c"].answers = false;
-  made.Run(500ms);
-  CHECK_EQUAL(proofs, made.proofs.size());
+  monitor_fixture fixture;
+  fixture.monitor.SetFailoverLock(true, 7, fixture.now);
+  fixture.Run(2000ms);
+  fixture.servers["a"].answers = false;
+  fixture.acceptsRequests = false;
+  fixture.Run(1500ms);
+  CHECK(fixture.monitor.IsTakeoverActive());
+  fixture.servers["a"].answers = true;
+  fixture.servers["b"].fencedAt = 0;
+  fixture.servers["c"].fencedAt = 0;
+  const auto confirmations = fixture.confirmations.size();
+  fixture.replaced = 1;
+  fixture.monitor.SetFailoverLock(false, 7, fixture.now);
+  fixture.monitor.ConfirmationNeeded(fixture.now);
+  fixture.servers["c"].answers = false;
+  fixture.Run(500ms);
+  CHECK_EQUAL(confirmations, fixture.confirmations.size());
 }
 
 TEST(group_monitor, a_busy_witness_does_not_interrupt_confirmation)
 {
   for (const char* busy : { "b", "c" }) {
-    monitor_fixture made;
-    made.lead.SetFailoverLock(true, 7, made.now);
-    made.Run(2000ms);
-    made.servers[busy].busy = true;
+    monitor_fixture fixture;
+    fixture.monitor.SetFailoverLock(true, 7, fixture.now);
+    fixture.Run(2000ms);
+    fixture.servers[busy].busy = true;
     for (int step = 0; step < 500; ++step) {
-      made.Run(kStep);
-      CHECK_TEXT(made.now < made.lead.Confirmation().askedAt + 1000ms, busy);
+      fixture.Run(kStep);
+      CHECK_TEXT(fixture.now < fixture.monitor.Confirmation().askedAt + 1000ms,
+                 busy);
     }
   }
 }
 
 TEST(group_monitor, a_second_takeover_chooses_its_own_candidate)
 {
-  monitor_fixture made;
-  made.lead.SetFailoverLock(true, 7, made.now);
-  made.Run(2000ms);
-  made.servers["a"].answers = false;
-  made.Run(3000ms);
-  CHECK(made.promoted.back() == "b");
-  made.servers["a"].answers = true;
-  made.Run(3000ms);
-  made.lead.Configure({ { "a" }, { "b", false, true }, { "c" } }, made.now);
-  made.Run(1000ms);
-  CHECK(made.promoted.back() != "b");
+  monitor_fixture fixture;
+  fixture.monitor.SetFailoverLock(true, 7, fixture.now);
+  fixture.Run(2000ms);
+  fixture.servers["a"].answers = false;
+  fixture.Run(3000ms);
+  CHECK(fixture.promoted.back() == "b");
+  fixture.servers["a"].answers = true;
+  fixture.Run(3000ms);
+  fixture.monitor.Configure({ { "a" }, { "b", false, true }, { "c" } },
+                            fixture.now);
+  fixture.Run(1000ms);
+  CHECK(fixture.promoted.back() != "b");
 }
 
 TEST(group_monitor, without_the_lock_it_queries_only_on_demand)
 {
-  monitor_fixture made;
-  made.Run(3000ms);
-  CHECK_EQUAL(0, made.Count(command_kind::kReport));
-  made.lead.ConfirmationNeeded(made.now);
-  made.Run(100ms);
-  CHECK(made.lead.Confirmation().term == 1);
+  monitor_fixture fixture;
+  fixture.Run(3000ms);
+  CHECK_EQUAL(0, fixture.Count(command_kind::kReport));
+  fixture.monitor.ConfirmationNeeded(fixture.now);
+  fixture.Run(100ms);
+  CHECK(fixture.monitor.Confirmation().term == 1);
   // The VM that promotes would not know of a VM that queries while it may not
   // confirm.
-  monitor_fixture barred;
-  barred.lead.SetMayConfirm(false);
-  barred.lead.ConfirmationNeeded(barred.now);
-  barred.Run(500ms);
-  CHECK_EQUAL(0, barred.Count(command_kind::kReport));
+  monitor_fixture unregistered;
+  unregistered.monitor.SetMayConfirm(false);
+  unregistered.monitor.ConfirmationNeeded(unregistered.now);
+  unregistered.Run(500ms);
+  CHECK_EQUAL(0, unregistered.Count(command_kind::kReport));
 }
 
 TEST(group_monitor, an_interim_monitor_confirms_but_starts_no_takeover)
 {
-  monitor_fixture made;
-  made.lead.SetIsInterim(true);
-  made.lead.SetFailoverLock(false, 9, made.now);
-  made.Run(1500ms);
-  CHECK(made.now < made.lead.Confirmation().askedAt + 500ms);
-  CHECK(made.lead.AnnouncesStatus());
+  monitor_fixture fixture;
+  fixture.monitor.SetIsInterim(true);
+  fixture.monitor.SetFailoverLock(false, 9, fixture.now);
+  fixture.Run(1500ms);
+  CHECK(fixture.now < fixture.monitor.Confirmation().askedAt + 500ms);
+  CHECK(fixture.monitor.AnnouncesStatus());
   // An interim monitor's update must not lift a revocation of the last lock
   // holder.
-  CHECK(made.lead.WatchUpdate().epoch == 0);
-  made.servers["a"].answers = false;
-  made.Run(4000ms);
-  CHECK(made.promoted.empty());
-  CHECK_EQUAL(0, made.Count(command_kind::kFence));
+  CHECK(fixture.monitor.WatchUpdate().epoch == 0);
+  fixture.servers["a"].answers = false;
+  fixture.Run(4000ms);
+  CHECK(fixture.promoted.empty());
+  CHECK_EQUAL(0, fixture.Count(command_kind::kFence));
 }
 
 TEST(group_monitor, a_revocation_holds_until_lifted_or_expired)
 {
-  monitor_fixture made;
+  monitor_fixture fixture;
   const lead::watch_update revokes{ {}, std::nullopt, 1, 9 };
-  made.lead.WatchUpdateReceived(revokes, made.now);
-  CHECK(made.lead.ReachUpdate(std::nullopt).acknowledgedTerm == 1);
-  made.lead.ConfirmationNeeded(made.now);
-  made.Run(900ms);
-  CHECK(made.proofs.empty());
+  fixture.monitor.WatchUpdateReceived(revokes, fixture.now);
+  CHECK(fixture.monitor.ReachUpdate(std::nullopt).acknowledgedTerm == 1);
+  fixture.monitor.ConfirmationNeeded(fixture.now);
+  fixture.Run(900ms);
+  CHECK(fixture.confirmations.empty());
   // An update with an older epoch is ignored.
-  made.lead.WatchUpdateReceived({ {}, std::nullopt, 0, 8 }, made.now);
-  CHECK(made.lead.ReachUpdate(std::nullopt).acknowledgedTerm == 1);
-  made.lead.WatchUpdateReceived({ {}, std::nullopt, 0, 9 }, made.now);
-  CHECK(made.lead.ReachUpdate(std::nullopt).acknowledgedTerm == 0);
-  made.lead.WatchUpdateReceived(revokes, made.now);
-  made.Run(5200ms);
-  CHECK(made.lead.ReachUpdate(std::nullopt).acknowledgedTerm == 0);
+  fixture.monitor.WatchUpdateReceived({ {}, std::nullopt, 0, 8 }, fixture.now);
+  CHECK(fixture.monitor.ReachUpdate(std::nullopt).acknowledgedTerm == 1);
+  fixture.monitor.WatchUpdateReceived({ {}, std::nullopt, 0, 9 }, fixture.now);
+  CHECK(fixture.monitor.ReachUpdate(std::nullopt).acknowledgedTerm == 0);
+  fixture.monitor.WatchUpdateReceived(revokes, fixture.now);
+  fixture.Run(5200ms);
+  CHECK(fixture.monitor.ReachUpdate(std::nullopt).acknowledgedTerm == 0);
 }
 
 TEST(group_monitor,
      the_first_confirmation_of_a_term_carries_the_primarys_position)
 {
-  monitor_fixture made;
-  made.lead.ConfirmationNeeded(made.now);
-  made.Run(50ms);
-  CHECK(made.lead.Confirmation().term == 1);
-  CHECK_EQUAL(1U, made.samples.size());
-  CHECK(made.samples.front().term == 1);
-  CHECK(made.samples.front().position == made.servers["a"].received);
+  monitor_fixture fixture;
+  fixture.monitor.ConfirmationNeeded(fixture.now);
+  fixture.Run(50ms);
+  CHECK(fixture.monitor.Confirmation().term == 1);
+  CHECK_EQUAL(1U, fixture.samples.size());
+  CHECK(fixture.samples.front().term == 1);
+  CHECK(fixture.samples.front().position == fixture.servers["a"].received);
 }
 
 TEST(group_monitor, a_VM_that_is_not_registered_accepts_no_confirmation)
 {
-  monitor_fixture made;
-  made.lead.SetMayConfirm(false);
-  made.lead.WatchUpdateReceived({ { 1, "a", made.now }, std::nullopt, 0, 9 },
-                                made.now);
-  made.Run(50ms);
-  CHECK(made.proofs.empty());
-  made.lead.SetMayConfirm(true);
-  made.lead.WatchUpdateReceived({ { 1, "a", made.now }, std::nullopt, 0, 9 },
-                                made.now);
-  made.Run(50ms);
-  CHECK_EQUAL(1U, made.proofs.size());
+  monitor_fixture fixture;
+  fixture.monitor.SetMayConfirm(false);
+  fixture.monitor.WatchUpdateReceived(
+    { { 1, "a", fixture.now }, std::nullopt, 0, 9 }, fixture.now);
+  fixture.Run(50ms);
+  CHECK(fixture.confirmations.empty());
+  fixture.monitor.SetMayConfirm(true);
+  fixture.monitor.WatchUpdateReceived(
+    { { 1, "a", fixture.now }, std::nullopt, 0, 9 }, fixture.now);
+  fixture.Run(50ms);
+  CHECK_EQUAL(1U, fixture.confirmations.size());
 }
 
 namespace {
 
 /// Number of queries of VMs that share one group and receive no updates from a
 /// lock holder, where each forwards its results to all others.
-struct island_row
+struct stagger_row
 {
   const char* name;
   std::size_t vms;
-  bool passOn;
+  bool forwards;
   /// Bounds on the queries per VM and second.
   double atLeast;
   double atMost;
 };
 
-const island_row kIslands[] = {
+const stagger_row kStaggerRows[] = {
   { "one VM", 1, true, 2.0, 8.0 },
   { "six VMs that forward results", 6, true, 0.3, 2.5 },
   { "forty VMs that forward results", 40, true, 0.05, 0.8 },
@@ -502,39 +513,39 @@
      VMs_without_a_lock_holder_stagger_queries_and_forward_results)
 {
   constexpr int kSeconds = 5;
-  for (const auto& row : kIslands) {
+  for (const auto& row : kStaggerRows) {
     std::vector<std::unique_ptr<monitor_fixture>> all;
     for (std::size_t i = 0; i < row.vms; ++i) {
       all.push_back(std::make_unique<monitor_fixture>());
       const auto place = static_cast<double>(i) / static_cast<double>(row.vms);
-      all.back()->lead.SetQueryStagger(row.vms, place);
+      all.back()->monitor.SetQueryStagger(row.vms, place);
     }
     int gaps = 0;
     for (int step = 0; step < kSeconds * 100; ++step) {
       for (auto& one : all) {
-        one->lead.ConfirmationNeeded(one->now);
-        const auto before = one->passedOn;
+        one->monitor.ConfirmationNeeded(one->now);
+        const auto before = one->forwarded;
         one->Run(kStep);
-        const bool tells = row.passOn && one->passedOn > before;
+        const bool forwardsNow = row.forwards && one->forwarded > before;
         for (auto& other : all) {
-          if (tells && other != one) {
-            other->lead.WatchUpdateReceived(one->lead.WatchUpdate(),
-                                            other->now);
+          if (forwardsNow && other != one) {
+            other->monitor.WatchUpdateReceived(one->monitor.WatchUpdate(),
+                                               other->now);
           }
         }
       }
       for (const auto& one : all) {
-        const bool proved =
-          one->now < one->lead.Confirmation().askedAt + 1000ms;
-        gaps += step > 100 && !proved ? 1 : 0;
+        const bool confirmed =
+          one->now < one->monitor.Confirmation().askedAt + 1000ms;
+        gaps += step > 100 && !confirmed ? 1 : 0;
       }
     }
-    int asked = 0;
+    int queries = 0;
     for (const auto& one : all) {
-      asked += one->Count(command_kind::kReport);
+      queries += one->Count(command_kind::kReport);
     }
     const auto each =
-      static_cast<double>(asked) / static_cast<double>(row.vms) / kSeconds;
+      static_cast<double>(queries) / static_cast<double>(row.vms) / kSeconds;
     CHECK_EQUAL_TEXT(0, gaps, row.name);
     CHECK_TEXT(each >= row.atLeast && each <= row.atMost,
                (std::string(row.name) + ": " + std::to_string(each)).c_str());
--- a/test/currantshed/lead/monitor_fixture.hpp
+++ b/test/currantshed/lead/monitor_fixture.hpp
@@ -27,7 +27,7 @@
 {
   bool answers = true;
   /// Answers commands that arrive through other VMs.
-  bool answersOthers = false;
+  bool answersThroughOthers = false;
   /// Answers that it is busy.
   bool busy = false;
   bool primary = false;
@@ -41,49 +41,49 @@
 {
 public:
   monitor_fixture()
-    : lead({})
+    : monitor({})
   {
     servers["a"].primary = true;
     servers["b"];
     servers["c"];
-    lead.Configure({ { "a" }, { "b" }, { "c" } }, now);
+    monitor.Configure({ { "a" }, { "b" }, { "c" } }, now);
   }
 
   /// Advances the time and answers all queries at once.
   void Run(std::chrono::milliseconds aSpan)
   {
     for (const auto end = now + aSpan; now < end; now += kStep) {
-      lead.Tick(now);
+      monitor.Tick(now);
       Perform();
-      TakeEffect();
+      ApplyPromotions();
       FailPending();
-      if (everyStep) {
-        everyStep();
+      if (onStep) {
+        onStep();
       }
     }
   }
 
   [[nodiscard]] int Count(command_kind aKind) const
   {
-    const auto found = asked.find(aKind);
-    return found == asked.end() ? 0 : found->second;
+    const auto found = commandCounts.find(aKind);
+    return found == commandCounts.end() ? 0 : found->second;
   }
 
-  group_monitor lead;
+  group_monitor monitor;
   clock::time_point now = kStart;
   std::map<std::string, fake_server> servers;
-  std::map<command_kind, int> asked;
+  std::map<command_kind, int> commandCounts;
   std::vector<std::string> promoted;
   std::vector<position::term_id> revocations;
-  std::vector<proxy::confirmation> proofs;
+  std::vector<proxy::confirmation> confirmations;
   std::vector<proxy::position_sample> samples;
   /// Number of confirmations to be forwarded to other VMs.
-  int passedOn = 0;
-  bool takesOrders = true;
+  int forwarded = 0;
+  bool acceptsRequests = true;
   bool rejectsFirst = false;
   /// The VMs that the store lists; empty while the store does not answer.
   std::optional<std::vector<std::string>> vms{ std::vector<std::string>{} };
-  std::function<void()> everyStep;
+  std::function<void()> onStep;
   /// Promotions that have yet to take effect, in order of request.
   struct pending_promotion
   {
@@ -91,37 +91,37 @@
     clock::time_point at;
   };
 
-  std::vector<pending_promotion> promoting;
+  std::vector<pending_promotion> pendingPromotions;
   /// Time from a promotion request to its effect.
-  std::chrono::milliseconds promotesAfter{ 300 };
+  std::chrono::milliseconds promotionDelay{ 300 };
   /// Whether the platform responds to requests that it accepts.
-  bool answersOrders = true;
+  bool answersRequests = true;
   /// Promotions that took effect while a confirmation of another primary was
   /// valid.
-  int unsafe = 0;
+  int unsafePromotions = 0;
   /// Whether a promotion lifts all fences, as the platform does on servers that
   /// it reaches.
   bool liftsFences = false;
   /// Timeout of a query without an answer.
-  std::chrono::milliseconds failsAfter{ 0 };
+  std::chrono::milliseconds queryTimeout{ 0 };
   /// When regular traffic last heard from servers that do not answer.
   std::optional<clock::time_point> heardAt;
   /// The replaced term that the store shows; empty while the store does not
   /// answer.
   std::optional<position::term_id> replaced{ 0 };
-  int checks = 0;
+  int storeReads = 0;
   /// The replaced term in the last promotion request.
-  position::term_id replacedInOrder = 0;
+  position::term_id requestedReplacedTerm = 0;
   /// Log lines.
-  std::vector<std::string> notes;
+  std::vector<std::string> logLines;
   /// Queries that will fail, and when.
-  std::vector<std::pair<std::string, clock::time_point>> pending;
+  std::vector<std::pair<std::string, clock::time_point>> pendingFailures;
 
 private:
   void Perform()
   {
-    for (auto actions = lead.TakeActions(); !actions.empty();
-         actions = lead.TakeActions()) {
+    for (auto actions = monitor.TakeActions(); !actions.empty();
+         actions = monitor.TakeActions()) {
       for (const auto& action : actions) {
         std::visit([this](const auto& aOne) { Do(aOne); }, action);
       }
@@ -130,18 +130,18 @@
 
   void Do(const lead::send_command& aAction)
   {
-    ++asked[aAction.command.kind];
+    ++commandCounts[aAction.command.kind];
     auto& server = servers[aAction.server];
-    if (!server.answers && !(server.answersOthers && !aAction.direct)) {
-      if (failsAfter > 0ms) {
-        pending.push_back({ aAction.server, now + failsAfter });
+    if (!server.answers && !(server.answersThroughOthers && !aAction.direct)) {
+      if (queryTimeout > 0ms) {
+        pendingFailures.push_back({ aAction.server, now + queryTimeout });
       } else {
-        lead.ServerFailed(aAction.server, std::nullopt, now);
+        monitor.ServerFailed(aAction.server, std::nullopt, now);
       }
       return;
     }
     if (server.busy) {
-      lead.ServerAnswered(aAction.server, std::nullopt, now, now);
+      monitor.ServerAnswered(aAction.server, std::nullopt, now, now);
       return;
     }
     switch (aAction.command.kind) {
@@ -162,41 +162,41 @@
     report.term = server.term;
     report.received = server.received;
     report.fencedAt = server.fencedAt;
-    lead.ServerAnswered(aAction.server, report, now, now);
+    monitor.ServerAnswered(aAction.server, report, now, now);
   }
 
   void Do(const lead::request_promotion& aAction)
   {
-    replacedInOrder = aAction.replacedTerm;
-    if (!takesOrders) {
-      lead.PromotionAnswered(false, false, now);
+    requestedReplacedTerm = aAction.replacedTerm;
+    if (!acceptsRequests) {
+      monitor.PromotionAnswered(false, false, now);
       return;
     }
     const bool rejects = rejectsFirst && promoted.empty();
     promoted.push_back(aAction.server);
     if (!rejects) {
-      promoting.push_back({ aAction.server, now + promotesAfter });
+      pendingPromotions.push_back({ aAction.server, now + promotionDelay });
     }
-    lead.PromotionAnswered(!rejects && answersOrders, rejects, now);
+    monitor.PromotionAnswered(!rejects && answersRequests, rejects, now);
   }
 
   void Do(const lead::read_replaced_term&)
   {
-    ++checks;
-    lead.ReplacedTermRead(replaced, now);
+    ++storeReads;
+    monitor.ReplacedTermRead(replaced, now);
   }
 
   void Do(const lead::list_vms&)
   {
     if (vms) {
-      lead.VmsListed(*vms, now, now);
+      monitor.VmsListed(*vms, now, now);
     }
   }
 
   void Do(const lead::publish_confirmation& aAction)
   {
-    proofs.push_back(aAction.confirmation);
-    passedOn += aAction.isOwn ? 1 : 0;
+    confirmations.push_back(aAction.confirmation);
+    forwarded += aAction.isOwn ? 1 : 0;
   }
 
   void Do(const lead::publish_sample& aAction)
@@ -211,30 +211,30 @@
 
   void Do(const lead::log_step& aAction)
   {
-    notes.push_back(aAction.step + " " + aAction.detail);
+    logLines.push_back(aAction.step + " " + aAction.detail);
   }
 
   void FailPending()
   {
-    for (auto due = pending; !due.empty(); due.erase(due.begin())) {
+    for (auto due = pendingFailures; !due.empty(); due.erase(due.begin())) {
       if (now >= due.front().second) {
-        pending.erase(pending.begin());
-        lead.ServerFailed(due.front().first, heardAt, now);
+        pendingFailures.erase(pendingFailures.begin());
+        monitor.ServerFailed(due.front().first, heardAt, now);
       }
     }
   }
 
-  void TakeEffect()
+  void ApplyPromotions()
   {
-    while (!promoting.empty() && now >= promoting.front().at) {
-      const auto promotion = promoting.front();
-      promoting.erase(promoting.begin());
-      Lead(promotion.server);
+    while (!pendingPromotions.empty() && now >= pendingPromotions.front().at) {
+      const auto promotion = pendingPromotions.front();
+      pendingPromotions.erase(pendingPromotions.begin());
+      MakePrimary(promotion.server);
     }
   }
 
   /// Makes the server primary of the next term, unless it is primary already.
-  void Lead(const std::string& aServer)
+  void MakePrimary(const std::string& aServer)
   {
     position::term_id highest = 0;
     for (const auto& [id, one] : servers) {
@@ -244,10 +244,10 @@
     if (server.primary && server.term == highest) {
       return;
     }
-    const auto& confirmation = lead.Confirmation();
+    const auto& confirmation = monitor.Confirmation();
     const bool isHeld = now < confirmation.askedAt + 1000ms &&
-                        confirmation.term > lead.WatchUpdate().revokedTerm;
-    unsafe += isHeld && confirmation.primary != aServer ? 1 : 0;
+                        confirmation.term > monitor.WatchUpdate().revokedTerm;
+    unsafePromotions += isHeld && confirmation.primary != aServer ? 1 : 0;
     server.primary = true;
     server.fencedAt = 0;
     server.term = highest + 1;
@@ -262,10 +262,14 @@
 /// Another VM reports that it has just heard from the primary of the first
 /// term.
 inline void
-ReachOf(monitor_fixture& aBench, const char* aVm, position::term_id aObeyed)
+ReceiveReachUpdate(monitor_fixture& aFixture,
+                   const char* aVm,
+                   position::term_id aAcknowledgedTerm)
 {
-  aBench.lead.ReachUpdateReceived(
-    aVm, { 1, "a", aBench.now, aObeyed, aBench.now }, aBench.now);
+  aFixture.monitor.ReachUpdateReceived(
+    aVm,
+    { 1, "a", aFixture.now, aAcknowledgedTerm, aFixture.now },
+    aFixture.now);
 }
 
 } // namespace currantshed::test
--- a/test/currantshed/lead/pending_promotions.cpp
+++ b/test/currantshed/lead/pending_promotions.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-struct order_row
+struct promotion_row
 {
   const char* name;
   std::function<void(monitor_fixture&)> given;
@@ -29,43 +29,43 @@
 };
 
 void
-Leave(monitor_fixture& aBench, bool aSecond)
+StartDraining(monitor_fixture& aFixture, bool aBDrains)
 {
-  aBench.lead.Configure(
-    { { "a", false, true }, { "b", false, aSecond }, { "c" }, { "d" } },
-    aBench.now);
+  aFixture.monitor.Configure(
+    { { "a", false, true }, { "b", false, aBDrains }, { "c" }, { "d" } },
+    aFixture.now);
 }
 
 /// The promoted server drains, and as soon as another one has been requested, a
 /// third one has the longest log.
 void
-LeaveAndCatchUp(monitor_fixture& aBench)
+DrainAndCatchUp(monitor_fixture& aFixture)
 {
-  Leave(aBench, true);
-  aBench.everyStep = [&aBench] {
-    if (aBench.promoted.back() == "c") {
-      aBench.servers["d"].received = { 1, 20 };
+  StartDraining(aFixture, true);
+  aFixture.onStep = [&aFixture] {
+    if (aFixture.promoted.back() == "c") {
+      aFixture.servers["d"].received = { 1, 20 };
     }
   };
 }
 
-const order_row kRows[] = {
+const promotion_row kRows[] = {
   { "the promoted server drains at once",
-    [](monitor_fixture& aBench) { Leave(aBench, false); },
-    LeaveAndCatchUp },
+    [](monitor_fixture& aFixture) { StartDraining(aFixture, false); },
+    DrainAndCatchUp },
   { "the promoted server is lost at once",
-    [](monitor_fixture& aBench) { Leave(aBench, false); },
-    [](monitor_fixture& aBench) { aBench.servers["b"].answers = false; } },
+    [](monitor_fixture& aFixture) { StartDraining(aFixture, false); },
+    [](monitor_fixture& aFixture) { aFixture.servers["b"].answers = false; } },
   { "it drains at once, and requests were accepted without a response",
-    [](monitor_fixture& aBench) {
-      aBench.answersOrders = false;
-      Leave(aBench, false);
+    [](monitor_fixture& aFixture) {
+      aFixture.answersRequests = false;
+      StartDraining(aFixture, false);
     },
-    LeaveAndCatchUp },
+    DrainAndCatchUp },
   { "a request of the previous lock holder takes effect during the takeover",
-    [](monitor_fixture& aBench) {
-      aBench.promoting.push_back({ "d", aBench.now + 700ms });
-      Leave(aBench, false);
+    [](monitor_fixture& aFixture) {
+      aFixture.pendingPromotions.push_back({ "d", aFixture.now + 700ms });
+      StartDraining(aFixture, false);
     },
     [](monitor_fixture&) {} },
 };
@@ -77,30 +77,31 @@
 TEST(pending_promotions, depose_no_confirmed_primary)
 {
   for (const auto& row : kRows) {
-    monitor_fixture made;
-    made.promotesAfter = 1000ms;
-    made.servers["d"];
-    made.servers["b"].received = { 1, 11 };
-    made.servers["c"].received = { 1, 11 };
-    made.lead.Configure({ { "a" }, { "b" }, { "c" }, { "d" } }, made.now);
-    made.lead.SetFailoverLock(true, 7, made.now);
-    made.Run(2000ms);
-    row.given(made);
-    const auto from = made.now;
+    monitor_fixture fixture;
+    fixture.promotionDelay = 1000ms;
+    fixture.servers["d"];
+    fixture.servers["b"].received = { 1, 11 };
+    fixture.servers["c"].received = { 1, 11 };
+    fixture.monitor.Configure({ { "a" }, { "b" }, { "c" }, { "d" } },
+                              fixture.now);
+    fixture.monitor.SetFailoverLock(true, 7, fixture.now);
+    fixture.Run(2000ms);
+    row.given(fixture);
+    const auto from = fixture.now;
     bool isChanged = false;
-    while (made.now < from + 15s) {
-      made.Run(kStep);
-      if (!isChanged && made.lead.Confirmation().term > 1) {
+    while (fixture.now < from + 15s) {
+      fixture.Run(kStep);
+      if (!isChanged && fixture.monitor.Confirmation().term > 1) {
         isChanged = true;
-        row.then(made);
+        row.then(fixture);
       }
     }
     CHECK_TEXT(isChanged, row.name);
-    CHECK_EQUAL_TEXT(0, made.unsafe, row.name);
+    CHECK_EQUAL_TEXT(0, fixture.unsafePromotions, row.name);
     // In the end a server that stays is the confirmed primary.
-    const auto& confirmation = made.lead.Confirmation();
-    CHECK_TEXT(made.now < confirmation.askedAt + 1000ms, row.name);
-    CHECK_TEXT(made.servers[confirmation.primary].primary, row.name);
+    const auto& confirmation = fixture.monitor.Confirmation();
+    CHECK_TEXT(fixture.now < confirmation.askedAt + 1000ms, row.name);
+    CHECK_TEXT(fixture.servers[confirmation.primary].primary, row.name);
     CHECK_TEXT(confirmation.primary != "a", row.name);
   }
 }
--- a/test/currantshed/lead/restarted_members.cpp
+++ b/test/currantshed/lead/restarted_members.cpp
@@ -26,7 +26,7 @@
   const char* name;
   std::vector<lead::member> next;
   /// Whether the earlier reports still confirm the primary.
-  bool proved;
+  bool confirmed;
 };
 
 const member_row kRows[] = {
@@ -67,13 +67,13 @@
     table.Reported("b", report, kStart, kStart);
     CHECK_TEXT(table.Confirmation().has_value(), row.name);
     table.Configure(row.next, kStart + 100ms);
-    CHECK_TEXT(table.Confirmation().has_value() == row.proved, row.name);
+    CHECK_TEXT(table.Confirmation().has_value() == row.confirmed, row.name);
     // A late answer to a query that was sent to the previous incarnation.
     report.isPrimary = true;
     table.Reported("a", report, kStart + 50ms, kStart + 150ms);
     report.isPrimary = false;
     table.Reported("b", report, kStart + 50ms, kStart + 150ms);
-    CHECK_TEXT(table.Confirmation().has_value() == row.proved, row.name);
+    CHECK_TEXT(table.Confirmation().has_value() == row.confirmed, row.name);
     report.isPrimary = true;
     table.Reported("a", report, kStart + 110ms, kStart + 150ms);
     report.isPrimary = false;
@@ -88,22 +88,23 @@
 // all acknowledged commits.
 TEST(restarted_members, are_not_promoted_by_a_choice_made_before_the_restart)
 {
-  test::monitor_fixture made;
-  made.promotesAfter = 1000ms;
-  made.lead.SetFailoverLock(true, 7, made.now);
-  made.servers["b"].received = { 1, 11 };
-  made.Run(2000ms);
-  made.lead.Configure({ { "a", false, true }, { "b" }, { "c" } }, made.now);
-  made.Run(700ms);
-  CHECK(made.promoted.size() == 1 && made.promoted.back() == "b");
-  made.promoting.clear();
-  made.servers["b"].received = { 1, 0 };
-  made.lead.Configure({ { "a", false, true }, Member("b", 2000ms), { "c" } },
-                      made.now);
-  made.Run(5000ms);
-  CHECK(made.lead.Confirmation().primary == "c");
-  CHECK_EQUAL(0, made.unsafe);
-  for (std::size_t order = 1; order < made.promoted.size(); ++order) {
-    CHECK(made.promoted[order] == "c");
+  test::monitor_fixture fixture;
+  fixture.promotionDelay = 1000ms;
+  fixture.monitor.SetFailoverLock(true, 7, fixture.now);
+  fixture.servers["b"].received = { 1, 11 };
+  fixture.Run(2000ms);
+  fixture.monitor.Configure({ { "a", false, true }, { "b" }, { "c" } },
+                            fixture.now);
+  fixture.Run(700ms);
+  CHECK(fixture.promoted.size() == 1 && fixture.promoted.back() == "b");
+  fixture.pendingPromotions.clear();
+  fixture.servers["b"].received = { 1, 0 };
+  fixture.monitor.Configure(
+    { { "a", false, true }, Member("b", 2000ms), { "c" } }, fixture.now);
+  fixture.Run(5000ms);
+  CHECK(fixture.monitor.Confirmation().primary == "c");
+  CHECK_EQUAL(0, fixture.unsafePromotions);
+  for (std::size_t order = 1; order < fixture.promoted.size(); ++order) {
+    CHECK(fixture.promoted[order] == "c");
   }
 }
