--- a/test/currantshed/lead/scheduling_delay.cpp
+++ b/test/currantshed/lead/scheduling_delay.cpp
@@ -15,7 +15,7 @@
 struct run
 {
   std::chrono::milliseconds at;
-  std::chrono::milliseconds late;
+  std::chrono::milliseconds delay;
 };
 
 struct late_row
@@ -51,10 +51,10 @@
 TEST(scheduling_delay, is_the_recent_maximum_and_decays)
 {
   for (const auto& row : kRows) {
-    lead::scheduling_delay box;
+    lead::scheduling_delay subject;
     for (const auto& one : row.runs) {
-      box.Record(kStart + one.at - one.late, kStart + one.at);
+      subject.Record(kStart + one.at - one.delay, kStart + one.at);
     }
-    CHECK_TEXT(box.At(kStart + row.lookAt) == row.expected, row.name);
+    CHECK_TEXT(subject.At(kStart + row.lookAt) == row.expected, row.name);
   }
 }
--- a/test/currantshed/news/exchange.cpp
+++ b/test/currantshed/news/exchange.cpp
@@ -43,34 +43,34 @@
           1,
           [this](const news::News& aNews,
                  const exchange::clock_converter&,
-                 clock::time_point) { came.push_back(aNews.own_change()); })
+                 clock::time_point) { received.push_back(aNews.own_change()); })
   {
     CHECK_FALSE(own.Listen());
   }
 
   peer self;
-  std::vector<std::uint64_t> came;
+  std::vector<std::uint64_t> received;
   exchange own;
 };
 
 news::News
 Numbered(std::uint64_t aNumber)
 {
-  news::News made;
-  made.set_own_change(aNumber);
-  return made;
+  news::News message;
+  message.set_own_change(aNumber);
+  return message;
 }
 
-struct link_row
+struct connection_row
 {
   const char* name;
   /// Which peers are sent to, and after how long.
   std::vector<std::pair<std::chrono::milliseconds, std::string>> sent;
   std::chrono::milliseconds when;
-  std::size_t links;
+  std::size_t connections;
 };
 
-const link_row kLinkRows[] = {
+const connection_row kConnectionRows[] = {
   { "no message, no connection", {}, 0ms, 0 },
   { "one connection per peer that is sent to",
     { { 0ms, "a" }, { 0ms, "b" } },
@@ -111,7 +111,7 @@
 
 TEST(exchange, a_connection_is_open_while_it_is_used)
 {
-  for (const auto& row : kLinkRows) {
+  for (const auto& row : kConnectionRows) {
     vm one(mContext, mZmq, "one");
     one.own.SetPeers({ { "a", kAddress, 1 }, { "b", kAddress, 1 } });
     for (const auto& [at, to] : row.sent) {
@@ -119,7 +119,7 @@
       one.own.Send(to, Numbered(1), kStart + at);
     }
     one.own.CloseIdle(kStart + row.when);
-    CHECK_EQUAL_TEXT(row.links, one.own.OpenConnectionCount(), row.name);
+    CHECK_EQUAL_TEXT(row.connections, one.own.OpenConnectionCount(), row.name);
   }
 }
 
@@ -134,14 +134,14 @@
   const auto sent = [&](std::uint64_t aNumber, std::chrono::milliseconds aAt) {
     return RunUntil([&] {
       one.own.Send("other", Numbered(aNumber), kStart + aAt);
-      return !other.came.empty() && other.came.back() == aNumber;
+      return !other.received.empty() && other.received.back() == aNumber;
     });
   };
   CHECK(sent(1, 0ms));
   CHECK(sent(2, 200ms));
   one.own.Send("other", Numbered(3), kStart + 100ms);
   CHECK(sent(4, 300ms));
-  for (const auto number : other.came) {
+  for (const auto number : other.received) {
     CHECK(number != 3);
   }
 }
