--- a/src/currantshed/lead/group_monitor.hpp
+++ b/src/currantshed/lead/group_monitor.hpp
@@ -48,7 +48,7 @@
   std::uint64_t sequence = 0;
 };
 
-/// Whether one VM can reach the primary, as it tells the other VMs.
+/// Whether one VM can reach the primary, as reported to the other VMs.
 struct reach_update
 {
   position::term_id term = 0;
--- a/src/currantshed/lead/group_monitor_confirmation.cpp
+++ b/src/currantshed/lead/group_monitor_confirmation.cpp
@@ -23,8 +23,8 @@
 // The VM that monitors a group queries every member at this interval, to detect
 // leftover fences and old primaries.
 constexpr milliseconds kPollInterval{ 2000 };
-// A VM without the failover lock sends its own queries once the confirmation
-// that it was told is valid for less than this.
+// A VM without the failover lock sends its own queries once the latest
+// confirmation that it received is valid for less than this.
 constexpr milliseconds kOwnQueryReserve{ 350 };
 // Stagger between the queries of VMs without the failover lock, and its maximum
 // over all of them. The first answer arrives and is forwarded within about 30
--- a/src/currantshed/lead/group_monitor_failover.cpp
+++ b/src/currantshed/lead/group_monitor_failover.cpp
@@ -133,8 +133,8 @@
 clock::duration
 group_monitor::DelayAllowance(clock::time_point aNow) const
 {
-  constexpr int kWays = 2;
-  return kWays * mSchedulingDelay.At(aNow);
+  constexpr int kDirections = 2;
+  return kDirections * mSchedulingDelay.At(aNow);
 }
 
 bool
--- a/test/currantshed/customer/model.cpp
+++ b/test/currantshed/customer/model.cpp
@@ -54,7 +54,7 @@
   clock::time_point downUntil{};
   clock::time_point frozenUntil{};
   /// Messages that arrived while it was frozen.
-  std::vector<std::function<void()>> held;
+  std::vector<std::function<void()>> deferred;
   int side = 0;
   bool isCutFromStore = false;
   std::uint64_t version = 0;
@@ -64,10 +64,10 @@
   customer::token_accrual share;
   customer::token_buckets buckets{ kWindow };
   customer::token_cache cache;
-  node::token_client desk;
+  node::token_client tokenClient;
   clock::time_point nextShare{};
   /// Requests without a token, and requests that wait to be sent.
-  std::deque<clock::time_point> tokenless;
+  std::deque<clock::time_point> withoutToken;
   std::vector<waiting> toSend;
 };
 
@@ -150,7 +150,7 @@
       others.push_back({ Name(i) });
     }
   }
-  one.desk.SetCoordinators(own, others);
+  one.tokenClient.SetCoordinators(own, others);
   if (mBug == customers_model_bug::kBucketsStartFull) {
     // A third of the whole burst.
     one.buckets = customer::token_buckets{ 0ms };
@@ -176,7 +176,7 @@
       return;
     }
     if (mTime.Now() < to.frozenUntil) {
-      to.held.push_back(what);
+      to.deferred.push_back(what);
     } else {
       what();
     }
@@ -206,7 +206,7 @@
     if (!IsUp(i) || mTime.Now() < mVms[i].frozenUntil) {
       continue;
     }
-    for (auto& what : std::exchange(mVms[i].held, {})) {
+    for (auto& what : std::exchange(mVms[i].deferred, {})) {
       what();
     }
     RunVm(i);
@@ -280,7 +280,7 @@
   auto& one = mVms[aVm];
   const auto now = mTime.Now();
   one.share.Begin(one.startedAt);
-  one.desk.Tick(now);
+  one.tokenClient.Tick(now);
   CheckStore(aVm);
   SendShare(aVm);
   const unsigned asked = mIsLoadSurge ? 150 : 20;
@@ -329,7 +329,7 @@
         BroadcastVerification(aVm);
       };
       if (mTime.Now() < back.frozenUntil) {
-        back.held.push_back(apply);
+        back.deferred.push_back(apply);
       } else {
         apply();
       }
@@ -369,7 +369,7 @@
   auto& one = mVms[aVm];
   const auto now = mTime.Now();
   const auto collector =
-    one.desk.CoordinatorOf(customer::PartitionOf(kCustomer), now);
+    one.tokenClient.CoordinatorOf(customer::PartitionOf(kCustomer), now);
   if (now < one.nextShare || collector.empty()) {
     return;
   }
@@ -412,13 +412,13 @@
     ++refused;
     return;
   }
-  if (one.tokenless.empty() && one.cache.Take(kCustomer, now)) {
+  if (one.withoutToken.empty() && one.cache.Take(kCustomer, now)) {
     one.toSend.push_back(
       { now, now + std::chrono::milliseconds{ mRandom() % kMaxQueueTimeMs } });
     return;
   }
-  one.tokenless.push_back(now);
-  one.desk.Request(kCustomer, 1, now);
+  one.withoutToken.push_back(now);
+  one.tokenClient.Request(kCustomer, 1, now);
 }
 
 void
@@ -426,11 +426,11 @@
 {
   auto& one = mVms[aVm];
   const auto now = mTime.Now();
-  for (auto& ask : one.desk.TakeRequests()) {
+  for (auto& ask : one.tokenClient.TakeRequests()) {
     const auto to = std::stoul(ask.vm);
     if (to == aVm) {
       const auto got = one.buckets.GrantTokens(kCustomer, Limit(), ask.count);
-      one.desk.OnResponse(ask.number, got.count, got.retryAfter, now);
+      one.tokenClient.OnResponse(ask.number, got.count, got.retryAfter, now);
       continue;
     }
     const auto incarnation = one.incarnation;
@@ -439,13 +439,13 @@
         mVms[to].buckets.GrantTokens(kCustomer, Limit(), ask.count);
       Send(to, aVm, [this, aVm, ask, got, incarnation] {
         if (mVms[aVm].incarnation == incarnation) {
-          mVms[aVm].desk.OnResponse(
+          mVms[aVm].tokenClient.OnResponse(
             ask.number, got.count, got.retryAfter, mTime.Now());
         }
       });
     });
   }
-  ApplyOutcomes(aVm, one.desk.TakeResults());
+  ApplyOutcomes(aVm, one.tokenClient.TakeResults());
 }
 
 void
@@ -456,23 +456,24 @@
   const auto now = mTime.Now();
   for (const auto& outcome : aWhat) {
     one.cache.Put(kCustomer, outcome.granted, outcome.askedAt);
-    for (unsigned i = 0; i < outcome.refused && !one.tokenless.empty(); ++i) {
-      one.tokenless.pop_front();
+    for (unsigned i = 0; i < outcome.refused && !one.withoutToken.empty();
+         ++i) {
+      one.withoutToken.pop_front();
       ++refused;
     }
   }
   // Clients disconnect after a short time.
   const auto clientTimeout = mAreClientsImpatient ? 1ms : 200ms;
-  while (!one.tokenless.empty() &&
-         now >= one.tokenless.front() + clientTimeout) {
-    one.tokenless.pop_front();
+  while (!one.withoutToken.empty() &&
+         now >= one.withoutToken.front() + clientTimeout) {
+    one.withoutToken.pop_front();
     ++refused;
   }
-  while (!one.tokenless.empty() && one.cache.Take(kCustomer, now)) {
+  while (!one.withoutToken.empty() && one.cache.Take(kCustomer, now)) {
     one.toSend.push_back(
-      { one.tokenless.front(),
+      { one.withoutToken.front(),
         now + std::chrono::milliseconds{ mRandom() % kMaxQueueTimeMs } });
-    one.tokenless.pop_front();
+    one.withoutToken.pop_front();
   }
 }
 
--- a/test/currantshed/lead/restarted_members.cpp
+++ b/test/currantshed/lead/restarted_members.cpp
@@ -1,6 +1,6 @@
 // A member that restarts under the same id has lost its data. The reports of
 // its previous incarnation must not count towards a majority or make it a
-// candidate for promotion, and the time without an answer is counted anew.
+// candidate for promotion, and the time without an answer starts again.
 #include <chrono>
 #include <vector>
 
--- a/test/currantshed/lead/scheduling_delay.cpp
+++ b/test/currantshed/lead/scheduling_delay.cpp
@@ -18,15 +18,15 @@
   std::chrono::milliseconds delay;
 };
 
-struct late_row
+struct delay_row
 {
   const char* name;
   std::vector<run> runs;
-  std::chrono::milliseconds lookAt;
+  std::chrono::milliseconds readAt;
   std::chrono::milliseconds expected;
 };
 
-const late_row kRows[] = {
+const delay_row kRows[] = {
   { "no work recorded", {}, 0ms, 0ms },
   { "on time", { { 0ms, 0ms } }, 10ms, 0ms },
   { "earlier than scheduled", { { 0ms, -20ms } }, 10ms, 0ms },
@@ -55,6 +55,6 @@
     for (const auto& one : row.runs) {
       subject.Record(kStart + one.at - one.delay, kStart + one.at);
     }
-    CHECK_TEXT(subject.At(kStart + row.lookAt) == row.expected, row.name);
+    CHECK_TEXT(subject.At(kStart + row.readAt) == row.expected, row.name);
   }
 }
--- a/test/currantshed/news/exchange.cpp
+++ b/test/currantshed/news/exchange.cpp
@@ -41,9 +41,11 @@
           aZmq,
           self,
           1,
-          [this](const news::News& aNews,
+          [this](const news::News& aMessage,
                  const exchange::clock_converter&,
-                 clock::time_point) { received.push_back(aNews.own_change()); })
+                 clock::time_point) {
+            received.push_back(aMessage.own_change());
+          })
   {
     CHECK_FALSE(own.Listen());
   }
