--- a/src/currantshed/customer/token_cache.cpp
+++ b/src/currantshed/customer/token_cache.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-// What is not used by then is lost: asking takes a few milliseconds.
-constexpr std::chrono::milliseconds kLife{ 500 };
+// Tokens not used within this time are lost. A request for tokens takes a few
+// milliseconds.
+constexpr std::chrono::milliseconds kTokenLifetime{ 500 };
 
 } // namespace
 
@@ -29,7 +30,7 @@
     return false;
   }
   auto& batches = found->second;
-  while (!batches.empty() && aNow >= batches.front().askedAt + kLife) {
+  while (!batches.empty() && aNow >= batches.front().askedAt + kTokenLifetime) {
     batches.pop_front();
   }
   if (batches.empty()) {
--- a/src/currantshed/lead/clock_offset.cpp
+++ b/src/currantshed/lead/clock_offset.cpp
@@ -6,8 +6,8 @@
 
 using std::chrono::microseconds;
 
-// The clocks of two VMs may drift apart by this part of the time that passes:
-// 200 parts in a million, twice what quartz clocks are specified to.
+// The clocks of two VMs may drift apart by 1/5000 of the elapsed time: 200 ppm,
+// twice the specification of quartz clocks.
 constexpr int kDriftDivisor = 5000;
 
 } // namespace
@@ -16,10 +16,10 @@
 clock_offset::AddSample(microseconds aSentAt, clock::time_point aNow)
 {
   const auto bound = aSentAt - ToWire(aNow);
-  const auto kept = LowerBound(aNow);
-  if (!kept || bound > *kept) {
+  const auto current = LowerBound(aNow);
+  if (!current || bound > *current) {
     mBound = bound;
-    mHeardAt = aNow;
+    mSampledAt = aNow;
   }
 }
 
@@ -29,7 +29,8 @@
   if (!mBound) {
     return std::nullopt;
   }
-  const auto passed = std::chrono::duration_cast<microseconds>(aNow - mHeardAt);
+  const auto passed =
+    std::chrono::duration_cast<microseconds>(aNow - mSampledAt);
   return *mBound - passed / kDriftDivisor;
 }
 
--- a/src/currantshed/lead/group_monitor.hpp
+++ b/src/currantshed/lead/group_monitor.hpp
@@ -18,51 +18,55 @@
 
 namespace currantshed::lead {
 
-/// Times of one group's lead.
+/// Timing of one group's monitoring.
 struct monitor_settings
 {
-  /// How long a proof holds, from its asking. Shorter makes a change of the
-  /// primary faster, longer spares questions.
+  /// How long a confirmation is valid, counted from the time its queries were
+  /// sent. A shorter time makes failover faster, a longer one saves queries.
   std::chrono::milliseconds validity{ 1000 };
-  /// Time between two proofs while this VM watches the group.
+  /// Interval between confirmations at the VM that monitors the group.
   std::chrono::milliseconds askInterval{ 350 };
-  /// A report takes a server under load some 10 ms; two questions that end
-  /// this way fit into the silence after which a primary counts as lost.
+  /// A server under load takes about 10 ms for a report. Two queries that time
+  /// out fit into silentAfter.
   std::chrono::milliseconds askTimeout{ 200 };
-  /// How long the primary must be silent to every VM before it counts as lost.
+  /// How long no VM must have heard from the primary before it counts as lost.
   std::chrono::milliseconds silentAfter{ 600 };
 };
 
-/// What one VM's word on a group says of its watch.
+/// The status of a group as the VM that monitors it announces it.
 struct watch_update
 {
   proxy::confirmation confirmation;
   std::optional<proxy::position_sample> sample;
-  /// The term that no VM may rest on, or zero.
+  /// The term whose confirmations no VM may use, or zero.
   position::term_id revokedTerm = 0;
-  /// Number of the duty of whoever revokes; a higher one overrides.
+  /// Epoch of the failover lock of the VM that revokes; a higher epoch takes
+  /// precedence.
   std::uint64_t epoch = 0;
-  /// Goes up whenever the holder of the duty revokes or lifts a revocation:
-  /// words that come by several ways may overtake each other.
+  /// Incremented whenever the lock holder revokes a term or lifts a revocation,
+  /// since updates that arrive over different paths may be reordered.
   std::uint64_t sequence = 0;
 };
 
-/// What one VM says of its own way to the primary.
+/// Whether one VM can reach the primary, as reported to the other VMs.
 struct reach_update
 {
   position::term_id term = 0;
   upstream::server_id primary;
-  /// When it last heard the primary.
+  /// When it last heard from the primary.
   clock::time_point heardAt;
-  /// The term that it was told not to rest on, and does not.
+  /// The revoked term whose confirmations the VM has stopped using.
   position::term_id acknowledgedTerm = 0;
-  /// When it said so, at the earliest.
+  /// Earliest time at which the VM can have sent this.
   clock::time_point sentAt;
 };
 
-/// One group at one VM: who leads it, with proof; and at the VM that holds the
-/// group's duty, the watch over the primary and its replacement. Does no I/O:
-/// events and the time go in, actions come out.
+/// One VM's view of one group: which server is the confirmed primary and, on
+/// the VM that holds the group's failover lock, monitoring of the primary and
+/// failover. The lock is recorded in the store under a lease, and its epoch
+/// serves as a fencing token. A confirmation says that a majority of the group
+/// followed a primary in a term; it is valid for a limited time. Performs no
+/// I/O: takes events and the current time, and returns actions.
 class group_monitor
 {
 public:
@@ -72,57 +76,62 @@
 
   void Configure(const std::vector<member>& aMembers, clock::time_point aNow);
 
-  /// Whether this VM holds the group's duty, and its number.
+  /// Sets whether this VM holds the group's failover lock, and the lock's
+  /// epoch.
   void SetFailoverLock(bool aHolds,
                        std::uint64_t aEpoch,
                        clock::time_point aNow);
 
-  /// Whether this VM is about to take the duty, which nobody holds: it proves
-  /// the primary for the others, but changes nothing.
-  void SetIsInterim(bool aStandsIn) noexcept { mStandsIn = aStandsIn; }
+  /// Sets whether this VM is the next in line for a failover lock that no VM
+  /// holds. It then confirms the primary on behalf of all VMs, but starts no
+  /// takeover.
+  void SetIsInterim(bool aIsInterim) noexcept { mIsInterim = aIsInterim; }
 
-  /// The other VMs, as read from the store after the given time, and those
-  /// known before that may still run. A VM that is not among them began after
-  /// the old primary could be proved no more.
+  /// The other VMs, as read from the store after aAskedAt, and VMs known
+  /// earlier that may still be running. A VM that is not among them started
+  /// when the old primary could no longer be confirmed.
   void VmsListed(std::vector<std::string> aVms,
                  clock::time_point aAskedAt,
                  clock::time_point aNow);
 
-  /// The newest term that a change of the primary has replaced, as the store
-  /// shows it: no proof of it or an earlier one holds.
+  /// The latest term that a takeover has replaced, according to the store.
+  /// Confirmations of this or an earlier term are not valid.
   void SetReplacedTerm(position::term_id aTerm, clock::time_point aNow);
 
-  /// The newest term that this VM knows to be replaced, by the store or since a
-  /// later one is proved.
+  /// The latest term that this VM knows to be replaced, either from the store
+  /// or because a later term is confirmed.
   [[nodiscard]] position::term_id ReplacedTerm() const noexcept;
 
-  /// The same, read from the store since the check was asked for; none when
-  /// the store could not be read.
+  /// The result of read_replaced_term; empty if the store could not be read.
   void ReplacedTermRead(std::optional<position::term_id> aReplaced,
                         clock::time_point aNow);
 
-  /// Whether this VM may have proofs yet: before it stands in the store,
-  /// whoever promotes does not know that it may rest on one.
-  void SetMayConfirm(bool aMayAsk) { mMayAsk = aMayAsk; }
+  /// Sets whether this VM may obtain confirmations. Before it is registered in
+  /// the store, the VM that promotes does not know that this one may be using a
+  /// confirmation.
+  void SetMayConfirm(bool aMayConfirm) { mMayConfirm = aMayConfirm; }
 
-  /// How many VMs may ask for proofs of this group, and this VM's place among
-  /// them, from 0 to below 1. Without a word of the holder they ask one after
-  /// the other and pass on what they learn.
-  void SetQueryStagger(std::size_t aVms, double aPlace);
+  /// Sets how many VMs may query this group and this VM's place among them, in
+  /// [0, 1). While no update arrives from the lock holder, the VMs stagger
+  /// their queries and forward the results to each other.
+  void SetQueryStagger(std::size_t aVms, double aFraction);
 
-  /// Whether another VM passes on what is known of the group: it is asked
-  /// first, and given time to answer.
+  /// Sets whether another VM forwards updates on the group to this one. That VM
+  /// is then asked first and given time to answer.
   void SetIsForwarded(bool aIsForwarded) noexcept
   {
     mIsForwarded = aIsForwarded;
   }
 
-  /// Requests need a proof.
+  /// Requests are waiting for a confirmation.
   void ConfirmationNeeded(clock::time_point aNow);
 
-  /// A server denied that it leads in that term.
+  /// A server reported that it is not the primary of that term.
   void LeadershipDenied(position::term_id aTerm, clock::time_point aNow);
 
+  /// The results of send_command. An answer without a report means that the
+  /// server is busy. After a failure, aHeardAt is the time at which regular
+  /// traffic last heard from the server, if known.
   void ServerAnswered(const upstream::server_id& aServer,
                       const std::optional<proxy::server_report>& aReport,
                       clock::time_point aAskedAt,
@@ -130,18 +139,22 @@
   void ServerFailed(const upstream::server_id& aServer,
                     std::optional<clock::time_point> aHeardAt,
                     clock::time_point aNow);
-  void PromotionAnswered(bool aTaken, bool aRejected, clock::time_point aNow);
+  /// The result of request_promotion: whether the platform accepted the
+  /// request, or rejected the server as one that cannot be promoted.
+  void PromotionAnswered(bool aAccepted,
+                         bool aRejected,
+                         clock::time_point aNow);
 
-  /// What another VM says; times are of this VM's clock.
-  void WatchUpdateReceived(const watch_update& aNews, clock::time_point aNow);
+  /// Updates from other VMs, with all times converted to this VM's clock.
+  void WatchUpdateReceived(const watch_update& aUpdate, clock::time_point aNow);
   void ReachUpdateReceived(const std::string& aVm,
-                           const reach_update& aNews,
+                           const reach_update& aUpdate,
                            clock::time_point aNow);
 
-  /// What this VM says to others. The reach is when traffic last heard the
-  /// primary.
+  /// The updates that this VM sends to others. aHeardAt is the time at which
+  /// regular traffic last heard from the primary.
   [[nodiscard]] watch_update WatchUpdate() const;
-  /// What it passes on of what it was told by whoever holds the duty.
+  /// The latest update from the lock holder, for forwarding.
   [[nodiscard]] watch_update ForwardedUpdate() const;
   [[nodiscard]] reach_update ReachUpdate(
     std::optional<clock::time_point> aHeardAt) const;
@@ -152,16 +165,16 @@
 
   [[nodiscard]] const proxy::confirmation& Confirmation() const noexcept
   {
-    return mProof;
+    return mConfirmation;
   }
   [[nodiscard]] bool HoldsFailoverLock() const noexcept { return mHoldsLock; }
-  /// Whether its word on the group is for all VMs.
+  /// Whether this VM announces the group's status to all VMs.
   [[nodiscard]] bool AnnouncesStatus() const noexcept
   {
-    return mHoldsLock || mStandsIn;
+    return mHoldsLock || mIsInterim;
   }
-  /// Whether this VM watches the group and lacks the primary's own word, so
-  /// that it judges by others'.
+  /// Whether this VM monitors the group and has no recent answer from the
+  /// primary, so that it depends on other VMs' reachability updates.
   [[nodiscard]] bool SuspectsPrimary(clock::time_point aNow) const;
   [[nodiscard]] bool IsTakeoverActive() const noexcept
   {
@@ -169,87 +182,94 @@
   }
 
 private:
-  struct peer_reach
+  struct received_reach_update
   {
-    reach_update news;
+    reach_update update;
     clock::time_point at;
   };
 
   void Evaluate(clock::time_point aNow);
-  void TakeProof(const proxy::confirmation& aProof,
-                 bool aIsOwn,
-                 clock::time_point aNow);
-  void TakeSample(clock::time_point aNow);
-  void TakeOwnProof(clock::time_point aNow);
-  [[nodiscard]] position::term_id EndedTerm() const;
-  [[nodiscard]] bool IsOfOldLife(const proxy::confirmation& aProof) const;
-  [[nodiscard]] bool IsNewer(const proxy::confirmation& aProof) const noexcept;
-  [[nodiscard]] bool IsTrusted(const proxy::confirmation& aProof) const;
-  void CheckTerms(const proxy::confirmation& aProof, clock::time_point aNow);
+  void AdoptConfirmation(const proxy::confirmation& aConfirmation,
+                         bool aIsOwn,
+                         clock::time_point aNow);
+  void AdoptPositionSample(clock::time_point aNow);
+  void AdoptOwnConfirmation(clock::time_point aNow);
+  [[nodiscard]] position::term_id LastInvalidTerm() const;
+  [[nodiscard]] bool PredatesRestart(
+    const proxy::confirmation& aConfirmation) const;
+  [[nodiscard]] bool IsNewer(
+    const proxy::confirmation& aConfirmation) const noexcept;
+  [[nodiscard]] bool IsSufficient(
+    const proxy::confirmation& aConfirmation) const;
+  void CheckReplacedTerm(const proxy::confirmation& aConfirmation,
+                         clock::time_point aNow);
   void LiftRevocation(position::term_id aTerm);
-  void Judge(clock::time_point aNow);
-  void Ask(clock::time_point aNow);
-  void AskOne(member_view& aView, clock::time_point aNow);
-  void Repair(clock::time_point aNow);
-  [[nodiscard]] position::term_id UnreplacedTerm(clock::time_point aNow) const;
-  void CheckObedience();
-  [[nodiscard]] bool Watches() const noexcept;
-  [[nodiscard]] clock::time_point AsksFrom() const;
-  [[nodiscard]] std::chrono::milliseconds Pause(const member_view& aView) const;
-  [[nodiscard]] bool WantsProof(clock::time_point aNow) const;
-  [[nodiscard]] bool IsLost(clock::time_point aNow) const;
-  [[nodiscard]] clock::duration OwnDelay(clock::time_point aNow) const;
-  [[nodiscard]] bool IsReachedElsewhere(clock::time_point aNow) const;
-  [[nodiscard]] std::string ReachedBy(clock::time_point aNow) const;
-  void NoteKept(clock::time_point aNow);
-  void NoteUnproved(clock::time_point aNow);
-  void NoteLost(const member_view& aPrimary, clock::time_point aNow);
-  [[nodiscard]] bool DeniesToLead(const member_view& aView,
-                                  clock::time_point aNow) const;
-  [[nodiscard]] bool IsVacant(clock::time_point aNow);
+  void MonitorPrimary(clock::time_point aNow);
+  void SendQueries(clock::time_point aNow);
+  void SendQuery(member_view& aView, clock::time_point aNow);
+  void RepairMembers(clock::time_point aNow);
+  [[nodiscard]] position::term_id UnconfirmableTerm(
+    clock::time_point aNow) const;
+  void CheckAcknowledgements();
+  [[nodiscard]] bool IsMonitoring() const noexcept;
+  [[nodiscard]] clock::time_point NextQueryAt() const;
+  [[nodiscard]] std::chrono::milliseconds QueryPause(
+    const member_view& aView) const;
+  [[nodiscard]] bool NeedsConfirmation(clock::time_point aNow) const;
+  [[nodiscard]] bool IsPrimaryLost(clock::time_point aNow) const;
+  [[nodiscard]] clock::duration DelayAllowance(clock::time_point aNow) const;
+  [[nodiscard]] bool IsReachableElsewhere(clock::time_point aNow) const;
+  [[nodiscard]] std::string ReachableFrom(clock::time_point aNow) const;
+  void LogKeptPrimary(clock::time_point aNow);
+  void LogUnconfirmed(clock::time_point aNow);
+  void LogLostPrimary(const member_view& aPrimary, clock::time_point aNow);
+  [[nodiscard]] bool DeniesLeadership(const member_view& aView,
+                                      clock::time_point aNow) const;
+  [[nodiscard]] bool HasNoPrimary(clock::time_point aNow);
   [[nodiscard]] const member_view* Witness() const;
 
   monitor_settings mSettings;
   server_table mTable;
   takeover mTakeover;
-  proxy::confirmation mProof;
+  proxy::confirmation mConfirmation;
   std::optional<proxy::position_sample> mSample;
   bool mHoldsLock = false;
-  bool mStandsIn = false;
-  bool mMayAsk = true;
+  bool mIsInterim = false;
+  bool mMayConfirm = true;
   bool mIsForwarded = false;
-  // How much later than the first VM this one asks, and how long any one VM
-  // pauses between questions.
-  std::chrono::milliseconds mAskDelay{ 0 };
-  std::chrono::milliseconds mAskPause{ 0 };
+  // How long after the first VM this one sends its queries, and the minimum
+  // pause between two queries of any one VM.
+  std::chrono::milliseconds mQueryDelay{ 0 };
+  std::chrono::milliseconds mQueryPause{ 0 };
   std::uint64_t mEpoch = 0;
   clock::time_point mLockHeldSince;
   // The term that this VM revokes, and how often that has changed.
   position::term_id mOwnRevoked = 0;
   std::uint64_t mOwnSequence = 0;
-  // The newest word of whoever holds the duty.
+  // The latest revocation received from a lock holder.
   position::term_id mRevoked = 0;
   std::uint64_t mRevokedEpoch = 0;
   std::uint64_t mRevokedSequence = 0;
   clock::time_point mRevokedAt;
   position::term_id mReplaced = 0;
-  // An own proof that holds only if the store shows that its term still leads.
-  std::optional<proxy::confirmation> mUnchecked;
+  // A confirmation obtained by this VM that is valid only if the store shows
+  // that its term has not been replaced.
+  std::optional<proxy::confirmation> mUncheckedConfirmation;
   clock::time_point mNextCheck;
-  // The VMs that must give up a revoked term, once they are known.
-  std::optional<std::vector<std::string>> mMustObey;
-  absl::btree_map<std::string, peer_reach> mReach;
-  clock::time_point mWantedAt;
-  clock::time_point mWantedSince;
+  // The VMs that must acknowledge the revocation, once they are known.
+  std::optional<std::vector<std::string>> mMustAcknowledge;
+  absl::btree_map<std::string, received_reach_update> mReachUpdates;
+  clock::time_point mDemandAt;
+  clock::time_point mDemandSince;
   clock::time_point mDeniedAt;
-  // Whose word keeps a primary that this VM does not hear.
+  // The VM whose updates keep a primary in place that this VM cannot reach.
   std::string mKeptBy;
-  scheduling_delay mLateness;
-  // When the holder of the duty has planned to look next.
-  std::optional<clock::time_point> mPlanned;
-  std::optional<clock::time_point> mVacantSince;
-  // When the next line on a group without a primary is due.
-  clock::time_point mNextUnproved{};
+  scheduling_delay mSchedulingDelay;
+  // When the lock holder has scheduled its next tick.
+  std::optional<clock::time_point> mScheduledTick;
+  std::optional<clock::time_point> mNoPrimarySince;
+  // When to log next that the group has no confirmed primary.
+  clock::time_point mNextUnconfirmedLog{};
   clock::time_point mNow;
   std::vector<action> mActions;
 };
--- a/src/currantshed/lead/scheduling_delay.cpp
+++ b/src/currantshed/lead/scheduling_delay.cpp
@@ -6,12 +6,14 @@
 
 namespace {
 
-// How long the worst delay counts in full, and then until it counts no more: a
-// VM that was slow works off what lies unread meanwhile.
-constexpr std::chrono::milliseconds kFull{ 1000 };
-constexpr std::chrono::milliseconds kFading{ 2000 };
-// A longer delay tells no more of what lies unread: a VM that stood still, say.
-constexpr std::chrono::milliseconds kMost{ 2000 };
+// How long the maximum delay is reported in full, and how long it then takes to
+// decay to zero. In this time a VM that was slow processes its backlog of
+// messages.
+constexpr std::chrono::milliseconds kHoldTime{ 1000 };
+constexpr std::chrono::milliseconds kDecayTime{ 2000 };
+// Upper limit of a recorded delay. A longer one, for example of a VM that was
+// paused, does not mean a longer backlog.
+constexpr std::chrono::milliseconds kMaxDelay{ 2000 };
 
 } // namespace
 
@@ -19,27 +21,28 @@
 scheduling_delay::Record(clock::time_point aPlanned,
                          clock::time_point aAt) noexcept
 {
-  const auto late =
-    std::clamp<clock::duration>(aAt - aPlanned, clock::duration::zero(), kMost);
-  if (late >= At(aAt)) {
-    mWorst = late;
-    mSeenAt = aAt;
+  const auto delay = std::clamp<clock::duration>(
+    aAt - aPlanned, clock::duration::zero(), kMaxDelay);
+  if (delay >= At(aAt)) {
+    mMax = delay;
+    mMaxAt = aAt;
   }
 }
 
 clock::duration
 scheduling_delay::At(clock::time_point aNow) const noexcept
 {
-  const auto since = aNow - mSeenAt;
-  if (since <= kFull) {
-    return mWorst;
+  const auto since = aNow - mMaxAt;
+  if (since <= kHoldTime) {
+    return mMax;
   }
-  const auto left =
-    std::max<clock::duration>(kFull + kFading - since, clock::duration::zero());
-  // In milliseconds, since the product of two spans in nanoseconds overflows.
+  const auto left = std::max<clock::duration>(kHoldTime + kDecayTime - since,
+                                              clock::duration::zero());
+  // Computed in milliseconds, because the product of two durations in
+  // nanoseconds overflows.
   using std::chrono::milliseconds;
   const auto part = std::chrono::duration_cast<milliseconds>(left);
-  return mWorst * part.count() / kFading.count();
+  return mMax * part.count() / kDecayTime.count();
 }
 
 } // namespace currantshed::lead
--- a/test/currantshed/customer/model.hpp
+++ b/test/currantshed/customer/model.hpp
@@ -20,40 +20,41 @@
 
 namespace currantshed::test {
 
-/// A mistake that the model must find.
+/// A seeded bug that the model must find.
 enum class customers_model_bug
 {
   kNone,
-  /// A proof counts from its answer, not from its asking.
-  kProofDatedByAnswer,
-  /// A proof that another VM passes on counts from its coming.
-  kProofNotAged,
-  /// Keys are looked at when a request comes, not when it is sent.
-  kCheckedAtReading,
-  /// A bank keeps all that comes in.
-  kBankWithoutBound,
-  /// A VM that starts finds its bank full.
-  kBankStartsFull,
-  /// A share that comes twice counts twice.
+  /// A verification is dated by its response instead of its request.
+  kVerificationDatedByResponse,
+  /// A verification passed on by another VM is dated by its arrival.
+  kForwardedVerificationNotAged,
+  /// Keys are checked when a request is read, but not when it is sent.
+  kKeyCheckedOnlyAtRead,
+  /// The capacity of the buckets is unlimited.
+  kUnboundedBuckets,
+  /// A VM starts with full buckets.
+  kBucketsStartFull,
+  /// A share that arrives twice counts twice.
   kSharesCountTwice,
 };
 
-/// VMs with the real decisions on keys and quotas, one customer, a store and a
-/// network in virtual time: calls and messages are late, lost and doubled, VMs
-/// are cut off, stand still and start again. Checks after each request that ran
-/// that its key was in force lately enough and its customer below its quota.
+/// VMs with the real decision logic on keys and quotas, one customer, a store
+/// and a network in virtual time. Calls and messages are delayed, lost and
+/// duplicated; VMs are partitioned, frozen and restarted. Checks after each
+/// request that ran that its key was in force recently enough and that its
+/// customer kept to its quota.
 class customers_model
 {
 public:
-  customers_model(std::uint32_t aSeed, customers_model_bug aMistake);
+  customers_model(std::uint32_t aSeed, customers_model_bug aBug);
   ~customers_model();
   customers_model(const customers_model&) = delete;
   customers_model& operator=(const customers_model&) = delete;
 
   void Run(std::chrono::seconds aSpan);
 
-  /// What is wrong, a line each.
-  std::vector<std::string> wrong;
+  /// Violations found, one line each.
+  std::vector<std::string> violations;
   std::uint64_t steps = 0;
   std::uint64_t ran = 0;
   std::uint64_t refused = 0;
@@ -63,16 +64,17 @@
   struct message;
 
   void Step();
-  void Trouble();
-  void Work(std::size_t aVm);
-  void Check(std::size_t aVm);
-  void Spread(std::size_t aVm);
-  void Carry(std::size_t aVm);
-  void Share(std::size_t aVm);
-  void Arrive(std::size_t aVm);
-  void Granted(std::size_t aVm, const std::vector<node::token_result>& aWhat);
-  void SendWaiting(std::size_t aVm);
-  void Ran(clock::time_point aAskedAt);
+  void InjectFaults();
+  void RunVm(std::size_t aVm);
+  void CheckStore(std::size_t aVm);
+  void BroadcastVerification(std::size_t aVm);
+  void DeliverTokenRequests(std::size_t aVm);
+  void SendShare(std::size_t aVm);
+  void ReceiveRequest(std::size_t aVm);
+  void ApplyOutcomes(std::size_t aVm,
+                     const std::vector<node::token_result>& aWhat);
+  void SendQueued(std::size_t aVm);
+  void RecordRun(clock::time_point aAskedAt);
   void Send(std::size_t aFrom, std::size_t aTo, std::function<void()> aWhat);
   void Restart(std::size_t aVm);
   [[nodiscard]] customer::quota Limit() const;
@@ -84,22 +86,22 @@
 
   timeline mTime;
   std::mt19937 mRandom;
-  customers_model_bug mMistake;
+  customers_model_bug mBug;
   std::vector<vm> mVms;
   /// The key is in force in even versions of the store's configuration.
   std::uint64_t mVersion = 0;
   clock::time_point mRevokedAt{};
   clock::time_point mNextChange;
-  /// How often, of a thousand steps, such a loop begins.
-  unsigned mLoops;
-  bool mIsStoreAway = false;
-  /// Until when those that collect tokens end and start again and again.
-  clock::time_point mLoopUntil{};
-  clock::time_point mNextLoop{};
+  /// How often, per thousand steps, a restart loop starts.
+  unsigned mRestartLoopRate;
+  bool mIsStoreDown = false;
+  /// Until when the quota coordinators are restarted in a loop.
+  clock::time_point mRestartLoopUntil{};
+  clock::time_point mNextLoopRestart{};
   bool mIsStoreSlow = false;
-  bool mIsSurge = false;
-  /// Callers leave before they can be served.
-  bool mAreHasty = false;
+  bool mIsLoadSurge = false;
+  /// Clients disconnect before they can be served.
+  bool mAreClientsImpatient = false;
   struct run
   {
     clock::time_point askedAt;
--- a/test/currantshed/lead/draining_primary.cpp
+++ b/test/currantshed/lead/draining_primary.cpp
@@ -1,15 +1,8 @@
-// A primary said that it leaves while the VM that held the duty to replace it
-// had no way of its own to it; other VMs had. The change waited for the primary
-// to step down, which it could only do on that VM's word, so it waited until
-// the day ended. After five seconds the other VMs took the change for given up
-// and used the leaving primary again, up to its exit; after that nothing led
-// the group. The lines that settled it:
-//   9.013 lead step=begun detail=draining old=i-e17904285a term=1
-//   10.014 lead step=waits at=fence since_ms=1000 old_listed=1 members=4
-//   fenced=0 14.015 lead step=revocation_lapsed term=1 (on each of the other
-//   VMs) 16.016 a request reaches i-e17904285a, 7006 ms after it said that it
-//   leaves 37.032 lead step=waits at=fence since_ms=28019 old_listed=0
-//   members=3 fenced=0
+// A draining primary must be replaced even if the lock holder cannot reach it.
+// Only other VMs could reach it, and the takeover waited without limit for the
+// primary to step down, which only the lock holder can tell it to do. After 5 s
+// the revocation expired at the other VMs, which used the draining primary
+// again until it exited; then the group had no primary.
 #include <chrono>
 #include <functional>
 
@@ -21,63 +14,68 @@
 using namespace std::chrono_literals;
 using test::kStep;
 using test::monitor_fixture;
-using test::ReachOf;
+using test::ReceiveReachUpdate;
 
 namespace {
 
 void
-Leave(monitor_fixture& aBench)
+StartDraining(monitor_fixture& aFixture)
 {
-  aBench.lead.Configure({ { "a", false, true }, { "b" }, { "c" } }, aBench.now);
+  aFixture.monitor.Configure({ { "a", false, true }, { "b" }, { "c" } },
+                             aFixture.now);
 }
 
-struct leaving_row
+struct draining_row
 {
   const char* name;
-  /// What becomes of the primary, which leaves then.
+  /// What happens to the primary, which is draining from then on.
   std::function<void(monitor_fixture&)> given;
-  /// What happens half a second after that.
+  /// What happens half a second later.
   std::function<void(monitor_fixture&)> later;
-  /// Within which time another server leads.
+  /// Maximum time until another server is primary.
   std::chrono::milliseconds atMost;
 };
 
-const leaving_row kLeavingRows[] = {
-  { "it is reached by this VM", Leave, [](monitor_fixture&) {}, 1000ms },
+const draining_row kDrainingRows[] = {
+  { "this VM reaches it", StartDraining, [](monitor_fixture&) {}, 1000ms },
   { "only other VMs reach it",
-    [](monitor_fixture& aBench) {
-      aBench.servers["a"].answers = false;
-      aBench.servers["a"].answersOthers = true;
-      aBench.vms = { { "vm-2" } };
-      aBench.everyStep = [&aBench] { ReachOf(aBench, "vm-2", 0); };
-      Leave(aBench);
+    [](monitor_fixture& aFixture) {
+      aFixture.servers["a"].answers = false;
+      aFixture.servers["a"].answersThroughOthers = true;
+      aFixture.vms = { { "vm-2" } };
+      aFixture.onStep = [&aFixture] {
+        ReceiveReachUpdate(aFixture, "vm-2", 0);
+      };
+      StartDraining(aFixture);
     },
     [](monitor_fixture&) {},
     3500ms },
-  { "only other VMs reach it, for long before it leaves",
-    [](monitor_fixture& aBench) {
-      aBench.servers["a"].answers = false;
-      aBench.vms = { { "vm-2" } };
-      aBench.everyStep = [&aBench] { ReachOf(aBench, "vm-2", 0); };
-      aBench.Run(3000ms);
-      Leave(aBench);
+  { "only other VMs reach it, long before it drains",
+    [](monitor_fixture& aFixture) {
+      aFixture.servers["a"].answers = false;
+      aFixture.vms = { { "vm-2" } };
+      aFixture.onStep = [&aFixture] {
+        ReceiveReachUpdate(aFixture, "vm-2", 0);
+      };
+      aFixture.Run(3000ms);
+      StartDraining(aFixture);
     },
     [](monitor_fixture&) {},
     3500ms },
-  { "it falls silent as it leaves",
-    [](monitor_fixture& aBench) {
-      aBench.servers["a"].answers = false;
-      Leave(aBench);
+  { "it stops answering as it drains",
+    [](monitor_fixture& aFixture) {
+      aFixture.servers["a"].answers = false;
+      StartDraining(aFixture);
     },
     [](monitor_fixture&) {},
     3500ms },
-  { "it exits while the change waits for it",
-    [](monitor_fixture& aBench) {
-      aBench.servers["a"].answers = false;
-      Leave(aBench);
+  { "it exits while the takeover waits for it",
+    [](monitor_fixture& aFixture) {
+      aFixture.servers["a"].answers = false;
+      StartDraining(aFixture);
     },
-    [](monitor_fixture& aBench) {
-      aBench.lead.Configure({ { "b" }, { "c" } }, aBench.now);
+    [](monitor_fixture& aFixture) {
+      aFixture.monitor.Configure({ { "b" }, { "c" } }, aFixture.now);
     },
     3500ms },
 };
@@ -88,20 +86,21 @@
 
 TEST(draining_primary, is_replaced_whichever_VM_reaches_it)
 {
-  for (const auto& row : kLeavingRows) {
-    monitor_fixture made;
-    made.lead.SetFailoverLock(true, 7, made.now);
-    made.Run(2000ms);
-    CHECK_TEXT(made.lead.Confirmation().primary == "a", row.name);
-    row.given(made);
-    const auto from = made.now;
-    made.Run(500ms);
-    row.later(made);
-    while (made.lead.Confirmation().term != 2 && made.now < from + 20s) {
-      made.Run(kStep);
+  for (const auto& row : kDrainingRows) {
+    monitor_fixture fixture;
+    fixture.monitor.SetFailoverLock(true, 7, fixture.now);
+    fixture.Run(2000ms);
+    CHECK_TEXT(fixture.monitor.Confirmation().primary == "a", row.name);
+    row.given(fixture);
+    const auto from = fixture.now;
+    fixture.Run(500ms);
+    row.later(fixture);
+    while (fixture.monitor.Confirmation().term != 2 &&
+           fixture.now < from + 20s) {
+      fixture.Run(kStep);
     }
-    CHECK_TEXT(made.lead.Confirmation().term == 2, row.name);
-    CHECK_TEXT(made.lead.Confirmation().primary != "a", row.name);
-    CHECK_TEXT(made.now - from <= row.atMost, row.name);
+    CHECK_TEXT(fixture.monitor.Confirmation().term == 2, row.name);
+    CHECK_TEXT(fixture.monitor.Confirmation().primary != "a", row.name);
+    CHECK_TEXT(fixture.now - from <= row.atMost, row.name);
   }
 }
--- a/test/currantshed/lead/restarted_members.cpp
+++ b/test/currantshed/lead/restarted_members.cpp
@@ -1,6 +1,6 @@
-// A member of a group that starts again under its id holds nothing of before.
-// It must not count towards a majority, nor be promoted, by what its life
-// before reported, and its silence begins anew.
+// A member that restarts under the same id has lost its data. The reports of
+// its previous incarnation must not count towards a majority or make it a
+// candidate for promotion, and the time without an answer starts again.
 #include <chrono>
 #include <vector>
 
@@ -25,24 +25,24 @@
 {
   const char* name;
   std::vector<lead::member> next;
-  /// Whether the primary is proved by what was reported before.
-  bool proved;
+  /// Whether the earlier reports still confirm the primary.
+  bool confirmed;
 };
 
 const member_row kRows[] = {
-  { "all live on",
+  { "no member restarts",
     { Member("a", 1000ms), Member("b", 1000ms), Member("c", 1000ms) },
     true },
-  { "the primary starts again",
+  { "the primary restarts",
     { Member("a", 2000ms), Member("b", 1000ms), Member("c", 1000ms) },
     false },
-  { "with a clock that was set back",
+  { "the primary restarts with its clock set back",
     { Member("a", 500ms), Member("b", 1000ms), Member("c", 1000ms) },
     false },
-  { "the witness starts again",
+  { "the witness restarts",
     { Member("a", 1000ms), Member("b", 2000ms), Member("c", 1000ms) },
     false },
-  { "one that has reported nothing starts again",
+  { "a member that has reported nothing restarts",
     { Member("a", 1000ms), Member("b", 1000ms), Member("c", 2000ms) },
     true },
 };
@@ -67,13 +67,13 @@
     table.Reported("b", report, kStart, kStart);
     CHECK_TEXT(table.Confirmation().has_value(), row.name);
     table.Configure(row.next, kStart + 100ms);
-    CHECK_TEXT(table.Confirmation().has_value() == row.proved, row.name);
-    // An answer that the life before was asked for comes late.
+    CHECK_TEXT(table.Confirmation().has_value() == row.confirmed, row.name);
+    // A late answer to a query that was sent to the previous incarnation.
     report.isPrimary = true;
     table.Reported("a", report, kStart + 50ms, kStart + 150ms);
     report.isPrimary = false;
     table.Reported("b", report, kStart + 50ms, kStart + 150ms);
-    CHECK_TEXT(table.Confirmation().has_value() == row.proved, row.name);
+    CHECK_TEXT(table.Confirmation().has_value() == row.confirmed, row.name);
     report.isPrimary = true;
     table.Reported("a", report, kStart + 110ms, kStart + 150ms);
     report.isPrimary = false;
@@ -82,30 +82,29 @@
   }
 }
 
-// The server that a change had ordered to be promoted started again, empty,
-// just after it had begun to lead. The change had not seen it lead, stayed with
-// it, and had it promoted once more, over one that held every acknowledged
-// commit:
-//   49.761 server_standing server=group-0-1 standing=ready started_at_ms=...003
-//   50.903 promotion_ordered server=group-0-1
+// A choice made before a restart must not be promoted. The chosen server became
+// primary and restarted empty a moment later. The takeover had not seen it as
+// primary, kept its choice, and had it promoted again over a server that held
+// all acknowledged commits.
 TEST(restarted_members, are_not_promoted_by_a_choice_made_before_the_restart)
 {
-  test::monitor_fixture made;
-  made.promotesAfter = 1000ms;
-  made.lead.SetFailoverLock(true, 7, made.now);
-  made.servers["b"].received = { 1, 11 };
-  made.Run(2000ms);
-  made.lead.Configure({ { "a", false, true }, { "b" }, { "c" } }, made.now);
-  made.Run(700ms);
-  CHECK(made.promoted.size() == 1 && made.promoted.back() == "b");
-  made.promoting.clear();
-  made.servers["b"].received = { 1, 0 };
-  made.lead.Configure({ { "a", false, true }, Member("b", 2000ms), { "c" } },
-                      made.now);
-  made.Run(5000ms);
-  CHECK(made.lead.Confirmation().primary == "c");
-  CHECK_EQUAL(0, made.unsafe);
-  for (std::size_t order = 1; order < made.promoted.size(); ++order) {
-    CHECK(made.promoted[order] == "c");
+  test::monitor_fixture fixture;
+  fixture.promotionDelay = 1000ms;
+  fixture.monitor.SetFailoverLock(true, 7, fixture.now);
+  fixture.servers["b"].received = { 1, 11 };
+  fixture.Run(2000ms);
+  fixture.monitor.Configure({ { "a", false, true }, { "b" }, { "c" } },
+                            fixture.now);
+  fixture.Run(700ms);
+  CHECK(fixture.promoted.size() == 1 && fixture.promoted.back() == "b");
+  fixture.pendingPromotions.clear();
+  fixture.servers["b"].received = { 1, 0 };
+  fixture.monitor.Configure(
+    { { "a", false, true }, Member("b", 2000ms), { "c" } }, fixture.now);
+  fixture.Run(5000ms);
+  CHECK(fixture.monitor.Confirmation().primary == "c");
+  CHECK_EQUAL(0, fixture.unsafePromotions);
+  for (std::size_t order = 1; order < fixture.promoted.size(); ++order) {
+    CHECK(fixture.promoted[order] == "c");
   }
 }
--- a/test/currantshed/news/exchange.cpp
+++ b/test/currantshed/news/exchange.cpp
@@ -31,7 +31,8 @@
   return acceptor.local_endpoint().port();
 }
 
-/// One VM's exchange, and the sequence numbers of the news that came to it.
+/// One VM's exchange, and the sequence numbers of the announcements that it
+/// received.
 struct vm
 {
   vm(asio::io_context& aContext, zmq::context_t& aZmq, const std::string& aName)
@@ -40,50 +41,52 @@
           aZmq,
           self,
           1,
-          [this](const news::News& aNews,
+          [this](const news::News& aMessage,
                  const exchange::clock_converter&,
-                 clock::time_point) { came.push_back(aNews.own_change()); })
+                 clock::time_point) {
+            received.push_back(aMessage.own_change());
+          })
   {
     CHECK_FALSE(own.Listen());
   }
 
   peer self;
-  std::vector<std::uint64_t> came;
+  std::vector<std::uint64_t> received;
   exchange own;
 };
 
 news::News
 Numbered(std::uint64_t aNumber)
 {
-  news::News made;
-  made.set_own_change(aNumber);
-  return made;
+  news::News message;
+  message.set_own_change(aNumber);
+  return message;
 }
 
-struct link_row
+struct connection_row
 {
   const char* name;
-  /// After how long which peers are sent to.
+  /// Which peers are sent to, and after how long.
   std::vector<std::pair<std::chrono::milliseconds, std::string>> sent;
   std::chrono::milliseconds when;
-  std::size_t links;
+  std::size_t connections;
 };
 
-const link_row kLinkRows[] = {
-  { "no news, no link", {}, 0ms, 0 },
-  { "a link for each that there is news for",
+const connection_row kConnectionRows[] = {
+  { "no message, no connection", {}, 0ms, 0 },
+  { "one connection per peer that is sent to",
     { { 0ms, "a" }, { 0ms, "b" } },
     100ms,
     2 },
-  { "one link, however much there is to say",
+  { "one connection for any number of messages",
     { { 0ms, "a" }, { 10ms, "a" }, { 20ms, "a" } },
     100ms,
     1 },
-  { "a link with nothing to say is closed",
+  { "an idle connection is closed",
     { { 0ms, "a" }, { 0ms, "b" }, { 9000ms, "b" } },
     12000ms,
     1 },
-  { "a link in use stays, however long",
+  { "a connection in use stays open",
     { { 0ms, "a" }, { 9000ms, "a" }, { 18000ms, "a" } },
     20000ms,
     1 },
@@ -110,7 +113,7 @@
 
 TEST(exchange, a_connection_is_open_while_it_is_used)
 {
-  for (const auto& row : kLinkRows) {
+  for (const auto& row : kConnectionRows) {
     vm one(mContext, mZmq, "one");
     one.own.SetPeers({ { "a", kAddress, 1 }, { "b", kAddress, 1 } });
     for (const auto& [at, to] : row.sent) {
@@ -118,12 +121,13 @@
       one.own.Send(to, Numbered(1), kStart + at);
     }
     one.own.CloseIdle(kStart + row.when);
-    CHECK_EQUAL_TEXT(row.links, one.own.OpenConnectionCount(), row.name);
+    CHECK_EQUAL_TEXT(row.connections, one.own.OpenConnectionCount(), row.name);
   }
 }
 
-// A link that was closed and opened again may be read before what still waits
-// on the former one: old news must not undo newer news.
+// After a connection was closed and reopened, the new one may be read before
+// messages that are still queued on the old one. Older messages must not
+// override newer ones.
 TEST(exchange, messages_older_than_the_latest_are_dropped)
 {
   vm one(mContext, mZmq, "one");
@@ -132,14 +136,14 @@
   const auto sent = [&](std::uint64_t aNumber, std::chrono::milliseconds aAt) {
     return RunUntil([&] {
       one.own.Send("other", Numbered(aNumber), kStart + aAt);
-      return !other.came.empty() && other.came.back() == aNumber;
+      return !other.received.empty() && other.received.back() == aNumber;
     });
   };
   CHECK(sent(1, 0ms));
   CHECK(sent(2, 200ms));
   one.own.Send("other", Numbered(3), kStart + 100ms);
   CHECK(sent(4, 300ms));
-  for (const auto number : other.came) {
+  for (const auto number : other.received) {
     CHECK(number != 3);
   }
 }
