--- a/src/currantshed/proxy/configuration.hpp
+++ b/src/currantshed/proxy/configuration.hpp
@@ -17,41 +17,41 @@
 
 namespace currantshed::proxy {
 
-/// How fresh the reads of a class of work must be.
+/// Consistency guarantee for the reads of a class of work.
 enum class read_policy
 {
-  /// Sees every acknowledged commit.
+  /// Linearizable: sees every acknowledged commit.
   kPrimary,
-  /// May miss what was acknowledged within the last maxStaleness.
+  /// May miss commits acknowledged within the last maxStaleness.
   kBoundedStaleness,
-  /// Besides, sees every commit of the own session.
+  /// Bounded staleness that also sees every earlier commit of the same session.
   kReadYourWrites,
 };
 
-/// What the operators declare for one database.
+/// Route for one database, as declared by the operators.
 struct route
 {
   std::string name;
   std::string database;
-  /// The group of servers that holds the database.
+  /// Name of the group of servers that holds the database.
   std::string service;
   read_policy policy = read_policy::kPrimary;
-  /// Longest time for one statement.
+  /// Time limit for one statement.
   std::chrono::milliseconds statementTimeout{ 1000 };
-  /// What a whole operation should take.
+  /// Latency target for a whole operation.
   std::chrono::milliseconds target{ 200 };
-  /// Zero goes first.
+  /// Zero is the highest priority.
   unsigned priority = 0;
   std::chrono::milliseconds maxStaleness{ 0 };
-  /// Whether anyone may use it, with a customer's key or without.
+  /// Whether clients without a customer's key may use the database.
   bool isPublic = false;
 };
 
-/// What the operators declare for one group of servers.
+/// Group of servers, as declared by the operators.
 struct service
 {
   std::string name;
-  /// Connections that one server accepts from all VMs together.
+  /// Connection limit of one server, shared by all VMs.
   unsigned maxConnections = 1;
 };
 
@@ -59,26 +59,26 @@
 struct configuration
 {
   std::uint64_t version = 0;
-  /// By database.
+  /// Keyed by database.
   absl::flat_hash_map<std::string, std::shared_ptr<const route>> routes;
-  /// By name.
+  /// Keyed by name.
   absl::flat_hash_map<std::string, service> services;
-  /// Who may ask; null where nobody is told apart.
+  /// Customers and their keys; null when clients need no key.
   std::shared_ptr<const customer::directory> customers;
-  /// Why customers were left out that can't be read.
+  /// Errors for customers that were skipped because their entry is invalid.
   std::vector<std::string> unreadableCustomers;
-  /// A transaction idle for longer may be ended.
+  /// Idle timeout of an open transaction, after which it may be rolled back.
   std::chrono::milliseconds transactionIdle{ 3000 };
 };
 
-/// The time of day at which a server says that it started; zero where it says
-/// nothing of it.
+/// Start time reported by a server, in its own wall clock; zero when it reports
+/// none.
 using start_time = std::chrono::sys_time<std::chrono::milliseconds>;
 
-/// One life of a server. A server may start again under its id, and then holds
-/// and knows nothing of before: what is believed of one incarnation says
-/// nothing of another. Clocks step, so that two of them have no order but that
-/// in which the platform's store shows them.
+/// One run of a server process. A server may restart under the same id and then
+/// has none of its former state, so knowledge about one incarnation does not
+/// apply to another. Wall clocks may step; incarnations are therefore ordered
+/// only by the order in which the platform's store lists them.
 struct incarnation
 {
   upstream::server_id id;
@@ -88,20 +88,21 @@
                                        const incarnation&) = default;
 };
 
-/// One server as the platform lists it.
+/// One server as listed by the platform.
 struct server
 {
   upstream::server_id id;
   start_time startedAt{};
   std::string service;
-  /// IP number.
+  /// IP address.
   std::string address;
   std::uint16_t port = 0;
   std::string failureDomain;
-  /// Leaves soon: gets no new work where another one can take it.
+  /// The server will stop soon: it gets no new work that another server can
+  /// take.
   bool draining = false;
-  /// Since when it may have said so, at the earliest; none where only the time
-  /// at which that was learned is known.
+  /// Earliest time at which it may have announced that it drains; empty when
+  /// only the time at which this VM learned of it is known.
   std::optional<clock::time_point> leavingSince;
 
   [[nodiscard]] incarnation Life() const { return { id, startedAt }; }
--- a/src/currantshed/proxy/connection.cpp
+++ b/src/currantshed/proxy/connection.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Statements take some 10 ms to 100 ms; an answer that is lost comes never.
+// Statements take some 10 ms to 100 ms; a lost answer never arrives.
 constexpr std::chrono::milliseconds kOverdue{ 200 };
 // Callers that do not pause send the next statement within a round trip.
 constexpr std::chrono::milliseconds kPause{ 30 };
@@ -53,7 +53,7 @@
   if (HasValues(aValues)) {
     return commands;
   }
-  // Values that the session lacks can only be taken back all at once.
+  // Single session values can't be removed: they are reset all at once.
   bool reset = false;
   for (const auto& [name, value] : mValues) {
     reset = reset || !aValues.contains(name);
--- a/src/currantshed/proxy/connection.hpp
+++ b/src/currantshed/proxy/connection.hpp
@@ -15,34 +15,34 @@
 
 namespace currantshed::proxy {
 
-/// What a command on a connection was sent for.
+/// Reason why a command was sent on a connection.
 enum class purpose
 {
-  /// Brings the session's values to the connection.
+  /// Sets the session's values on the connection.
   kPrelude,
   kPrepare,
   kBegin,
-  /// The caller's own statement.
+  /// The caller's statement.
   kStatement,
-  /// Ends a transaction whose caller has no answer to wait for.
+  /// Ends a transaction whose caller waits for no answer.
   kRollback,
-  /// A question or order of the system itself.
+  /// A control command: a query or command of the system itself.
   kControl,
 };
 
-/// A command under way.
+/// A command that has been sent and not answered.
 struct expected_answer
 {
   purpose why = purpose::kStatement;
   clock::time_point sentAt;
-  /// The term whose confirmed primary the server was when the command was
+  /// Term in which the server was the confirmed primary when the command was
   /// sent, or zero.
   position::term_id confirmedTerm = 0;
-  /// For kControl: the number of the order.
+  /// Number of the control command, for kControl.
   std::uint64_t order = 0;
 };
 
-/// What the engine hears from its connections.
+/// Receives the events of connections.
 class connection_events
 {
 public:
@@ -60,8 +60,8 @@
                      clock::time_point aNow) = 0;
 };
 
-/// One connection to a server: the link, what has been set up on it, and what
-/// is under way. It serves one request or transaction at a time.
+/// One connection to a server: the link, the session state set up on it and the
+/// commands in flight. It serves one request or transaction at a time.
 class connection final : public link_listener
 {
 public:
@@ -72,10 +72,11 @@
              connection_events& aEvents,
              clock::time_point aNow);
 
-  /// Whether it leads to the server itself, not through another VM.
+  /// Whether it leads to the server directly and not through a relay.
   [[nodiscard]] bool IsDirect() const noexcept { return via.empty(); }
 
-  /// Whether requests of the customer may go on it.
+  /// Whether the customer's requests may use it. A relay selects a connection
+  /// of the right customer itself.
   [[nodiscard]] bool Serves(const std::string& aCustomer) const noexcept
   {
     return !IsDirect() || customer == aCustomer;
@@ -83,19 +84,19 @@
 
   void Attach(std::unique_ptr<upstream_link> aLink);
 
-  /// Sends commands, each for the purpose given.
+  /// Sends commands, which are all pending for the given reason.
   void Send(const std::vector<command>& aCommands,
             const expected_answer& aExpected);
 
-  /// The commands that bring the session's values to this connection; none
-  /// when they are there.
+  /// Commands that bring the connection's session values to those given; empty
+  /// when they already match. Assumes that the commands are sent.
   [[nodiscard]] std::vector<command> Prelude(const session_values& aValues);
 
-  /// The commands that make the prepared statement known here; none when it
-  /// is.
+  /// Commands that define the prepared statement on the connection; empty when
+  /// it is defined. Assumes that the commands are sent.
   [[nodiscard]] std::vector<command> Prepare(const prepared_statement& aWhat);
 
-  /// Whether the connection has exactly these values.
+  /// Whether the connection has exactly these session values.
   [[nodiscard]] bool HasValues(const session_values& aValues) const;
 
   [[nodiscard]] bool IsOpen() const noexcept { return mIsOpen; }
@@ -104,10 +105,10 @@
     return mIsOpen && user == nullptr && mExpected.empty();
   }
   [[nodiscard]] bool IsQuiet() const noexcept { return mExpected.empty(); }
-  /// When the oldest command without an answer was sent.
+  /// Send time of the oldest pending command, or time_point::max().
   [[nodiscard]] clock::time_point OldestSent() const noexcept;
-  /// Whether it has been of no use for a while: its answer is overdue, or the
-  /// caller whose transaction it runs is pausing.
+  /// Whether it is unavailable for other work for an unusual time: its answer
+  /// is overdue, or the caller of its transaction pauses.
   [[nodiscard]] bool IsHeldUp(clock::time_point aNow) const noexcept;
   [[nodiscard]] clock::time_point MadeAt() const noexcept { return mMadeAt; }
 
@@ -118,19 +119,19 @@
 
   upstream::server_id server;
   std::string service;
-  /// The VM that it leads through, or empty.
+  /// The relay VM, or empty for a direct connection.
   std::string via;
-  /// Whose requests the server takes on it; empty where customers are not told
-  /// apart, and for another VM, which has connections for each.
+  /// Customer whose requests the server accepts on it; empty when clients need
+  /// no key, and for a relay, which has connections per customer.
   std::string customer;
-  /// The session that the connection works for, or null.
+  /// Session that currently uses the connection, or null.
   session* user = nullptr;
   /// Whether a transaction may be open on it.
   bool transactionOpen = false;
-  /// When it was last given back.
+  /// When it was last returned to the pool.
   clock::time_point idleSince;
-  /// To be closed as soon as it is free: its server leaves, or something went
-  /// wrong on it.
+  /// To be closed once it is idle: its server drains, or it is in an unknown
+  /// state.
   bool retiring = false;
 
 private:
--- a/src/currantshed/proxy/engine.cpp
+++ b/src/currantshed/proxy/engine.cpp
@@ -10,11 +10,12 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kUpkeepInterval{ 250 };
-// How long another VM's statement may take: that VM has its own, shorter
-// bounds.
+// Time limit of a relayed statement; the requesting VM applies its own, shorter
+// limits.
 constexpr milliseconds kRelayTimeout{ 10000 };
-// How long it may wait for a connection, as the other VM counts it into half of
-// a target of 150 ms or more: longer, that VM had better know.
+// Queue timeout of a relayed statement. The requesting VM accounts for it
+// within half of a target of 150 ms or more; a longer wait is better reported
+// to that VM.
 constexpr milliseconds kRelayWait{ 75 };
 
 } // namespace
@@ -63,7 +64,7 @@
   if (isAnyNew) {
     mNextUpkeep = aNow;
   }
-  // What proved a server to lead says nothing of it once it has started again.
+  // A confirmation does not apply to a later incarnation of the server.
   for (auto& [service, lead] : mLeads) {
     const auto* primary = Find(lead.proof.primary);
     if (primary != nullptr && !primary->IsOfThisLife(lead.proof.askedAt)) {
--- a/src/currantshed/proxy/engine.hpp
+++ b/src/currantshed/proxy/engine.hpp
@@ -32,9 +32,9 @@
 
 namespace currantshed::proxy {
 
-/// Proof that a server led its group in a term: a majority of the group said
-/// so when asked. It holds for the validity, counted from the asking, since
-/// whoever promotes another server waits that long.
+/// Confirmation by a majority of a group that a server was its primary in a
+/// term. It holds for the validity period, counted from when the query was
+/// sent, since a failover waits that long before it promotes another server.
 struct confirmation
 {
   position::term_id term = 0;
@@ -42,7 +42,7 @@
   clock::time_point askedAt;
 };
 
-/// Where the primary of a term stood when asked.
+/// Log position of the primary of a term, as of a query.
 struct position_sample
 {
   position::term_id term = 0;
@@ -53,65 +53,64 @@
 /// A decision about a request.
 struct decision
 {
-  /// What was decided, as one word for logs and counters.
+  /// The outcome, as one word for logs and metrics.
   std::string_view outcome;
   std::uint64_t session = 0;
   std::string_view requestId;
-  /// Whose it is; empty where customers are not told apart.
+  /// The customer; empty when clients need no key.
   std::string_view customer;
   std::string_view service;
   std::string_view server;
   std::string_view reason;
-  /// Since the request came.
+  /// Time since the request arrived.
   clock::duration waited{ 0 };
   unsigned tries = 0;
   bool needsPrimary = false;
-  /// Age of the confirmation that it rests on; negative when there is none.
+  /// Age of the confirmation that it relies on; negative when there is none.
   clock::duration confirmationAge{ -1 };
   std::optional<position::log_position> floor;
   /// Age of the floor's position.
   clock::duration floorAge{ 0 };
-  /// How long the server may have been leaving, if it does.
+  /// How long the server may have been draining, if it is.
   std::optional<clock::duration> leavingFor;
-  /// Whether it is one of the ordinary successes.
+  /// Whether it is a routine success.
   bool ordinary = false;
-  /// Whether the caller's request ends with it.
+  /// Whether it ends the caller's request.
   bool isFinal = false;
 };
 
-/// Whether a session may begin.
+/// Result of admitting a new session.
 enum class entry
 {
   kGranted,
   kNoDatabase,
   /// No customer has the key.
   kUnknownKey,
-  /// No customer is known to have the key; a newer configuration may say
-  /// otherwise.
+  /// No known customer has the key, but a newer configuration may.
   kKeyMayBeNew,
-  /// The keys that are known may have been taken away.
+  /// The known keys are stale: this one may have been revoked.
   kKeysOld,
 };
 
-/// What the engine tells the process around it.
+/// Receives the requests and events of the engine.
 class engine_host
 {
 public:
   virtual ~engine_host() = default;
 
-  /// Requests wait for proof of who leads the group.
+  /// Requests wait for a confirmation of the group's primary.
   virtual void NeedsConfirmation(const std::string& aService) = 0;
 
-  /// A server refused a write as one that does not lead.
+  /// A server rejected a write because it is not the primary.
   virtual void LeadDenied(const std::string& aService,
                           position::term_id aTerm) = 0;
 
-  /// So many operations of a customer wait for tokens.
+  /// More operations of the customer wait for tokens.
   virtual void NeedsTokens(const std::string& aCustomer, unsigned aCount) = 0;
 
   virtual void Decided(const decision& aDecision) = 0;
 
-  /// A server became reachable, or stopped being so.
+  /// A server became reachable or unreachable.
   virtual void Reached(const server& aServer,
                        bool aIsReached,
                        std::string_view aReason) = 0;
@@ -122,13 +121,13 @@
   /// Name of this VM.
   std::string vm;
   std::string failureDomain;
-  /// How long a confirmation holds.
+  /// How long a confirmation is valid.
   std::chrono::milliseconds validity{ 1000 };
-  /// How long a server that leaves may be used after it has said so.
+  /// How long a draining server may be used after it announced that it drains.
   std::chrono::milliseconds leavingUse{ 3500 };
 };
 
-/// When a server of a service last answered anything.
+/// When a server of a service last answered.
 struct heard_server
 {
   std::string service;
@@ -136,18 +135,19 @@
   clock::time_point at;
 };
 
-/// How an order to a server ended: the server's word, none when it refused
-/// or could not be asked.
+/// Result of a control command. The report is empty when the server rejected
+/// the command or did not answer.
 struct order_result
 {
   std::optional<server_report> report;
-  /// The server answered, though perhaps without a report.
+  /// The server answered, perhaps without a report.
   bool answered = false;
   clock::time_point askedAt;
 };
 
-/// Sessions, routing, connections to servers, and what may be told to callers.
-/// Does no I/O of its own and asks for no time. Belongs to one thread.
+/// The routing engine: sessions, routing, connections to servers, and what may
+/// be acknowledged to callers. It performs no I/O and reads no clock itself.
+/// Not thread-safe: belongs to one thread.
 class engine final : private connection_events
 {
 public:
@@ -164,47 +164,48 @@
   void SetConfiguration(std::shared_ptr<const configuration> aConfiguration,
                         clock::time_point aNow);
   void SetServers(const std::vector<server>& aServers, clock::time_point aNow);
-  /// The VMs that share the servers' connections, this one included.
+  /// Sets the VMs that share the servers' connections, including this one.
   void SetFleet(std::vector<fleet_vm> aFleet, clock::time_point aNow);
   void Confirm(const std::string& aService,
                const confirmation& aProof,
                clock::time_point aNow);
   void AddSample(const std::string& aService, const position_sample& aSample);
-  /// Nothing may rest any longer on proof of this term or an earlier one; zero
-  /// lifts that for proofs that are newer than all so far.
+  /// Invalidates confirmations of this term and older ones. Zero lifts this for
+  /// confirmations newer than those seen so far.
   void Revoke(const std::string& aService, position::term_id aTerm);
 
-  /// What the store showed of the keys' age; nothing is checked before.
+  /// Sets the freshness of the customers' keys; sessions that need a key are
+  /// refused before the first call.
   void SetFreshness(const customer::freshness& aFreshness);
 
-  /// So many operations of the customer may begin; asked for at that time.
+  /// Grants the customer tokens that were requested at that time.
   void GrantTokens(const std::string& aCustomer,
                    unsigned aCount,
                    clock::time_point aAskedAt,
                    clock::time_point aNow);
-  /// So many operations of the customer may not begin now, and had better come
-  /// back later.
+  /// Refuses this many waiting operations of the customer, which should be
+  /// retried after the given time.
   void RefuseTokens(const std::string& aCustomer,
                     unsigned aCount,
                     std::chrono::milliseconds aRetryAfter,
                     clock::time_point aNow);
 
-  /// Ends the sessions of customers that rest: their callers find a VM that can
-  /// tell whether their keys are still in force.
+  /// Closes the idle sessions of customers, so that their clients reconnect to
+  /// a VM that can verify their keys.
   void EndRestingOfCustomers();
 
-  /// Whether a session may begin that was asked for at that time.
+  /// Whether a session that was requested at that time may begin.
   [[nodiscard]] entry Admits(const std::string& aDatabase,
                              const std::string& aKey,
                              clock::time_point aAskedAt,
                              clock::time_point aNow) const;
 
-  /// Begins a session; none when no route has that database.
+  /// Opens a session; empty when no route has the database.
   [[nodiscard]] std::optional<session_id> Open(std::string aDatabase,
                                                caller& aCaller,
                                                std::string aKey = {});
-  /// Begins a session by which another VM reaches a server; none when there
-  /// is no such server.
+  /// Opens a session through which another VM reaches a server; empty when
+  /// there is no such server.
   [[nodiscard]] std::optional<session_id> OpenRelay(
     const upstream::server_id& aServer,
     caller& aCaller);
@@ -212,11 +213,11 @@
               session_statement aAsked,
               clock::time_point aNow);
   [[nodiscard]] transaction_state StateOf(session_id aSession) const;
-  /// The caller has gone.
+  /// Ends the session: the client has disconnected.
   void Close(session_id aSession, clock::time_point aNow);
 
-  /// Sends a question or order of the system itself to a server, on a direct
-  /// connection or on any.
+  /// Sends a control command to a server, on a direct connection only or on
+  /// any.
   void Order(const upstream::server_id& aServer,
              command aCommand,
              bool aDirect,
@@ -224,31 +225,31 @@
              order_callback aDone,
              clock::time_point aNow);
 
-  /// From now on sessions end as soon as they are idle.
+  /// Starts draining: sessions are closed as soon as they are idle.
   void Drain();
-  /// Ends the transactions that are idle.
+  /// Rolls back idle transactions and closes their sessions.
   void EndIdleTransactions(clock::time_point aNow);
   [[nodiscard]] std::size_t Sessions() const noexcept
   {
     return mSessions.size();
   }
-  /// Requests under way.
+  /// Number of requests in progress.
   [[nodiscard]] std::size_t Requests() const;
 
-  /// The services that callers have used since then.
+  /// Services that callers have used since that time.
   [[nodiscard]] std::vector<std::string> UsedSince(
     clock::time_point aTime) const;
 
-  /// When a server last answered anything; none when it never did.
+  /// When a server last answered; empty when it never did.
   [[nodiscard]] std::optional<clock::time_point> HeardAt(
     const upstream::server_id& aServer) const;
 
-  /// The servers that have answered anything since then.
+  /// Servers that have answered since that time.
   [[nodiscard]] std::vector<heard_server> HeardSince(
     clock::time_point aTime) const;
 
-  /// Servers that were looked at for a request, and plans that were made; they
-  /// count work.
+  /// Number of servers examined for requests, and of access plans made, since
+  /// the start; both measure work.
   [[nodiscard]] std::uint64_t LookedAt() const noexcept { return mLookedAt; }
   [[nodiscard]] std::uint64_t PlansMade() const noexcept { return mPlansMade; }
 
@@ -262,7 +263,7 @@
     position::term_id revoked = 0;
     confirm::position_samples samples;
     clock::time_point wantedAt;
-    // When a caller of this VM last sent a request or began a transaction.
+    // When a caller of this VM last used the service.
     clock::time_point usedAt;
   };
 
@@ -277,11 +278,12 @@
     clock::time_point askedAt;
   };
 
-  /// The requests of one group that wait, by lane. Lanes stay where they are
-  /// while others are added: one may begin while another is being served.
+  /// Waiting requests of one group, by dispatch queue. A node-based map:
+  /// references to a queue stay valid when others are added while it is being
+  /// served.
   using lanes = std::map<std::string, admit::deadline_queue>;
 
-  // States stay where they are while others are added.
+  // A node-based map: references to states stay valid when others are added.
   using servers = std::map<upstream::server_id, server_state>;
   using timer = std::pair<clock::time_point, session_id>;
 
@@ -454,7 +456,7 @@
                     bool aOrdinary,
                     clock::time_point aNow);
 
-  // Orders.
+  // Control commands.
   void PumpOrders(const upstream::server_id& aServer, clock::time_point aNow);
   void OpenForOrder(server_state& aServer,
                     bool aDirect,
@@ -466,45 +468,45 @@
   engine_settings mSettings;
   link_opener& mOpener;
   engine_host& mHost;
-  // Empty until the first one is known: other VMs may send their statements
-  // through this one before.
+  // Empty until the first configuration arrives: other VMs may already relay
+  // statements through this one.
   std::shared_ptr<const configuration> mConfiguration =
     std::make_shared<const configuration>();
   customer::freshness mFreshness{ std::chrono::milliseconds{ 0 } };
-  // When each VM that work goes through was last heard.
+  // When each relay was last heard from.
   absl::btree_map<std::string, clock::time_point> mRelaysHeard;
   access_planner mPlanner;
-  // Which state of fleet and configuration plans are to be made for. They are
-  // made when a server is used: most VMs use few of all.
+  // Version of the fleet and configuration that plans are made for. Plans are
+  // made when a server is used, since most VMs use few of all servers.
   std::uint64_t mPlansFor = 1;
   servers mServers;
-  // The servers of each service, by id.
+  // Servers of each service, by id.
   absl::flat_hash_map<std::string, std::vector<server_state*>> mByService;
-  // Servers to which there are connections, or were until lately, and those
-  // that are not listed any longer.
+  // Servers that have or lately had connections, and servers that are no longer
+  // listed. Only these need maintenance.
   absl::btree_set<upstream::server_id> mUpkept;
-  // Servers to which this VM is meant to hold connections, once it is known.
+  // Servers for which this VM is a connection holder; empty until computed.
   std::optional<std::vector<server_state*>> mHeld;
-  // References to its values are kept while others are added.
+  // A node-based map: references to its values are kept while others are added.
   std::map<std::string, lead_state> mLeads;
   absl::flat_hash_map<session_id, std::unique_ptr<session>> mSessions;
-  // Tokens at hand, and the sessions whose requests wait for some, by customer.
+  // Available tokens, and the sessions that wait for some, by customer.
   customer::token_purse mTokens;
   absl::flat_hash_map<std::string, std::deque<session_id>> mTokenQueues;
-  // What may be sent again after a server or another VM was too busy for it.
+  // Retry budgets, by service, for requests rejected as busy.
   std::map<std::string, admit::retry_budget> mRetries;
   std::map<std::string, lanes> mQueues;
-  // The sessions whose requests wait, by the request's number.
+  // Sessions whose requests are queued, by request number.
   absl::flat_hash_map<std::uint64_t, session_id> mWaiting;
   absl::btree_set<timer> mTimers;
   absl::btree_map<std::uint64_t, order> mOrders;
-  // Connections taken out of use that may still be on the call stack.
+  // Closed connections that may still be on the call stack.
   std::vector<std::unique_ptr<connection>> mDiscarded;
   std::uint64_t mLastNumber = 0;
   std::uint64_t mLookedAt = 0;
   std::uint64_t mPlansMade = 0;
   bool mIsDraining = false;
-  // Whether requests are given connections that stand, and none is opened.
+  // Whether only idle connections are assigned, and none is opened.
   bool mOnlyIdle = false;
   clock::time_point mNextUpkeep;
 };
--- a/src/currantshed/proxy/engine_connections.cpp
+++ b/src/currantshed/proxy/engine_connections.cpp
@@ -1,5 +1,4 @@
-// Connections to servers: which may be opened, and what becomes of those that
-// are given back.
+// Connections to servers: which may be opened, and their return to the pool.
 #include <algorithm>
 #include <utility>
 
@@ -7,7 +6,8 @@
 
 namespace currantshed::proxy {
 
-// An idle connection; where there is none, one is opened for those that wait.
+// Returns an idle connection; without one, opens one for the queued requests
+// and returns null.
 connection*
 engine::Acquire(server_state& aServer,
                 const session& aSession,
@@ -30,7 +30,8 @@
                        const std::string& aCustomer,
                        clock::time_point aNow)
 {
-  // One of another customer makes room: what a connection is for can't change.
+  // A connection can't change its customer: one of another customer is closed
+  // to make room.
   if (aVia.IsDirect() && !aCustomer.empty() &&
       !aServer.HasRoom(aServer.plan.connections, aNow)) {
     if (auto* least = aServer.LeastUsed(aCustomer)) {
@@ -58,7 +59,7 @@
                                                  : found->second.maxConnections;
 }
 
-// The server, with a plan for the fleet and the configuration as they are now.
+// Updates the server's plan for the current fleet and configuration.
 server_state&
 engine::Planned(server_state& aServer)
 {
@@ -70,7 +71,7 @@
   return aServer;
 }
 
-// Whether plans depend on which of the two numbers of VMs there are.
+// Whether a change between these numbers of VMs affects any plan.
 bool
 engine::CountsForPlans(std::size_t aBefore, std::size_t aNow) const
 {
@@ -106,7 +107,7 @@
   mHeld.reset();
 }
 
-// A VM that can't hold any has no plan made for it to find that out.
+// Makes no plans on a VM that can't be a connection holder.
 void
 engine::ListHeld()
 {
@@ -133,8 +134,8 @@
   return found == mByService.end() ? sNone : found->second;
 }
 
-// The session has done with the connection. A transaction left open on it is
-// rolled back first.
+// Returns a connection that its session no longer needs to the pool. A
+// transaction left open on it is rolled back first.
 void
 engine::GiveBack(connection& aConnection, clock::time_point aNow)
 {
@@ -158,8 +159,8 @@
   Pump(service, aNow);
 }
 
-// Closes the connection; the object stays until no caller on the stack can
-// refer to it.
+// Closes the connection; the object is kept until no function on the call stack
+// can refer to it.
 void
 engine::Discard(connection& aConnection)
 {
--- a/src/currantshed/proxy/engine_customers.cpp
+++ b/src/currantshed/proxy/engine_customers.cpp
@@ -1,4 +1,4 @@
-// Whose requests are, and whether they may run.
+// Customers: admission of their sessions and authorization of their requests.
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -31,8 +31,8 @@
   return mConfiguration->customers != nullptr && !aRoute.isPublic;
 }
 
-// The customer that the session's key belongs to now; null where nobody is told
-// apart, or where no customer has it.
+// The customer that the session's key currently belongs to; null when none is
+// required or no customer has the key.
 std::shared_ptr<const customer::customer>
 engine::OwnerOf(const session& aSession, const route& aRoute) const
 {
@@ -62,10 +62,10 @@
   return mFreshness.Holds(aNow) ? entry::kGranted : entry::kKeysOld;
 }
 
-// Why the session's next statement may not run; none when it may. Asked when
-// the statement comes, and again before anything is sent to a server: it may
-// have waited, or the process may have stood still in between. A VM that sends
-// its work through this one has asked already.
+// Why the session's next statement is not authorized; empty when it is. Checked
+// when the statement arrives and again before anything is sent to a server,
+// since the statement may have been queued or the process suspended in between.
+// For a relayed statement the requesting VM has checked already.
 std::optional<failure>
 engine::WhyNotEntitled(const session& aSession,
                        const route& aRoute,
@@ -78,8 +78,8 @@
   if (owner == nullptr) {
     return kKeyNotKnown;
   }
-  // A key that has passed to another customer ends what the first one began:
-  // its server has the first one's name.
+  // When the key has passed to another customer, what the former customer began
+  // is aborted: the server runs it under that customer's name.
   const auto* begun = aSession.transaction ? &aSession.transaction->customer
                       : aSession.current   ? &aSession.current->customer
                                            : nullptr;
@@ -103,8 +103,8 @@
   EndResting(true);
 }
 
-// Sessions whose key was taken away, or those of all customers, end once they
-// rest. A caller that has sent something is answered first.
+// Closes idle sessions whose key was revoked, or those of all customers. A
+// client that has sent a request gets its answer first.
 void
 engine::EndResting(bool aAll)
 {
--- a/src/currantshed/proxy/engine_dispatch.cpp
+++ b/src/currantshed/proxy/engine_dispatch.cpp
@@ -9,16 +9,16 @@
 
 using std::chrono::milliseconds;
 
-// A confirmation must hold for a little longer than the way to the server, so
-// that requests are not sent in vain.
+// A confirmation must be valid for a little longer than the way to the server
+// takes, so that requests are not sent in vain.
 constexpr milliseconds kConfirmationReserve{ 20 };
-// What the bound on age is tightened by, for the way from the caller.
+// Margin subtracted from the staleness bound, for the way from the caller.
 constexpr milliseconds kFloorReserve{ 50 };
 constexpr milliseconds kProofPause{ 50 };
-// The primary is left to what only it can serve, unless it is this much
-// faster.
+// Latency factor of the primary for reads: it is kept free for requests that
+// only it can serve, unless it is much faster.
 constexpr int kPrimaryPenalty = 2;
-// What the opening of a connection adds to the time of a statement.
+// Latency added by opening a connection.
 constexpr milliseconds kOpeningTime{ 20 };
 command
 StatementCommand(const session& aSession, const request& aRequest)
@@ -57,7 +57,7 @@
     }
     return;
   }
-  // A change that the old primary of a new term would commit could never be
+  // A change committed by the primary of an old term could never be
   // acknowledged.
   const auto& lead = LeadOf(request.under->service);
   if (request.needsPrimary && lead.proof.term > aSession.transaction->term) {
@@ -86,7 +86,7 @@
   return true;
 }
 
-// The server turned the request away before it ran: it goes to another one.
+// Sends a request that the server rejected before running it to another one.
 void
 engine::Requeue(session& aSession, clock::time_point aNow)
 {
@@ -121,8 +121,8 @@
 }
 
 // Takes the next step towards the caller's statement. Each step waits for the
-// answers of the one before, so that nothing runs with wrong values or outside
-// its transaction.
+// answers of the previous one, so that nothing runs with wrong session values
+// or outside its transaction.
 void
 engine::Advance(session& aSession, clock::time_point aNow)
 {
@@ -135,7 +135,7 @@
     on.Send(prelude, { purpose::kPrelude, aNow });
     return;
   }
-  // Taking the session's values may have held the request up.
+  // The session setup may have delayed the request.
   const bool begun = aSession.transaction && aSession.transaction->begun;
   if (const auto why = WhyNotEntitled(aSession, *request.under, aNow)) {
     if (!begun) {
@@ -176,8 +176,8 @@
   request.on->Send({ begin }, Expect(purpose::kBegin, request, aNow));
 }
 
-// What a command is sent for, and whether its answer shows where the confirmed
-// primary stands.
+// The pending command, marked when its answer samples the position of the
+// confirmed primary.
 expected_answer
 engine::Expect(purpose aWhy, const request& aRequest, clock::time_point aNow)
 {
@@ -207,9 +207,9 @@
   on.Send({ sent }, Expect(purpose::kStatement, request, aNow));
 }
 
-// What a server must hold to answer a read. The primary is told as well: one
-// that has started again since it was proved holds nothing, and its connections
-// break long before the list tells of it.
+// Minimum log position for a read. It is sent to the primary as well: a primary
+// that has restarted since its confirmation holds no data, and its connections
+// break long before the listing shows the restart.
 std::optional<position::log_position>
 engine::MustHold(const request& aRequest)
 {
@@ -233,8 +233,8 @@
          aNow < aLead.proof.askedAt + mSettings.validity;
 }
 
-// The lowest position that is fresh enough: a stricter one would turn replicas
-// away that could serve.
+// The lowest position that is fresh enough: a higher one would exclude replicas
+// that could serve the read.
 read_floor
 engine::FloorOf(const session& aSession, clock::time_point aNow)
 {
@@ -247,8 +247,8 @@
   }
   read_floor floor{ *lowest, lead.samples.WrittenBy(*lowest).value_or(aNow) };
   const auto& own = aSession.lastCommit;
-  // A commit of an older term is covered by every position of this one, or
-  // was rolled back when the term began.
+  // A commit of an older term is covered by every position of the current term,
+  // or was rolled back when it began.
   const bool ownCounts = route.policy == read_policy::kReadYourWrites && own &&
                          own->term == lead.proof.term;
   if (ownCounts && own->position > *floor.position) {
@@ -338,10 +338,11 @@
   return aNow - aRequest.floor.writtenBy >= aServer.Lag(aNow);
 }
 
-// Whether the request may still be sent to the server. The use of one that
-// leaves ends by itself, however its replacement goes: it may exit at any time
-// after its own time is over, and has had requests 11 s after its word without
-// this. Questions about its state are no work.
+// Whether the request may still be sent to the server. The use of a draining
+// server is limited in time, independently of its replacement: it may exit at
+// any time after its own grace period, and without this limit it was sent
+// requests 11 s after it announced that it drains. State queries are always
+// allowed.
 bool
 engine::TakesWork(const upstream::server_id& aServer,
                   const request& aRequest,
@@ -365,7 +366,8 @@
   }
 }
 
-// The server that another VM has chosen, on a connection of this VM's own.
+// Connection for a relayed request: the other VM has chosen the server, and
+// only direct connections are used.
 connection*
 engine::ConnectionForRelay(session& aSession, clock::time_point aNow)
 {
--- a/src/currantshed/proxy/engine_failures.cpp
+++ b/src/currantshed/proxy/engine_failures.cpp
@@ -1,4 +1,4 @@
-// What becomes of requests that servers refuse, and whose connections are lost.
+// Rejected requests and lost connections.
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -11,10 +11,10 @@
 
 namespace {
 
-// How often a request is offered to a server in all, before the caller gets
-// the last refusal.
+// Maximum number of attempts of a request before the caller gets the last
+// rejection.
 constexpr unsigned kMostTries = 5;
-// Reads that a server failed to run are run once more, elsewhere.
+// Reads that failed on a server are retried once on another one.
 constexpr unsigned kTriesAfterFailure = 2;
 
 std::string_view
@@ -42,7 +42,7 @@
 {
   auto& request = *aSession.current;
   const auto why = *aAnswer.failed;
-  // A primary that is none, or lacks what the primary has held.
+  // The server is not the primary, or lacks positions that the primary had.
   const bool isDenied =
     why.code == failure_code::kReadOnly || why.code == failure_code::kLagging;
   if (isDenied && request.needsPrimary) {
@@ -70,7 +70,7 @@
   if (request.mayHaveRun) {
     aAnswer.failed->code = failure_code::kFailed;
   }
-  // The log has the server's word, and what the caller is told instead.
+  // The log contains the server's code, and what the caller is told instead.
   const auto word =
     absl::StrCat(std::string(NameOf(why.code)),
                  request.mayHaveRun ? "; told that it may have run" : "");
@@ -86,8 +86,8 @@
   Finish(aSession, std::move(aAnswer), aNow);
 }
 
-// Sends the request to another server, or to the same one later, when the
-// answer shows that nothing of it ran, or that running it twice is harmless.
+// Retries the request on another server, or later on the same one, when the
+// answer shows that it has not run or when it is idempotent.
 bool
 engine::TryElsewhere(session& aSession,
                      const failure& aWhy,
@@ -131,7 +131,7 @@
   return true;
 }
 
-// The connection under the request is gone, or its time is up.
+// The request's connection was lost, or its deadline has passed.
 void
 engine::LinkLost(session& aSession, clock::time_point aNow)
 {
@@ -180,7 +180,8 @@
   }
 }
 
-// The other VM sees its way to the server break, and decides what that means.
+// Closes the relay session: the other VM sees its connection close, and decides
+// what that means.
 void
 engine::EndRelay(session& aSession)
 {
--- a/src/currantshed/proxy/engine_orders.cpp
+++ b/src/currantshed/proxy/engine_orders.cpp
@@ -9,12 +9,12 @@
 
 using std::chrono::milliseconds;
 
-// A server that takes longer to accept a connection is taken for unreachable.
+// A server that takes longer to accept a connection is considered unreachable.
 constexpr milliseconds kLongestOpening{ 1000 };
-// An answer that nobody waits for any longer is given up after this time.
+// Time limit for an answer that no session waits for.
 constexpr milliseconds kLongestSilence{ 3000 };
-// How long a connection beyond the first is kept idle: those of the server are
-// few, those through other VMs cost little.
+// Idle timeout of a connection beyond the first. Direct connections are scarce
+// on the server; those through relays are cheap.
 constexpr milliseconds kBorrowedIdle{ 1500 };
 constexpr milliseconds kRelayIdle{ 10000 };
 constexpr milliseconds kCustomersIdle{ 20000 };
@@ -52,8 +52,8 @@
   }
 }
 
-// Orders go before requests; one that finds no connection makes one, beyond
-// the limit for requests if need be.
+// Control commands take precedence over requests. Without an idle connection
+// one is opened, beyond the limit for requests if necessary.
 void
 engine::PumpOrders(const upstream::server_id& aServer, clock::time_point aNow)
 {
@@ -119,7 +119,7 @@
   }
 }
 
-// A server, or a way to it, that does not answer is avoided for a while.
+// Marks a server, or a path to it, that does not answer as avoided for a while.
 void
 engine::GiveUp(server_state& aState,
                const connection& aConnection,
@@ -134,8 +134,8 @@
   NoteReached(aState, false, aReason);
 }
 
-// One that belongs to a customer costs little while it stands, and much to open
-// again; others of the customer's may come at any time.
+// An open connection of a customer costs little, and much to open again; other
+// sessions of the customer may need it at any time.
 milliseconds
 engine::LongestIdle(const server_state& aState, const connection& aConnection)
 {
@@ -144,8 +144,8 @@
                                                    : kBorrowedIdle;
 }
 
-// Closes what is no longer needed, gives up what does not answer, and keeps
-// one connection to each server that this VM is meant to hold some to.
+// Closes unneeded and unresponsive connections, and keeps one open to each
+// server for which this VM is a connection holder.
 void
 engine::TrimConnections(clock::time_point aNow)
 {
--- a/src/currantshed/proxy/engine_quota.cpp
+++ b/src/currantshed/proxy/engine_quota.cpp
@@ -1,4 +1,4 @@
-// How many operations of a customer may begin.
+// Quotas: limits how many operations of a customer may begin.
 #include <string>
 #include <utility>
 
@@ -12,14 +12,15 @@
 
 using std::chrono::milliseconds;
 
-// How long an operation waits for its token, as a part of its target: asking
-// takes a few milliseconds, and what is left over is needed to serve it.
+// Divisor of the target that limits how long an operation waits for its token:
+// requesting one takes a few milliseconds, and the rest is needed to serve the
+// operation.
 constexpr int kTokenWaitPart = 2;
 
 } // namespace
 
-// Whether the session's request may begin. A transaction counts once, with its
-// first statement. Where there is no token at hand the request waits for one.
+// Whether the session's request may begin. A transaction takes one token, with
+// its first statement. Without an available token the request waits for one.
 bool
 engine::MayBegin(session& aSession, clock::time_point aNow)
 {
@@ -49,8 +50,8 @@
   return false;
 }
 
-// The first session that still waits for a token of the customer, taken off its
-// queue; null where there is none.
+// Removes and returns the first session that still waits for a token of the
+// customer; null when there is none.
 session*
 engine::NextForToken(const std::string& aCustomer)
 {
--- a/src/currantshed/proxy/engine_relays.cpp
+++ b/src/currantshed/proxy/engine_relays.cpp
@@ -1,4 +1,4 @@
-// Other VMs as ways to servers: which of them have fallen silent.
+// Relays: detects those that no longer answer.
 #include <algorithm>
 #include <utility>
 
@@ -10,10 +10,11 @@
 
 using std::chrono::milliseconds;
 
-// A VM that owes answers for this long and has said nothing since is taken to
-// be out of reach. Statements take some 20 ms, and those on a slow server don't
-// keep the VM from answering others. Each VM learns it once for all servers: by
-// one lost statement for each of them it took seconds.
+// A relay with an answer overdue by this time and no other answer since is
+// considered unreachable. Statements take some 20 ms, and those on a slow
+// server don't delay the relay's other answers. The relay is avoided for all
+// servers at once: detecting it by a lost statement for each server took
+// seconds.
 constexpr milliseconds kSilentRelay{ 300 };
 
 } // namespace
@@ -44,15 +45,16 @@
   }
 }
 
-// Takes other ways for a while, also for reads under way: a statement that may
-// change something is left, since only its answer tells what became of it.
+// Avoids the relay for a while, and reroutes its reads in progress. A statement
+// that may write is left alone, since only its answer shows whether it took
+// effect.
 void
 engine::AvoidRelay(const std::string& aVm, clock::time_point aNow)
 {
   std::vector<connection*> unused;
   std::vector<session_id> movable;
   for (auto& [id, state] : mServers) {
-    // Nothing has gone to this server yet, by whatever way.
+    // The server has not been used yet.
     if (state.plannedFor == 0) {
       continue;
     }
--- a/src/currantshed/proxy/engine_requests.cpp
+++ b/src/currantshed/proxy/engine_requests.cpp
@@ -1,5 +1,4 @@
-// One request from its coming to its answer: what a session may ask, and how
-// its request ends.
+// A request from its arrival to its answer.
 #include <algorithm>
 #include <utility>
 
@@ -11,11 +10,11 @@
 
 using std::chrono::milliseconds;
 
-// How much of the time for a statement is left for the way back to the
+// Part of the statement timeout that is reserved for the way back to the
 // caller.
 constexpr milliseconds kAnswerReserve{ 10 };
-// When a caller comes back whose quota can't be checked: those who keep it may
-// be out of reach for a while.
+// Retry delay for a caller whose quota can't be checked: the VMs that keep the
+// quota may be unreachable for a while.
 constexpr milliseconds kTokenRetry{ 500 };
 
 bool
@@ -28,7 +27,7 @@
   return aAsked.kind == statement_kind::kWrite;
 }
 
-// Whether a server must run it; all else is answered here.
+// Whether a server must run it; other statements are answered locally.
 bool
 NeedsServer(statement_kind aKind)
 {
@@ -102,8 +101,8 @@
     begun.customer = customer;
     begun.readOnly = aAsked.kind == statement_kind::kBeginReadOnly;
     aSession.transaction = std::move(begun);
-    // The server is asked with the first statement; another VM wants to know
-    // what it says now.
+    // The server begins it with the first statement. A relay begins it at once,
+    // since the other VM waits for the server's answer.
     if (!aSession.IsRelay()) {
       answer done;
       done.signature = "-";
@@ -138,8 +137,8 @@
   }
 }
 
-// The transaction's server connection broke between two statements, and with
-// it all that the transaction did.
+// The transaction's server connection was lost between two statements, and the
+// transaction with it.
 void
 engine::AnswerLost(session& aSession,
                    const session_statement& aAsked,
@@ -167,7 +166,7 @@
   return found == mConfiguration->routes.end() ? nullptr : found->second;
 }
 
-// Hands the answer over and goes on with what the caller sent meanwhile.
+// Delivers the answer and continues with the requests queued behind it.
 void
 engine::Finish(session& aSession, answer aAnswer, clock::time_point aNow)
 {
@@ -199,8 +198,8 @@
   }
 }
 
-// Ends the request under way without a result. A transaction does not outlive
-// a failed statement.
+// Ends the current request with an error. A failed statement ends its
+// transaction.
 void
 engine::Fail(session& aSession,
              failure_code aCode,
@@ -211,7 +210,7 @@
   answer made;
   made.failed = failure{ aCode, std::move(aText) };
   if (aSession.IsRelay()) {
-    // Only what has not begun waits, and so fails, here.
+    // Only a transaction that has not begun can wait, and so fail, here.
     aSession.transaction.reset();
   } else if (aSession.transaction) {
     const bool wasCommit =
@@ -225,7 +224,7 @@
   Finish(aSession, std::move(made), aNow);
 }
 
-// Gives up the open transaction; its server connection rolls back.
+// Ends the open transaction; its server connection rolls it back.
 void
 engine::EndTransaction(session& aSession, clock::time_point aNow)
 {
@@ -255,7 +254,7 @@
   mTimers.insert({ aAt, aSession.number });
 }
 
-// A time that concerned the session has come; which one, its state tells.
+// Handles a timer of the session; its state shows which one has expired.
 void
 engine::Expire(session& aSession, clock::time_point aNow)
 {
@@ -278,7 +277,7 @@
   if (request.at == stage::kWaiting) {
     if (aNow >= std::min(request.waitUntil, request.deadline)) {
       Unqueue(aSession);
-      // What has begun meanwhile is no reason to send the caller away.
+      // An outage that began meanwhile is no reason to reject the request.
       if (aNow < request.deadline && IsOutage(aSession, aNow)) {
         request.place.reset();
         Wait(aSession, aNow);
--- a/src/currantshed/proxy/engine_wait.cpp
+++ b/src/currantshed/proxy/engine_wait.cpp
@@ -1,4 +1,5 @@
-// How requests wait for a connection, are turned away, and get one.
+// Dispatch queues: how requests wait for a connection, are rejected, or get
+// one.
 #include <algorithm>
 #include <utility>
 
@@ -10,12 +11,12 @@
 
 namespace {
 
-// Requests that may wait in one lane: the measured rate bounds them before
-// this does; it keeps memory bounded until a rate is known.
+// Maximum length of a dispatch queue. It bounds memory until a service rate has
+// been measured, which then gives a lower bound.
 constexpr std::size_t kMostWaiting = 512;
-// A VM in a large fleet sends a group a few statements a second: so many tries
-// go through beyond the tenth, enough for one server that begins to turn work
-// away.
+// Burst of the retry budget, on top of a tenth of the requests. A VM in a large
+// fleet sends a group a few statements per second: this suffices for one server
+// that begins to reject work.
 constexpr double kRetryStore = 3.0;
 constexpr std::string_view kPrimaryLane = "primary";
 constexpr std::string_view kReadsLane = "reads";
@@ -35,7 +36,7 @@
   }
   mWaiting[request.number] = aSession.number;
   Schedule(aSession, std::max(request.waitUntil, aNow));
-  // Whoever gave up a place is told at once, and may ask anew meanwhile.
+  // Displaced requests are rejected at once, so that their callers can retry.
   for (const auto number : made.displaced) {
     const auto owner = mWaiting.find(number);
     if (owner != mWaiting.end()) {
@@ -46,13 +47,13 @@
   }
 }
 
-// A place in the queue, by the route's priority and then by time, if the
-// request is expected to be answered by then. Half of the target leaves time
-// for a caller that was refused and comes back; a relay's bound is a part of
-// another VM's already. While nothing can be served, since the primary is being
-// replaced or looked for, a caller that was refused would come back too soon as
-// often as it may: it waits as long as its statement may take, behind all that
-// can still be in time then.
+// Queues the request, by route priority and then by time, if it is expected to
+// be answered in time. Half of the target is reserved for a caller that is
+// rejected and retries; the time limit of a relayed request is already part of
+// the other VM's limit. During an outage, while the primary is being replaced
+// or unknown, a rejected caller would use up its retries too early: the request
+// waits as long as its statement may take, behind all requests that can still
+// meet their target.
 admit::admission
 engine::Admit(session& aSession, clock::time_point aNow)
 {
@@ -79,8 +80,8 @@
   return made;
 }
 
-// Whether no server can serve the request for now, however little there is to
-// do: a change of the primary passes within two seconds.
+// Whether no server can serve the request at present, independently of load: a
+// failover completes within two seconds.
 bool
 engine::IsOutage(const session& aSession, clock::time_point aNow)
 {
@@ -99,8 +100,8 @@
   });
 }
 
-// The request is not sent any more. That nothing of it has run is said only
-// where it is known.
+// Rejects the request. The error guarantees that it has not run only where this
+// is known.
 void
 engine::TurnAway(session& aSession,
                  std::string_view aWhy,
@@ -120,7 +121,7 @@
   return aRequest.mayHaveRun ? failure_code::kFailed : failure_code::kBusy;
 }
 
-// What a request that has waited in vain was waiting for, as one word.
+// What a request that was not served in time lacked, as one word.
 std::string_view
 engine::WhatLacks(const session& aSession, clock::time_point aNow)
 {
@@ -139,8 +140,7 @@
   return IsOutage(aSession, aNow) ? "replicas_behind" : "servers_busy";
 }
 
-// Requests that need the same servers queue together: their rate is measured
-// as one.
+// Requests for the same servers share a dispatch queue, and its service rate.
 admit::deadline_queue&
 engine::LaneOf(const session& aSession)
 {
@@ -169,8 +169,8 @@
   mWaiting.erase(request.number);
 }
 
-// Gives connections to the requests that wait: first to those that can still
-// end in time, in their order, then to those that can't.
+// Assigns connections to queued requests: first, in order, to those that can
+// still meet their deadline, then to the others.
 void
 engine::Pump(const std::string& aService, clock::time_point aNow)
 {
@@ -178,8 +178,8 @@
   if (found == mQueues.end()) {
     return;
   }
-  // A connection that stands goes to whoever can use it as it is; only then
-  // does one give way to a new one.
+  // Idle connections are first given to requests that can use them as they are;
+  // only then is one closed to open another.
   if (mConfiguration->customers != nullptr) {
     mOnlyIdle = true;
     PumpLanes(found->second, aNow);
@@ -219,7 +219,8 @@
     if (aBlocked.Holds(from)) {
       continue;
     }
-    // A start may give its connection back at once, and look at all that wait.
+    // A started request may return its connection at once, and so reenter this
+    // function.
     mWaiting.erase(place.request);
     aLane.Remove(place);
     if (TryStart(from, aNow)) {
--- a/src/currantshed/proxy/holders.cpp
+++ b/src/currantshed/proxy/holders.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-// A part of a server's connections stays free. When all VMs lose power at
-// once, the server counts their connections for seconds longer, and their
-// successors need some at once. VMs that watch a group, and those whose way
-// through another VM fails, need a few besides. Where the VMs of a failure
-// domain share a pool, half will do: at 83 VMs before 25 connections, two
-// thirds took 8 % of the requests after such a loss of power.
+// Part of a server's connections stays unused. When all VMs lose power at once,
+// the server counts their connections for some seconds longer, and the
+// restarted VMs need new ones at once. VMs that monitor a group, and those
+// whose relay has failed, need a few as well. With a pool shared by a failure
+// domain, only half are used: with two thirds, at 83 VMs and 25 connections, 8
+// % of the requests failed after such a power loss.
 std::size_t
 UsablePart(std::size_t aMostConnections, bool aIsShared)
 {
@@ -23,7 +23,7 @@
   return std::max<std::size_t>(part, 1);
 }
 
-// With fewer connections a VM, a transaction that waits for its caller blocks
+// With fewer connections per VM, a transaction that waits for its caller blocks
 // the VM's other work.
 constexpr std::size_t kFewestOfOwn = 3;
 
@@ -40,7 +40,7 @@
                                      : aLeft.vm->name < aRight.vm->name;
 }
 
-// The VMs, with the hash of their name and the server's.
+// Scores each VM by the hash of its name and the server's (rendezvous hashing).
 std::vector<scored_vm>
 Scored(const upstream::server_id& aServer, const std::vector<fleet_vm>& aVms)
 {
@@ -57,7 +57,7 @@
   return scored;
 }
 
-// The best of the others.
+// The highest ranked VM except the given one.
 scored_vm
 BestBut(const fleet_vm& aVm, const std::vector<scored_vm>& aScored)
 {
@@ -123,9 +123,8 @@
          (mWorks || mVms == 1 || IsForEveryone(aMostConnections, mVms));
 }
 
-// The best VM of each failure domain, the best one first. Only those that may
-// hold any are looked at, each once: this is done for every server that is used
-// whenever a VM comes or goes.
+// The highest ranked delegate of each failure domain, best first. Scores each
+// delegate once: this runs for every server in use whenever the fleet changes.
 std::vector<const fleet_vm*>
 access_planner::Holders(const upstream::server_id& aServer) const
 {
@@ -143,7 +142,7 @@
     }
   }
   std::sort(best.begin(), best.end(), GoesBefore);
-  // In a single failure domain two VMs hold connections.
+  // A single failure domain has two connection holders.
   if (best.size() == 1 && scored.size() > 1) {
     best.push_back(BestBut(*best.front().vm, scored));
   }
--- a/src/currantshed/proxy/holders.hpp
+++ b/src/currantshed/proxy/holders.hpp
@@ -10,24 +10,26 @@
 
 namespace currantshed::proxy {
 
-/// Another VM, or this one, as far as connections to servers are concerned.
+/// A VM of the fleet, as far as connections to servers are concerned.
 struct fleet_vm
 {
   std::string name;
   std::string failureDomain;
-  /// Where it relays for others: an IP number and a port.
+  /// IP address and port at which it accepts relay connections.
   std::string address;
   std::uint16_t relayPort = 0;
   /// Stops soon.
   bool leaving = false;
-  /// Holds connections for others of its failure domain, if it is chosen.
+  /// Delegate: may hold connections to servers for the VMs of its failure
+  /// domain.
   bool worksForOthers = true;
 
   [[nodiscard]] friend bool operator==(const fleet_vm&,
                                        const fleet_vm&) = default;
 };
 
-/// A way to a server: direct where the VM's name is empty, else through it.
+/// A path to a server: direct when vm is empty, else through that VM as a
+/// relay.
 struct path
 {
   std::string vm;
@@ -37,26 +39,26 @@
   [[nodiscard]] bool IsDirect() const noexcept { return vm.empty(); }
 };
 
-/// How a VM reaches one server.
+/// How one VM reaches one server.
 struct access_plan
 {
-  /// Ways in the order in which they are tried.
+  /// Paths in order of preference.
   std::vector<path> paths;
-  /// Direct connections that this VM may have.
+  /// Maximum number of direct connections of this VM.
   std::size_t connections = 1;
-  /// Whether this VM is meant to have direct connections at all.
+  /// Whether this VM is a connection holder: keeps direct connections.
   bool holds = true;
 };
 
-/// Works out who holds the connections to a server that accepts so many in
-/// all, as seen from one VM of a fleet. While there are several for each VM,
-/// every VM has its own, and goes through another one only when it is cut off
-/// from the server. Otherwise one VM in each failure domain holds its domain's
-/// share, and the others of the domain send their work through it: the way
-/// within a domain is short, and a shared pool needs far fewer connections than
-/// one a VM, which leaves some for VMs that are restarted while the server
-/// still keeps their former ones. All VMs come to the same answer from the same
-/// list.
+/// Assigns the connections that a server accepts to the VMs of a fleet, as seen
+/// from one of them. With enough connections for several per VM, every VM
+/// connects directly and uses a relay only when it can't reach the server.
+/// Otherwise one VM of each failure domain is the connection holder for its
+/// domain and relays the others' statements: round trips within a domain are
+/// short, and a shared pool needs far fewer connections than one per VM, which
+/// leaves room for restarted VMs while the server still counts their former
+/// connections. The plan is deterministic: all VMs compute the same one from
+/// the same fleet.
 class access_planner
 {
 public:
@@ -64,22 +66,22 @@
   access_planner(const access_planner&) = delete;
   access_planner& operator=(const access_planner&) = delete;
 
-  /// The VMs that share the connections, this one included. Returns whether
-  /// those that may hold some for others, or this VM, are others than before.
+  /// Sets the VMs that share the connections, including this one. Returns
+  /// whether the delegates, or this VM's role or failure domain, have changed.
   bool SetFleet(std::vector<fleet_vm> aFleet);
 
-  /// How many VMs there are.
+  /// Number of VMs.
   [[nodiscard]] std::size_t Size() const noexcept { return mVms; }
 
   [[nodiscard]] access_plan Plan(const upstream::server_id& aServer,
                                  std::size_t aMostConnections) const;
 
-  /// Whether this VM may be meant to hold connections to any server that
-  /// accepts so many.
+  /// Whether this VM can be a connection holder for some server with this
+  /// connection limit.
   [[nodiscard]] bool MayHold(std::size_t aMostConnections) const;
 
-  /// Whether each of so many VMs has connections of its own to a server that
-  /// accepts so many. Only then does the number of VMs count for a plan.
+  /// Whether each of this many VMs connects directly to a server with this
+  /// connection limit. The number of VMs affects plans only in this case.
   [[nodiscard]] static bool IsForEveryone(std::size_t aMostConnections,
                                           std::size_t aVms);
 
@@ -89,13 +91,13 @@
 
   std::string mSelf;
   std::size_t mVms = 0;
-  // Those that may hold connections for others.
+  // VMs that may hold connections for others.
   std::vector<fleet_vm> mWorkers;
   std::string mDomain;
   bool mWorks = false;
 };
 
-/// The same for a single server.
+/// Plan for a single server.
 [[nodiscard]] access_plan
 PlanAccess(const upstream::server_id& aServer,
            std::size_t aMostConnections,
--- a/src/currantshed/proxy/lanes.cpp
+++ b/src/currantshed/proxy/lanes.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-// Reads differ in the position that they must see: one that no replica has
-// reached says little of the next. Each try looks at a group's servers once.
+// Reads differ in their minimum position: that no replica has reached one says
+// little about the next. Each attempt examines the group's servers once.
 constexpr unsigned kReadsTried = 4;
-// Customers of one lane that are looked at before the rest waits for the next
-// time: each look costs as much as a request.
+// Blocked customers per queue after which its other requests wait for the next
+// pass: each attempt costs as much as a request.
 constexpr std::size_t kCustomersTried = 16;
 constexpr std::string_view kPrimaryLane = "primary";
 constexpr std::string_view kReadsLane = "reads";
--- a/src/currantshed/proxy/lanes.hpp
+++ b/src/currantshed/proxy/lanes.hpp
@@ -11,26 +11,26 @@
 
 namespace currantshed::proxy {
 
-/// Which of a group's waiting requests need not be tried any more, while
-/// connections are given out. Requests that need the same servers form a lane:
-/// statements relayed to one server, those that only the primary may run, and
-/// reads for which a replica would do. A lane that found no connection holds up
-/// its own requests alone: while one server has none to give, 19 VMs that send
-/// their work through this one still reach the other two. Connections belong to
-/// customers, so that what one customer lacks another may have.
+/// Dispatch queues of a group that have no usable connection left, collected
+/// while connections are assigned to queued requests. Requests for the same
+/// servers share a queue: relayed statements for one server, requests that only
+/// the primary may serve, and reads that a replica may serve. A queue without a
+/// connection blocks only its own requests: while one server has none free, 19
+/// VMs that are relayed by this one still reach the other two. Connections
+/// belong to customers, so each customer of a queue is blocked separately.
 class blocked_lanes
 {
 public:
-  /// Whether the session's request would wait for the same as one that has
-  /// just found nothing.
+  /// Whether the session's request would fail to get a connection like earlier
+  /// ones in this pass.
   [[nodiscard]] bool Holds(const session& aWaiting) const;
 
-  /// The session's request has found nothing.
+  /// Records that no connection was found for the session's request.
   void Add(const session& aWaiting);
 
 private:
-  /// What a lane's requests lack a connection for, and how often that was
-  /// found.
+  /// A queue and customer without a connection, and the number of failed
+  /// attempts.
   struct blocked_lane
   {
     std::string lane;
--- a/src/currantshed/proxy/request.hpp
+++ b/src/currantshed/proxy/request.hpp
@@ -14,66 +14,67 @@
 
 namespace currantshed::proxy {
 
-/// How far a request has come.
+/// Progress of a request.
 enum class stage
 {
-  /// Waits for leave to begin within its customer's quota.
+  /// Waits for a token of its customer's quota.
   kAwaitingToken,
-  /// Waits for a server connection.
+  /// Waits in a dispatch queue for a server connection.
   kWaiting,
-  /// The session's values are being brought to the connection.
+  /// The session's values are being set on the connection.
   kPrelude,
-  /// The transaction is being begun at the server.
+  /// The transaction is being begun on the server.
   kBeginning,
-  /// The server has the caller's statement.
+  /// The server runs the caller's statement.
   kRunning,
-  /// The server has committed; whether it still led then is not known yet.
+  /// The server has committed; the answer waits for confirmation that the
+  /// server was still the primary.
   kConfirming,
 };
 
-/// Bounds on the answer that a request may get from a replica.
+/// Minimum log position that a replica must have applied to answer a read.
 struct read_floor
 {
-  /// None: only the confirmed primary will do.
+  /// Empty when only the confirmed primary may answer.
   std::optional<position::log_position> position;
-  /// When the position was written, at the latest.
+  /// Latest time at which the position was written.
   clock::time_point writtenBy;
 };
 
-/// A session's request under way.
+/// A session's request in progress.
 struct request
 {
-  /// Goes up with each request of this process: the order of arrival.
+  /// Increases with each request of this process, in the order of arrival.
   std::uint64_t number = 0;
   session_statement asked;
   std::shared_ptr<const route> under;
-  /// Whose it is; empty where customers are not told apart.
+  /// The customer; empty when clients need no key.
   std::string customer;
   bool needsPrimary = false;
-  /// Whether a success makes a change last: a single write, or a commit.
+  /// Whether success makes a change durable: a single write, or a commit.
   bool commits = false;
   stage at = stage::kWaiting;
   clock::time_point arrivedAt;
-  /// When the caller gets an answer in any case.
+  /// When the caller gets an answer at the latest.
   clock::time_point deadline;
-  /// Until when it may wait for a connection.
+  /// Until when it may wait for a token or a connection.
   clock::time_point waitUntil;
-  /// Its place in the queue, once it was given one.
+  /// Its entry in the dispatch queue, once admitted.
   std::optional<admit::waiting> place;
-  /// Answers of the connection before the next step.
+  /// Session setup answers still missing before the next step.
   unsigned awaited = 0;
-  /// Servers tried so far that turned the request away.
+  /// Servers that rejected the request.
   absl::InlinedVector<upstream::server_id, 2> refusedBy;
   unsigned tries = 0;
-  /// Whether a server may have run it at an earlier try, so that no refusal may
-  /// say that it has not run.
+  /// Whether a server may have run it in an earlier attempt, in which case no
+  /// error may claim that it has not run.
   bool mayHaveRun = false;
   read_floor floor;
   connection* on = nullptr;
   clock::time_point sentAt;
-  /// The server that got it last.
+  /// The server that the request was last sent to.
   upstream::server_id ranOn;
-  /// The term in which that server was taken for the primary, or zero.
+  /// Term in which that server was the primary, as far as known, or zero.
   position::term_id term = 0;
   /// For kConfirming.
   answer held;
--- a/src/currantshed/proxy/server_state.cpp
+++ b/src/currantshed/proxy/server_state.cpp
@@ -10,41 +10,42 @@
 
 using std::chrono::milliseconds;
 
-// What a statement is expected to take before any was measured: a few
-// milliseconds of work, and the way to another failure domain and back.
+// Assumed latency of a statement before any was measured: a few milliseconds of
+// work, plus a round trip within or between failure domains.
 constexpr milliseconds kNearTime{ 10 };
 constexpr milliseconds kFarTime{ 13 };
-// Weight of the newest measurement: an eighth follows a server that turns
-// slow within ten statements.
+// Divisor of the newest sample in the moving average: an eighth follows a
+// server that becomes slow within ten statements.
 constexpr int kMeanWeight = 8;
-// A mean that is not renewed goes back to the usual time, so that a server
-// which was slow is tried again.
+// An average that is not updated expires, so that a server which was slow is
+// tried again.
 constexpr milliseconds kMeanLife{ 2000 };
-// What a replica is taken to be behind at first, and at the least.
+// Assumed replication lag at first, and its lower bound.
 constexpr milliseconds kFirstLag{ 100 };
 constexpr milliseconds kLeastLag{ 5 };
 constexpr milliseconds kLongestLag{ 5000 };
-// A refusal shows only the least lag, which is taken for so many times more.
-// With the time in which half of it fades, a replica that stays behind is tried
-// about once a second by each VM.
+// A rejection shows only a lower bound of the lag, which is multiplied by this
+// factor. Together with the half-life, each VM tries a replica that stays
+// behind about once a second.
 constexpr double kLagBeyond = 1.5;
 constexpr milliseconds kLagHalfLife{ 2000 };
 constexpr milliseconds kFirstAvoidance{ 100 };
 constexpr unsigned kDoublings = 4;
-// How long a server that was full is not asked for another connection.
+// How long no connection is requested from a server that was at its limit.
 constexpr milliseconds kFullPause{ 250 };
-// Connections that wait for a lost answer or a caller's pause do not count, up
-// to this many times the limit: the others' share stays free.
+// Stalled connections, which wait for a lost answer or a paused caller, do not
+// count towards the limit, up to this multiple of it: the share of the other
+// VMs stays free.
 constexpr std::size_t kMostHeldUp = 2;
-// Ways through other VMs that are kept open to one server; each is a session
-// of some hundred bytes there.
+// Connections through relays to one server; each is a session of some hundred
+// bytes on the relay.
 constexpr std::size_t kMostRelayed = 32;
 constexpr unsigned kMostOpeningRelayed = 4;
-// Direct connections that are opened at once where each belongs to a customer:
-// each opening takes one of the server's few slots from those that work.
+// Direct connections opened at the same time when each belongs to a customer:
+// each opening takes one of the server's few execution slots.
 constexpr unsigned kMostOpeningDirect = 2;
-// A connection usually opens within some 20 ms; after this time another way is
-// tried beside it.
+// A connection usually opens within 20 ms; after this time another path is
+// tried in parallel.
 constexpr milliseconds kSlowOpening{ 100 };
 
 } // namespace
@@ -72,8 +73,8 @@
   }
 }
 
-// A server that has just started holds nothing: reads go elsewhere until it has
-// shown where its log stands, or has had the time to catch up.
+// A restarted server holds no data yet: reads go elsewhere until it has
+// reported its log position or has had time to catch up.
 void
 server_state::StartAnew(clock::time_point aNow)
 {
@@ -157,13 +158,13 @@
       if (MayOpenFor(aCustomer, aNow)) {
         return &way;
       }
-      // One that holds connections waits for one of them, unless it has none
-      // that works.
+      // A connection holder waits for one of its connections, unless none of
+      // them works.
       if (plan.holds && !IsCutOff(aNow)) {
         return nullptr;
       }
     } else if (!IsWayAvoided(way.vm, aNow)) {
-      // One that takes long to open is not waited for if there are others.
+      // A slow path is not waited for while there are others.
       const auto opening = OpeningVia(way.vm, aNow);
       if (opening.slow > 0) {
         continue;
@@ -202,8 +203,8 @@
   if (IsAvoided(aNow)) {
     return true;
   }
-  // One that is full of other VMs' connections, perhaps of VMs that are gone,
-  // is reached through those that have one.
+  // A server at its connection limit, perhaps due to connections of VMs that
+  // are gone, is reached through VMs that have one.
   bool slow = aNow < mNoOpenUntil;
   for (const auto& one : connections) {
     if (one->IsDirect() && one->IsOpen()) {
@@ -292,7 +293,7 @@
     oldest = std::min(oldest, one->OldestSent());
   }
   const auto mean = aNow - mMeanAt > kMeanLife ? mUsual : mMean;
-  // A server that owes an answer for long is slow, whatever it was before.
+  // A server with an overdue answer is slow, whatever its average says.
   const auto owed = oldest < aNow ? aNow - oldest : clock::duration::zero();
   return std::max(mean, owed / 2) * (Running() + 1);
 }
--- a/src/currantshed/proxy/server_state.hpp
+++ b/src/currantshed/proxy/server_state.hpp
@@ -14,48 +14,49 @@
 
 namespace currantshed::proxy {
 
-/// What this process has seen of one server, and its connections there.
+/// What this process knows about one server, and its connections to it.
 class server_state
 {
 public:
   server_state(server aListed, bool aIsNear);
 
-  /// Takes over what the platform lists of it now. Of a server that has
-  /// started again all that was believed is given up, and its connections take
-  /// no new work.
+  /// Applies the platform's current listing. When the server has restarted, all
+  /// knowledge about its former incarnation is dropped, and existing
+  /// connections get no new work.
   void List(const server& aListed, clock::time_point aNow);
 
-  /// Whether something that was asked for then may be believed of this life of
-  /// the server.
+  /// Whether information that was requested at that time applies to the
+  /// server's current incarnation.
   [[nodiscard]] bool IsOfThisLife(clock::time_point aAskedAt) const noexcept
   {
     return aAskedAt >= mLivesSince;
   }
 
-  /// Commands under way.
+  /// Number of connections with pending commands.
   [[nodiscard]] unsigned Running() const;
-  /// Connections that are being opened, direct ones or others.
+  /// Number of connections being opened, direct or relayed.
   [[nodiscard]] unsigned Opening(bool aDirect) const;
-  /// Connections, direct ones or others.
+  /// Number of connections, direct or relayed.
   [[nodiscard]] std::size_t Count(bool aDirect) const;
 
-  /// An idle connection: a direct one if there is one, and one that has the
-  /// session's values. With a customer, one that serves it.
+  /// An idle connection, preferably a direct one, then one that has the
+  /// session's values; null when there is none. With a customer, only
+  /// connections that serve it.
   [[nodiscard]] connection* Idle(const session_values& aValues,
                                  bool aOnlyDirect,
                                  const std::string* aCustomer = nullptr);
 
-  /// The way on which another connection for the customer may be opened now, or
-  /// null.
+  /// Path on which a connection for the customer may be opened now, or null.
   [[nodiscard]] const path* OpenWay(clock::time_point aNow,
                                     const std::string& aCustomer = {}) const;
 
-  /// Whether a direct connection for the customer may be opened: there is room,
-  /// or an idle one of another customer can make some.
+  /// Whether a direct connection for the customer may be opened: the limit
+  /// allows one, or an idle connection of another customer can be closed for
+  /// it.
   [[nodiscard]] bool MayOpenFor(const std::string& aCustomer,
                                 clock::time_point aNow) const;
 
-  /// Whether this VM may have more direct connections than it has.
+  /// Whether this VM has fewer direct connections than the limit.
   [[nodiscard]] bool HasRoom(std::size_t aLimit, clock::time_point aNow) const;
 
   /// The idle direct connection of another customer that has been idle for
@@ -66,62 +67,63 @@
   [[nodiscard]] bool MayOpenDirect(std::size_t aLimit,
                                    clock::time_point aNow) const;
 
-  /// Whether new work may go there: not to a server that is gone, nor to one
-  /// that has been leaving for longer than the given time.
+  /// Whether it may get new work: it is listed, and has not been draining for
+  /// longer than the grace period.
   [[nodiscard]] bool TakesWork(std::chrono::milliseconds aLeavingUse,
                                clock::time_point aNow) const;
 
-  /// Whether requests had better go elsewhere for now.
+  /// Whether it has failed recently and is avoided for now.
   [[nodiscard]] bool IsAvoided(clock::time_point aNow) const;
 
-  /// Whether some way to the server, direct or not, is worth trying.
+  /// Whether any path to the server, direct or relayed, is not avoided.
   [[nodiscard]] bool IsReachable(clock::time_point aNow) const;
 
-  /// How long a statement sent now is likely to take.
+  /// Estimated latency of a statement sent now.
   [[nodiscard]] clock::duration Expected(clock::time_point aNow) const;
 
-  /// How far behind the replica's log is likely to be. What a refusal showed
-  /// fades: nothing else would show that the replica has caught up when no
-  /// statement is sent there.
+  /// Estimated replication lag. A lag observed from a rejected read decays with
+  /// time: without statements nothing else would show that the replica has
+  /// caught up.
   [[nodiscard]] clock::duration Lag(clock::time_point aNow) const;
 
-  /// A whole answer came for a statement that was sent at the given time.
+  /// Records a complete answer to a statement that was sent at the given time.
   void Served(clock::time_point aSentAt, clock::time_point aNow);
 
-  /// The server's log stood there when it answered.
+  /// Records the log position that the server reported.
   void At(const position::log_position& aPosition,
           const confirm::position_samples& aPrimary,
           clock::time_point aNow);
 
-  /// The server lacked a position that was written by then.
+  /// Records that the server lacked a position written by then.
   void Lagged(clock::time_point aWrittenBy, clock::time_point aNow);
 
-  /// A direct connection broke or could not be made.
+  /// Records that a direct connection failed or could not be opened.
   void Failed(clock::time_point aNow);
 
-  /// The same on the way through another VM.
+  /// Records the same for a connection through a relay.
   void WayFailed(const std::string& aVm, clock::time_point aNow);
 
-  /// The server accepts no more connections.
+  /// Records that the server is at its connection limit.
   void Full(clock::time_point aNow);
 
   server listed;
   access_plan plan;
-  /// Which state of the fleet and the configuration the plan was made for; zero
-  /// for none.
+  /// Version of the fleet and configuration that the plan was made for; zero
+  /// without a plan.
   std::uint64_t plannedFor = 0;
-  /// Since when the server may have said that it leaves, if it does.
+  /// Earliest time at which the server may have announced that it drains, if it
+  /// does.
   std::optional<clock::time_point> leavingSince;
-  /// The platform does not list it any longer; it goes once it is idle.
+  /// No longer listed by the platform; removed once it has no connections.
   bool unlisted = false;
   std::vector<std::unique_ptr<connection>> connections;
   std::optional<position::log_position> applied;
   clock::time_point heardAt;
-  /// Whether it answered last, as told to the host.
+  /// Last reachability reported to the host.
   bool reached = false;
 
 private:
-  /// Connections that are being opened, and those of them that take long.
+  /// Connections being opened, in total and those that are slow.
   struct openings
   {
     unsigned all = 0;
@@ -131,14 +133,14 @@
   [[nodiscard]] openings OpeningVia(const std::string& aVm,
                                     clock::time_point aNow) const;
   void StartAnew(clock::time_point aNow);
-  /// Whether the server may be asked for a connection now.
+  /// Whether a connection may be requested from the server now.
   [[nodiscard]] bool MayAsk(clock::time_point aNow) const;
   [[nodiscard]] bool IsWayAvoided(const std::string& aVm,
                                   clock::time_point aNow) const;
   /// Whether direct connections fail, or take too long to open.
   [[nodiscard]] bool IsCutOff(clock::time_point aNow) const;
 
-  // When this VM came to know that it has started again.
+  // When this VM learned of the current incarnation.
   clock::time_point mLivesSince{};
   clock::duration mUsual;
   clock::duration mMean;
--- a/src/currantshed/proxy/session.hpp
+++ b/src/currantshed/proxy/session.hpp
@@ -16,7 +16,7 @@
 
 namespace currantshed::proxy {
 
-/// The far end of a session.
+/// Receives the answers of a session, for the client that opened it.
 class caller
 {
 public:
@@ -24,66 +24,67 @@
 
   virtual void Deliver(const answer& aAnswer) = 0;
 
-  /// Ends the session's connection once all that was delivered is sent.
+  /// Closes the client's connection once all delivered answers are sent.
   virtual void Close() = 0;
 
-  /// Whether it has sent what was not read yet.
+  /// Whether the client has sent data that is not read yet.
   [[nodiscard]] virtual bool HasUnread() const { return false; }
 };
 
-/// Values of a session, by name.
+/// Session values, by name.
 using session_values = absl::btree_map<std::string, std::string>;
 
-/// A statement that a session prepared.
+/// A statement that a session has prepared.
 struct prepared_statement
 {
-  /// Its name on server connections: the same for all sessions that prepare
-  /// the same, so that they share it.
+  /// Name on server connections, derived from the statement, so that sessions
+  /// with the same statement share it.
   std::string sharedName;
   std::string shape;
   bool writes = false;
 };
 
-/// A commit that a session was told of.
+/// A commit that was acknowledged to the session.
 struct own_commit
 {
   position::log_position position;
-  /// The primary's term that it was committed in.
+  /// Term of the primary that committed it.
   position::term_id term = 0;
   clock::time_point at;
 };
 
-/// What the session's open transaction is.
+/// State of the session's open transaction.
 struct open_transaction
 {
   std::shared_ptr<const route> under;
-  /// Whose it is; empty where customers are not told apart.
+  /// The customer; empty when clients need no key.
   std::string customer;
-  /// Whether it counts into its customer's quota already.
+  /// Whether a token of the customer's quota has been requested for it.
   bool isCounted = false;
   bool readOnly = false;
   bool failed = false;
-  /// Its server connection broke while no statement was under way.
+  /// The server connection closed while no statement was in flight.
   bool lost = false;
-  /// The primary's term that it was begun in; zero where it may run anywhere.
+  /// Term of the primary that it began on; zero for a transaction that any
+  /// server may run.
   position::term_id term = 0;
-  /// Whether a statement that writes was sent in it.
+  /// Whether it has sent a statement that writes.
   bool wrote = false;
   clock::time_point lastUsed;
-  /// The server connection that it runs on; null until its first statement.
+  /// The server connection that it runs on; null before its first statement.
   connection* on = nullptr;
   /// Whether the server has begun it.
   bool begun = false;
 };
 
-/// One caller's session. Values and prepared statements are kept here and
-/// brought to whichever server connection runs the next statement.
+/// One caller's session. Session values and prepared statements are kept here
+/// and are set up on whichever server connection runs the next statement.
 class session
 {
 public:
   session(std::uint64_t aNumber, std::string aDatabase, caller& aCaller);
 
-  /// Carries out what needs no server; none when a server must be asked.
+  /// Runs a statement that needs no server; empty when a server must run it.
   [[nodiscard]] std::optional<answer> AnswerLocally(
     const session_statement& aAsked);
 
@@ -93,27 +94,28 @@
 
   [[nodiscard]] transaction_state State() const noexcept;
 
-  /// Whether it works for another VM, which has made all decisions.
+  /// Whether it serves another VM, which makes all routing decisions.
   [[nodiscard]] bool IsRelay() const noexcept { return !relaysTo.empty(); }
 
   std::uint64_t number;
   std::string database;
-  /// What the caller showed to tell whose its requests are.
+  /// Key that the client presented to identify its customer.
   std::string key;
   /// The server that another VM reaches through this session, or empty.
   upstream::server_id relaysTo;
-  /// What takes the place of a route then.
+  /// Route of a relay session, in place of a configured one.
   std::shared_ptr<const route> relayRoute;
   caller& farEnd;
   session_values values;
   std::optional<open_transaction> transaction;
-  /// The newest commit that this session was told of.
+  /// The newest commit acknowledged to this session.
   std::optional<own_commit> lastCommit;
-  /// Requests that wait for the one under way.
+  /// Requests queued behind the current one.
   std::deque<session_statement> backlog;
-  /// The request under way.
+  /// The request in progress.
   std::optional<request> current;
-  /// The caller has gone; the session goes once nothing is under way.
+  /// The client has disconnected; the session is removed once its current
+  /// request has ended.
   bool gone = false;
 
 private:
@@ -123,7 +125,7 @@
   absl::btree_map<std::string, prepared_statement> mPrepared;
 };
 
-/// The name under which server connections know a prepared statement.
+/// The statement under its shared name on server connections.
 [[nodiscard]] prepared_statement
 MakePrepared(const session_statement& aPrepare);
 
--- a/src/currantshed/proxy/statement.hpp
+++ b/src/currantshed/proxy/statement.hpp
@@ -12,7 +12,7 @@
 
 namespace currantshed::proxy {
 
-/// What a caller asks of its session.
+/// Kind of a caller's request.
 enum class statement_kind
 {
   kBegin,
@@ -25,35 +25,34 @@
   kPrepare,
   kExecute,
   kDeallocate,
-  /// Clears session values and prepared statements; between VMs only.
+  /// Clears session values and prepared statements; sent between VMs only.
   kReset,
-  /// How a server stands in its group; between VMs only.
+  /// Queries the server's state in its group; sent between VMs only.
   kReport,
 };
 
-/// One request of a caller in its session.
+/// One request in a caller's session.
 struct session_statement
 {
-  /// The caller's own name for the request; handed on unchanged.
+  /// Request id chosen by the caller; passed on unchanged.
   std::string id;
   statement_kind kind = statement_kind::kRead;
-  /// The whole text, handed on unchanged where a server runs it.
+  /// The full text; passed on unchanged when a server runs it.
   std::string text;
-  /// Name of the session value, or of the prepared statement.
+  /// Name of the session value or prepared statement.
   std::string name;
-  /// The session value, the shape of what is prepared, or the arguments of
-  /// what is executed.
+  /// The session value, the text to prepare, or the arguments to execute with.
   std::string argument;
-  /// For kPrepare: whether what is prepared writes.
+  /// For kPrepare: whether the prepared statement writes.
   bool writes = false;
-  /// The log must have this position; between VMs only.
+  /// Minimum log position of the server; sent between VMs only.
   std::optional<position::log_position> floor;
-  /// Whose request it is; between VMs only.
+  /// The customer; sent between VMs only.
   std::string customer;
 };
 
-/// Why a request has no result. The first group promises that nothing of the
-/// caller's attempt is kept.
+/// Why a request failed. The codes of the first group guarantee that the
+/// request had no effect.
 enum class failure_code
 {
   kBusy,
@@ -69,13 +68,13 @@
   kMalformed,
   kNoDatabase,
   kNoStatement,
-  /// No customer holds the caller's key.
+  /// No customer has the caller's key.
   kNotAuthorized,
-  /// A code that this version does not know; the text has it.
+  /// A code unknown to this version; the text contains it.
   kOther,
 };
 
-/// The code as one word for logs and counters.
+/// Name of the code in logs and metrics.
 [[nodiscard]] std::string_view
 NameOf(failure_code aCode);
 
@@ -85,55 +84,55 @@
   std::string text;
 };
 
-/// Where a session stands after an answer.
+/// Transaction state of a session after an answer.
 enum class transaction_state
 {
   kIdle,
   kOpen,
-  /// The transaction failed; all but its end is refused.
+  /// The transaction has failed; only commit and rollback are accepted.
   kFailed,
 };
 
-/// What a server says about itself and its group.
+/// State of a server and its replication, as reported by itself.
 struct server_report
 {
   bool isPrimary = false;
-  /// The term of its log.
+  /// Current term of its log.
   position::term_id term = 0;
-  /// The end of the log that it has received.
+  /// End of the log received so far.
   position::log_position received;
-  /// The term at which it is fenced; zero when it is not.
+  /// Term at which it is fenced; zero when it is not.
   position::term_id fencedAt = 0;
-  /// How far it lags behind, as it sees it.
+  /// Its own estimate of its replication lag.
   std::chrono::milliseconds lag{ 0 };
-  /// Statements that it runs at the moment.
+  /// Statements that it is running.
   unsigned busy = 0;
-  /// Connections from all callers.
+  /// Connections from all clients.
   unsigned connections = 0;
 
   [[nodiscard]] friend bool operator==(const server_report&,
                                        const server_report&) = default;
 };
 
-/// The answer to one request.
+/// Answer to one request.
 struct answer
 {
   std::vector<std::string> rows;
-  /// The server's proof that it ran the statement, or a dash where no server
-  /// was asked.
+  /// Proof that the server ran the statement, or "-" when no server was
+  /// involved.
   std::string signature;
   std::optional<failure> failed;
   transaction_state state = transaction_state::kIdle;
-  /// Where the server's log stood.
+  /// Log position of the server at the time of the answer.
   std::optional<position::log_position> position;
   /// For kReport, kFence, kUnfence and kDemote.
   std::optional<server_report> report;
 };
 
-/// What a server is asked.
+/// Kind of a request to a server.
 enum class command_kind
 {
-  /// A caller's text, unchanged.
+  /// The caller's text, unchanged.
   kVerbatim,
   kBegin,
   kBeginReadOnly,
@@ -143,13 +142,13 @@
   kSet,
   kPrepare,
   kExecute,
-  /// How the server stands in its group.
+  /// Queries the server's state in its group.
   kReport,
-  /// Stop receiving from a primary below the term.
+  /// Stops replication from primaries below the term.
   kFence,
-  /// Receive again.
+  /// Resumes replication.
   kUnfence,
-  /// A primary below the term becomes a replica.
+  /// Turns a primary below the term into a replica.
   kDemote,
 };
 
@@ -157,22 +156,23 @@
 struct command
 {
   command_kind kind = command_kind::kVerbatim;
-  /// The caller's id; empty for what the system itself asks.
+  /// The caller's request id; empty for requests of the system itself.
   std::string id;
-  /// The server refuses to run the command on a log that lacks this position.
+  /// Minimum log position: the server rejects the command when its log lacks
+  /// this position.
   std::optional<position::log_position> floor;
   /// For kVerbatim.
   std::string text;
   /// For kSet, kPrepare and kExecute.
   std::string name;
-  /// The value, the shape, or the arguments.
+  /// The value, the text to prepare, or the arguments.
   std::string argument;
   /// For kPrepare.
   bool writes = false;
   /// For kFence and kDemote.
   position::term_id term = 0;
-  /// Whose request it is: told to other VMs, on whose connections to servers
-  /// it runs.
+  /// The customer; told to a relay, which runs the command on its own
+  /// connection.
   std::string customer;
 };
 
--- a/src/currantshed/proxy/strength.cpp
+++ b/src/currantshed/proxy/strength.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-// One that dies must leave another.
+// Two, so that one remains when the other fails.
 constexpr unsigned kFewestStrong = 2;
-// The strong ones must have at least this part of the processor time of their
-// failure domain, for they do part of the others' work beside their own.
+// Delegates must have at least this fraction (1/12) of the processor time of
+// their failure domain, since they do part of the others' work besides their
+// own.
 constexpr unsigned kSmallestPart = 12;
 
 struct domain_strength
--- a/src/currantshed/proxy/strength.hpp
+++ b/src/currantshed/proxy/strength.hpp
@@ -6,30 +6,30 @@
 
 namespace currantshed::proxy {
 
-/// What a VM has to work with.
+/// Capacity of a VM.
 struct vm_strength
 {
   std::string failureDomain;
-  /// Processor time, in thousandths of a core.
+  /// Processor time in thousandths of a core.
   unsigned share = 0;
   /// Stops soon.
   bool leaving = false;
 };
 
-/// Whether a VM counts as strong beside the strongest of its failure domain:
-/// with half of what that one has.
+/// Whether a VM has high capacity: at least half of the largest VM of its
+/// failure domain.
 [[nodiscard]] constexpr bool
 IsStrong(unsigned aShare, unsigned aStrongest) noexcept
 {
   return 2 * aShare >= aStrongest;
 }
 
-/// Which of the VMs work for others of their failure domain: hold connections
-/// to servers for them, and follow the store for them. These are the strong
-/// ones, where they are enough: at least two with half of what the strongest
-/// has, and together a twelfth of what the domain has. Else all that stay. Work
-/// for others goes by few VMs then, so that each VM finds out soon when one of
-/// them is out of reach, and it takes less time on a fast VM.
+/// Selects the delegates: VMs that hold connections to servers and watch the
+/// store for the other VMs of their failure domain. These are the high-capacity
+/// VMs if there are at least two of them and they have at least a twelfth of
+/// the domain's total capacity; otherwise all VMs that are not draining. With
+/// few delegates every VM soon notices when one is unreachable, and relaying
+/// takes less time on a fast VM.
 [[nodiscard]] std::vector<bool>
 WorkForOthers(const std::vector<vm_strength>& aVms);
 
--- a/src/currantshed/proxy/upstream_link.hpp
+++ b/src/currantshed/proxy/upstream_link.hpp
@@ -12,22 +12,23 @@
 
 namespace currantshed::proxy {
 
-/// Why a link to a server is gone.
+/// Reason why a link to a server closed.
 enum class link_end
 {
-  /// The connection broke, or the server closed it.
+  /// The connection failed, or the server closed it.
   kBroken,
-  /// No connection could be made.
+  /// The connection could not be established.
   kUnreachable,
-  /// The server has as many connections as it accepts.
+  /// The server has reached its connection limit.
   kServerFull,
-  /// Another server answers at the address.
+  /// Another server answered at the address.
   kWrongServer,
-  /// The server sent what is no answer.
+  /// The server sent a malformed answer.
   kMalformed,
 };
 
-/// Hears what one link brings. Answers come in the order of the commands.
+/// Receives the events of one link. Answers arrive in the order of the
+/// commands.
 class link_listener
 {
 public:
@@ -36,12 +37,13 @@
   virtual void Opened(const std::optional<position::log_position>& aAt,
                       clock::time_point aNow) = 0;
   virtual void Answered(answer aAnswer, clock::time_point aNow) = 0;
-  /// Nothing comes after this. Never called from within a call of the link.
+  /// The last event of a link. Never called from within a call to the link.
   virtual void Ended(link_end aWhy, clock::time_point aNow) = 0;
 };
 
-/// One connection to a server; destroying it closes it, upon which the server
-/// rolls back what was open. It may be destroyed while it calls its listener.
+/// One connection to a server. Destroying it closes the connection, upon which
+/// the server rolls back an open transaction. It may be destroyed while it
+/// calls its listener.
 class upstream_link
 {
 public:
@@ -50,15 +52,15 @@
   virtual void Send(const std::vector<command>& aCommands) = 0;
 };
 
-/// Makes connections to servers.
+/// Opens connections to servers.
 class link_opener
 {
 public:
   virtual ~link_opener() = default;
 
-  /// Begins to connect on the given way. A direct connection belongs to the
-  /// customer; one through another VM serves all. The listener outlives the
-  /// link.
+  /// Starts to connect along the path. A direct connection belongs to the
+  /// customer; one through a relay serves all customers. The listener must
+  /// outlive the link.
   [[nodiscard]] virtual std::unique_ptr<upstream_link> Open(
     const server& aServer,
     const path& aVia,
