--- a/bench/currantshed/proxy/holders.cpp
+++ b/bench/currantshed/proxy/holders.cpp
@@ -27,7 +27,7 @@
   return fleet;
 }
 
-/// What a VM works out anew when a VM comes or goes: its way to each of sixty
+/// The plans that a VM recomputes when the fleet changes: its paths to sixty
 /// servers.
 void
 PlanAllServers(benchmark::State& aState)
--- a/src/currantshed/proxy/engine.hpp
+++ b/src/currantshed/proxy/engine.hpp
@@ -174,8 +174,8 @@
   /// confirmations newer than those seen so far.
   void Revoke(const std::string& aService, position::term_id aTerm);
 
-  /// Sets the freshness of the customers' keys; sessions that need a key are
-  /// refused before the first call.
+  /// Sets the freshness of the customers' keys. Before the first call no bound
+  /// is applied, and keys never become stale.
   void SetFreshness(const customer::freshness& aFreshness);
 
   /// Grants the customer tokens that were requested at that time.
--- a/src/currantshed/proxy/engine_wait.cpp
+++ b/src/currantshed/proxy/engine_wait.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // Maximum length of a dispatch queue. It bounds memory until a service rate has
-// been measured, which then gives a lower bound.
+// been measured; after that the rate limits the queue earlier.
 constexpr std::size_t kMostWaiting = 512;
 // Burst of the retry budget, on top of a tenth of the requests. A VM in a large
 // fleet sends a group a few statements per second: this suffices for one server
--- a/test/currantshed/proxy/customers.cpp
+++ b/test/currantshed/proxy/customers.cpp
@@ -30,7 +30,7 @@
   return made;
 }
 
-/// A VM that tells two customers apart.
+/// A VM with two customers.
 class customers_vm : public test::one_vm
 {
 public:
@@ -46,7 +46,7 @@
     return *engine.Open("claims", aCaller, aKey);
   }
 
-  /// Answers what the server was sent last.
+  /// Answers the last command that the server received.
   void Answer(const std::string& aServer)
   {
     proxy::answer made;
@@ -62,8 +62,8 @@
   std::vector<declared> customers;
   const char* database;
   const char* key;
-  /// When the store was last known to have nothing newer; the session was asked
-  /// for at the start.
+  /// When the store was last known to have no newer keys; the session is
+  /// requested at the start.
   std::chrono::milliseconds provedAfter;
   std::chrono::milliseconds sinceStart;
   entry expect;
@@ -135,7 +135,7 @@
 struct change_row
 {
   const char* name;
-  /// What is in force after the session has begun.
+  /// The configuration in force after the session has begun.
   std::vector<declared> customers;
   std::chrono::milliseconds later;
   bool inTransaction;
@@ -220,8 +220,8 @@
   }
 }
 
-// What has waited for a connection, or stood still, is looked at again before
-// it is sent.
+// A request is authorized again when it is sent, since it may have been queued
+// or the process suspended meanwhile.
 TEST(customers, A_request_is_looked_at_again_when_it_is_sent)
 {
   customers_vm vm;
@@ -242,8 +242,8 @@
   }
 }
 
-// The server takes the first customer's statements on the first connection, so
-// the second customer needs one of its own.
+// The server accepts the first customer's statements on the first connection,
+// so the second customer needs its own.
 TEST(customers, Customers_have_connections_of_their_own)
 {
   customers_vm vm;
@@ -265,8 +265,8 @@
   CHECK_EQUAL(own, vm.servers.lastUsed);
 }
 
-// Nine connections, of which this VM uses six: the seventh customer's takes the
-// place of the one that has rested for longest.
+// Of nine connections this VM uses six: the seventh customer's connection
+// replaces the one that has been idle for longest.
 TEST(customers, The_connection_least_used_gives_way)
 {
   std::vector<declared> many;
--- a/test/currantshed/proxy/customers_configuration.hpp
+++ b/test/currantshed/proxy/customers_configuration.hpp
@@ -12,7 +12,7 @@
 
 namespace currantshed::test {
 
-/// A customer as operators declare it.
+/// A customer as declared by the operators.
 struct declared
 {
   const char* customer;
@@ -20,8 +20,7 @@
   std::optional<customer::quota> limit = std::nullopt;
 };
 
-/// One group with a database for customers, "claims", and one for anyone,
-/// "open".
+/// One group with a database for customers, "claims", and a public one, "open".
 inline std::shared_ptr<proxy::configuration>
 CustomersConfiguration(std::uint64_t aVersion,
                        const std::vector<declared>& aCustomers)
--- a/test/currantshed/proxy/engine_orders.cpp
+++ b/test/currantshed/proxy/engine_orders.cpp
@@ -19,7 +19,7 @@
 
 constexpr clock::time_point kStart{ 1h };
 
-/// Keeps the listeners of the links that were opened, direct ones apart.
+/// Records the listeners of opened links, direct and relayed ones separately.
 class recording_opener final : public proxy::link_opener
 {
 public:
@@ -37,7 +37,8 @@
   std::vector<proxy::link_listener*> relayed;
 };
 
-/// One VM that holds no connections to the only server, beside two that do.
+/// A draining VM without connections to the only server, in a fleet with other
+/// connection holders.
 class one_vm
 {
 public:
--- a/test/currantshed/proxy/holders.cpp
+++ b/test/currantshed/proxy/holders.cpp
@@ -32,7 +32,7 @@
   std::size_t vms;
   std::size_t domains;
   std::size_t connections;
-  /// VMs that hold connections.
+  /// Expected number of connection holders.
   std::size_t holders;
 };
 
@@ -67,7 +67,7 @@
                       plan.paths.end(),
                       [](const auto& aPath) { return aPath.IsDirect(); });
       CHECK_TEXT(direct == 1, row.name);
-      // Holders go first themselves, others through their own domain.
+      // Connection holders connect directly first, others through a relay.
       const bool first = plan.paths.front().IsDirect();
       CHECK_TEXT(first == plan.holds, row.name);
     }
--- a/test/currantshed/proxy/idle_link.hpp
+++ b/test/currantshed/proxy/idle_link.hpp
@@ -7,7 +7,7 @@
 
 namespace currantshed::test {
 
-/// A link whose far end never answers.
+/// A link whose server never answers.
 class idle_link final : public proxy::upstream_link
 {
 public:
--- a/test/currantshed/proxy/leaving.cpp
+++ b/test/currantshed/proxy/leaving.cpp
@@ -1,12 +1,10 @@
-// While the primary of a group could not be replaced, every VM went on sending
-// requests to it although it had said that it leaves: only the change of the
-// primary ended that, and nothing else bounded it. In one day 96 requests came
-// later than the server allows; the last line of one of them:
-//   20.002 request outcome=refused server=i-e17904285a needs_primary=true
-//     server_leaving_ms=10987
-// A server may exit as soon as its time is over, and work that reaches it then
-// is lost. So the use of a leaving server ends by itself, whatever role it has
-// and however the change of the primary goes.
+// While the primary of a group could not be replaced, every VM kept sending
+// requests to it although it had announced that it drains: only a failover
+// ended that. Within one day 96 requests reached a server after its grace
+// period, one of them 10987 ms after the announcement. A server may exit once
+// its grace period is over, and requests that reach it later are lost. The use
+// of a draining server therefore ends by itself, whatever its role and the
+// state of the failover.
 #include <chrono>
 #include <functional>
 
@@ -27,9 +25,9 @@
   const char* route;
   proxy::statement_kind asked;
   std::function<void(one_vm&)> given;
-  /// How long after that the request comes.
+  /// Time between the change and the request.
   std::chrono::milliseconds after;
-  /// Whether "a" gets it.
+  /// Whether "a" gets the request.
   bool expected;
 };
 
@@ -113,8 +111,9 @@
   }
 }
 
-// A request got the leaving server in time, but the server was slow to take the
-// session's values; what comes after them would reach it too late.
+// A request is dispatched to the draining server in time, but the server is
+// slow to answer the session setup; the statement would arrive after the grace
+// period.
 TEST(leaving_servers, get_no_work_that_was_held_up_on_its_way_there)
 {
   one_vm vm;
@@ -140,9 +139,9 @@
 {
   const char* name;
   proxy::statement_kind asked;
-  /// How long the server has been leaving.
+  /// How long the server has been draining.
   std::chrono::milliseconds after;
-  /// Whether it is sent on; otherwise it is refused at once.
+  /// Whether it is sent on; otherwise it is rejected at once.
   bool expected;
 };
 
--- a/test/currantshed/proxy/load_world.cpp
+++ b/test/currantshed/proxy/load_world.cpp
@@ -56,7 +56,7 @@
     return false;
   }
   ++taken;
-  // From half of the mean to one and a half.
+  // Between 0.5 and 1.5 times the mean.
   const auto part = 0.5 + static_cast<double>(mRandom() % 1000) / 1000.0;
   const auto time = std::chrono::duration_cast<std::chrono::microseconds>(
     aMean * (part * slow));
@@ -149,7 +149,7 @@
     }
     const auto& shape = mWorld.mShape;
     const auto work = writes ? shape.writeWork : shape.readWork;
-    // The server works on, whether the connection lives or not.
+    // The server finishes the work even if the connection closes.
     const bool isTaken =
       mServer.Take(work, [this, alive = mAlive, aCommand, writes] {
         if (writes) {
@@ -239,8 +239,7 @@
   proxy::engine engine;
 };
 
-/// One operation: a session with a single statement, tried again after
-/// refusals.
+/// One operation: a session with a single statement, retried after rejections.
 class load_world::caller final : public proxy::caller
 {
 public:
@@ -294,7 +293,7 @@
     engine.Submit(*mSession, asked, mWorld.mTime.Now());
   }
 
-  // The engine may be in the middle of this session's event.
+  // Deferred, since the engine may be handling an event of this session.
   void Leave()
   {
     if (mSession) {
@@ -435,7 +434,7 @@
   return nullptr;
 }
 
-// A replica has what was written before its lag; the primary has all.
+// A replica has the records written before its lag; the primary has all.
 position::log_position
 load_world::At(const model_server& aServer) const
 {
--- a/test/currantshed/proxy/load_world.hpp
+++ b/test/currantshed/proxy/load_world.hpp
@@ -16,26 +16,27 @@
 
 namespace currantshed::test {
 
-/// A server that runs so many statements at a time, lets some more wait, and
-/// turns the rest away.
+/// A server that runs a limited number of statements at a time, queues some
+/// more, and rejects the rest.
 class model_server
 {
 public:
   model_server(timeline& aTime, std::mt19937& aRandom, unsigned aSlots);
 
-  /// Runs work of that mean length, then calls back; false when it is full.
+  /// Runs work of this mean duration, then calls back; false when the queue is
+  /// full.
   [[nodiscard]] bool Take(std::chrono::microseconds aMean,
                           std::function<void()> aDone);
 
-  /// Whether a question would find a slot free.
+  /// Whether a query would find a free slot.
   [[nodiscard]] bool HasSlot() const { return mRunning < mSlots; }
 
   proxy::server listed;
   bool leads = false;
   bool reachable = true;
-  /// How much longer than usual its work takes.
+  /// Factor on the duration of its work.
   double slow = 1.0;
-  /// How far behind the primary it applies what was written.
+  /// Replication lag behind the primary.
   std::chrono::milliseconds lag{ 0 };
   unsigned mostWaiting = 24;
   std::uint64_t turnedAway = 0;
@@ -57,13 +58,13 @@
   std::deque<work> mWaiting;
 };
 
-/// What callers ask for, all VMs together.
+/// The offered load, for all VMs together.
 struct load_shape
 {
   std::size_t vms = 6;
   unsigned slots = 3;
   unsigned maxConnections = 22;
-  /// Statements a second.
+  /// Statements per second.
   double writes = 40;
   double reads = 200;
   std::chrono::milliseconds writeTarget{ 150 };
@@ -72,28 +73,28 @@
   std::chrono::milliseconds staleness{ 2500 };
   std::chrono::microseconds writeWork{ 6000 };
   std::chrono::microseconds readWork{ 18000 };
-  /// How often, and how soon, a caller comes back after a refusal.
+  /// Maximum number of retries of a caller after rejections, and the delay
+  /// before each.
   unsigned retries = 2;
   std::chrono::milliseconds backoff{ 50 };
 };
 
-/// How requests that began in one second ended.
+/// Outcomes of the requests that began in one second.
 struct load_result
 {
   unsigned asked = 0;
   unsigned inTime = 0;
   unsigned late = 0;
   unsigned lost = 0;
-  /// Refusals that callers were given, and those given within a quarter of
-  /// the target.
+  /// Rejections that callers got, and those within a quarter of the target.
   unsigned refusals = 0;
   unsigned promptRefusals = 0;
 
   load_result& operator+=(const load_result& aOther);
 };
 
-/// One group of servers, the engines of some VMs and a stream of callers, in
-/// virtual time.
+/// A discrete-event simulation of one group of servers, the engines of some VMs
+/// and a stream of callers, in virtual time.
 class load_world
 {
 public:
@@ -107,19 +108,19 @@
   {
     return *mServers[aNumber];
   }
-  /// How much the callers ask for, against the shape.
+  /// Factor on the offered load.
   double factor = 1.0;
-  /// Whether somebody proves the primary all the while.
+  /// Whether the primary is confirmed periodically.
   bool proofs = true;
 
-  /// Lets so much time pass.
+  /// Advances the virtual time.
   void Run(std::chrono::milliseconds aSpan);
-  /// The sum over the seconds from one to before the other.
+  /// Sum over the seconds from aFrom up to, but not including, aTo.
   [[nodiscard]] load_result Between(std::size_t aFrom, std::size_t aTo) const;
-  /// Statements that servers were sent, and those that they turned away.
+  /// Statements that servers accepted, and those that they rejected.
   [[nodiscard]] std::uint64_t Taken() const;
   [[nodiscard]] std::uint64_t TurnedAway() const;
-  /// How often an engine sent a request on after it had been turned away.
+  /// How often an engine retried a request on another server after a rejection.
   [[nodiscard]] std::uint64_t SentElsewhere() const noexcept
   {
     return mSentElsewhere;
@@ -143,7 +144,7 @@
   std::mt19937 mRandom;
   clock::time_point mStart;
   std::vector<std::unique_ptr<model_server>> mServers;
-  // When each record was written.
+  // Write time of each record.
   std::vector<clock::time_point> mLog;
   std::vector<std::unique_ptr<vm>> mVms;
   std::map<std::uint64_t, std::unique_ptr<caller>> mCallers;
--- a/test/currantshed/proxy/many_groups.cpp
+++ b/test/currantshed/proxy/many_groups.cpp
@@ -29,7 +29,7 @@
 {
   std::vector<proxy::fleet_vm> fleet;
   for (std::size_t i = 0; i < aVms; ++i) {
-    // One in ten is strong; the VM looked at is not.
+    // One VM in ten is a delegate; the VM under test is not.
     fleet.push_back({ "vm-" + std::to_string(i),
                       i % 2 == 0 ? "north" : "south",
                       "10.0.0.1",
@@ -40,8 +40,8 @@
   return fleet;
 }
 
-/// One weak VM of a fleet before as many groups as there are VMs, of which its
-/// callers use one.
+/// A VM that is no delegate, in a fleet with as many groups as VMs, of which
+/// its callers use one.
 class weak_vm
 {
 public:
@@ -118,9 +118,9 @@
 
 TEST_GROUP(many_groups){};
 
-// Before a thousand groups a VM's callers use a dozen. A request that looked at
-// the servers of all of them, and a VM that planned its ways to all whenever
-// another one came, took time for each that nobody used.
+// With a thousand groups, the callers of one VM use about a dozen. These tests
+// guard against work for unused groups: examining the servers of all groups for
+// a request, or replanning the paths to all servers when a VM joins.
 TEST(many_groups, a_request_costs_the_servers_of_its_group)
 {
   for (const std::size_t size : { 50, 100, 200 }) {
@@ -138,7 +138,7 @@
     weak_vm one(size);
     one.Ask();
     const auto before = one.PlansMade();
-    // One that works for others changes the plans that are used, another none.
+    // A new delegate changes the plans in use, another VM does not.
     one.Comes(false);
     CHECK_EQUAL(before, one.PlansMade());
     one.Comes(true);
--- a/test/currantshed/proxy/one_vm.hpp
+++ b/test/currantshed/proxy/one_vm.hpp
@@ -21,7 +21,8 @@
 
 inline constexpr clock::time_point kStart{ 1h };
 
-/// Servers that take connections at once, and keep what they are sent.
+/// Servers that accept connections at once and record the commands that they
+/// receive.
 class keeping_servers final : public proxy::link_opener
 {
 public:
@@ -63,11 +64,11 @@
   }
 
   std::vector<proxy::link_listener*> opening;
-  /// Connections are numbered as they are opened.
+  /// Number of connections opened; they are numbered in this order.
   int opened = 0;
-  /// The command that was sent last.
+  /// The last command sent.
   proxy::command last;
-  /// The connection that commands were sent on last.
+  /// Number of the connection that was used last.
   int lastUsed = 0;
   std::map<std::string, proxy::link_listener*> listeners;
   std::map<std::string, std::vector<command_kind>> sent;
@@ -82,7 +83,7 @@
   std::optional<proxy::answer> heard;
 };
 
-/// One VM before a group whose primary is "a".
+/// One VM in front of a group whose primary is "a".
 class one_vm
 {
 public:
@@ -127,7 +128,7 @@
     engine.SetServers(listed, now);
   }
 
-  /// Lists both servers, one of them with its second start.
+  /// Lists both servers, one of them restarted.
   void Restart(const std::string& aServer)
   {
     std::vector<proxy::server> listed;
@@ -178,7 +179,7 @@
   }
 
   keeping_servers servers;
-  /// Where servers' logs stand as connections open.
+  /// Log position that servers report when connections open.
   position::log_position opensAt{ 1, 5 };
   clock::time_point now = kStart;
 
--- a/test/currantshed/proxy/quota.cpp
+++ b/test/currantshed/proxy/quota.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// A VM before a customer with a quota.
+/// A VM with one customer that has a quota.
 class limited_vm : public test::one_vm
 {
 public:
@@ -37,7 +37,7 @@
     return *engine.Open(aDatabase, aCaller, "key-b");
   }
 
-  /// Lets connections open, and answers what was sent last.
+  /// Lets connections open, and answers the last command.
   void Serve()
   {
     Pass(100ms);
@@ -53,9 +53,9 @@
   const char* name;
   std::optional<customer::quota> limit;
   const char* database;
-  /// What the session asks, one after the other.
+  /// Requests of the session, in order.
   std::vector<std::pair<statement_kind, const char*>> asked;
-  /// Tokens that this takes.
+  /// Expected number of tokens taken.
   unsigned tokens;
 };
 
@@ -130,7 +130,7 @@
   vm.Pass(50ms);
   CHECK(!vm.HasWork("a"));
   vm.engine.GrantTokens("baker", 1, vm.now, vm.now);
-  // The beginning, then the statement.
+  // Begins the transaction, then runs the statement.
   vm.Serve();
   vm.Serve();
   CHECK(caller.heard && !caller.heard->failed);
@@ -153,13 +153,13 @@
   STRCMP_CONTAINS("retry after 300 ms", first.heard->failed->text.c_str());
   CHECK(!second.heard);
   vm.Pass(200ms);
-  // Nobody has answered for half of its target.
+  // The quota check is not answered within half of the target.
   CHECK(second.heard && second.heard->failed->code == failure_code::kBusy);
   CHECK(!vm.HasWork("a"));
 }
 
-// The next one gets the token of a caller that has left; one that waits comes
-// before one that has just come.
+// The token of a caller that has disconnected goes to the next one; a waiting
+// operation takes precedence over a new one.
 TEST(quota, Tokens_go_to_those_that_wait_in_their_order)
 {
   limited_vm vm;
@@ -176,7 +176,7 @@
   STRCMP_EQUAL("READ y", vm.servers.last.text.c_str());
 }
 
-// A token that was asked for before the VM stood still is none any more.
+// A token requested before the process was suspended is no longer valid.
 TEST(quota, Old_tokens_let_nothing_begin)
 {
   limited_vm vm;
--- a/test/currantshed/proxy/random_sessions.cpp
+++ b/test/currantshed/proxy/random_sessions.cpp
@@ -31,8 +31,8 @@
   }
 }
 
-/// A caller that does one thing after the other in its session, and checks
-/// each answer.
+/// A caller that sends random requests one after the other, and checks each
+/// answer.
 class random_caller final : public proxy::caller
 {
 public:
@@ -353,7 +353,7 @@
   { "all of it", { 20, 8, 8, 30 }, 6, 8, true },
 };
 
-// Seeds of each row; 40 of them took ten seconds a row.
+// Seeds per row; 40 of them took ten seconds per row.
 constexpr std::uint32_t kSeeds = 5;
 
 void
--- a/test/currantshed/proxy/refusals.cpp
+++ b/test/currantshed/proxy/refusals.cpp
@@ -20,7 +20,8 @@
 
 constexpr clock::time_point kStart{ 1h };
 
-/// Keeps the newest listener for each server, and who was asked last.
+/// Records the newest listener of each server, and the last server that
+/// received a command.
 class keeping_opener final : public proxy::link_opener
 {
 public:
@@ -57,14 +58,14 @@
   std::string asked;
 };
 
-/// What the servers do with one read, in turn.
+/// How a server handles the read.
 enum class fate
 {
   kBusy,
   kLagging,
   kFailed,
   kConnectionLost,
-  /// No server takes it: its time to wait passes.
+  /// No server gets the read before its queue timeout.
   kWaitsInVain,
 };
 
@@ -89,7 +90,7 @@
     failure_code::kFailed },
 };
 
-/// A VM before three servers, and one caller's read.
+/// A VM with three servers, and one caller's read.
 class one_read
 {
 public:
@@ -140,7 +141,7 @@
     engine.Tick(now);
   }
 
-  /// Lets the next server that has the read do that with it.
+  /// Applies the behavior to the server that has the read.
   void Do(fate aFate)
   {
     if (aFate == fate::kWaitsInVain) {
@@ -187,7 +188,7 @@
     for (const auto one : row.fates) {
       read.Do(one);
     }
-    // From then on it is turned away, until no more tries are made.
+    // All further attempts are rejected, until the engine gives up.
     for (int i = 0; i < 40 && !read.caller.heard; ++i) {
       read.Do(fate::kBusy);
       read.Pass(50ms);
--- a/test/currantshed/proxy/relay_link.hpp
+++ b/test/currantshed/proxy/relay_link.hpp
@@ -14,10 +14,10 @@
 
 namespace currantshed::test {
 
-/// The way between two VMs.
+/// One-way latency between two VMs.
 inline constexpr std::chrono::milliseconds kRelayHop{ 1 };
 
-/// A way to a server through another VM's engine.
+/// A link to a server through another VM's engine.
 class relay_link final
   : public proxy::upstream_link
   , public proxy::caller
@@ -138,7 +138,7 @@
   timeline& mTime;
   proxy::engine& mThrough;
   proxy::link_listener* mListener;
-  // Whether the engines are being taken down.
+  // Whether the engines are being destroyed.
   std::function<bool()> mIsEnding;
   std::optional<proxy::engine::session_id> mSession;
   std::shared_ptr<bool> mAlive = std::make_shared<bool>(true);
--- a/test/currantshed/proxy/relays.cpp
+++ b/test/currantshed/proxy/relays.cpp
@@ -16,7 +16,7 @@
 
 constexpr clock::time_point kStart{ 1h };
 
-/// Keeps the listener of the only link.
+/// Records the listener of the only link.
 class one_link_opener final : public proxy::link_opener
 {
 public:
@@ -33,7 +33,7 @@
   proxy::link_listener* listener = nullptr;
 };
 
-/// Another VM's side of a relay.
+/// The other VM, which uses the relay.
 class other_vm final : public proxy::caller
 {
 public:
@@ -70,7 +70,7 @@
   opener.listener->Answered({}, kStart);
   CHECK(other.heard.has_value());
   CHECK(engine.StateOf(*session) == proxy::transaction_state::kOpen);
-  // Nor does the end of an idle transaction need one.
+  // The timeout of an idle transaction needs no configuration either.
   engine.Tick(kStart + 60s);
   CHECK(engine.StateOf(*session) == proxy::transaction_state::kIdle);
 }
--- a/test/currantshed/proxy/restarted.cpp
+++ b/test/currantshed/proxy/restarted.cpp
@@ -1,6 +1,7 @@
-// A server may start again under the id that it had, and then holds nothing of
-// what it had acknowledged. What this VM believes of its life before, that it
-// leads, where its log stands, that it leaves, must not count for the new one.
+// A server may restart under its former id and then has none of the data that
+// it had acknowledged. What this VM knows about the former incarnation (that it
+// is the primary, its log position, that it drains) must not be applied to the
+// new one.
 #include <chrono>
 #include <functional>
 #include <vector>
@@ -91,14 +92,15 @@
   }
 }
 
-// The replica held what the read must see; its next life does not.
+// The replica had the position that the read must see; its new incarnation does
+// not.
 TEST(restarted_servers, hold_nothing_of_before)
 {
   for (const bool restarts : { false, true }) {
     one_vm vm;
     hearing_caller caller;
     vm.engine.AddSample("claims", { 1, { 1, 5 }, vm.now });
-    // The primary is not proved any more: only the replica may serve.
+    // The primary is no longer confirmed: only the replica may serve the read.
     vm.engine.Revoke("claims", 1);
     if (restarts) {
       vm.opensAt = {};
@@ -110,8 +112,8 @@
   }
 }
 
-// A connection may belong to the life before. What is under way on it ends as
-// ever; nothing else is sent on it.
+// A connection may belong to the former incarnation. Commands in flight on it
+// complete as usual; no new command is sent on it.
 TEST(restarted_servers, get_no_new_work_on_connections_of_before)
 {
   one_vm vm;
@@ -134,19 +136,18 @@
   CHECK(vm.servers.lastUsed > opened);
 }
 
-// A primary started again, empty, while a proof of its life before still held.
-// The list told of it only after a pause, its connections broke at once, and a
-// read on a new one was answered from nothing:
-//   restart in group-0
-//   item-141-4 shows - after 118 was acknowledged
-// So a read says also to the primary what it must hold.
+// Guards against a stale read from a restarted, empty primary: the confirmation
+// of its former incarnation was still valid, its connections broke at once, the
+// listing showed the restart only later, and a read on a new connection
+// returned no data although a commit had been acknowledged. Reads therefore
+// carry a minimum log position to the primary as well.
 namespace {
 
 struct primary_row
 {
   const char* name;
   std::vector<proxy::statement_kind> asked;
-  /// Whether the last command sent carries what its server must hold.
+  /// Whether the last command sent carries a minimum log position.
   bool expected;
 };
 
--- a/test/currantshed/proxy/server_state.cpp
+++ b/test/currantshed/proxy/server_state.cpp
@@ -35,7 +35,7 @@
 {
   const char* name;
   void (*given)(server_state&);
-  /// The VM that the way leads through, empty for a direct one.
+  /// The relay on the expected path, empty for a direct one.
   const char* via;
 };
 
@@ -74,7 +74,7 @@
   bool mayOpen;
 };
 
-// Four connections are allowed, and all there are owe an answer.
+// The limit is four connections; all existing ones have a pending command.
 constexpr limit_row kLimitRows[] = {
   { "below the limit", 3, 10ms, true },
   { "at the limit", 4, 10ms, false },
@@ -109,7 +109,7 @@
   auto state = Holder();
   state.Lagged(kStart - 2400ms, kStart);
   CHECK(state.Lag(kStart) > 2400ms);
-  // Not tried again at once, but within some seconds even if nothing is heard.
+  // Not retried at once, but within some seconds even without new information.
   CHECK(state.Lag(kStart + 300ms) > 2400ms);
   CHECK(state.Lag(kStart + 3s) < 2400ms);
   CHECK(state.Lag(kStart + 30s) < 100ms);
@@ -131,7 +131,7 @@
     state.connections.push_back(std::make_unique<proxy::connection>(
       "i-1", "claims", "vm-3", "", events, kStart + 150ms));
   }
-  // As many as may be opened through one VM at a time.
+  // The maximum number of connections being opened through one relay.
   CHECK(state.OpenWay(kStart + 160ms) == nullptr);
   STRCMP_EQUAL("", state.OpenWay(kStart + 300ms)->vm.c_str());
 }
--- a/test/currantshed/proxy/sessions_at_the_end.cpp
+++ b/test/currantshed/proxy/sessions_at_the_end.cpp
@@ -36,7 +36,8 @@
 
 TEST_GROUP(sessions_at_the_end){};
 
-// A VM that stops closes idle sessions, but none whose request has come.
+// A draining VM closes idle sessions, except those whose client has sent a
+// request.
 TEST(sessions_at_the_end, are_closed_unless_they_have_sent)
 {
   for (const auto& row : kRows) {
--- a/test/currantshed/proxy/silent_host.hpp
+++ b/test/currantshed/proxy/silent_host.hpp
@@ -8,7 +8,7 @@
 
 namespace currantshed::test {
 
-/// A host that nothing is made of.
+/// A host that ignores all events.
 class silent_host final : public proxy::engine_host
 {
 public:
--- a/test/currantshed/proxy/silent_relays.cpp
+++ b/test/currantshed/proxy/silent_relays.cpp
@@ -16,8 +16,7 @@
 
 namespace {
 
-/// Other VMs that work goes through. Those that are silent take everything and
-/// answer nothing.
+/// Relays to the servers. A silent one accepts all commands and never answers.
 class relaying_vms final : public proxy::link_opener
 {
 public:
@@ -67,13 +66,12 @@
   std::string silent;
   std::vector<waiting> opening;
   std::vector<waiting> owed;
-  /// The ways taken, by server.
+  /// Relays on which links were opened, by server.
   std::map<std::string, std::vector<std::string>> opened;
   std::map<std::string, std::vector<std::string>> sent;
 };
 
-/// A VM among forty of its failure domain, of which two hold connections to
-/// each server.
+/// A VM among forty of its failure domain, two of which are delegates.
 class weak_vm
 {
 public:
--- a/test/currantshed/proxy/strength.cpp
+++ b/test/currantshed/proxy/strength.cpp
@@ -14,7 +14,7 @@
 {
   const char* name;
   std::vector<vm_strength> vms;
-  /// One letter a VM: y if it works for others.
+  /// One letter per VM: y if it is a delegate.
   std::string works;
 };
 
--- a/test/currantshed/proxy/world.cpp
+++ b/test/currantshed/proxy/world.cpp
@@ -46,7 +46,7 @@
   mNow = aEnd;
 }
 
-/// A connection to a fake server. Commands run one after the other.
+/// A connection to a simulated server. Commands run one after the other.
 class fake_link final : public proxy::upstream_link
 {
 public:
@@ -310,7 +310,7 @@
   std::vector<std::string> mPending;
 };
 
-/// The engine of one VM, and what it needs.
+/// The engine of one VM, with its links and host.
 class world::vm final
   : public proxy::link_opener
   , public proxy::engine_host
@@ -470,7 +470,7 @@
            [this, aVm] { Drive(aVm); });
 }
 
-// Replicas receive at once, and apply some time later.
+// Replicas receive records at once and apply them some time later.
 void
 world::Follow()
 {
@@ -506,7 +506,8 @@
 {
   mGroup.proofs = false;
   const auto old = mGroup.primary;
-  // Half of the time the old primary lives on and believes that it leads.
+  // Half of the time the old primary keeps running and still believes that it
+  // is the primary.
   const bool dies = Chance(500);
   if (dies) {
     Find(old)->up = false;
@@ -530,7 +531,7 @@
     best->leads = true;
     best->applied = best->log.size();
     mGroup.primary = best->listed.id;
-    // Servers that were ahead are cut back.
+    // Replicas that were ahead are truncated.
     for (auto& [id, server] : mGroup.servers) {
       if (id != old) {
         server.log.resize(std::min(server.log.size(), best->log.size()));
@@ -538,7 +539,7 @@
           std::min<std::uint64_t>(server.applied, server.log.size());
       }
     }
-    // What was acknowledged and rolled back need not be seen any more.
+    // Acknowledged records that were rolled back need not be seen any more.
     const std::uint64_t base = best->log.size();
     bases[mGroup.term] = base;
     for (auto& [at, position] : acknowledged) {
--- a/test/currantshed/proxy/world.hpp
+++ b/test/currantshed/proxy/world.hpp
@@ -17,7 +17,7 @@
 
 namespace currantshed::test {
 
-/// Events in virtual time, in the order of their times.
+/// Discrete-event queue in virtual time.
 class timeline
 {
 public:
@@ -48,7 +48,7 @@
   clock::time_point mNow{ std::chrono::hours{ 1 } };
 };
 
-/// How likely things go wrong, as parts of a thousand statements.
+/// Fault rates, per thousand commands.
 struct fault_rates
 {
   unsigned busy = 0;
@@ -57,7 +57,7 @@
   unsigned refusedLink = 0;
 };
 
-/// What a caller was told of one change.
+/// What a caller was told about one change, and whether it took effect.
 struct change_fate
 {
   enum class told
@@ -69,27 +69,28 @@
   };
 
   told what = told::kNothing;
-  /// Runs that were committed.
+  /// How often the change was committed.
   unsigned committed = 0;
 };
 
-/// A caller's request as the world knows it, to check what servers see.
+/// Expected state of a caller's request, checked against what servers receive.
 struct issued
 {
   std::uint64_t caller = 0;
   proxy::session_values values;
-  /// For executions: the shape that the caller prepared.
+  /// For executions: the text that the caller prepared.
   std::string shape;
   std::uint64_t transaction = 0;
   clock::time_point sentAt;
-  /// The newest record that a read must see, and the term at that time.
+  /// Number of records that a read must see, and the term at that time.
   std::uint64_t mustSee = 0;
   position::term_id mustSeeTerm = 0;
 };
 
 class fake_link;
 
-/// One group of servers: a primary whose log the others follow with a lag.
+/// One group of servers: a primary, and replicas that follow its log with a
+/// lag.
 class fake_group
 {
 public:
@@ -108,7 +109,7 @@
       return { applied == 0 ? 1 : log[applied - 1], applied };
     }
 
-    /// Whether the record at the position is in the log and applied.
+    /// Whether the record at the position is applied.
     [[nodiscard]] bool Has(const position::log_position& aPosition) const
     {
       return aPosition.index == 0 ||
@@ -121,13 +122,13 @@
   std::map<std::string, server> servers;
   position::term_id term = 1;
   std::string primary;
-  /// When the last proof of the primary was asked for.
+  /// When the last confirmation of the primary was requested.
   clock::time_point provedAt;
   bool proofs = true;
 };
 
-/// Servers, the engines of some VMs, and callers, in virtual time. Checks at
-/// the servers what must hold for every statement.
+/// Simulates servers, the engines of some VMs and callers in virtual time. The
+/// servers check the session guarantees for every statement.
 class world
 {
 public:
@@ -142,31 +143,31 @@
   [[nodiscard]] std::mt19937& Random() { return mRandom; }
   [[nodiscard]] bool Chance(unsigned aOfThousand);
 
-  /// What is wrong, a line each.
+  /// Violated guarantees, one text each.
   std::vector<std::string> wrong;
   std::map<std::string, change_fate> fates;
   std::map<std::string, issued> known;
-  /// Commits acknowledged so far, by the time at which that was.
+  /// Acknowledged commits, with their times.
   std::vector<std::pair<clock::time_point, std::uint64_t>> acknowledged;
-  /// Records that each promotion kept, by the term that it began.
+  /// Number of records kept by each promotion, by the term that it began.
   std::map<position::term_id, std::uint64_t> bases;
   std::uint64_t answers = 0;
   std::uint64_t successes = 0;
 
-  /// What is left of a count of records of that term after the promotions
-  /// since.
+  /// How many of the first aCount records of the term remain after later
+  /// promotions.
   [[nodiscard]] std::uint64_t Kept(std::uint64_t aCount,
                                    position::term_id aTerm) const;
 
-  /// Whether the engines are being taken down.
+  /// Whether the engines are being destroyed.
   [[nodiscard]] bool IsEnding() const { return mIsEnding; }
 
   void Wrong(const std::string& aWhat) { wrong.push_back(aWhat); }
 
-  /// Makes the primary fail, and promotes another server once no proof of it
-  /// can hold any more.
+  /// Fails the primary, and promotes another server once no confirmation of it
+  /// can be valid any more.
   void LosePrimary();
-  /// Lists the servers, fleets and routes to every engine.
+  /// Sets the servers, the fleet and the routes on every engine.
   void Configure(unsigned aMostConnections);
   void Follow();
   void Prove();
--- a/test/currantshed/proxy/worst_load.cpp
+++ b/test/currantshed/proxy/worst_load.cpp
@@ -20,17 +20,18 @@
 {
   const char* name;
   load_shape shape;
-  /// The trouble, and its end.
+  /// Start and end of the disturbance.
   std::function<void(load_world&)> begin;
   std::function<void(load_world&)> end;
   std::chrono::seconds lasts;
-  /// The least part of what is asked during the trouble that must be answered
-  /// in time. Where the servers can't do all, it is close to what they can.
+  /// Minimum fraction of the requests during the disturbance that must be
+  /// answered in time. Where the servers' capacity is exceeded, it is close to
+  /// what they can serve.
   double inTime;
-  /// The least part of the refusals that must come within a quarter of the
+  /// Minimum fraction of the rejections that must come within a quarter of the
   /// target.
   double prompt;
-  /// The most that may get no result at all.
+  /// Maximum fraction without any result.
   double lost = 1.0;
 };
 
@@ -72,15 +73,15 @@
   return [aAre](load_world& aWorld) { aWorld.proofs = aAre; };
 }
 
-// Three servers with three slots each: 5.8 slots' worth of work a second, so
-// that 0.78 of twice the load can be done and 0.39 of four times it.
+// Three servers with three slots each and an offered load of 5.8 slots: at most
+// 0.78 of twice the load can be served, and 0.39 of four times it.
 const load_shape kBusy{ .writes = 60, .reads = 300 };
 const load_shape kBusyShared{ .vms = 40,
                               .maxConnections = 24,
                               .writes = 60,
                               .reads = 300 };
 const load_shape kShared{ .vms = 40, .maxConnections = 24 };
-// 3.1 slots' worth for the primary's three.
+// An offered load of 3.1 slots for the primary's three.
 const load_shape kForOneServer{ .writes = 60, .reads = 150 };
 
 const load_row kRows[] = {
@@ -147,7 +148,7 @@
 TEST(worst_load, is_served_as_far_as_the_servers_go_and_is_over_at_once)
 {
   constexpr double kRecovered = 0.97;
-  // For each try of a caller: the budget's tenth, and its store.
+  // Per attempt of a caller: a tenth by the retry budget, plus its burst.
   constexpr double kMostElsewhere = 0.13;
   for (const auto& row : kRows) {
     load_world world(row.shape, kSeed);
