--- a/test/currantshed/proxy/engine_orders.cpp
+++ b/test/currantshed/proxy/engine_orders.cpp
@@ -89,8 +89,8 @@
 };
 
 constexpr word_row kWordRows[] = {
-  { "a refusal of the server", true, true },
-  { "a refusal of the VM on the way says nothing of the server", false, false },
+  { "a rejection by the server", true, true },
+  { "a rejection by the relay says nothing about the server", false, false },
 };
 
 } // namespace
--- a/test/currantshed/proxy/holders.cpp
+++ b/test/currantshed/proxy/holders.cpp
@@ -37,13 +37,13 @@
 };
 
 constexpr plan_row kRows[] = {
-  { "one VM has all", 1, 1, 16, 1 },
+  { "one VM uses them alone", 1, 1, 16, 1 },
   { "connections for every VM", 7, 4, 55, 7 },
-  { "few connections: one VM a failure domain", 9, 3, 16, 3 },
+  { "few connections: one VM per failure domain", 9, 3, 16, 3 },
   { "many VMs", 83, 3, 25, 3 },
   { "many VMs, just enough for two each", 60, 5, 146, 5 },
   { "one failure domain: two VMs", 9, 1, 16, 2 },
-  { "hardly any connections", 9, 3, 2, 3 },
+  { "very few connections", 9, 3, 2, 3 },
 };
 
 } // namespace
--- a/test/currantshed/proxy/quota.cpp
+++ b/test/currantshed/proxy/quota.cpp
@@ -71,7 +71,7 @@
     { { statement_kind::kRead, "READ x" },
       { statement_kind::kRead, "READ y" } },
     2 },
-  { "what needs no server",
+  { "a statement that needs no server",
     customer::quota{ 10, 10 },
     "claims",
     { { statement_kind::kSet, "SET n v" } },
--- a/test/currantshed/proxy/random_sessions.cpp
+++ b/test/currantshed/proxy/random_sessions.cpp
@@ -47,7 +47,7 @@
   void Deliver(const proxy::answer& aAnswer) override
   {
     if (!mWaiting) {
-      mWorld.Wrong("an answer to nothing");
+      mWorld.Wrong("an answer without a request");
       return;
     }
     mWaiting = false;
@@ -344,13 +344,13 @@
 
 constexpr session_row kRows[] = {
   { "calm, connections for all", {}, 2, 40, false },
-  { "calm, through other VMs", {}, 6, 8, false },
+  { "calm, through relays", {}, 6, 8, false },
   { "busy servers", { 60, 0, 0, 0 }, 3, 40, false },
   { "lost answers", { 0, 15, 0, 0 }, 3, 12, false },
   { "broken connections", { 0, 0, 15, 50 }, 6, 8, false },
-  { "primaries lost", {}, 3, 40, true },
-  { "primaries lost, through other VMs", {}, 6, 8, true },
-  { "all of it", { 20, 8, 8, 30 }, 6, 8, true },
+  { "failed primaries", {}, 3, 40, true },
+  { "failed primaries, through relays", {}, 6, 8, true },
+  { "all faults", { 20, 8, 8, 30 }, 6, 8, true },
 };
 
 // Seeds per row; 40 of them took ten seconds per row.
@@ -364,10 +364,10 @@
       aWorld.Wrong("change " + id + " took effect twice");
     }
     if (fate.what == change_fate::told::kNotRun && fate.committed != 0) {
-      aWorld.Wrong("change " + id + " was refused, and took effect");
+      aWorld.Wrong("change " + id + " was rejected but took effect");
     }
     if (fate.what == change_fate::told::kAcknowledged && fate.committed == 0) {
-      aWorld.Wrong("change " + id + " was acknowledged, and is not there");
+      aWorld.Wrong("change " + id + " was acknowledged but is missing");
     }
   }
 }
@@ -392,7 +392,7 @@
   world.Time().RunUntil(start + 10s);
   CheckFates(world);
   if (world.successes < 500) {
-    world.Wrong("hardly anything was served: " +
+    world.Wrong("too few requests succeeded: " +
                 std::to_string(world.successes));
   }
   std::string wrong;
--- a/test/currantshed/proxy/refusals.cpp
+++ b/test/currantshed/proxy/refusals.cpp
@@ -77,15 +77,15 @@
 };
 
 const refusal_row kRows[] = {
-  { "no server had it", { fate::kWaitsInVain }, failure_code::kBusy },
-  { "servers said that they had not run it",
+  { "no server received it", { fate::kWaitsInVain }, failure_code::kBusy },
+  { "servers reported that they had not run it",
     { fate::kLagging, fate::kBusy },
     failure_code::kBusy },
-  { "a server ran it in vain", { fate::kFailed }, failure_code::kFailed },
+  { "a server failed to run it", { fate::kFailed }, failure_code::kFailed },
   { "a server may have run it",
     { fate::kConnectionLost },
     failure_code::kFailed },
-  { "one may have run it, another had not",
+  { "one server may have run it, another rejected it",
     { fate::kConnectionLost, fate::kBusy },
     failure_code::kFailed },
 };
--- a/test/currantshed/proxy/restarted.cpp
+++ b/test/currantshed/proxy/restarted.cpp
@@ -38,33 +38,33 @@
     proxy::statement_kind::kRead,
     [](one_vm&) {},
     true },
-  { "the primary has started again",
+  { "the primary has restarted",
     proxy::statement_kind::kRead,
     [](one_vm& aVm) { aVm.Restart("a"); },
     false },
-  { "the primary has started again, and a change is asked for",
+  { "a write after the primary has restarted",
     proxy::statement_kind::kWrite,
     [](one_vm& aVm) { aVm.Restart("a"); },
     false },
-  { "another server has started again",
+  { "another server has restarted",
     proxy::statement_kind::kRead,
     [](one_vm& aVm) { aVm.Restart("b"); },
     true },
-  { "a proof of its life before comes late",
+  { "a confirmation of the former incarnation arrives late",
     proxy::statement_kind::kRead,
     [](one_vm& aVm) {
       aVm.Restart("a");
       ProveAgain(aVm, 200ms);
     },
     false },
-  { "it is proved in its new life",
+  { "the new incarnation is confirmed",
     proxy::statement_kind::kRead,
     [](one_vm& aVm) {
       aVm.Restart("a");
       ProveAgain(aVm, 50ms);
     },
     true },
-  { "it was leaving, and starts again",
+  { "a draining server restarts",
     proxy::statement_kind::kRead,
     [](one_vm& aVm) {
       aVm.List({ "a", "b" }, { "a" });
@@ -153,10 +153,10 @@
 
 const primary_row kPrimaryRows[] = {
   { "a read", { proxy::statement_kind::kRead }, true },
-  { "a change, which only a primary takes",
+  { "a write, which only a primary accepts",
     { proxy::statement_kind::kWrite },
     false },
-  { "a transaction that reads",
+  { "a read-only transaction",
     { proxy::statement_kind::kBeginReadOnly, proxy::statement_kind::kRead },
     true },
   { "a transaction that may write",
--- a/test/currantshed/proxy/server_state.cpp
+++ b/test/currantshed/proxy/server_state.cpp
@@ -41,10 +41,10 @@
 
 const way_row kWayRows[] = {
   { "a holder connects directly", [](server_state&) {}, "" },
-  { "one that the server has no room for goes through another holder",
+  { "at the server's connection limit a relay is used",
     [](server_state& aState) { aState.Full(kStart); },
     "vm-2" },
-  { "so does one whose connections fail",
+  { "after a failed connection a relay is used",
     [](server_state& aState) { aState.Failed(kStart); },
     "vm-2" },
 };
@@ -78,7 +78,7 @@
 constexpr limit_row kLimitRows[] = {
   { "below the limit", 3, 10ms, true },
   { "at the limit", 4, 10ms, false },
-  { "at the limit, but all answers are overdue", 4, 500ms, true },
+  { "at the limit, with all answers overdue", 4, 500ms, true },
   { "twice the limit", 8, 500ms, false },
 };
 
--- a/test/currantshed/proxy/sessions_at_the_end.cpp
+++ b/test/currantshed/proxy/sessions_at_the_end.cpp
@@ -29,7 +29,7 @@
 
 constexpr end_row kRows[] = {
   { "nothing sent", false, true },
-  { "a request that was not read yet", true, false },
+  { "an unread request", true, false },
 };
 
 } // namespace
--- a/test/currantshed/proxy/world.cpp
+++ b/test/currantshed/proxy/world.cpp
@@ -216,7 +216,7 @@
         return;
       }
       if (found->second.first != from.shape) {
-        mWorld.Wrong("a prepared name runs another shape");
+        mWorld.Wrong("a prepared statement runs another text");
       }
       writes = found->second.second;
     }
--- a/test/currantshed/proxy/worst_load.cpp
+++ b/test/currantshed/proxy/worst_load.cpp
@@ -86,7 +86,7 @@
 
 const load_row kRows[] = {
   { "calm", {}, Nothing, Nothing, 5s, 0.99, 0 },
-  { "calm, through holders", kShared, Nothing, Nothing, 5s, 0.99, 0 },
+  { "calm, through relays", kShared, Nothing, Nothing, 5s, 0.99, 0 },
   { "both replicas 14 s behind",
     kForOneServer,
     BothReplicasBehind(14s),
@@ -95,7 +95,7 @@
     0.90,
     0.85 },
   { "twice the load", kBusy, Load(2), Load(1), 6s, 0.70, 0.85 },
-  { "twice the load, through holders",
+  { "twice the load, through relays",
     kBusyShared,
     Load(2),
     Load(1),
@@ -103,29 +103,35 @@
     0.70,
     0.85 },
   { "four times the load", kBusy, Load(4), Load(1), 6s, 0.35, 0.80 },
-  { "four times the load, through holders",
+  { "four times the load, through relays",
     kBusyShared,
     Load(4),
     Load(1),
     6s,
     0.30,
     0.80 },
-  { "one of three slow by 8", {}, Slow(1, 8), Slow(1, 1), 6s, 0.98, 0 },
-  { "the primary slow by 8, through holders",
+  { "one of three servers slower by a factor of 8",
+    {},
+    Slow(1, 8),
+    Slow(1, 1),
+    6s,
+    0.98,
+    0 },
+  { "the primary slower by a factor of 8, through relays",
     kShared,
     Slow(0, 8),
     Slow(0, 1),
     6s,
     0.95,
     0 },
-  { "a server that turns away what can't run at once",
+  { "a server without a queue",
     {},
     MostWaiting(0),
     MostWaiting(24),
     6s,
     0.99,
     0 },
-  { "no proof for two seconds",
+  { "no confirmation for two seconds",
     {},
     Proofs(false),
     Proofs(true),
@@ -174,11 +180,11 @@
     const double turnedAway = 1.0 * static_cast<double>(world.TurnedAway()) /
                               static_cast<double>(world.Taken());
     CHECK_TEXT(turnedAway < 0.03,
-               Share(row.name, "turned away by servers", turnedAway).c_str());
+               Share(row.name, "rejected by servers", turnedAway).c_str());
     const auto all = world.Between(0, to + 6);
     const double elsewhere = 1.0 * static_cast<double>(world.SentElsewhere()) /
                              (all.asked + all.refusals);
     CHECK_TEXT(elsewhere < kMostElsewhere,
-               Share(row.name, "sent elsewhere", elsewhere).c_str());
+               Share(row.name, "retried on another server", elsewhere).c_str());
   }
 }
