--- a/src/currantshed/proxy/holders.hpp
+++ b/src/currantshed/proxy/access_planner.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_PROXY_HOLDERS_HPP
-#define CURRANTSHED_PROXY_HOLDERS_HPP
+#ifndef CURRANTSHED_PROXY_ACCESS_PLANNER_HPP
+#define CURRANTSHED_PROXY_ACCESS_PLANNER_HPP
 
 #include <cstddef>
 #include <cstdint>
@@ -19,10 +19,10 @@
   std::string address;
   std::uint16_t relayPort = 0;
   /// Stops soon.
-  bool leaving = false;
+  bool draining = false;
   /// Delegate: may hold connections to servers for the VMs of its failure
   /// domain.
-  bool worksForOthers = true;
+  bool isDelegate = true;
 
   [[nodiscard]] friend bool operator==(const fleet_vm&,
                                        const fleet_vm&) = default;
@@ -47,7 +47,7 @@
   /// Maximum number of direct connections of this VM.
   std::size_t connections = 1;
   /// Whether this VM is a connection holder: keeps direct connections.
-  bool holds = true;
+  bool isHolder = true;
 };
 
 /// Assigns the connections that a server accepts to the VMs of a fleet, as seen
@@ -74,16 +74,16 @@
   [[nodiscard]] std::size_t Size() const noexcept { return mVms; }
 
   [[nodiscard]] access_plan Plan(const upstream::server_id& aServer,
-                                 std::size_t aMostConnections) const;
+                                 std::size_t aMaxConnections) const;
 
   /// Whether this VM can be a connection holder for some server with this
   /// connection limit.
-  [[nodiscard]] bool MayHold(std::size_t aMostConnections) const;
+  [[nodiscard]] bool MayBeHolder(std::size_t aMaxConnections) const;
 
   /// Whether each of this many VMs connects directly to a server with this
   /// connection limit. The number of VMs affects plans only in this case.
-  [[nodiscard]] static bool IsForEveryone(std::size_t aMostConnections,
-                                          std::size_t aVms);
+  [[nodiscard]] static bool EveryVmConnects(std::size_t aMaxConnections,
+                                            std::size_t aVms);
 
 private:
   [[nodiscard]] std::vector<const fleet_vm*> Holders(
@@ -92,15 +92,15 @@
   std::string mSelf;
   std::size_t mVms = 0;
   // VMs that may hold connections for others.
-  std::vector<fleet_vm> mWorkers;
+  std::vector<fleet_vm> mDelegates;
   std::string mDomain;
-  bool mWorks = false;
+  bool mIsDelegate = false;
 };
 
 /// Plan for a single server.
 [[nodiscard]] access_plan
 PlanAccess(const upstream::server_id& aServer,
-           std::size_t aMostConnections,
+           std::size_t aMaxConnections,
            const std::vector<fleet_vm>& aFleet,
            const std::string& aSelf);
 
--- a/src/currantshed/proxy/lanes.hpp
+++ b/src/currantshed/proxy/blocked_queues.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_PROXY_LANES_HPP
-#define CURRANTSHED_PROXY_LANES_HPP
+#ifndef CURRANTSHED_PROXY_BLOCKED_QUEUES_HPP
+#define CURRANTSHED_PROXY_BLOCKED_QUEUES_HPP
 
 #include <string>
 #include <string_view>
@@ -18,12 +18,12 @@
 /// connection blocks only its own requests: while one server has none free, 19
 /// VMs that are relayed by this one still reach the other two. Connections
 /// belong to customers, so each customer of a queue is blocked separately.
-class blocked_lanes
+class blocked_queues
 {
 public:
   /// Whether the session's request would fail to get a connection like earlier
   /// ones in this pass.
-  [[nodiscard]] bool Holds(const session& aWaiting) const;
+  [[nodiscard]] bool IsBlocked(const session& aWaiting) const;
 
   /// Records that no connection was found for the session's request.
   void Add(const session& aWaiting);
@@ -31,17 +31,17 @@
 private:
   /// A queue and customer without a connection, and the number of failed
   /// attempts.
-  struct blocked_lane
+  struct blocked_queue
   {
-    std::string lane;
+    std::string queue;
     std::string customer;
     unsigned found = 0;
   };
 
-  [[nodiscard]] static std::string_view LaneOf(const session& aWaiting);
-  [[nodiscard]] const blocked_lane* Find(const session& aWaiting) const;
+  [[nodiscard]] static std::string_view QueueOf(const session& aWaiting);
+  [[nodiscard]] const blocked_queue* Find(const session& aWaiting) const;
 
-  absl::InlinedVector<blocked_lane, 4> mBlocked;
+  absl::InlinedVector<blocked_queue, 4> mBlocked;
 };
 
 } // namespace currantshed::proxy
--- a/src/currantshed/proxy/configuration.hpp
+++ b/src/currantshed/proxy/configuration.hpp
@@ -103,9 +103,9 @@
   bool draining = false;
   /// Earliest time at which it may have announced that it drains; empty when
   /// only the time at which this VM learned of it is known.
-  std::optional<clock::time_point> leavingSince;
+  std::optional<clock::time_point> drainingSince;
 
-  [[nodiscard]] incarnation Life() const { return { id, startedAt }; }
+  [[nodiscard]] incarnation Incarnation() const { return { id, startedAt }; }
 
   [[nodiscard]] friend bool operator==(const server&, const server&) = default;
 };
--- a/src/currantshed/proxy/strength.hpp
+++ b/src/currantshed/proxy/delegate_selection.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_PROXY_STRENGTH_HPP
-#define CURRANTSHED_PROXY_STRENGTH_HPP
+#ifndef CURRANTSHED_PROXY_DELEGATE_SELECTION_HPP
+#define CURRANTSHED_PROXY_DELEGATE_SELECTION_HPP
 
 #include <string>
 #include <vector>
@@ -7,21 +7,21 @@
 namespace currantshed::proxy {
 
 /// Capacity of a VM.
-struct vm_strength
+struct vm_capacity
 {
   std::string failureDomain;
   /// Processor time in thousandths of a core.
-  unsigned share = 0;
+  unsigned cpuMillicores = 0;
   /// Stops soon.
-  bool leaving = false;
+  bool draining = false;
 };
 
 /// Whether a VM has high capacity: at least half of the largest VM of its
 /// failure domain.
 [[nodiscard]] constexpr bool
-IsStrong(unsigned aShare, unsigned aStrongest) noexcept
+HasHighCapacity(unsigned aCpuMillicores, unsigned aMaxCpuMillicores) noexcept
 {
-  return 2 * aShare >= aStrongest;
+  return 2 * aCpuMillicores >= aMaxCpuMillicores;
 }
 
 /// Selects the delegates: VMs that hold connections to servers and watch the
@@ -31,7 +31,7 @@
 /// few delegates every VM soon notices when one is unreachable, and relaying
 /// takes less time on a fast VM.
 [[nodiscard]] std::vector<bool>
-WorkForOthers(const std::vector<vm_strength>& aVms);
+SelectDelegates(const std::vector<vm_capacity>& aVms);
 
 } // namespace currantshed::proxy
 
--- a/src/currantshed/proxy/engine_quota.cpp
+++ b/src/currantshed/proxy/engine_quota.cpp
@@ -15,14 +15,14 @@
 // Divisor of the target that limits how long an operation waits for its token:
 // requesting one takes a few milliseconds, and the rest is needed to serve the
 // operation.
-constexpr int kTokenWaitPart = 2;
+constexpr int kTokenWaitDivisor = 2;
 
 } // namespace
 
 // Whether the session's request may begin. A transaction takes one token, with
 // its first statement. Without an available token the request waits for one.
 bool
-engine::MayBegin(session& aSession, clock::time_point aNow)
+engine::TakeToken(session& aSession, clock::time_point aNow)
 {
   auto& request = *aSession.current;
   const bool isCounted =
@@ -30,7 +30,7 @@
   if (isCounted || aSession.IsRelay() || request.customer.empty()) {
     return true;
   }
-  const auto owner = OwnerOf(aSession, *request.under);
+  const auto owner = CustomerOf(aSession, *request.assignedRoute);
   if (owner == nullptr || !owner->limit) {
     return true;
   }
@@ -43,7 +43,7 @@
   }
   request.at = stage::kAwaitingToken;
   request.waitUntil =
-    aNow + (request.waitUntil - request.arrivedAt) / kTokenWaitPart;
+    aNow + (request.waitUntil - request.arrivedAt) / kTokenWaitDivisor;
   Schedule(aSession, request.waitUntil);
   queue.push_back(aSession.number);
   mHost.NeedsTokens(request.customer, 1);
@@ -53,7 +53,7 @@
 // Removes and returns the first session that still waits for a token of the
 // customer; null when there is none.
 session*
-engine::NextForToken(const std::string& aCustomer)
+engine::NextAwaitingToken(const std::string& aCustomer)
 {
   const auto found = mTokenQueues.find(aCustomer);
   if (found == mTokenQueues.end()) {
@@ -81,15 +81,15 @@
                     clock::time_point aNow)
 {
   mTokens.Put(aCustomer, aCount, aAskedAt);
-  while (auto* next = NextForToken(aCustomer)) {
+  while (auto* next = NextAwaitingToken(aCustomer)) {
     if (!mTokens.Take(aCustomer, aNow)) {
       mTokenQueues[aCustomer].push_front(next->number);
       return;
     }
     auto& request = *next->current;
-    request.at = stage::kWaiting;
-    request.waitUntil =
-      std::min(request.arrivedAt + request.under->target, request.deadline);
+    request.at = stage::kQueued;
+    request.waitUntil = std::min(
+      request.arrivedAt + request.assignedRoute->target, request.deadline);
     Dispatch(*next, aNow);
   }
 }
@@ -101,7 +101,7 @@
                      clock::time_point aNow)
 {
   for (unsigned i = 0; i < aCount; ++i) {
-    auto* next = NextForToken(aCustomer);
+    auto* next = NextAwaitingToken(aCustomer);
     if (next == nullptr) {
       return;
     }
--- a/src/currantshed/proxy/request.hpp
+++ b/src/currantshed/proxy/request.hpp
@@ -20,9 +20,9 @@
   /// Waits for a token of its customer's quota.
   kAwaitingToken,
   /// Waits in a dispatch queue for a server connection.
-  kWaiting,
+  kQueued,
   /// The session's values are being set on the connection.
-  kPrelude,
+  kSessionSetup,
   /// The transaction is being begun on the server.
   kBeginning,
   /// The server runs the caller's statement.
@@ -47,22 +47,22 @@
   /// Increases with each request of this process, in the order of arrival.
   std::uint64_t number = 0;
   session_statement asked;
-  std::shared_ptr<const route> under;
+  std::shared_ptr<const route> assignedRoute;
   /// The customer; empty when clients need no key.
   std::string customer;
   bool needsPrimary = false;
   /// Whether success makes a change durable: a single write, or a commit.
   bool commits = false;
-  stage at = stage::kWaiting;
+  stage at = stage::kQueued;
   clock::time_point arrivedAt;
   /// When the caller gets an answer at the latest.
   clock::time_point deadline;
   /// Until when it may wait for a token or a connection.
   clock::time_point waitUntil;
   /// Its entry in the dispatch queue, once admitted.
-  std::optional<admit::waiting> place;
+  std::optional<admit::waiting> queueEntry;
   /// Session setup answers still missing before the next step.
-  unsigned awaited = 0;
+  unsigned awaitedAnswers = 0;
   /// Servers that rejected the request.
   absl::InlinedVector<upstream::server_id, 2> refusedBy;
   unsigned tries = 0;
@@ -70,10 +70,10 @@
   /// error may claim that it has not run.
   bool mayHaveRun = false;
   read_floor floor;
-  connection* on = nullptr;
+  connection* serverConnection = nullptr;
   clock::time_point sentAt;
   /// The server that the request was last sent to.
-  upstream::server_id ranOn;
+  upstream::server_id lastServer;
   /// Term in which that server was the primary, as far as known, or zero.
   position::term_id term = 0;
   /// For kConfirming.
--- a/src/currantshed/proxy/server_state.hpp
+++ b/src/currantshed/proxy/server_state.hpp
@@ -23,13 +23,14 @@
   /// Applies the platform's current listing. When the server has restarted, all
   /// knowledge about its former incarnation is dropped, and existing
   /// connections get no new work.
-  void List(const server& aListed, clock::time_point aNow);
+  void Update(const server& aListed, clock::time_point aNow);
 
   /// Whether information that was requested at that time applies to the
   /// server's current incarnation.
-  [[nodiscard]] bool IsOfThisLife(clock::time_point aAskedAt) const noexcept
+  [[nodiscard]] bool IsOfCurrentIncarnation(
+    clock::time_point aAskedAt) const noexcept
   {
-    return aAskedAt >= mLivesSince;
+    return aAskedAt >= mIncarnationSince;
   }
 
   /// Number of connections with pending commands.
@@ -42,13 +43,13 @@
   /// An idle connection, preferably a direct one, then one that has the
   /// session's values; null when there is none. With a customer, only
   /// connections that serve it.
-  [[nodiscard]] connection* Idle(const session_values& aValues,
-                                 bool aOnlyDirect,
-                                 const std::string* aCustomer = nullptr);
+  [[nodiscard]] connection* FindIdle(const session_values& aValues,
+                                     bool aOnlyDirect,
+                                     const std::string* aCustomer = nullptr);
 
   /// Path on which a connection for the customer may be opened now, or null.
-  [[nodiscard]] const path* OpenWay(clock::time_point aNow,
-                                    const std::string& aCustomer = {}) const;
+  [[nodiscard]] const path* PathToOpen(clock::time_point aNow,
+                                       const std::string& aCustomer = {}) const;
 
   /// Whether a direct connection for the customer may be opened: the limit
   /// allows one, or an idle connection of another customer can be closed for
@@ -61,7 +62,8 @@
 
   /// The idle direct connection of another customer that has been idle for
   /// longest, or null.
-  [[nodiscard]] connection* LeastUsed(const std::string& aCustomer) const;
+  [[nodiscard]] connection* LeastRecentlyUsed(
+    const std::string& aCustomer) const;
 
   /// Whether another direct connection may be opened.
   [[nodiscard]] bool MayOpenDirect(std::size_t aLimit,
@@ -69,8 +71,8 @@
 
   /// Whether it may get new work: it is listed, and has not been draining for
   /// longer than the grace period.
-  [[nodiscard]] bool TakesWork(std::chrono::milliseconds aLeavingUse,
-                               clock::time_point aNow) const;
+  [[nodiscard]] bool AcceptsWork(std::chrono::milliseconds aDrainGracePeriod,
+                                 clock::time_point aNow) const;
 
   /// Whether it has failed recently and is avoided for now.
   [[nodiscard]] bool IsAvoided(clock::time_point aNow) const;
@@ -79,7 +81,7 @@
   [[nodiscard]] bool IsReachable(clock::time_point aNow) const;
 
   /// Estimated latency of a statement sent now.
-  [[nodiscard]] clock::duration Expected(clock::time_point aNow) const;
+  [[nodiscard]] clock::duration ExpectedLatency(clock::time_point aNow) const;
 
   /// Estimated replication lag. A lag observed from a rejected read decays with
   /// time: without statements nothing else would show that the replica has
@@ -90,72 +92,72 @@
   void Served(clock::time_point aSentAt, clock::time_point aNow);
 
   /// Records the log position that the server reported.
-  void At(const position::log_position& aPosition,
-          const confirm::position_samples& aPrimary,
-          clock::time_point aNow);
+  void ObservePosition(const position::log_position& aPosition,
+                       const confirm::position_samples& aPrimary,
+                       clock::time_point aNow);
 
   /// Records that the server lacked a position written by then.
-  void Lagged(clock::time_point aWrittenBy, clock::time_point aNow);
+  void ObserveLag(clock::time_point aWrittenBy, clock::time_point aNow);
 
   /// Records that a direct connection failed or could not be opened.
-  void Failed(clock::time_point aNow);
+  void ObserveFailure(clock::time_point aNow);
 
   /// Records the same for a connection through a relay.
-  void WayFailed(const std::string& aVm, clock::time_point aNow);
+  void ObserveRelayFailure(const std::string& aVm, clock::time_point aNow);
 
   /// Records that the server is at its connection limit.
-  void Full(clock::time_point aNow);
+  void ObserveServerFull(clock::time_point aNow);
 
   server listed;
   access_plan plan;
   /// Version of the fleet and configuration that the plan was made for; zero
   /// without a plan.
-  std::uint64_t plannedFor = 0;
+  std::uint64_t planEpoch = 0;
   /// Earliest time at which the server may have announced that it drains, if it
   /// does.
-  std::optional<clock::time_point> leavingSince;
+  std::optional<clock::time_point> drainingSince;
   /// No longer listed by the platform; removed once it has no connections.
   bool unlisted = false;
   std::vector<std::unique_ptr<connection>> connections;
   std::optional<position::log_position> applied;
-  clock::time_point heardAt;
+  clock::time_point lastContactAt;
   /// Last reachability reported to the host.
-  bool reached = false;
+  bool reachable = false;
 
 private:
   /// Connections being opened, in total and those that are slow.
-  struct openings
+  struct opening_counts
   {
     unsigned all = 0;
     unsigned slow = 0;
   };
 
-  [[nodiscard]] openings OpeningVia(const std::string& aVm,
-                                    clock::time_point aNow) const;
-  void StartAnew(clock::time_point aNow);
+  [[nodiscard]] opening_counts CountOpening(const std::string& aVm,
+                                            clock::time_point aNow) const;
+  void ResetForNewIncarnation(clock::time_point aNow);
   /// Whether a connection may be requested from the server now.
-  [[nodiscard]] bool MayAsk(clock::time_point aNow) const;
-  [[nodiscard]] bool IsWayAvoided(const std::string& aVm,
-                                  clock::time_point aNow) const;
+  [[nodiscard]] bool MayConnect(clock::time_point aNow) const;
+  [[nodiscard]] bool IsRelayAvoided(const std::string& aVm,
+                                    clock::time_point aNow) const;
   /// Whether direct connections fail, or take too long to open.
   [[nodiscard]] bool IsCutOff(clock::time_point aNow) const;
 
   // When this VM learned of the current incarnation.
-  clock::time_point mLivesSince{};
-  clock::duration mUsual;
-  clock::duration mMean;
-  clock::time_point mMeanAt;
+  clock::time_point mIncarnationSince{};
+  clock::duration mDefaultLatency;
+  clock::duration mMeanLatency;
+  clock::time_point mMeanLatencyAt;
   clock::duration mLag;
   clock::time_point mLagAt;
   unsigned mFailures = 0;
   clock::time_point mAvoidUntil;
   clock::time_point mNoOpenUntil;
-  struct way_failures
+  struct relay_failures
   {
     unsigned count = 0;
     clock::time_point avoidUntil;
   };
-  absl::btree_map<std::string, way_failures> mWays;
+  absl::btree_map<std::string, relay_failures> mRelayFailures;
 };
 
 } // namespace currantshed::proxy
--- a/src/currantshed/proxy/session.hpp
+++ b/src/currantshed/proxy/session.hpp
@@ -56,7 +56,7 @@
 /// State of the session's open transaction.
 struct open_transaction
 {
-  std::shared_ptr<const route> under;
+  std::shared_ptr<const route> assignedRoute;
   /// The customer; empty when clients need no key.
   std::string customer;
   /// Whether a token of the customer's quota has been requested for it.
@@ -64,7 +64,7 @@
   bool readOnly = false;
   bool failed = false;
   /// The server connection closed while no statement was in flight.
-  bool lost = false;
+  bool connectionLost = false;
   /// Term of the primary that it began on; zero for a transaction that any
   /// server may run.
   position::term_id term = 0;
@@ -72,7 +72,7 @@
   bool wrote = false;
   clock::time_point lastUsed;
   /// The server connection that it runs on; null before its first statement.
-  connection* on = nullptr;
+  connection* serverConnection = nullptr;
   /// Whether the server has begun it.
   bool begun = false;
 };
@@ -95,17 +95,17 @@
   [[nodiscard]] transaction_state State() const noexcept;
 
   /// Whether it serves another VM, which makes all routing decisions.
-  [[nodiscard]] bool IsRelay() const noexcept { return !relaysTo.empty(); }
+  [[nodiscard]] bool IsRelay() const noexcept { return !relayTarget.empty(); }
 
   std::uint64_t number;
   std::string database;
   /// Key that the client presented to identify its customer.
   std::string key;
   /// The server that another VM reaches through this session, or empty.
-  upstream::server_id relaysTo;
+  upstream::server_id relayTarget;
   /// Route of a relay session, in place of a configured one.
   std::shared_ptr<const route> relayRoute;
-  caller& farEnd;
+  caller& client;
   session_values values;
   std::optional<open_transaction> transaction;
   /// The newest commit acknowledged to this session.
@@ -116,7 +116,7 @@
   std::optional<request> current;
   /// The client has disconnected; the session is removed once its current
   /// request has ended.
-  bool gone = false;
+  bool callerLeft = false;
 
 private:
   [[nodiscard]] answer Local() const;
--- a/src/currantshed/proxy/upstream_link.hpp
+++ b/src/currantshed/proxy/upstream_link.hpp
@@ -6,14 +6,14 @@
 #include <vector>
 
 #include "currantshed/clock/time.hpp"
+#include "currantshed/proxy/access_planner.hpp"
 #include "currantshed/proxy/configuration.hpp"
-#include "currantshed/proxy/holders.hpp"
 #include "currantshed/proxy/statement.hpp"
 
 namespace currantshed::proxy {
 
 /// Reason why a link to a server closed.
-enum class link_end
+enum class link_close_reason
 {
   /// The connection failed, or the server closed it.
   kBroken,
@@ -38,7 +38,7 @@
                       clock::time_point aNow) = 0;
   virtual void Answered(answer aAnswer, clock::time_point aNow) = 0;
   /// The last event of a link. Never called from within a call to the link.
-  virtual void Ended(link_end aWhy, clock::time_point aNow) = 0;
+  virtual void Ended(link_close_reason aWhy, clock::time_point aNow) = 0;
 };
 
 /// One connection to a server. Destroying it closes the connection, upon which
--- a/test/currantshed/proxy/sessions_at_the_end.cpp
+++ b/test/currantshed/proxy/session_drain.cpp
@@ -34,11 +34,11 @@
 
 } // namespace
 
-TEST_GROUP(sessions_at_the_end){};
+TEST_GROUP(session_drain){};
 
 // A draining VM closes idle sessions, except those whose client has sent a
 // request.
-TEST(sessions_at_the_end, are_closed_unless_they_have_sent)
+TEST(session_drain, closes_idle_sessions_without_unread_requests)
 {
   for (const auto& row : kRows) {
     one_vm vm;
--- a/test/currantshed/proxy/world.hpp
+++ b/test/currantshed/proxy/simulated_cluster.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_TEST_PROXY_WORLD_HPP
-#define CURRANTSHED_TEST_PROXY_WORLD_HPP
+#ifndef CURRANTSHED_TEST_PROXY_SIMULATED_CLUSTER_HPP
+#define CURRANTSHED_TEST_PROXY_SIMULATED_CLUSTER_HPP
 
 #include <chrono>
 #include <cstdint>
@@ -53,14 +53,14 @@
 {
   unsigned busy = 0;
   unsigned lostAnswer = 0;
-  unsigned brokenLink = 0;
-  unsigned refusedLink = 0;
+  unsigned brokenConnection = 0;
+  unsigned refusedConnection = 0;
 };
 
 /// What a caller was told about one change, and whether it took effect.
-struct change_fate
+struct change_outcome
 {
-  enum class told
+  enum class reported
   {
     kNothing,
     kAcknowledged,
@@ -68,13 +68,13 @@
     kUnknown,
   };
 
-  told what = told::kNothing;
+  reported what = reported::kNothing;
   /// How often the change was committed.
   unsigned committed = 0;
 };
 
 /// Expected state of a caller's request, checked against what servers receive.
-struct issued
+struct issued_request
 {
   std::uint64_t caller = 0;
   proxy::session_values values;
@@ -123,19 +123,21 @@
   position::term_id term = 1;
   std::string primary;
   /// When the last confirmation of the primary was requested.
-  clock::time_point provedAt;
-  bool proofs = true;
+  clock::time_point confirmedAt;
+  bool confirmations = true;
 };
 
 /// Simulates servers, the engines of some VMs and callers in virtual time. The
 /// servers check the session guarantees for every statement.
-class world
+class simulated_cluster
 {
 public:
-  world(std::uint32_t aSeed, const fault_rates& aRates, std::size_t aVms);
-  ~world();
-  world(const world&) = delete;
-  world& operator=(const world&) = delete;
+  simulated_cluster(std::uint32_t aSeed,
+                    const fault_rates& aRates,
+                    std::size_t aVms);
+  ~simulated_cluster();
+  simulated_cluster(const simulated_cluster&) = delete;
+  simulated_cluster& operator=(const simulated_cluster&) = delete;
 
   [[nodiscard]] timeline& Time() { return mTime; }
   [[nodiscard]] proxy::engine& Engine(std::size_t aVm);
@@ -144,13 +146,13 @@
   [[nodiscard]] bool Chance(unsigned aOfThousand);
 
   /// Violated guarantees, one text each.
-  std::vector<std::string> wrong;
-  std::map<std::string, change_fate> fates;
-  std::map<std::string, issued> known;
+  std::vector<std::string> violations;
+  std::map<std::string, change_outcome> outcomes;
+  std::map<std::string, issued_request> known;
   /// Acknowledged commits, with their times.
   std::vector<std::pair<clock::time_point, std::uint64_t>> acknowledged;
   /// Number of records kept by each promotion, by the term that it began.
-  std::map<position::term_id, std::uint64_t> bases;
+  std::map<position::term_id, std::uint64_t> promotionBases;
   std::uint64_t answers = 0;
   std::uint64_t successes = 0;
 
@@ -162,16 +164,16 @@
   /// Whether the engines are being destroyed.
   [[nodiscard]] bool IsEnding() const { return mIsEnding; }
 
-  void Wrong(const std::string& aWhat) { wrong.push_back(aWhat); }
+  void AddViolation(const std::string& aWhat) { violations.push_back(aWhat); }
 
   /// Fails the primary, and promotes another server once no confirmation of it
   /// can be valid any more.
-  void LosePrimary();
+  void FailPrimary();
   /// Sets the servers, the fleet and the routes on every engine.
-  void Configure(unsigned aMostConnections);
-  void Follow();
-  void Prove();
-  void Drive(std::size_t aVm);
+  void Configure(unsigned aMaxConnections);
+  void Replicate();
+  void ConfirmPrimary();
+  void ScheduleTick(std::size_t aVm);
 
   [[nodiscard]] fake_group::server* Find(const std::string& aServer);
   [[nodiscard]] const fault_rates& Rates() const { return mRates; }
