--- a/src/currantshed/proxy/engine.cpp
+++ b/src/currantshed/proxy/engine.cpp
@@ -165,7 +165,7 @@
 
 void
 engine::Submit(session_id aSession,
-               session_statement aAsked,
+               session_statement aStatement,
                clock::time_point aNow)
 {
   mDiscarded.clear();
@@ -175,10 +175,10 @@
   }
   auto& from = *found->second;
   if (from.current || !from.backlog.empty()) {
-    from.backlog.push_back(std::move(aAsked));
+    from.backlog.push_back(std::move(aStatement));
     return;
   }
-  Accept(from, std::move(aAsked), aNow);
+  Accept(from, std::move(aStatement), aNow);
 }
 
 transaction_state
@@ -199,20 +199,20 @@
   auto& closed = *found->second;
   closed.callerLeft = true;
   closed.backlog.clear();
-  if (closed.current && closed.current->at == stage::kAwaitingToken) {
-    NoteDecision(closed, "caller_left", "waiting", false, aNow);
+  if (closed.current && closed.current->progress == stage::kAwaitingToken) {
+    RecordDecision(closed, "caller_left", "waiting", false, aNow);
     closed.current.reset();
-  } else if (closed.current && closed.current->at == stage::kQueued) {
+  } else if (closed.current && closed.current->progress == stage::kQueued) {
     Dequeue(closed);
-    NoteDecision(closed, "caller_left", "waiting", false, aNow);
+    RecordDecision(closed, "caller_left", "waiting", false, aNow);
     closed.current.reset();
-  } else if (closed.current && closed.current->at == stage::kConfirming) {
+  } else if (closed.current && closed.current->progress == stage::kConfirming) {
     closed.current.reset();
   }
   if (!closed.current) {
     EndTransaction(closed, aNow);
   }
-  DropIfGone(aSession);
+  RemoveIfCallerLeft(aSession);
 }
 
 void
@@ -302,13 +302,13 @@
     const auto found = mSessions.find(id);
     if (found != mSessions.end()) {
       Expire(*found->second, aNow);
-      DropIfGone(id);
+      RemoveIfCallerLeft(id);
     }
   }
   if (aNow >= mNextMaintenance) {
     mNextMaintenance = aNow + kMaintenanceInterval;
     AvoidSilentRelays(aNow);
-    TrimConnections(aNow);
+    CloseUnneededConnections(aNow);
     for (const auto& [name, queue] : mQueues) {
       DispatchQueued(name, aNow);
     }
--- a/src/currantshed/proxy/engine.hpp
+++ b/src/currantshed/proxy/engine.hpp
@@ -210,7 +210,7 @@
     const upstream::server_id& aServer,
     caller& aCaller);
   void Submit(session_id aSession,
-              session_statement aAsked,
+              session_statement aStatement,
               clock::time_point aNow);
   [[nodiscard]] transaction_state StateOf(session_id aSession) const;
   /// Ends the session: the client has disconnected.
@@ -292,10 +292,10 @@
 
   // Sessions and requests.
   void Accept(session& aSession,
-              session_statement aAsked,
+              session_statement aStatement,
               clock::time_point aNow);
   void FailLostTransaction(session& aSession,
-                           const session_statement& aAsked,
+                           const session_statement& aStatement,
                            clock::time_point aNow);
   [[nodiscard]] std::shared_ptr<const route> RouteOf(
     const session& aSession) const;
@@ -305,8 +305,8 @@
             std::string aText,
             clock::time_point aNow);
   void EndTransaction(session& aSession, clock::time_point aNow);
-  void DropIfGone(session_id aSession);
-  void Schedule(session& aSession, clock::time_point aAt);
+  void RemoveIfCallerLeft(session_id aSession);
+  void ScheduleTimer(session& aSession, clock::time_point aAt);
   void Expire(session& aSession, clock::time_point aNow);
 
   // Customers.
@@ -321,7 +321,7 @@
   void CloseIdleSessions(bool aAll);
   [[nodiscard]] bool TakeToken(session& aSession, clock::time_point aNow);
   [[nodiscard]] session* NextAwaitingToken(const std::string& aCustomer);
-  void RefuseOverQuota(session& aSession,
+  void RejectOverQuota(session& aSession,
                        std::chrono::milliseconds aRetryAfter,
                        clock::time_point aNow);
   [[nodiscard]] bool IsOfCustomer(const session& aSession) const;
@@ -396,9 +396,9 @@
   void InvalidatePlans(clock::time_point aNow);
   void IndexServers();
   void ListHeldServers();
-  void TrimServer(server_state& aState,
-                  std::vector<connection*>& aEnded,
-                  clock::time_point aNow);
+  void CloseUnneededOf(server_state& aState,
+                       std::vector<connection*>& aClosing,
+                       clock::time_point aNow);
   [[nodiscard]] const std::vector<server_state*>& ServersOf(
     const std::string& aService) const;
   void AvoidSilentRelays(clock::time_point aNow);
@@ -413,7 +413,7 @@
   [[nodiscard]] static std::chrono::milliseconds MaxIdleTime(
     const server_state& aState,
     const connection& aConnection);
-  void TrimConnections(clock::time_point aNow);
+  void CloseUnneededConnections(clock::time_point aNow);
   [[nodiscard]] server_state* Find(const upstream::server_id& aServer);
 
   // Answers.
@@ -439,13 +439,15 @@
                          answer aAnswer,
                          clock::time_point aNow);
   void Succeeded(session& aSession, answer aAnswer, clock::time_point aNow);
-  void Refused(session& aSession, answer aAnswer, clock::time_point aNow);
+  void HandleRejection(session& aSession,
+                       answer aAnswer,
+                       clock::time_point aNow);
   [[nodiscard]] bool RetryElsewhere(session& aSession,
                                     const failure& aWhy,
                                     clock::time_point aNow);
-  void NoteReachability(server_state& aState,
-                        bool aIsReachable,
-                        std::string_view aReason);
+  void RecordReachability(server_state& aState,
+                          bool aIsReachable,
+                          std::string_view aReason);
   [[nodiscard]] bool IsConfirmed(const request& aRequest);
   void Acknowledge(session& aSession, answer aAnswer, clock::time_point aNow);
   void AcknowledgeHeld(session& aSession, clock::time_point aNow);
@@ -453,11 +455,11 @@
   void ReleaseHeldAnswers(const std::string& aService, clock::time_point aNow);
   void ConnectionLost(session& aSession, clock::time_point aNow);
   void EndRelay(session& aSession);
-  void NoteDecision(const session& aSession,
-                    std::string_view aOutcome,
-                    std::string_view aReason,
-                    bool aOrdinary,
-                    clock::time_point aNow);
+  void RecordDecision(const session& aSession,
+                      std::string_view aOutcome,
+                      std::string_view aReason,
+                      bool aOrdinary,
+                      clock::time_point aNow);
 
   // Control commands.
   void DispatchControls(const upstream::server_id& aServer,
--- a/src/currantshed/proxy/engine_answers.cpp
+++ b/src/currantshed/proxy/engine_answers.cpp
@@ -29,7 +29,7 @@
   // A relay accepts the connection without contacting the server.
   if (aConnection.IsDirect()) {
     state->lastContactAt = aNow;
-    NoteReachability(*state, true, "answered");
+    RecordReachability(*state, true, "answered");
   } else {
     mRelayContacts[aConnection.via] = aNow;
   }
@@ -85,7 +85,7 @@
       StatementAnswered(*user, std::move(aAnswer), aNow);
       break;
   }
-  DropIfGone(id);
+  RemoveIfCallerLeft(id);
 }
 
 void
@@ -100,7 +100,7 @@
   }
   if (IsFromServer(aConnection, aAnswer)) {
     state->lastContactAt = aNow;
-    NoteReachability(*state, true, "answered");
+    RecordReachability(*state, true, "answered");
   }
   if (!aAnswer.position) {
     return;
@@ -116,9 +116,9 @@
 }
 
 void
-engine::NoteReachability(server_state& aState,
-                         bool aIsReachable,
-                         std::string_view aReason)
+engine::RecordReachability(server_state& aState,
+                           bool aIsReachable,
+                           std::string_view aReason)
 {
   if (aState.reachable != aIsReachable) {
     aState.reachable = aIsReachable;
@@ -135,7 +135,7 @@
   if (aAnswer.failed) {
     // It is unknown which session values the connection now has.
     request.serverConnection->retiring = true;
-    request.refusedBy.push_back(request.serverConnection->server);
+    request.rejectedBy.push_back(request.serverConnection->server);
     ConnectionLost(aSession, aNow);
     return;
   }
@@ -150,7 +150,7 @@
   auto& request = *aSession.current;
   if (aAnswer.failed) {
     request.serverConnection->transactionOpen = false;
-    Refused(aSession, std::move(aAnswer), aNow);
+    HandleRejection(aSession, std::move(aAnswer), aNow);
     return;
   }
   if (aSession.IsRelay()) {
@@ -178,7 +178,7 @@
                           clock::time_point aNow)
 {
   if (aAnswer.failed) {
-    Refused(aSession, std::move(aAnswer), aNow);
+    HandleRejection(aSession, std::move(aAnswer), aNow);
   } else {
     Succeeded(aSession, std::move(aAnswer), aNow);
   }
@@ -189,12 +189,12 @@
 {
   auto& request = *aSession.current;
   if (auto* state = Find(request.lastServer)) {
-    state->Served(request.sentAt, aNow);
+    state->ObserveLatency(request.sentAt, aNow);
   }
   QueueOf(aSession).Served(aNow - request.sentAt);
-  const bool isCommit = request.asked.kind == statement_kind::kCommit;
+  const bool isCommit = request.statement.kind == statement_kind::kCommit;
   if (aSession.transaction && !isCommit) {
-    NoteDecision(aSession, "served", "in_transaction", true, aNow);
+    RecordDecision(aSession, "served", "in_transaction", true, aNow);
     Finish(aSession, std::move(aAnswer), aNow);
     return;
   }
@@ -213,12 +213,12 @@
   if (needsConfirmation &&
       (request.term != leadership.confirmed.term ||
        !IsConfirmedPrimary(leadership, request.lastServer, aNow))) {
-    NoteDecision(aSession, "read_again", "lead_not_confirmed", false, aNow);
+    RecordDecision(aSession, "read_again", "lead_not_confirmed", false, aNow);
     request.mayHaveRun = true;
     Requeue(aSession, aNow);
     return;
   }
-  NoteDecision(aSession, "served", isCommit ? "commit" : "read", true, aNow);
+  RecordDecision(aSession, "served", isCommit ? "commit" : "read", true, aNow);
   Finish(aSession, std::move(aAnswer), aNow);
 }
 
@@ -238,14 +238,14 @@
 engine::Acknowledge(session& aSession, answer aAnswer, clock::time_point aNow)
 {
   auto& request = *aSession.current;
-  request.held = std::move(aAnswer);
+  request.heldAnswer = std::move(aAnswer);
   request.committedBy = aNow;
   if (IsConfirmed(request)) {
     AcknowledgeHeld(aSession, aNow);
     return;
   }
-  request.at = stage::kConfirming;
-  NoteDecision(aSession, "held", "lead_not_confirmed", false, aNow);
+  request.progress = stage::kConfirming;
+  RecordDecision(aSession, "held", "lead_not_confirmed", false, aNow);
   RequestConfirmation(request.assignedRoute->service, aNow);
 }
 
@@ -253,12 +253,12 @@
 engine::AcknowledgeHeld(session& aSession, clock::time_point aNow)
 {
   auto& request = *aSession.current;
-  if (request.held.position) {
+  if (request.heldAnswer.position) {
     aSession.lastCommit =
-      own_commit{ *request.held.position, request.term, aNow };
+      own_commit{ *request.heldAnswer.position, request.term, aNow };
   }
-  NoteDecision(aSession, "acknowledged", "confirmed", true, aNow);
-  auto held = std::move(request.held);
+  RecordDecision(aSession, "acknowledged", "confirmed", true, aNow);
+  auto held = std::move(request.heldAnswer);
   Finish(aSession, std::move(held), aNow);
 }
 
@@ -268,7 +268,7 @@
   const auto& leadership = LeadershipOf(aService);
   std::vector<session_id> held;
   for (const auto& [id, one] : mSessions) {
-    if (one->current && one->current->at == stage::kConfirming &&
+    if (one->current && one->current->progress == stage::kConfirming &&
         one->current->assignedRoute->service == aService) {
       held.push_back(id);
     }
@@ -283,7 +283,7 @@
            "the primary changed before its commit was confirmed",
            aNow);
     }
-    DropIfGone(id);
+    RemoveIfCallerLeft(id);
   }
 }
 
--- a/src/currantshed/proxy/engine_connections.cpp
+++ b/src/currantshed/proxy/engine_connections.cpp
@@ -144,9 +144,9 @@
   auto* user = aConnection.user;
   aConnection.user = nullptr;
   aConnection.idleSince = aNow;
-  const bool rollsBack = user != nullptr && aConnection.transactionOpen;
+  const bool needsRollback = user != nullptr && aConnection.transactionOpen;
   aConnection.transactionOpen = false;
-  if (rollsBack) {
+  if (needsRollback) {
     command rollback;
     rollback.kind = command_kind::kRollback;
     aConnection.Send({ rollback }, { purpose::kRollback, aNow });
--- a/src/currantshed/proxy/engine_controls.cpp
+++ b/src/currantshed/proxy/engine_controls.cpp
@@ -132,7 +132,7 @@
     return;
   }
   aState.ObserveFailure(aNow);
-  NoteReachability(aState, false, aReason);
+  RecordReachability(aState, false, aReason);
 }
 
 // An open connection of a customer costs little, and much to open again; other
@@ -148,13 +148,13 @@
 // Closes unneeded and unresponsive connections, and keeps one open to each
 // server for which this VM is a connection holder.
 void
-engine::TrimConnections(clock::time_point aNow)
+engine::CloseUnneededConnections(clock::time_point aNow)
 {
-  std::vector<connection*> ended;
+  std::vector<connection*> closing;
   for (const auto& id : mMaintained) {
-    TrimServer(WithPlan(mServers.at(id)), ended, aNow);
+    CloseUnneededOf(WithPlan(mServers.at(id)), closing, aNow);
   }
-  for (auto* one : ended) {
+  for (auto* one : closing) {
     FailControlsOn(*one);
     Discard(*one);
   }
@@ -177,8 +177,8 @@
     ListHeldServers();
   }
   for (auto* state : *mHeldServers) {
-    const bool wanted = !state->unlisted && !state->listed.draining;
-    if (wanted && state->connections.empty() &&
+    const bool needsConnection = !state->unlisted && !state->listed.draining;
+    if (needsConnection && state->connections.empty() &&
         state->MayOpenDirect(state->plan.connections, aNow)) {
       OpenConnection(*state, path{}, {}, aNow);
     }
@@ -186,27 +186,27 @@
 }
 
 void
-engine::TrimServer(server_state& aState,
-                   std::vector<connection*>& aEnded,
-                   clock::time_point aNow)
+engine::CloseUnneededOf(server_state& aState,
+                        std::vector<connection*>& aClosing,
+                        clock::time_point aNow)
 {
   auto direct = aState.Count(true);
-  const std::size_t kept = aState.plan.isHolder ? 1 : 0;
+  const std::size_t keptOpen = aState.plan.isHolder ? 1 : 0;
   for (const auto& one : aState.connections) {
     const bool slow =
       !one->IsOpen() && aNow - one->CreatedAt() > kConnectTimeout;
     const bool silent = one->user == nullptr && !one->HasNoPending() &&
                         aNow - one->OldestPendingAt() > kAnswerTimeout;
     const auto idleFor = aNow - one->idleSince;
-    const bool spare = one->IsDirect()
-                         ? direct > kept && idleFor > MaxIdleTime(aState, *one)
-                         : idleFor > kRelayIdleTimeout;
-    const bool unused = one->IsIdle() && (aState.unlisted || one->retiring);
+    const bool isSurplus =
+      one->IsDirect() ? direct > keptOpen && idleFor > MaxIdleTime(aState, *one)
+                      : idleFor > kRelayIdleTimeout;
+    const bool isUnused = one->IsIdle() && (aState.unlisted || one->retiring);
     if (slow || silent) {
       MarkUnresponsive(aState, *one, aNow, slow ? "opening_timeout" : "silent");
     }
-    if (slow || silent || (one->IsIdle() && spare) || unused) {
-      aEnded.push_back(one.get());
+    if (slow || silent || (one->IsIdle() && isSurplus) || isUnused) {
+      aClosing.push_back(one.get());
       direct -= one->IsDirect() ? 1 : 0;
     }
   }
--- a/src/currantshed/proxy/engine_dispatch.cpp
+++ b/src/currantshed/proxy/engine_dispatch.cpp
@@ -19,20 +19,20 @@
 // only it can serve, unless it is much faster.
 constexpr int kPrimaryPenalty = 2;
 // Latency added by opening a connection.
-constexpr milliseconds kOpeningTime{ 20 };
+constexpr milliseconds kConnectLatency{ 20 };
 command
 StatementCommand(const session& aSession, const request& aRequest)
 {
   command made;
   made.customer = aRequest.customer;
-  made.id = aRequest.asked.id;
-  made.text = aRequest.asked.text;
-  if (aRequest.asked.kind == statement_kind::kExecute) {
+  made.id = aRequest.statement.id;
+  made.text = aRequest.statement.text;
+  if (aRequest.statement.kind == statement_kind::kExecute) {
     made.kind = command_kind::kExecute;
-    made.name = aSession.Prepared(aRequest.asked.name)->sharedName;
-    made.argument = aRequest.asked.argument;
+    made.name = aSession.Prepared(aRequest.statement.name)->sharedName;
+    made.argument = aRequest.statement.argument;
   }
-  if (aRequest.asked.kind == statement_kind::kReport) {
+  if (aRequest.statement.kind == statement_kind::kReport) {
     made.kind = command_kind::kReport;
     made.id.clear();
   }
@@ -45,7 +45,7 @@
 engine::Dispatch(session& aSession, clock::time_point aNow)
 {
   auto& request = *aSession.current;
-  Schedule(aSession, request.deadline);
+  ScheduleTimer(aSession, request.deadline);
   auto* serverConnection =
     aSession.transaction ? aSession.transaction->serverConnection : nullptr;
   if (serverConnection == nullptr) {
@@ -97,7 +97,7 @@
   request.serverConnection = nullptr;
   request.awaitedAnswers = 0;
   if (aSession.callerLeft) {
-    NoteDecision(aSession, "caller_left", "not_run", false, aNow);
+    RecordDecision(aSession, "caller_left", "not_run", false, aNow);
     Finish(aSession, {}, aNow);
     return;
   }
@@ -135,7 +135,7 @@
   auto& serverConnection = *request.serverConnection;
   const auto setup = serverConnection.SessionSetup(aSession.values);
   if (!setup.empty()) {
-    request.at = stage::kSessionSetup;
+    request.progress = stage::kSessionSetup;
     request.awaitedAnswers = static_cast<unsigned>(setup.size());
     serverConnection.Send(setup, { purpose::kSessionSetup, aNow });
     return;
@@ -178,7 +178,7 @@
   if (aSession.transaction->readOnly || !request.needsPrimary) {
     begin.floor = RequiredPosition(request);
   }
-  request.at = stage::kBeginning;
+  request.progress = stage::kBeginning;
   request.sentAt = aNow;
   request.serverConnection->transactionOpen = true;
   request.serverConnection->Send({ begin },
@@ -203,8 +203,8 @@
 {
   auto& request = *aSession.current;
   auto& serverConnection = *request.serverConnection;
-  if (request.asked.kind == statement_kind::kExecute) {
-    const auto* prepared = aSession.Prepared(request.asked.name);
+  if (request.statement.kind == statement_kind::kExecute) {
+    const auto* prepared = aSession.Prepared(request.statement.name);
     const auto prepare = serverConnection.Prepare(*prepared);
     if (!prepare.empty()) {
       serverConnection.Send(prepare, { purpose::kPrepare, aNow });
@@ -214,7 +214,7 @@
   if (!aSession.transaction && !request.commits) {
     sent.floor = RequiredPosition(request);
   }
-  request.at = stage::kRunning;
+  request.progress = stage::kRunning;
   request.sentAt = aNow;
   serverConnection.Send({ sent },
                         MakePending(purpose::kStatement, request, aNow));
@@ -267,7 +267,7 @@
   const bool ownCounts = route.policy == read_policy::kReadYourWrites && own &&
                          own->term == leadership.confirmed.term;
   if (ownCounts && own->position > *floor.position) {
-    floor = { own->position, own->at };
+    floor = { own->position, own->acknowledgedAt };
   }
   return floor;
 }
@@ -316,7 +316,7 @@
       continue;
     }
     auto time = state.ExpectedLatency(aNow);
-    time += isIdle ? milliseconds{ 0 } : kOpeningTime;
+    time += isIdle ? milliseconds{ 0 } : kConnectLatency;
     time *= id == leadership.confirmed.primary ? kPrimaryPenalty : 1;
     if (time < bestTime) {
       best = &state;
@@ -336,8 +336,8 @@
                  clock::time_point aNow) const
 {
   const auto& id = aServer.listed.id;
-  const auto& refused = aRequest.refusedBy;
-  if (std::find(refused.begin(), refused.end(), id) != refused.end() ||
+  const auto& rejected = aRequest.rejectedBy;
+  if (std::find(rejected.begin(), rejected.end(), id) != rejected.end() ||
       !aServer.IsReachable(aNow) ||
       !aServer.AcceptsWork(mSettings.drainGracePeriod, aNow)) {
     return false;
@@ -367,7 +367,7 @@
                     const request& aRequest,
                     clock::time_point aNow) const
 {
-  if (aRequest.asked.kind == statement_kind::kReport) {
+  if (aRequest.statement.kind == statement_kind::kReport) {
     return true;
   }
   const auto found = mServers.find(aServer);
--- a/src/currantshed/proxy/engine_failures.cpp
+++ b/src/currantshed/proxy/engine_failures.cpp
@@ -38,7 +38,9 @@
 } // namespace
 
 void
-engine::Refused(session& aSession, answer aAnswer, clock::time_point aNow)
+engine::HandleRejection(session& aSession,
+                        answer aAnswer,
+                        clock::time_point aNow)
 {
   auto& request = *aSession.current;
   const auto why = *aAnswer.failed;
@@ -75,8 +77,8 @@
   const auto reasonText =
     absl::StrCat(std::string(NameOf(why.code)),
                  request.mayHaveRun ? "; told that it may have run" : "");
-  NoteDecision(aSession, "refused", reasonText, false, aNow);
-  const bool isCommit = request.asked.kind == statement_kind::kCommit;
+  RecordDecision(aSession, "refused", reasonText, false, aNow);
+  const bool isCommit = request.statement.kind == statement_kind::kCommit;
   if (aSession.transaction) {
     EndTransaction(aSession, aNow);
     if (!isCommit) {
@@ -126,8 +128,8 @@
     default:
       return false;
   }
-  NoteDecision(aSession, "elsewhere", NameOf(aWhy.code), false, aNow);
-  request.refusedBy.push_back(request.lastServer);
+  RecordDecision(aSession, "elsewhere", NameOf(aWhy.code), false, aNow);
+  request.rejectedBy.push_back(request.lastServer);
   Requeue(aSession, aNow);
   return true;
 }
@@ -137,7 +139,7 @@
 engine::ConnectionLost(session& aSession, clock::time_point aNow)
 {
   auto& request = *aSession.current;
-  const auto lastStage = request.at;
+  const auto lastStage = request.progress;
   if (request.serverConnection != nullptr) {
     request.serverConnection->user = nullptr;
     Discard(*request.serverConnection);
@@ -159,12 +161,12 @@
   const bool expired = aNow >= request.deadline;
   const bool mayRepeat = !begun && (!ran || !request.commits);
   if (mayRepeat && !expired && request.tries < kMaxAttempts) {
-    NoteDecision(aSession, "elsewhere", "connection_lost", false, aNow);
-    request.refusedBy.push_back(request.lastServer);
+    RecordDecision(aSession, "elsewhere", "connection_lost", false, aNow);
+    request.rejectedBy.push_back(request.lastServer);
     Requeue(aSession, aNow);
     return;
   }
-  const bool isCommit = request.asked.kind == statement_kind::kCommit;
+  const bool isCommit = request.statement.kind == statement_kind::kCommit;
   const bool wrote =
     inTransaction ? isCommit && aSession.transaction->wrote : request.commits;
   if (ran && wrote) {
@@ -186,7 +188,7 @@
 void
 engine::EndRelay(session& aSession)
 {
-  if (aSession.current && aSession.current->at == stage::kQueued) {
+  if (aSession.current && aSession.current->progress == stage::kQueued) {
     Dequeue(aSession);
   }
   if (aSession.transaction) {
@@ -211,7 +213,7 @@
       state->ObserveRelayFailure(aConnection.via, aNow);
     } else {
       state->ObserveFailure(aNow);
-      NoteReachability(*state, false, NameOf(aWhy));
+      RecordReachability(*state, false, NameOf(aWhy));
     }
   }
   FailControlsOn(aConnection);
@@ -231,22 +233,22 @@
     user->transaction->serverConnection = nullptr;
     user->transaction->connectionLost = true;
   }
-  DropIfGone(id);
+  RemoveIfCallerLeft(id);
 }
 
 void
-engine::NoteDecision(const session& aSession,
-                     std::string_view aOutcome,
-                     std::string_view aReason,
-                     bool aOrdinary,
-                     clock::time_point aNow)
+engine::RecordDecision(const session& aSession,
+                       std::string_view aOutcome,
+                       std::string_view aReason,
+                       bool aOrdinary,
+                       clock::time_point aNow)
 {
   const auto& request = *aSession.current;
   const auto& leadership = LeadershipOf(request.assignedRoute->service);
   decision made;
   made.outcome = aOutcome;
   made.session = aSession.number;
-  made.requestId = request.asked.id;
+  made.requestId = request.statement.id;
   made.customer = request.customer;
   made.service = request.assignedRoute->service;
   made.server = request.lastServer;
--- a/src/currantshed/proxy/engine_queues.cpp
+++ b/src/currantshed/proxy/engine_queues.cpp
@@ -27,15 +27,15 @@
 engine::Enqueue(session& aSession, clock::time_point aNow)
 {
   auto& request = *aSession.current;
-  request.at = stage::kQueued;
-  request.refusedBy.clear();
+  request.progress = stage::kQueued;
+  request.rejectedBy.clear();
   const auto made = Admit(aSession, aNow);
   if (!made.admitted) {
     Reject(aSession, "queue_full", aNow);
     return;
   }
   mWaiting[request.number] = aSession.number;
-  Schedule(aSession, std::max(request.waitUntil, aNow));
+  ScheduleTimer(aSession, std::max(request.waitUntil, aNow));
   // Displaced requests are rejected at once, so that their callers can retry.
   for (const auto number : made.displaced) {
     const auto owner = mWaiting.find(number);
--- a/src/currantshed/proxy/engine_quota.cpp
+++ b/src/currantshed/proxy/engine_quota.cpp
@@ -41,10 +41,10 @@
   if (queue.empty() && mTokens.Take(request.customer, aNow)) {
     return true;
   }
-  request.at = stage::kAwaitingToken;
+  request.progress = stage::kAwaitingToken;
   request.waitUntil =
     aNow + (request.waitUntil - request.arrivedAt) / kTokenWaitDivisor;
-  Schedule(aSession, request.waitUntil);
+  ScheduleTimer(aSession, request.waitUntil);
   queue.push_back(aSession.number);
   mHost.NeedsTokens(request.customer, 1);
   return false;
@@ -64,8 +64,9 @@
     const auto id = queue.front();
     queue.pop_front();
     const auto owner = mSessions.find(id);
-    const bool waits = owner != mSessions.end() && owner->second->current &&
-                       owner->second->current->at == stage::kAwaitingToken;
+    const bool waits =
+      owner != mSessions.end() && owner->second->current &&
+      owner->second->current->progress == stage::kAwaitingToken;
     if (waits) {
       return owner->second.get();
     }
@@ -87,7 +88,7 @@
       return;
     }
     auto& request = *next->current;
-    request.at = stage::kQueued;
+    request.progress = stage::kQueued;
     request.waitUntil = std::min(
       request.arrivedAt + request.assignedRoute->target, request.deadline);
     Dispatch(*next, aNow);
@@ -105,12 +106,12 @@
     if (next == nullptr) {
       return;
     }
-    RefuseOverQuota(*next, aRetryAfter, aNow);
+    RejectOverQuota(*next, aRetryAfter, aNow);
   }
 }
 
 void
-engine::RefuseOverQuota(session& aSession,
+engine::RejectOverQuota(session& aSession,
                         milliseconds aRetryAfter,
                         clock::time_point aNow)
 {
--- a/src/currantshed/proxy/engine_relays.cpp
+++ b/src/currantshed/proxy/engine_relays.cpp
@@ -22,7 +22,7 @@
 void
 engine::AvoidSilentRelays(clock::time_point aNow)
 {
-  absl::btree_map<std::string, clock::time_point> owedSince;
+  absl::btree_map<std::string, clock::time_point> unansweredSince;
   for (const auto& id : mMaintained) {
     for (const auto& one : mServers.at(id).connections) {
       if (one->IsDirect()) {
@@ -30,14 +30,14 @@
       }
       const auto since =
         one->IsOpen() ? one->OldestPendingAt() : one->CreatedAt();
-      const auto place = owedSince.try_emplace(one->via, since).first;
+      const auto place = unansweredSince.try_emplace(one->via, since).first;
       place->second = std::min(place->second, since);
     }
   }
-  absl::erase_if(mRelayContacts, [&owedSince](const auto& aEntry) {
-    return !owedSince.contains(aEntry.first);
+  absl::erase_if(mRelayContacts, [&unansweredSince](const auto& aEntry) {
+    return !unansweredSince.contains(aEntry.first);
   });
-  for (const auto& [vm, since] : owedSince) {
+  for (const auto& [vm, since] : unansweredSince) {
     const auto heard = mRelayContacts.find(vm);
     const bool isHeard =
       heard != mRelayContacts.end() && heard->second >= since;
@@ -80,7 +80,7 @@
     const auto found = mSessions.find(id);
     if (found != mSessions.end() && found->second->current) {
       ConnectionLost(*found->second, aNow);
-      DropIfGone(id);
+      RemoveIfCallerLeft(id);
     }
   }
 }
--- a/src/currantshed/proxy/engine_requests.cpp
+++ b/src/currantshed/proxy/engine_requests.cpp
@@ -18,13 +18,13 @@
 constexpr milliseconds kTokenRetryDelay{ 500 };
 
 bool
-IsWrite(const session& aSession, const session_statement& aAsked)
+IsWrite(const session& aSession, const session_statement& aStatement)
 {
-  if (aAsked.kind == statement_kind::kExecute) {
-    const auto* prepared = aSession.Prepared(aAsked.name);
+  if (aStatement.kind == statement_kind::kExecute) {
+    const auto* prepared = aSession.Prepared(aStatement.name);
     return prepared != nullptr && prepared->writes;
   }
-  return aAsked.kind == statement_kind::kWrite;
+  return aStatement.kind == statement_kind::kWrite;
 }
 
 // Whether a server must run it; other statements are answered locally.
@@ -46,14 +46,14 @@
 
 void
 engine::Accept(session& aSession,
-               session_statement aAsked,
+               session_statement aStatement,
                clock::time_point aNow)
 {
-  const bool endsFailed = aSession.transaction && aSession.transaction->failed;
-  if (aAsked.kind == statement_kind::kRollback || endsFailed) {
-    const bool ends = aAsked.kind == statement_kind::kRollback ||
-                      aAsked.kind == statement_kind::kCommit;
-    if (ends && aSession.transaction &&
+  const bool hasFailed = aSession.transaction && aSession.transaction->failed;
+  if (aStatement.kind == statement_kind::kRollback || hasFailed) {
+    const bool endsTransaction = aStatement.kind == statement_kind::kRollback ||
+                                 aStatement.kind == statement_kind::kCommit;
+    if (endsTransaction && aSession.transaction &&
         aSession.transaction->serverConnection != nullptr) {
       auto& serverConnection = *aSession.transaction->serverConnection;
       aSession.transaction->serverConnection = nullptr;
@@ -61,46 +61,46 @@
     }
   }
   if (aSession.transaction && aSession.transaction->connectionLost &&
-      NeedsServer(aAsked.kind)) {
-    FailLostTransaction(aSession, aAsked, aNow);
+      NeedsServer(aStatement.kind)) {
+    FailLostTransaction(aSession, aStatement, aNow);
     return;
   }
-  if (auto local = aSession.AnswerLocally(aAsked)) {
+  if (auto local = aSession.AnswerLocally(aStatement)) {
     Finish(aSession, std::move(*local), aNow);
     return;
   }
   auto route = aSession.transaction ? aSession.transaction->assignedRoute
                                     : RouteOf(aSession);
   if (route == nullptr) {
-    answer refused;
-    refused.failed =
+    answer rejected;
+    rejected.failed =
       failure{ failure_code::kNoDatabase, "no such database any longer" };
-    Finish(aSession, std::move(refused), aNow);
+    Finish(aSession, std::move(rejected), aNow);
     return;
   }
   if (!aSession.IsRelay()) {
     LeadershipOf(route->service).lastUsedAt = aNow;
   }
   if (const auto why = AuthorizationFailure(aSession, *route, aNow)) {
-    request refused;
-    refused.number = ++mLastNumber;
-    refused.arrivedAt = aNow;
-    refused.asked = std::move(aAsked);
-    refused.assignedRoute = std::move(route);
-    aSession.current = std::move(refused);
+    request rejected;
+    rejected.number = ++mLastNumber;
+    rejected.arrivedAt = aNow;
+    rejected.statement = std::move(aStatement);
+    rejected.assignedRoute = std::move(route);
+    aSession.current = std::move(rejected);
     Fail(aSession, why->code, why->text, aNow);
     return;
   }
   const auto owner = CustomerOf(aSession, *route);
-  const auto customer = aSession.IsRelay() ? aAsked.customer
+  const auto customer = aSession.IsRelay() ? aStatement.customer
                         : owner == nullptr ? std::string()
                                            : owner->name;
-  if (aAsked.kind == statement_kind::kBegin ||
-      aAsked.kind == statement_kind::kBeginReadOnly) {
+  if (aStatement.kind == statement_kind::kBegin ||
+      aStatement.kind == statement_kind::kBeginReadOnly) {
     open_transaction begun;
     begun.assignedRoute = route;
     begun.customer = customer;
-    begun.readOnly = aAsked.kind == statement_kind::kBeginReadOnly;
+    begun.readOnly = aStatement.kind == statement_kind::kBeginReadOnly;
     aSession.transaction = std::move(begun);
     // The server begins it with the first statement. A relay begins it at once,
     // since the other VM waits for the server's answer.
@@ -116,19 +116,19 @@
   made.arrivedAt = aNow;
   made.deadline = aNow + route->statementTimeout - kAnswerReserve;
   made.waitUntil = std::min(aNow + route->target, made.deadline);
-  const bool writes = IsWrite(aSession, aAsked);
+  const bool writes = IsWrite(aSession, aStatement);
   if (aSession.IsRelay()) {
-    made.floor.position = aAsked.floor;
+    made.floor.position = aStatement.floor;
   } else if (aSession.transaction) {
     made.needsPrimary =
       !aSession.transaction->readOnly || route->policy == read_policy::kPrimary;
-    made.commits = aAsked.kind == statement_kind::kCommit;
+    made.commits = aStatement.kind == statement_kind::kCommit;
     aSession.transaction->wrote = aSession.transaction->wrote || writes;
   } else {
     made.needsPrimary = writes || route->policy == read_policy::kPrimary;
     made.commits = writes;
   }
-  made.asked = std::move(aAsked);
+  made.statement = std::move(aStatement);
   made.assignedRoute = std::move(route);
   made.customer =
     aSession.transaction ? aSession.transaction->customer : customer;
@@ -142,13 +142,13 @@
 // transaction with it.
 void
 engine::FailLostTransaction(session& aSession,
-                            const session_statement& aAsked,
+                            const session_statement& aStatement,
                             clock::time_point aNow)
 {
   answer made;
   made.failed =
     failure{ failure_code::kAborted, "the connection to the server was lost" };
-  if (aAsked.kind == statement_kind::kCommit) {
+  if (aStatement.kind == statement_kind::kCommit) {
     aSession.transaction.reset();
   } else {
     aSession.transaction->connectionLost = false;
@@ -181,7 +181,7 @@
   if (aSession.transaction) {
     aSession.transaction->lastUsed = aNow;
     const auto idle = mConfiguration->transactionIdle;
-    Schedule(aSession, aNow + idle);
+    ScheduleTimer(aSession, aNow + idle);
   }
   aSession.client.Deliver(aAnswer);
   const auto found = mSessions.find(id);
@@ -207,7 +207,7 @@
              std::string aText,
              clock::time_point aNow)
 {
-  NoteDecision(aSession, NameOf(aCode), aText, false, aNow);
+  RecordDecision(aSession, NameOf(aCode), aText, false, aNow);
   answer made;
   made.failed = failure{ aCode, std::move(aText) };
   if (aSession.IsRelay()) {
@@ -215,7 +215,7 @@
     aSession.transaction.reset();
   } else if (aSession.transaction) {
     const bool wasCommit =
-      aSession.current->asked.kind == statement_kind::kCommit;
+      aSession.current->statement.kind == statement_kind::kCommit;
     EndTransaction(aSession, aNow);
     if (!wasCommit) {
       aSession.transaction = open_transaction{};
@@ -240,7 +240,7 @@
 }
 
 void
-engine::DropIfGone(session_id aSession)
+engine::RemoveIfCallerLeft(session_id aSession)
 {
   const auto found = mSessions.find(aSession);
   if (found != mSessions.end() && found->second->callerLeft &&
@@ -250,7 +250,7 @@
 }
 
 void
-engine::Schedule(session& aSession, clock::time_point aAt)
+engine::ScheduleTimer(session& aSession, clock::time_point aAt)
 {
   mTimers.insert({ aAt, aSession.number });
 }
@@ -269,13 +269,13 @@
     return;
   }
   auto& request = *aSession.current;
-  if (request.at == stage::kAwaitingToken) {
+  if (request.progress == stage::kAwaitingToken) {
     if (aNow >= request.waitUntil) {
-      RefuseOverQuota(aSession, kTokenRetryDelay, aNow);
+      RejectOverQuota(aSession, kTokenRetryDelay, aNow);
     }
     return;
   }
-  if (request.at == stage::kQueued) {
+  if (request.progress == stage::kQueued) {
     if (aNow >= std::min(request.waitUntil, request.deadline)) {
       Dequeue(aSession);
       // An outage that began meanwhile is no reason to reject the request.
@@ -291,7 +291,7 @@
   if (aNow < request.deadline) {
     return;
   }
-  if (request.at == stage::kConfirming) {
+  if (request.progress == stage::kConfirming) {
     Fail(
       aSession, failure_code::kInDoubt, "the primary is not confirmed", aNow);
     return;
--- a/src/currantshed/proxy/request.hpp
+++ b/src/currantshed/proxy/request.hpp
@@ -46,14 +46,14 @@
 {
   /// Increases with each request of this process, in the order of arrival.
   std::uint64_t number = 0;
-  session_statement asked;
+  session_statement statement;
   std::shared_ptr<const route> assignedRoute;
   /// The customer; empty when clients need no key.
   std::string customer;
   bool needsPrimary = false;
   /// Whether success makes a change durable: a single write, or a commit.
   bool commits = false;
-  stage at = stage::kQueued;
+  stage progress = stage::kQueued;
   clock::time_point arrivedAt;
   /// When the caller gets an answer at the latest.
   clock::time_point deadline;
@@ -64,7 +64,7 @@
   /// Session setup answers still missing before the next step.
   unsigned awaitedAnswers = 0;
   /// Servers that rejected the request.
-  absl::InlinedVector<upstream::server_id, 2> refusedBy;
+  absl::InlinedVector<upstream::server_id, 2> rejectedBy;
   unsigned tries = 0;
   /// Whether a server may have run it in an earlier attempt, in which case no
   /// error may claim that it has not run.
@@ -77,7 +77,7 @@
   /// Term in which that server was the primary, as far as known, or zero.
   position::term_id term = 0;
   /// For kConfirming.
-  answer held;
+  answer heldAnswer;
   clock::time_point committedBy;
 };
 
--- a/src/currantshed/proxy/server_state.cpp
+++ b/src/currantshed/proxy/server_state.cpp
@@ -46,7 +46,7 @@
 constexpr unsigned kMaxOpeningDirect = 2;
 // A connection usually opens within 20 ms; after this time another path is
 // tried in parallel.
-constexpr milliseconds kSlowOpening{ 100 };
+constexpr milliseconds kSlowConnect{ 100 };
 
 } // namespace
 
@@ -141,11 +141,11 @@
         (aCustomer != nullptr && !one->Serves(*aCustomer))) {
       continue;
     }
-    const int worth =
+    const int rank =
       1 + (one->IsDirect() ? 2 : 0) + (one->HasValues(aValues) ? 1 : 0);
-    if (worth > best) {
+    if (rank > best) {
       found = one.get();
-      best = worth;
+      best = rank;
     }
   }
   return found;
@@ -186,7 +186,7 @@
   for (const auto& one : connections) {
     if (!one->IsOpen() && one->via == aVm) {
       ++found.all;
-      found.slow += aNow - one->CreatedAt() > kSlowOpening ? 1 : 0;
+      found.slow += aNow - one->CreatedAt() > kSlowConnect ? 1 : 0;
     }
   }
   return found;
@@ -213,7 +213,7 @@
     if (one->IsDirect() && one->IsOpen()) {
       return false;
     }
-    slow = slow || (one->IsDirect() && aNow - one->CreatedAt() > kSlowOpening);
+    slow = slow || (one->IsDirect() && aNow - one->CreatedAt() > kSlowConnect);
   }
   return slow;
 }
@@ -299,12 +299,12 @@
   const auto mean =
     aNow - mMeanLatencyAt > kMeanLifetime ? mDefaultLatency : mMeanLatency;
   // A server with an overdue answer is slow, whatever its average says.
-  const auto owed = oldest < aNow ? aNow - oldest : clock::duration::zero();
-  return std::max(mean, owed / 2) * (Running() + 1);
+  const auto overdue = oldest < aNow ? aNow - oldest : clock::duration::zero();
+  return std::max(mean, overdue / 2) * (Running() + 1);
 }
 
 void
-server_state::Served(clock::time_point aSentAt, clock::time_point aNow)
+server_state::ObserveLatency(clock::time_point aSentAt, clock::time_point aNow)
 {
   const auto base =
     aNow - mMeanLatencyAt > kMeanLifetime ? mDefaultLatency : mMeanLatency;
@@ -322,9 +322,11 @@
   applied = aPosition;
   const auto current = aPrimary.CurrentAsOf(aPosition);
   if (current) {
-    const auto seen = aNow - *current;
-    const auto likely = Lag(aNow);
-    mLag = seen < likely ? likely + (seen - likely) / kMeanWeight : likely;
+    const auto observed = aNow - *current;
+    const auto estimated = Lag(aNow);
+    mLag = observed < estimated
+             ? estimated + (observed - estimated) / kMeanWeight
+             : estimated;
     mLagAt = aNow;
   }
 }
@@ -332,9 +334,9 @@
 void
 server_state::ObserveLag(clock::time_point aWrittenBy, clock::time_point aNow)
 {
-  const auto shown = std::chrono::duration_cast<clock::duration>(
+  const auto lowerBound = std::chrono::duration_cast<clock::duration>(
     (aNow - aWrittenBy) * kLagOvershoot);
-  mLag = std::min<clock::duration>(std::max(Lag(aNow), shown), kMaxLag);
+  mLag = std::min<clock::duration>(std::max(Lag(aNow), lowerBound), kMaxLag);
   mLagAt = aNow;
 }
 
--- a/src/currantshed/proxy/server_state.hpp
+++ b/src/currantshed/proxy/server_state.hpp
@@ -89,7 +89,7 @@
   [[nodiscard]] clock::duration Lag(clock::time_point aNow) const;
 
   /// Records a complete answer to a statement that was sent at the given time.
-  void Served(clock::time_point aSentAt, clock::time_point aNow);
+  void ObserveLatency(clock::time_point aSentAt, clock::time_point aNow);
 
   /// Records the log position that the server reported.
   void ObservePosition(const position::log_position& aPosition,
--- a/src/currantshed/proxy/session.cpp
+++ b/src/currantshed/proxy/session.cpp
@@ -15,10 +15,10 @@
 }
 
 std::optional<answer>
-session::AnswerLocally(const session_statement& aAsked)
+session::AnswerLocally(const session_statement& aStatement)
 {
   const bool failed = transaction && transaction->failed;
-  switch (aAsked.kind) {
+  switch (aStatement.kind) {
     case statement_kind::kCommit:
       if (failed) {
         transaction.reset();
@@ -40,7 +40,7 @@
   if (failed) {
     return Refuse(failure_code::kMalformed, "the transaction has failed");
   }
-  switch (aAsked.kind) {
+  switch (aStatement.kind) {
     case statement_kind::kBegin:
     case statement_kind::kBeginReadOnly:
       if (transaction) {
@@ -52,19 +52,19 @@
       mPrepared.clear();
       return Local();
     case statement_kind::kSet:
-      values[aAsked.name] = aAsked.argument;
+      values[aStatement.name] = aStatement.argument;
       return Local();
     case statement_kind::kPrepare:
-      mPrepared[aAsked.name] = MakePrepared(aAsked);
+      mPrepared[aStatement.name] = MakePrepared(aStatement);
       return Local();
     case statement_kind::kDeallocate:
-      if (mPrepared.erase(aAsked.name) == 0) {
-        return Refuse(failure_code::kNoStatement, aAsked.name);
+      if (mPrepared.erase(aStatement.name) == 0) {
+        return Refuse(failure_code::kNoStatement, aStatement.name);
       }
       return Local();
     case statement_kind::kExecute:
-      if (!mPrepared.contains(aAsked.name)) {
-        return Refuse(failure_code::kNoStatement, aAsked.name);
+      if (!mPrepared.contains(aStatement.name)) {
+        return Refuse(failure_code::kNoStatement, aStatement.name);
       }
       return std::nullopt;
     default:
--- a/src/currantshed/proxy/session.hpp
+++ b/src/currantshed/proxy/session.hpp
@@ -50,7 +50,7 @@
   position::log_position position;
   /// Term of the primary that committed it.
   position::term_id term = 0;
-  clock::time_point at;
+  clock::time_point acknowledgedAt;
 };
 
 /// State of the session's open transaction.
@@ -86,7 +86,7 @@
 
   /// Runs a statement that needs no server; empty when a server must run it.
   [[nodiscard]] std::optional<answer> AnswerLocally(
-    const session_statement& aAsked);
+    const session_statement& aStatement);
 
   /// The prepared statement of that name, or null.
   [[nodiscard]] const prepared_statement* Prepared(
--- a/test/currantshed/proxy/customers.cpp
+++ b/test/currantshed/proxy/customers.cpp
@@ -47,7 +47,7 @@
   }
 
   /// Answers the last command that the server received.
-  void Answer(const std::string& aServer)
+  void AnswerLast(const std::string& aServer)
   {
     proxy::answer made;
     made.signature = "signed";
@@ -150,7 +150,7 @@
     session_admission::kNoDatabase },
 };
 
-struct change_row
+struct revocation_row
 {
   const char* name;
   /// The configuration in force after the session has begun.
@@ -160,7 +160,7 @@
   std::optional<failure_code> expect;
 };
 
-const change_row kChangeRows[] = {
+const revocation_row kRevocationRows[] = {
   { "nothing changes", kTwo, 0ms, false, std::nullopt },
   { "the key is revoked",
     { { "baker", { "key-b2" } } },
@@ -214,7 +214,7 @@
 
 TEST(customers, Each_statement_needs_the_key_to_be_in_force)
 {
-  for (const auto& row : kChangeRows) {
+  for (const auto& row : kRevocationRows) {
     customers_vm vm;
     recording_caller caller;
     const auto session = vm.Open(caller, "key-b");
@@ -234,7 +234,7 @@
     }
     CHECK_TEXT(caller.lastAnswer && caller.lastAnswer->failed, row.name);
     CHECK_TEXT(caller.lastAnswer->failed->code == *row.expect, row.name);
-    CHECK_TEXT(!vm.HasWork("a"), row.name);
+    CHECK_TEXT(!vm.WasSentWork("a"), row.name);
   }
 }
 
@@ -252,7 +252,7 @@
   for (auto* one : std::exchange(vm.servers.opening, {})) {
     one->Opened(vm.opensAt, vm.now);
   }
-  CHECK(!vm.HasWork("a"));
+  CHECK(!vm.WasSentWork("a"));
   for (const auto* one : { &first, &second }) {
     CHECK(one->lastAnswer && one->lastAnswer->failed);
     STRCMP_CONTAINS("keys", one->lastAnswer->failed->text.c_str());
@@ -268,15 +268,15 @@
   recording_caller first;
   const auto session = vm.Open(first, "key-b");
   vm.Ask(session, statement_kind::kRead, "READ x");
-  vm.Pass(100ms);
+  vm.AdvanceTime(100ms);
   const auto own = vm.servers.lastUsed;
-  vm.Answer("a");
+  vm.AnswerLast("a");
   CHECK(first.lastAnswer && !first.lastAnswer->failed);
 
   recording_caller second;
   vm.Ask(vm.Open(second, "key-s"), statement_kind::kRead, "READ y");
   CHECK_EQUAL(own, vm.servers.lastUsed);
-  vm.Pass(100ms);
+  vm.AdvanceTime(100ms);
   CHECK(vm.servers.lastUsed > own);
 
   vm.Ask(session, statement_kind::kRead, "READ z");
@@ -297,18 +297,18 @@
     recording_caller caller;
     const auto session = vm.Open(caller, one.customer);
     vm.Ask(session, statement_kind::kRead, "READ x");
-    vm.Pass(100ms);
-    vm.Answer("a");
+    vm.AdvanceTime(100ms);
+    vm.AnswerLast("a");
     CHECK_TEXT(caller.lastAnswer && !caller.lastAnswer->failed, one.customer);
     vm.engine.Close(session, vm.now);
   }
   const auto opened = vm.servers.opened;
   recording_caller last;
   vm.Ask(vm.Open(last, "c6"), statement_kind::kRead, "READ x");
-  vm.Pass(100ms);
+  vm.AdvanceTime(100ms);
   CHECK_EQUAL(opened, vm.servers.opened);
   recording_caller gone;
   vm.Ask(vm.Open(gone, "c0"), statement_kind::kRead, "READ x");
-  vm.Pass(100ms);
+  vm.AdvanceTime(100ms);
   CHECK_EQUAL(opened + 1, vm.servers.opened);
 }
--- a/test/currantshed/proxy/draining_servers.cpp
+++ b/test/currantshed/proxy/draining_servers.cpp
@@ -24,9 +24,9 @@
   const char* name;
   const char* route;
   proxy::statement_kind asked;
-  std::function<void(one_vm&)> given;
+  std::function<void(one_vm&)> arrange;
   /// Time between the change and the request.
-  std::chrono::milliseconds after;
+  std::chrono::milliseconds delay;
   /// Whether "a" gets the request.
   bool expected;
 };
@@ -97,8 +97,8 @@
   for (const auto& row : kRows) {
     one_vm vm;
     recording_caller caller;
-    row.given(vm);
-    vm.Pass(row.after);
+    row.arrange(vm);
+    vm.AdvanceTime(row.delay);
     const auto session = vm.engine.Open(row.route, caller);
     if (row.asked == proxy::statement_kind::kBegin) {
       vm.Ask(*session, proxy::statement_kind::kBegin, "BEGIN");
@@ -106,8 +106,8 @@
     } else {
       vm.Ask(*session, row.asked, "READ 1");
     }
-    vm.Pass(500ms);
-    CHECK_TEXT(vm.HasWork("a") == row.expected, row.name);
+    vm.AdvanceTime(500ms);
+    CHECK_TEXT(vm.WasSentWork("a") == row.expected, row.name);
   }
 }
 
@@ -122,15 +122,15 @@
   vm.Ask(*session, proxy::statement_kind::kSet, "SET shop 7");
   StartDraining(vm);
   vm.Ask(*session, proxy::statement_kind::kWrite, "WRITE 1 x");
-  vm.Pass(500ms);
-  CHECK(!vm.HasWork("a"));
+  vm.AdvanceTime(500ms);
+  CHECK(!vm.WasSentWork("a"));
   CHECK(!vm.servers.sent["a"].empty());
   Exit(vm);
   proxy::answer taken;
   taken.position = position::log_position{ 1, 5 };
   vm.servers.listeners["a"]->Answered(taken, vm.now);
-  vm.Pass(300ms);
-  CHECK(!vm.HasWork("a"));
+  vm.AdvanceTime(300ms);
+  CHECK(!vm.WasSentWork("a"));
 }
 
 namespace {
@@ -140,7 +140,7 @@
   const char* name;
   proxy::statement_kind asked;
   /// How long the server has been draining.
-  std::chrono::milliseconds after;
+  std::chrono::milliseconds delay;
   /// Whether it is sent on; otherwise it is rejected at once.
   bool expected;
 };
@@ -169,7 +169,7 @@
     one_vm vm;
     recording_caller caller;
     StartDraining(vm);
-    vm.Pass(row.after);
+    vm.AdvanceTime(row.delay);
     const auto session = vm.engine.OpenRelay("a", caller);
     vm.Ask(*session, row.asked, "READ 1");
     if (!row.expected) {
@@ -177,7 +177,7 @@
       CHECK_TEXT(caller.lastAnswer->failed->code == proxy::failure_code::kBusy,
                  row.name);
     }
-    vm.Pass(500ms);
-    CHECK_TEXT(vm.HasWork("a") == row.expected, row.name);
+    vm.AdvanceTime(500ms);
+    CHECK_TEXT(vm.WasSentWork("a") == row.expected, row.name);
   }
 }
--- a/test/currantshed/proxy/engine_overload.cpp
+++ b/test/currantshed/proxy/engine_overload.cpp
@@ -161,7 +161,7 @@
 {
   constexpr double kRecovered = 0.97;
   // Per attempt of a caller: a tenth by the retry budget, plus its burst.
-  constexpr double kMostElsewhere = 0.13;
+  constexpr double kMaxRetried = 0.13;
   for (const auto& row : kRows) {
     load_simulation simulation(row.shape, kSeed);
     simulation.Run(kBefore);
@@ -184,18 +184,16 @@
     const double recovered = 1.0 * after.inTime / after.asked;
     CHECK_TEXT(recovered >= kRecovered,
                FormatShare(row.name, "after", recovered).c_str());
-    const double turnedAway = 1.0 *
-                              static_cast<double>(simulation.TurnedAway()) /
-                              static_cast<double>(simulation.Taken());
-    CHECK_TEXT(
-      turnedAway < 0.03,
-      FormatShare(row.name, "rejected by servers", turnedAway).c_str());
+    const double rejected = 1.0 * static_cast<double>(simulation.Rejected()) /
+                            static_cast<double>(simulation.Taken());
+    CHECK_TEXT(rejected < 0.03,
+               FormatShare(row.name, "rejected by servers", rejected).c_str());
     const auto all = simulation.Between(0, to + 6);
-    const double elsewhere = 1.0 *
-                             static_cast<double>(simulation.SentElsewhere()) /
-                             (all.asked + all.refusals);
+    const double elsewhere =
+      1.0 * static_cast<double>(simulation.RetriedElsewhere()) /
+      (all.asked + all.refusals);
     CHECK_TEXT(
-      elsewhere < kMostElsewhere,
+      elsewhere < kMaxRetried,
       FormatShare(row.name, "retried on another server", elsewhere).c_str());
   }
 }
--- a/test/currantshed/proxy/load_simulation.cpp
+++ b/test/currantshed/proxy/load_simulation.cpp
@@ -49,17 +49,18 @@
 }
 
 bool
-model_server::Take(std::chrono::microseconds aMean, std::function<void()> aDone)
+model_server::Submit(std::chrono::microseconds aMean,
+                     std::function<void()> aDone)
 {
   if (!HasSlot() && mWaiting.size() >= maxWaiting) {
-    ++turnedAway;
+    ++rejected;
     return false;
   }
-  ++taken;
+  ++accepted;
   // Between 0.5 and 1.5 times the mean.
   const auto part = 0.5 + static_cast<double>(mRandom() % 1000) / 1000.0;
   const auto time = std::chrono::duration_cast<std::chrono::microseconds>(
-    aMean * (part * slow));
+    aMean * (part * slowdown));
   if (HasSlot()) {
     Run({ time, std::move(aDone) });
   } else {
@@ -124,13 +125,14 @@
   }
 
 private:
-  void After(clock::duration aSpan, std::function<void()> aWhat)
+  void After(clock::duration aDuration, std::function<void()> aWhat)
   {
-    mSimulation.mTime.After(aSpan, [alive = mAlive, what = std::move(aWhat)] {
-      if (*alive) {
-        what();
-      }
-    });
+    mSimulation.mTime.After(aDuration,
+                            [alive = mAlive, what = std::move(aWhat)] {
+                              if (*alive) {
+                                what();
+                              }
+                            });
   }
 
   void Arrived(const proxy::command& aCommand)
@@ -150,8 +152,8 @@
     const auto& shape = mSimulation.mShape;
     const auto work = writes ? shape.writeWork : shape.readWork;
     // The server finishes the work even if the connection closes.
-    const bool isTaken =
-      mServer.Take(work, [this, alive = mAlive, aCommand, writes] {
+    const bool isAccepted =
+      mServer.Submit(work, [this, alive = mAlive, aCommand, writes] {
         if (writes) {
           mSimulation.mLog.push_back(mSimulation.mTime.Now());
         }
@@ -162,7 +164,7 @@
           Answer(std::move(made));
         }
       });
-    if (!isTaken) {
+    if (!isAccepted) {
       Refuse(failure_code::kBusy);
     }
   }
@@ -229,7 +231,7 @@
   }
   void Decided(const proxy::decision& aDecision) override
   {
-    mSimulation.mSentElsewhere += aDecision.outcome == "elsewhere" ? 1 : 0;
+    mSimulation.mRetriedElsewhere += aDecision.outcome == "elsewhere" ? 1 : 0;
   }
   void ReachabilityChanged(const proxy::server&,
                            bool,
@@ -251,43 +253,45 @@
   caller(load_simulation& aSimulation,
          std::uint64_t aNumber,
          bool aWrites,
-         clock::time_point aBegan)
+         clock::time_point aStartedAt)
     : mSimulation(aSimulation)
     , mNumber(aNumber)
     , mWrites(aWrites)
-    , mBegan(aBegan)
+    , mStartedAt(aStartedAt)
     , mRetries(aSimulation.mShape.retries)
   {
-    Try();
+    StartAttempt();
   }
 
   void Deliver(const proxy::answer& aAnswer) override
   {
     const auto now = mSimulation.mTime.Now();
     if (!aAnswer.failed) {
-      End(now - mBegan <= Target() ? &load_result::inTime : &load_result::late);
+      Complete(now - mStartedAt <= Target() ? &load_result::inTime
+                                            : &load_result::late);
       return;
     }
     auto& result = Result();
     ++result.refusals;
-    result.promptRefusals += now - mTriedAt <= Target() / 4 ? 1 : 0;
+    result.promptRefusals += now - mAttemptedAt <= Target() / 4 ? 1 : 0;
     const bool mayRetry =
       mRetries > 0 && aAnswer.failed->code == failure_code::kBusy;
     if (!mayRetry) {
-      End(&load_result::lost);
+      Complete(&load_result::lost);
       return;
     }
     --mRetries;
-    mSimulation.mTime.After(mSimulation.mShape.backoff, [this] { Try(); });
+    mSimulation.mTime.After(mSimulation.mShape.backoff,
+                            [this] { StartAttempt(); });
   }
 
   void Close() override {}
 
 private:
-  void Try()
+  void StartAttempt()
   {
-    Leave();
-    mTriedAt = mSimulation.mTime.Now();
+    CloseSession();
+    mAttemptedAt = mSimulation.mTime.Now();
     mVm = mSimulation.mRandom() % mSimulation.mVms.size();
     auto& engine = mSimulation.mVms[mVm]->engine;
     mSession = engine.Open(mWrites ? kWrites : kReads, *this);
@@ -299,7 +303,7 @@
   }
 
   // Deferred, since the engine may be handling an event of this session.
-  void Leave()
+  void CloseSession()
   {
     if (mSession) {
       mSimulation.mVms[mVm]->engine.Close(*mSession, mSimulation.mTime.Now());
@@ -307,19 +311,19 @@
     }
   }
 
-  void End(unsigned load_result::*aHow)
+  void Complete(unsigned load_result::*aHow)
   {
     ++(Result().*aHow);
     mSimulation.mTime.After(0ms, [this] {
-      Leave();
-      mSimulation.mDone.push_back(mNumber);
+      CloseSession();
+      mSimulation.mFinished.push_back(mNumber);
     });
   }
 
   [[nodiscard]] load_result& Result()
   {
     const auto second =
-      std::chrono::floor<std::chrono::seconds>(mBegan - mSimulation.mStart)
+      std::chrono::floor<std::chrono::seconds>(mStartedAt - mSimulation.mStart)
         .count();
     return mSimulation.mResults[static_cast<std::size_t>(second)];
   }
@@ -333,8 +337,8 @@
   load_simulation& mSimulation;
   std::uint64_t mNumber;
   bool mWrites;
-  clock::time_point mBegan;
-  clock::time_point mTriedAt;
+  clock::time_point mStartedAt;
+  clock::time_point mAttemptedAt;
   unsigned mRetries;
   std::size_t mVm = 0;
   std::optional<proxy::engine::session_id> mSession;
@@ -385,8 +389,8 @@
     ScheduleTick(i);
   }
   ConfirmPrimary();
-  Ask(true);
-  Ask(false);
+  ScheduleRequest(true);
+  ScheduleRequest(false);
 }
 
 load_simulation::~load_simulation()
@@ -395,9 +399,9 @@
 }
 
 void
-load_simulation::Run(std::chrono::milliseconds aSpan)
+load_simulation::Run(std::chrono::milliseconds aDuration)
 {
-  mTime.RunUntil(mTime.Now() + aSpan);
+  mTime.RunUntil(mTime.Now() + aDuration);
 }
 
 load_result
@@ -411,21 +415,21 @@
 }
 
 std::uint64_t
-load_simulation::Taken() const
+load_simulation::Accepted() const
 {
   std::uint64_t sum = 0;
   for (const auto& one : mServers) {
-    sum += one->taken;
+    sum += one->accepted;
   }
   return sum;
 }
 
 std::uint64_t
-load_simulation::TurnedAway() const
+load_simulation::Rejected() const
 {
   std::uint64_t sum = 0;
   for (const auto& one : mServers) {
-    sum += one->turnedAway;
+    sum += one->rejected;
   }
   return sum;
 }
@@ -477,28 +481,28 @@
 }
 
 void
-load_simulation::Ask(bool aWrites)
+load_simulation::ScheduleRequest(bool aWrites)
 {
   const auto rate = (aWrites ? mShape.writes : mShape.reads) * factor;
   std::exponential_distribution<double> gap(rate);
   const auto next = std::chrono::duration_cast<clock::duration>(
     std::chrono::duration<double>(gap(mRandom)));
   mTime.After(next, [this, aWrites] {
-    Reap();
+    RemoveFinished();
     const auto second = Second();
     mResults.resize(std::max(mResults.size(), second + 1));
     ++mResults[second].asked;
     const auto number = ++mLastCaller;
     mCallers[number] =
       std::make_unique<caller>(*this, number, aWrites, mTime.Now());
-    Ask(aWrites);
+    ScheduleRequest(aWrites);
   });
 }
 
 void
-load_simulation::Reap()
+load_simulation::RemoveFinished()
 {
-  for (const auto number : std::exchange(mDone, {})) {
+  for (const auto number : std::exchange(mFinished, {})) {
     mCallers.erase(number);
   }
 }
--- a/test/currantshed/proxy/load_simulation.hpp
+++ b/test/currantshed/proxy/load_simulation.hpp
@@ -25,8 +25,8 @@
 
   /// Runs work of this mean duration, then calls back; false when the queue is
   /// full.
-  [[nodiscard]] bool Take(std::chrono::microseconds aMean,
-                          std::function<void()> aDone);
+  [[nodiscard]] bool Submit(std::chrono::microseconds aMean,
+                            std::function<void()> aDone);
 
   /// Whether a query would find a free slot.
   [[nodiscard]] bool HasSlot() const { return mRunning < mSlots; }
@@ -35,12 +35,12 @@
   bool leads = false;
   bool reachable = true;
   /// Factor on the duration of its work.
-  double slow = 1.0;
+  double slowdown = 1.0;
   /// Replication lag behind the primary.
   std::chrono::milliseconds lag{ 0 };
   unsigned maxWaiting = 24;
-  std::uint64_t turnedAway = 0;
-  std::uint64_t taken = 0;
+  std::uint64_t rejected = 0;
+  std::uint64_t accepted = 0;
 
 private:
   struct work
@@ -114,16 +114,16 @@
   bool confirmations = true;
 
   /// Advances the virtual time.
-  void Run(std::chrono::milliseconds aSpan);
+  void Run(std::chrono::milliseconds aDuration);
   /// Sum over the seconds from aFrom up to, but not including, aTo.
   [[nodiscard]] load_result Between(std::size_t aFrom, std::size_t aTo) const;
   /// Statements that servers accepted, and those that they rejected.
-  [[nodiscard]] std::uint64_t Taken() const;
-  [[nodiscard]] std::uint64_t TurnedAway() const;
+  [[nodiscard]] std::uint64_t Accepted() const;
+  [[nodiscard]] std::uint64_t Rejected() const;
   /// How often an engine retried a request on another server after a rejection.
-  [[nodiscard]] std::uint64_t SentElsewhere() const noexcept
+  [[nodiscard]] std::uint64_t RetriedElsewhere() const noexcept
   {
-    return mSentElsewhere;
+    return mRetriedElsewhere;
   }
 
 private:
@@ -135,8 +135,8 @@
   [[nodiscard]] position::log_position At(const model_server& aServer) const;
   void ScheduleTick(std::size_t aVm);
   void ConfirmPrimary();
-  void Ask(bool aWrites);
-  void Reap();
+  void ScheduleRequest(bool aWrites);
+  void RemoveFinished();
   [[nodiscard]] std::size_t Second() const;
 
   load_shape mShape;
@@ -148,9 +148,9 @@
   std::vector<clock::time_point> mLog;
   std::vector<std::unique_ptr<vm>> mVms;
   std::map<std::uint64_t, std::unique_ptr<caller>> mCallers;
-  std::vector<std::uint64_t> mDone;
+  std::vector<std::uint64_t> mFinished;
   std::uint64_t mLastCaller = 0;
-  std::uint64_t mSentElsewhere = 0;
+  std::uint64_t mRetriedElsewhere = 0;
   std::vector<load_result> mResults;
   bool mIsEnding = false;
 };
--- a/test/currantshed/proxy/many_groups.cpp
+++ b/test/currantshed/proxy/many_groups.cpp
@@ -72,11 +72,11 @@
   {
     const auto session = mEngine.Open("reads", mCaller);
     CHECK(session.has_value());
-    proxy::session_statement asked;
-    asked.kind = proxy::statement_kind::kRead;
-    asked.id = "0123456789abcdef";
-    asked.text = "READ 1";
-    mEngine.Submit(*session, asked, mNow);
+    proxy::session_statement statement;
+    statement.kind = proxy::statement_kind::kRead;
+    statement.id = "0123456789abcdef";
+    statement.text = "READ 1";
+    mEngine.Submit(*session, statement, mNow);
   }
 
   void AddVm(bool aIsDelegate)
--- a/test/currantshed/proxy/one_vm.hpp
+++ b/test/currantshed/proxy/one_vm.hpp
@@ -109,7 +109,7 @@
     List({ "a", "b" }, {});
     engine.Confirm("claims", { 1, "a", now }, now);
     engine.AddSample("claims", { 1, { 1, 5 }, now });
-    Pass(300ms);
+    AdvanceTime(300ms);
   }
 
   void List(const std::vector<std::string>& aServers,
@@ -143,9 +143,9 @@
     engine.SetServers(listed, now);
   }
 
-  void Pass(std::chrono::milliseconds aSpan)
+  void AdvanceTime(std::chrono::milliseconds aDuration)
   {
-    for (const auto end = now + aSpan; now < end; now += 50ms) {
+    for (const auto end = now + aDuration; now < end; now += 50ms) {
       engine.Tick(now);
       for (auto* one : std::exchange(servers.opening, {})) {
         one->Opened(opensAt, now);
@@ -157,17 +157,17 @@
            proxy::statement_kind aKind,
            const std::string& aText)
   {
-    proxy::session_statement asked;
-    asked.kind = aKind;
-    asked.id = "id-1";
-    asked.text = aText;
-    asked.name = "shop";
-    asked.argument = "7";
-    engine.Submit(aSession, asked, now);
+    proxy::session_statement statement;
+    statement.kind = aKind;
+    statement.id = "id-1";
+    statement.text = aText;
+    statement.name = "shop";
+    statement.argument = "7";
+    engine.Submit(aSession, statement, now);
   }
 
   /// Whether the server was sent a caller's statement or a transaction.
-  [[nodiscard]] bool HasWork(const std::string& aServer) const
+  [[nodiscard]] bool WasSentWork(const std::string& aServer) const
   {
     const auto found = servers.sent.find(aServer);
     return found != servers.sent.end() &&
--- a/test/currantshed/proxy/quota.cpp
+++ b/test/currantshed/proxy/quota.cpp
@@ -40,7 +40,7 @@
   /// Lets connections open, and answers the last command.
   void Serve()
   {
-    Pass(100ms);
+    AdvanceTime(100ms);
     proxy::answer made;
     made.signature = "signed";
     made.position = position::log_position{ 1, 6 };
@@ -103,7 +103,7 @@
     for (const auto& [kind, text] : row.asked) {
       caller.lastAnswer.reset();
       vm.Ask(session, kind, text);
-      vm.Pass(50ms);
+      vm.AdvanceTime(50ms);
       if (row.tokens > 0) {
         CHECK_TEXT(!caller.lastAnswer && vm.servers.sent["a"].size() == used,
                    row.name);
@@ -127,8 +127,8 @@
   vm.Ask(session, statement_kind::kBegin, "BEGIN");
   caller.lastAnswer.reset();
   vm.Ask(session, statement_kind::kRead, "READ x");
-  vm.Pass(50ms);
-  CHECK(!vm.HasWork("a"));
+  vm.AdvanceTime(50ms);
+  CHECK(!vm.WasSentWork("a"));
   vm.engine.GrantTokens("baker", 1, vm.now, vm.now);
   // Begins the transaction, then runs the statement.
   vm.Serve();
@@ -152,11 +152,11 @@
   CHECK(first.lastAnswer->failed->code == failure_code::kBusy);
   STRCMP_CONTAINS("retry after 300 ms", first.lastAnswer->failed->text.c_str());
   CHECK(!second.lastAnswer);
-  vm.Pass(200ms);
+  vm.AdvanceTime(200ms);
   // The quota check is not answered within half of the target.
   CHECK(second.lastAnswer &&
         second.lastAnswer->failed->code == failure_code::kBusy);
-  CHECK(!vm.HasWork("a"));
+  CHECK(!vm.WasSentWork("a"));
 }
 
 // The token of a caller that has disconnected goes to the next one; a waiting
@@ -173,7 +173,7 @@
   recording_caller late;
   vm.Ask(vm.Open(late), statement_kind::kRead, "READ z");
   vm.engine.GrantTokens("baker", 1, vm.now, vm.now);
-  vm.Pass(50ms);
+  vm.AdvanceTime(50ms);
   STRCMP_EQUAL("READ y", vm.servers.last.text.c_str());
 }
 
@@ -187,6 +187,6 @@
   vm.now += 2000ms;
   vm.engine.Confirm("claims", { 1, "a", vm.now }, vm.now);
   vm.engine.GrantTokens("baker", 1, askedAt, vm.now);
-  vm.Pass(50ms);
-  CHECK(!vm.HasWork("a"));
+  vm.AdvanceTime(50ms);
+  CHECK(!vm.WasSentWork("a"));
 }
--- a/test/currantshed/proxy/random_sessions.cpp
+++ b/test/currantshed/proxy/random_sessions.cpp
@@ -192,13 +192,13 @@
         mAsked.kind == statement_kind::kBeginReadOnly) {
       mTransaction = ++mTransactions;
       mWrites.clear();
-      mBegunMustSee = MustSee();
-      mBegunTerm = mCluster.Group().term;
+      mBeginRequiredIndex = RequiredIndex();
+      mBeginTerm = mCluster.Group().term;
     }
     known.transaction = mOpen ? mTransaction : 0;
     known.sentAt = mCluster.Time().Now();
-    known.mustSee = mOpen ? mBegunMustSee : MustSee();
-    known.mustSeeTerm = mOpen ? mBegunTerm : mCluster.Group().term;
+    known.requiredIndex = mOpen ? mBeginRequiredIndex : RequiredIndex();
+    known.requiredTerm = mOpen ? mBeginTerm : mCluster.Group().term;
     mCluster.known[mAsked.id] = known;
     if (!mOpen) {
       mWrites.clear();
@@ -212,7 +212,7 @@
   }
 
   // The newest commit that a read sent now must see.
-  [[nodiscard]] std::uint64_t MustSee() const
+  [[nodiscard]] std::uint64_t RequiredIndex() const
   {
     const auto now = mCluster.Time().Now();
     const bool bounded = mDatabase != "db-primary";
@@ -228,7 +228,7 @@
   // A commit of an older term counts as far as the new primary has it.
   [[nodiscard]] std::uint64_t OwnCommit() const
   {
-    return mCluster.Kept(mOwnCommit, mOwnTerm);
+    return mCluster.Retained(mOwnCommit, mOwnTerm);
   }
 
   void Reported(change_outcome::reported aWhat)
@@ -330,8 +330,8 @@
   bool mFailed = false;
   std::uint64_t mTransaction = 0;
   std::uint64_t mTransactions = 0;
-  std::uint64_t mBegunMustSee = 0;
-  position::term_id mBegunTerm = 0;
+  std::uint64_t mBeginRequiredIndex = 0;
+  position::term_id mBeginTerm = 0;
   std::uint64_t mOwnCommit = 0;
   position::term_id mOwnTerm = 0;
   std::vector<std::string> mWrites;
@@ -383,31 +383,30 @@
 RunSimulation(const session_row& aRow, std::uint32_t aSeed)
 {
   std::vector<std::unique_ptr<random_caller>> callers;
-  test::simulated_cluster simulated_cluster(aSeed, aRow.rates, aRow.vms);
-  simulated_cluster.Configure(aRow.connections);
-  const auto start = simulated_cluster.Time().Now();
-  simulated_cluster.Time().RunUntil(start + 500ms);
+  test::simulated_cluster cluster(aSeed, aRow.rates, aRow.vms);
+  cluster.Configure(aRow.connections);
+  const auto start = cluster.Time().Now();
+  cluster.Time().RunUntil(start + 500ms);
   for (std::uint64_t number = 1; number <= 24; ++number) {
-    callers.push_back(std::make_unique<random_caller>(
-      simulated_cluster, number, number % aRow.vms));
+    callers.push_back(
+      std::make_unique<random_caller>(cluster, number, number % aRow.vms));
   }
   if (aRow.failsPrimaries) {
     for (const auto at : { 1500ms, 5500ms }) {
-      simulated_cluster.Time().At(
-        start + at, [&simulated_cluster] { simulated_cluster.FailPrimary(); });
+      cluster.Time().At(start + at, [&cluster] { cluster.FailPrimary(); });
     }
   }
-  simulated_cluster.Time().RunUntil(start + 10s);
-  CheckOutcomes(simulated_cluster);
-  if (simulated_cluster.successes < 500) {
-    simulated_cluster.AddViolation("too few requests succeeded: " +
-                                   std::to_string(simulated_cluster.successes));
+  cluster.Time().RunUntil(start + 10s);
+  CheckOutcomes(cluster);
+  if (cluster.successes < 500) {
+    cluster.AddViolation("too few requests succeeded: " +
+                         std::to_string(cluster.successes));
   }
   std::string violations;
   for (std::size_t i = 0;
-       i < std::min<std::size_t>(simulated_cluster.violations.size(), 5);
+       i < std::min<std::size_t>(cluster.violations.size(), 5);
        ++i) {
-    violations += "; " + simulated_cluster.violations[i];
+    violations += "; " + cluster.violations[i];
   }
   return violations;
 }
--- a/test/currantshed/proxy/refusals.cpp
+++ b/test/currantshed/proxy/refusals.cpp
@@ -125,7 +125,7 @@
     engine.Tick(now);
     engine.Confirm("claims", { 1, "a", now }, now);
     engine.AddSample("claims", { 1, { 1, 5 }, now });
-    Pass(1000ms);
+    AdvanceTime(1000ms);
     for (const auto& [id, listener] : mOpener.listeners) {
       if (aReachesServers) {
         listener->Opened(position::log_position{ 1, 5 }, now);
@@ -139,17 +139,17 @@
     engine.Submit(*session, asked, now);
   }
 
-  void Pass(std::chrono::milliseconds aSpan)
+  void AdvanceTime(std::chrono::milliseconds aDuration)
   {
-    now += aSpan;
+    now += aDuration;
     engine.Tick(now);
   }
 
   /// Applies the behavior to the server that has the read.
-  void Do(server_behavior aBehavior)
+  void Apply(server_behavior aBehavior)
   {
     if (aBehavior == server_behavior::kNotDispatched) {
-      Pass(5000ms);
+      AdvanceTime(5000ms);
       return;
     }
     proxy::answer made;
@@ -191,12 +191,12 @@
   for (const auto& row : kRows) {
     one_read read(row.behaviors.front() != server_behavior::kNotDispatched);
     for (const auto one : row.behaviors) {
-      read.Do(one);
+      read.Apply(one);
     }
     // All further attempts are rejected, until the engine gives up.
     for (int i = 0; i < 40 && !read.caller.lastAnswer; ++i) {
-      read.Do(server_behavior::kBusy);
-      read.Pass(50ms);
+      read.Apply(server_behavior::kBusy);
+      read.AdvanceTime(50ms);
     }
     CHECK_TEXT(read.caller.lastAnswer && read.caller.lastAnswer->failed,
                row.name);
--- a/test/currantshed/proxy/restarted_servers.cpp
+++ b/test/currantshed/proxy/restarted_servers.cpp
@@ -21,7 +21,7 @@
 {
   const char* name;
   proxy::statement_kind asked;
-  std::function<void(one_vm&)> given;
+  std::function<void(one_vm&)> arrange;
   /// Whether "a" gets the request.
   bool expected;
 };
@@ -29,7 +29,7 @@
 void
 ConfirmAgain(one_vm& aVm, std::chrono::milliseconds aAge)
 {
-  aVm.Pass(100ms);
+  aVm.AdvanceTime(100ms);
   aVm.engine.Confirm("claims", { 1, "a", aVm.now - aAge }, aVm.now);
 }
 
@@ -68,7 +68,7 @@
     proxy::statement_kind::kRead,
     [](one_vm& aVm) {
       aVm.List({ "a", "b" }, { "a" });
-      aVm.Pass(20000ms);
+      aVm.AdvanceTime(20000ms);
       aVm.Restart("a");
       ConfirmAgain(aVm, 50ms);
     },
@@ -84,11 +84,11 @@
   for (const auto& row : kRows) {
     one_vm vm;
     recording_caller caller;
-    row.given(vm);
+    row.arrange(vm);
     const auto session = vm.engine.Open("claims", caller);
     vm.Ask(*session, row.asked, "READ 1");
-    vm.Pass(500ms);
-    CHECK_TEXT(vm.HasWork("a") == row.expected, row.name);
+    vm.AdvanceTime(500ms);
+    CHECK_TEXT(vm.WasSentWork("a") == row.expected, row.name);
   }
 }
 
@@ -108,7 +108,7 @@
     }
     const auto session = vm.engine.Open("claims-read", caller);
     vm.Ask(*session, proxy::statement_kind::kRead, "READ 1");
-    CHECK_EQUAL(!restarts, vm.HasWork("b"));
+    CHECK_EQUAL(!restarts, vm.WasSentWork("b"));
   }
 }
 
@@ -120,7 +120,7 @@
   recording_caller caller;
   const auto session = vm.engine.Open("claims", caller);
   vm.Ask(*session, proxy::statement_kind::kRead, "READ 1");
-  vm.Pass(50ms);
+  vm.AdvanceTime(50ms);
   auto* before = vm.servers.listeners["a"];
   const auto opened = vm.servers.opened;
   vm.Restart("a");
@@ -131,7 +131,7 @@
   before->Answered(made, vm.now);
   CHECK(caller.lastAnswer && !caller.lastAnswer->failed);
   vm.Ask(*session, proxy::statement_kind::kRead, "READ 2");
-  vm.Pass(500ms);
+  vm.AdvanceTime(500ms);
   CHECK(vm.servers.opened > opened);
   CHECK(vm.servers.lastUsed > opened);
 }
@@ -175,8 +175,8 @@
     for (const auto kind : row.asked) {
       vm.Ask(*session, kind, "READ 1");
     }
-    vm.Pass(50ms);
-    CHECK_TEXT(vm.HasWork("a"), row.name);
+    vm.AdvanceTime(50ms);
+    CHECK_TEXT(vm.WasSentWork("a"), row.name);
     const auto& floor = vm.servers.last.floor;
     CHECK_TEXT(floor.has_value() == row.expected, row.name);
     CHECK_TEXT(!floor || *floor == (position::log_position{ 1, 5 }), row.name);
@@ -189,16 +189,16 @@
   recording_caller caller;
   const auto session = vm.engine.Open("claims", caller);
   vm.Ask(*session, proxy::statement_kind::kRead, "READ 1");
-  vm.Pass(50ms);
+  vm.AdvanceTime(50ms);
   proxy::answer lacking;
   lacking.position = position::log_position{ 1, 0 };
   lacking.failed = proxy::failure{ proxy::failure_code::kLagging, "" };
   vm.servers.listeners["a"]->Answered(lacking, vm.now);
   const auto sent = vm.servers.sent["a"].size();
-  vm.Pass(500ms);
+  vm.AdvanceTime(500ms);
   CHECK_EQUAL(sent, vm.servers.sent["a"].size());
   CHECK(!caller.lastAnswer);
   vm.engine.Confirm("claims", { 2, "b", vm.now }, vm.now);
-  vm.Pass(100ms);
-  CHECK(vm.HasWork("b"));
+  vm.AdvanceTime(100ms);
+  CHECK(vm.WasSentWork("b"));
 }
--- a/test/currantshed/proxy/server_state.cpp
+++ b/test/currantshed/proxy/server_state.cpp
@@ -34,7 +34,7 @@
 struct path_row
 {
   const char* name;
-  void (*given)(server_state&);
+  void (*arrange)(server_state&);
   /// The relay on the expected path, empty for a direct one.
   const char* via;
 };
@@ -74,7 +74,7 @@
 {
   const char* name;
   std::size_t connections;
-  std::chrono::milliseconds sentBefore;
+  std::chrono::milliseconds pendingFor;
   bool mayOpen;
 };
 
@@ -103,7 +103,7 @@
       made->Send({ {} }, { proxy::purpose::kStatement, kStart });
       state.connections.push_back(std::move(made));
     }
-    CHECK_TEXT(state.MayOpenDirect(4, kStart + row.sentBefore) == row.mayOpen,
+    CHECK_TEXT(state.MayOpenDirect(4, kStart + row.pendingFor) == row.mayOpen,
                row.name);
   }
 }
@@ -144,7 +144,7 @@
 {
   for (const auto& row : kPathRows) {
     auto state = Holder();
-    row.given(state);
+    row.arrange(state);
     const auto* chosen = state.PathToOpen(kStart + 10ms);
     CHECK_TEXT(chosen != nullptr, row.name);
     CHECK_TEXT(chosen->vm == row.via, row.name);
--- a/test/currantshed/proxy/silent_relays.cpp
+++ b/test/currantshed/proxy/silent_relays.cpp
@@ -35,7 +35,7 @@
       for (const auto& one : aCommands) {
         if (one.kind != proxy::command_kind::kReport) {
           mVms.sent[mVia].push_back(one.text);
-          mVms.owed.push_back({ mVia, mListener });
+          mVms.pending.push_back({ mVia, mListener });
         }
       }
     }
@@ -65,7 +65,7 @@
 
   std::string silent;
   std::vector<waiting> opening;
-  std::vector<waiting> owed;
+  std::vector<waiting> pending;
   /// Relays on which links were opened, by server.
   std::map<std::string, std::vector<std::string>> opened;
   std::map<std::string, std::vector<std::string>> sent;
@@ -108,17 +108,17 @@
 
   void Ask(proxy::statement_kind aKind, const std::string& aText)
   {
-    proxy::session_statement asked;
-    asked.kind = aKind;
-    asked.id = "id-1";
-    asked.text = aText;
+    proxy::session_statement statement;
+    statement.kind = aKind;
+    statement.id = "id-1";
+    statement.text = aText;
     caller.lastAnswer.reset();
-    engine.Submit(session, asked, now);
+    engine.Submit(session, statement, now);
   }
 
-  void Pass(std::chrono::milliseconds aSpan)
+  void AdvanceTime(std::chrono::milliseconds aDuration)
   {
-    for (const auto end = now + aSpan; now < end; now += 10ms) {
+    for (const auto end = now + aDuration; now < end; now += 10ms) {
       engine.Confirm("claims", { 1, "a", now }, now);
       engine.Tick(now);
       for (const auto& one : std::exchange(vms.opening, {})) {
@@ -128,7 +128,7 @@
           vms.opening.push_back(one);
         }
       }
-      for (const auto& one : std::exchange(vms.owed, {})) {
+      for (const auto& one : std::exchange(vms.pending, {})) {
         if (one.via != vms.silent) {
           proxy::answer made;
           made.signature = "signed";
@@ -159,18 +159,18 @@
 {
   non_delegate_vm made;
   made.Ask(proxy::statement_kind::kRead, "READ 1");
-  made.Pass(100ms);
+  made.AdvanceTime(100ms);
   CHECK(made.caller.lastAnswer.has_value());
   const auto first = made.vms.opened["a"].front();
   CHECK(!first.empty());
   made.vms.silent = first;
   made.Ask(proxy::statement_kind::kRead, "READ 2");
-  made.Pass(800ms);
+  made.AdvanceTime(800ms);
   CHECK(made.caller.lastAnswer.has_value());
   CHECK_FALSE(made.caller.lastAnswer->failed.has_value());
   const auto lost = made.vms.sent[first].size();
   made.Ask(proxy::statement_kind::kRead, "READ 3");
-  made.Pass(100ms);
+  made.AdvanceTime(100ms);
   CHECK(made.caller.lastAnswer.has_value());
   CHECK_EQUAL(lost, made.vms.sent[first].size());
 }
@@ -179,11 +179,11 @@
 {
   non_delegate_vm made;
   made.Ask(proxy::statement_kind::kRead, "READ 1");
-  made.Pass(100ms);
+  made.AdvanceTime(100ms);
   const auto first = made.vms.opened["a"].front();
   made.vms.silent = first;
   made.Ask(proxy::statement_kind::kWrite, "WRITE 1 x");
-  made.Pass(2000ms);
+  made.AdvanceTime(2000ms);
   CHECK_FALSE(made.caller.lastAnswer.has_value());
   for (const auto& [via, texts] : made.vms.sent) {
     for (const auto& text : texts) {
--- a/test/currantshed/proxy/simulated_cluster.cpp
+++ b/test/currantshed/proxy/simulated_cluster.cpp
@@ -186,7 +186,7 @@
     } else {
       mOpen = true;
       mReadOnly = aCommand.kind == command_kind::kBeginReadOnly;
-      mBegunAt = aServer.applied;
+      mSnapshotIndex = aServer.applied;
     }
   }
 
@@ -207,7 +207,7 @@
       Refuse(aOut, failure_code::kMalformed);
       return;
     }
-    const auto& from = mCluster.known[aCommand.id];
+    const auto& from = mCluster.issuedRequests[aCommand.id];
     CheckSession(aCommand, from);
     const bool isCommit = aCommand.text == "COMMIT";
     bool writes = aCommand.text.starts_with("WRITE");
@@ -251,10 +251,10 @@
       mCaller = aFrom.caller;
       mTransaction = aFrom.transaction;
     }
-    const bool belongs =
+    const bool isInTransaction =
       mOpen ? aFrom.caller == mCaller && aFrom.transaction == mTransaction
             : aFrom.transaction == 0;
-    if (!belongs) {
+    if (!isInTransaction) {
       mCluster.AddViolation("statement " + aCommand.id +
                             " in another transaction");
     }
@@ -278,8 +278,8 @@
     } else if (aWrites) {
       Commit(aServer, { aCommand.id });
     } else {
-      const auto seen = mOpen ? mBegunAt : aServer.applied;
-      if (seen < mCluster.Kept(aFrom.mustSee, aFrom.mustSeeTerm)) {
+      const auto seen = mOpen ? mSnapshotIndex : aServer.applied;
+      if (seen < mCluster.Retained(aFrom.requiredIndex, aFrom.requiredTerm)) {
         mCluster.AddViolation("read " + aCommand.id + " is stale");
       }
     }
@@ -309,7 +309,7 @@
   bool mFailed = false;
   std::uint64_t mCaller = 0;
   std::uint64_t mTransaction = 0;
-  std::uint64_t mBegunAt = 0;
+  std::uint64_t mSnapshotIndex = 0;
   std::vector<std::string> mPending;
 };
 
@@ -405,7 +405,7 @@
 }
 
 std::uint64_t
-simulated_cluster::Kept(std::uint64_t aCount, position::term_id aTerm) const
+simulated_cluster::Retained(std::uint64_t aCount, position::term_id aTerm) const
 {
   for (const auto& [term, base] : promotionBases) {
     aCount = term > aTerm ? std::min(aCount, base) : aCount;
--- a/test/currantshed/proxy/simulated_cluster.hpp
+++ b/test/currantshed/proxy/simulated_cluster.hpp
@@ -23,9 +23,9 @@
 public:
   [[nodiscard]] clock::time_point Now() const { return mNow; }
   void At(clock::time_point aTime, std::function<void()> aWhat);
-  void After(clock::duration aSpan, std::function<void()> aWhat)
+  void After(clock::duration aDuration, std::function<void()> aWhat)
   {
-    At(mNow + aSpan, std::move(aWhat));
+    At(mNow + aDuration, std::move(aWhat));
   }
   void RunUntil(clock::time_point aEnd);
 
@@ -83,8 +83,8 @@
   std::uint64_t transaction = 0;
   clock::time_point sentAt;
   /// Number of records that a read must see, and the term at that time.
-  std::uint64_t mustSee = 0;
-  position::term_id mustSeeTerm = 0;
+  std::uint64_t requiredIndex = 0;
+  position::term_id requiredTerm = 0;
 };
 
 class fake_link;
@@ -148,7 +148,7 @@
   /// Violated guarantees, one text each.
   std::vector<std::string> violations;
   std::map<std::string, change_outcome> outcomes;
-  std::map<std::string, issued_request> known;
+  std::map<std::string, issued_request> issuedRequests;
   /// Acknowledged commits, with their times.
   std::vector<std::pair<clock::time_point, std::uint64_t>> acknowledged;
   /// Number of records kept by each promotion, by the term that it began.
@@ -158,8 +158,8 @@
 
   /// How many of the first aCount records of the term remain after later
   /// promotions.
-  [[nodiscard]] std::uint64_t Kept(std::uint64_t aCount,
-                                   position::term_id aTerm) const;
+  [[nodiscard]] std::uint64_t Retained(std::uint64_t aCount,
+                                       position::term_id aTerm) const;
 
   /// Whether the engines are being destroyed.
   [[nodiscard]] bool IsEnding() const { return mIsEnding; }
