--- a/test/currantshed/proxy/engine_overload.cpp
+++ b/test/currantshed/proxy/engine_overload.cpp
@@ -23,7 +23,7 @@
   /// Start and end of the disturbance.
   std::function<void(load_simulation&)> begin;
   std::function<void(load_simulation&)> end;
-  std::chrono::seconds lasts;
+  std::chrono::seconds duration;
   /// Minimum fraction of the requests during the disturbance that must be
   /// answered in time. Where the servers' capacity is exceeded, it is close to
   /// what they can serve.
@@ -48,10 +48,10 @@
 }
 
 std::function<void(load_simulation&)>
-Slow(std::size_t aServer, double aSlow)
+SlowDown(std::size_t aServer, double aSlowdown)
 {
   return [=](load_simulation& aSimulation) {
-    aSimulation.Server(aServer).slow = aSlow;
+    aSimulation.Server(aServer).slowdown = aSlowdown;
   };
 }
 
@@ -118,15 +118,15 @@
     0.80 },
   { "one of three servers slower by a factor of 8",
     {},
-    Slow(1, 8),
-    Slow(1, 1),
+    SlowDown(1, 8),
+    SlowDown(1, 1),
     6s,
     0.98,
     0 },
   { "the primary slower by a factor of 8, through relays",
     kShared,
-    Slow(0, 8),
-    Slow(0, 1),
+    SlowDown(0, 8),
+    SlowDown(0, 1),
     6s,
     0.95,
     0 },
@@ -166,11 +166,11 @@
     load_simulation simulation(row.shape, kSeed);
     simulation.Run(kBefore);
     row.begin(simulation);
-    simulation.Run(row.lasts);
+    simulation.Run(row.duration);
     row.end(simulation);
     simulation.Run(kAfter);
     const auto from = static_cast<std::size_t>(kBefore / 1s);
-    const auto to = from + static_cast<std::size_t>(row.lasts.count());
+    const auto to = from + static_cast<std::size_t>(row.duration.count());
     const auto during = simulation.Between(from + 1, to);
     const double inTime = 1.0 * during.inTime / during.asked;
     CHECK_TEXT(inTime >= row.inTime,
@@ -185,15 +185,15 @@
     CHECK_TEXT(recovered >= kRecovered,
                FormatShare(row.name, "after", recovered).c_str());
     const double rejected = 1.0 * static_cast<double>(simulation.Rejected()) /
-                            static_cast<double>(simulation.Taken());
+                            static_cast<double>(simulation.Accepted());
     CHECK_TEXT(rejected < 0.03,
                FormatShare(row.name, "rejected by servers", rejected).c_str());
     const auto all = simulation.Between(0, to + 6);
-    const double elsewhere =
-      1.0 * static_cast<double>(simulation.RetriedElsewhere()) /
-      (all.asked + all.refusals);
+    const double retried = 1.0 *
+                           static_cast<double>(simulation.RetriedElsewhere()) /
+                           (all.asked + all.refusals);
     CHECK_TEXT(
-      elsewhere < kMaxRetried,
-      FormatShare(row.name, "retried on another server", elsewhere).c_str());
+      retried < kMaxRetried,
+      FormatShare(row.name, "retried on another server", retried).c_str());
   }
 }
