--- a/src/currantshed/proxy/engine_queues.cpp
+++ b/src/currantshed/proxy/engine_queues.cpp
@@ -149,8 +149,8 @@
   const auto name = aSession.IsRelay()     ? aSession.relayTarget
                     : request.needsPrimary ? std::string(kPrimaryQueue)
                                            : std::string(kReadsQueue);
-  auto& dispatch_queues = mQueues[request.assignedRoute->service];
-  return dispatch_queues.try_emplace(name, kMaxQueued).first->second;
+  auto& queues = mQueues[request.assignedRoute->service];
+  return queues.try_emplace(name, kMaxQueued).first->second;
 }
 
 admit::retry_budget&
