--- a/test/currantshed/proxy/customers.cpp
+++ b/test/currantshed/proxy/customers.cpp
@@ -199,7 +199,7 @@
 
 TEST_GROUP(customers){};
 
-TEST(customers, A_session_begins_with_a_key_in_force)
+TEST(customers, A_session_needs_a_valid_key)
 {
   for (const auto& row : kAdmissionRows) {
     test::one_vm vm;
@@ -212,7 +212,7 @@
   }
 }
 
-TEST(customers, Each_statement_needs_the_key_to_be_in_force)
+TEST(customers, Each_statement_needs_a_valid_key)
 {
   for (const auto& row : kRevocationRows) {
     customers_vm vm;
@@ -240,7 +240,7 @@
 
 // A request is authorized again when it is sent, since it may have been queued
 // or the process suspended meanwhile.
-TEST(customers, A_request_is_looked_at_again_when_it_is_sent)
+TEST(customers, A_request_is_authorized_again_when_it_is_sent)
 {
   customers_vm vm;
   recording_caller first;
--- a/test/currantshed/proxy/draining_servers.cpp
+++ b/test/currantshed/proxy/draining_servers.cpp
@@ -23,7 +23,7 @@
 {
   const char* name;
   const char* route;
-  proxy::statement_kind asked;
+  proxy::statement_kind kind;
   std::function<void(one_vm&)> arrange;
   /// Time between the change and the request.
   std::chrono::milliseconds delay;
@@ -100,11 +100,11 @@
     row.arrange(vm);
     vm.AdvanceTime(row.delay);
     const auto session = vm.engine.Open(row.route, caller);
-    if (row.asked == proxy::statement_kind::kBegin) {
+    if (row.kind == proxy::statement_kind::kBegin) {
       vm.Ask(*session, proxy::statement_kind::kBegin, "BEGIN");
       vm.Ask(*session, proxy::statement_kind::kRead, "READ 1");
     } else {
-      vm.Ask(*session, row.asked, "READ 1");
+      vm.Ask(*session, row.kind, "READ 1");
     }
     vm.AdvanceTime(500ms);
     CHECK_TEXT(vm.WasSentWork("a") == row.expected, row.name);
@@ -138,7 +138,7 @@
 struct relay_row
 {
   const char* name;
-  proxy::statement_kind asked;
+  proxy::statement_kind kind;
   /// How long the server has been draining.
   std::chrono::milliseconds delay;
   /// Whether it is sent on; otherwise it is rejected at once.
@@ -171,7 +171,7 @@
     StartDraining(vm);
     vm.AdvanceTime(row.delay);
     const auto session = vm.engine.OpenRelay("a", caller);
-    vm.Ask(*session, row.asked, "READ 1");
+    vm.Ask(*session, row.kind, "READ 1");
     if (!row.expected) {
       CHECK_TEXT(caller.lastAnswer && caller.lastAnswer->failed, row.name);
       CHECK_TEXT(caller.lastAnswer->failed->code == proxy::failure_code::kBusy,
--- a/test/currantshed/proxy/engine_overload.cpp
+++ b/test/currantshed/proxy/engine_overload.cpp
@@ -172,7 +172,7 @@
     const auto from = static_cast<std::size_t>(kBefore / 1s);
     const auto to = from + static_cast<std::size_t>(row.duration.count());
     const auto during = simulation.Between(from + 1, to);
-    const double inTime = 1.0 * during.inTime / during.asked;
+    const double inTime = 1.0 * during.inTime / during.requests;
     CHECK_TEXT(inTime >= row.inTime,
                FormatShare(row.name, "in time", inTime).c_str());
     const double prompt = during.refusals == 0
@@ -181,7 +181,7 @@
     CHECK_TEXT(prompt >= row.prompt,
                FormatShare(row.name, "prompt", prompt).c_str());
     const auto after = simulation.Between(to + 2, to + 5);
-    const double recovered = 1.0 * after.inTime / after.asked;
+    const double recovered = 1.0 * after.inTime / after.requests;
     CHECK_TEXT(recovered >= kRecovered,
                FormatShare(row.name, "after", recovered).c_str());
     const double rejected = 1.0 * static_cast<double>(simulation.Rejected()) /
@@ -191,7 +191,7 @@
     const auto all = simulation.Between(0, to + 6);
     const double retried = 1.0 *
                            static_cast<double>(simulation.RetriedElsewhere()) /
-                           (all.asked + all.refusals);
+                           (all.requests + all.refusals);
     CHECK_TEXT(
       retried < kMaxRetried,
       FormatShare(row.name, "retried on another server", retried).c_str());
--- a/test/currantshed/proxy/load_simulation.cpp
+++ b/test/currantshed/proxy/load_simulation.cpp
@@ -87,7 +87,7 @@
 load_result&
 load_result::operator+=(const load_result& aOther)
 {
-  asked += aOther.asked;
+  requests += aOther.requests;
   inTime += aOther.inTime;
   late += aOther.late;
   lost += aOther.lost;
@@ -295,11 +295,11 @@
     mVm = mSimulation.mRandom() % mSimulation.mVms.size();
     auto& engine = mSimulation.mVms[mVm]->engine;
     mSession = engine.Open(mWrites ? kWrites : kReads, *this);
-    proxy::session_statement asked;
-    asked.kind = mWrites ? statement_kind::kWrite : statement_kind::kRead;
-    asked.id = std::to_string(mNumber) + "-" + std::to_string(mRetries);
-    asked.text = mWrites ? "WRITE a b" : "READ a";
-    engine.Submit(*mSession, asked, mSimulation.mTime.Now());
+    proxy::session_statement statement;
+    statement.kind = mWrites ? statement_kind::kWrite : statement_kind::kRead;
+    statement.id = std::to_string(mNumber) + "-" + std::to_string(mRetries);
+    statement.text = mWrites ? "WRITE a b" : "READ a";
+    engine.Submit(*mSession, statement, mSimulation.mTime.Now());
   }
 
   // Deferred, since the engine may be handling an event of this session.
@@ -491,7 +491,7 @@
     RemoveFinished();
     const auto second = Second();
     mResults.resize(std::max(mResults.size(), second + 1));
-    ++mResults[second].asked;
+    ++mResults[second].requests;
     const auto number = ++mLastCaller;
     mCallers[number] =
       std::make_unique<caller>(*this, number, aWrites, mTime.Now());
--- a/test/currantshed/proxy/load_simulation.hpp
+++ b/test/currantshed/proxy/load_simulation.hpp
@@ -82,7 +82,7 @@
 /// Outcomes of the requests that began in one second.
 struct load_result
 {
-  unsigned asked = 0;
+  unsigned requests = 0;
   unsigned inTime = 0;
   unsigned late = 0;
   unsigned lost = 0;
--- a/test/currantshed/proxy/quota.cpp
+++ b/test/currantshed/proxy/quota.cpp
@@ -54,7 +54,7 @@
   std::optional<customer::quota> limit;
   const char* database;
   /// Requests of the session, in order.
-  std::vector<std::pair<statement_kind, const char*>> asked;
+  std::vector<std::pair<statement_kind, const char*>> statements;
   /// Expected number of tokens taken.
   unsigned tokens;
 };
@@ -100,7 +100,7 @@
     recording_caller caller;
     const auto session = vm.Open(caller, row.database);
     unsigned used = 0;
-    for (const auto& [kind, text] : row.asked) {
+    for (const auto& [kind, text] : row.statements) {
       caller.lastAnswer.reset();
       vm.Ask(session, kind, text);
       vm.AdvanceTime(50ms);
@@ -140,7 +140,7 @@
   CHECK(caller.lastAnswer && !caller.lastAnswer->failed);
 }
 
-TEST(quota, Refused_operations_are_told_when_to_come_back)
+TEST(quota, Rejected_operations_get_a_retry_delay)
 {
   limited_vm vm;
   recording_caller first;
@@ -161,7 +161,7 @@
 
 // The token of a caller that has disconnected goes to the next one; a waiting
 // operation takes precedence over a new one.
-TEST(quota, Tokens_go_to_those_that_wait_in_their_order)
+TEST(quota, Tokens_are_granted_in_arrival_order)
 {
   limited_vm vm;
   recording_caller gone;
@@ -178,7 +178,7 @@
 }
 
 // A token requested before the process was suspended is no longer valid.
-TEST(quota, Old_tokens_let_nothing_begin)
+TEST(quota, Expired_tokens_are_not_used)
 {
   limited_vm vm;
   recording_caller caller;
--- a/test/currantshed/proxy/random_sessions.cpp
+++ b/test/currantshed/proxy/random_sessions.cpp
@@ -108,11 +108,11 @@
       Reconnect();
       return;
     }
-    mAsked = {};
-    mAsked.id = std::to_string(mNumber) + "-" + std::to_string(++mLast);
+    mStatement = {};
+    mStatement.id = std::to_string(mNumber) + "-" + std::to_string(++mLast);
     if (mFailed) {
-      mAsked.kind = statement_kind::kRollback;
-      mAsked.text = "ROLLBACK";
+      mStatement.kind = statement_kind::kRollback;
+      mStatement.text = "ROLLBACK";
     } else {
       Choose();
     }
@@ -123,34 +123,34 @@
   {
     const auto draw = mCluster.Random()() % 100;
     if (mOpen && draw < 20) {
-      mAsked.kind = statement_kind::kCommit;
-      mAsked.text = "COMMIT";
+      mStatement.kind = statement_kind::kCommit;
+      mStatement.text = "COMMIT";
     } else if (mOpen && draw < 25) {
-      mAsked.kind = statement_kind::kRollback;
-      mAsked.text = "ROLLBACK";
+      mStatement.kind = statement_kind::kRollback;
+      mStatement.text = "ROLLBACK";
     } else if (!mOpen && draw < 15) {
       mReadOnly = mCluster.Chance(400);
-      mAsked.kind =
+      mStatement.kind =
         mReadOnly ? statement_kind::kBeginReadOnly : statement_kind::kBegin;
-      mAsked.text = mReadOnly ? "BEGIN READ" : "BEGIN";
+      mStatement.text = mReadOnly ? "BEGIN READ" : "BEGIN";
     } else if (draw < 35) {
-      mAsked.kind = statement_kind::kSet;
-      mAsked.name = "n" + std::to_string(mCluster.Random()() % 2);
-      mAsked.argument = std::to_string(mCluster.Random()() % 3);
+      mStatement.kind = statement_kind::kSet;
+      mStatement.name = "n" + std::to_string(mCluster.Random()() % 2);
+      mStatement.argument = std::to_string(mCluster.Random()() % 3);
     } else if (draw < 45) {
-      mAsked.kind = statement_kind::kPrepare;
-      mAsked.name = "p" + std::to_string(mCluster.Random()() % 2);
-      mAsked.writes = MayWrite() && mCluster.Chance(500);
-      mAsked.argument = "shape" + std::to_string(mCluster.Random()() % 3) +
-                        (mAsked.writes ? "w" : "r");
+      mStatement.kind = statement_kind::kPrepare;
+      mStatement.name = "p" + std::to_string(mCluster.Random()() % 2);
+      mStatement.writes = MayWrite() && mCluster.Chance(500);
+      mStatement.argument = "shape" + std::to_string(mCluster.Random()() % 3) +
+                            (mStatement.writes ? "w" : "r");
     } else if (draw < 60 && !mShapes.empty()) {
       ChooseExecution();
     } else if (draw < 75 && MayWrite()) {
-      mAsked.kind = statement_kind::kWrite;
-      mAsked.text = "WRITE x 1";
+      mStatement.kind = statement_kind::kWrite;
+      mStatement.text = "WRITE x 1";
     } else {
-      mAsked.kind = statement_kind::kRead;
-      mAsked.text = "READ x";
+      mStatement.kind = statement_kind::kRead;
+      mStatement.text = "READ x";
     }
   }
 
@@ -160,24 +160,24 @@
     std::advance(chosen, mCluster.Random()() % mShapes.size());
     const bool writes = chosen->second.back() == 'w';
     if (writes && !MayWrite()) {
-      mAsked.kind = statement_kind::kRead;
-      mAsked.text = "READ x";
+      mStatement.kind = statement_kind::kRead;
+      mStatement.text = "READ x";
       return;
     }
-    mAsked.kind = statement_kind::kExecute;
-    mAsked.name = chosen->first;
-    mAsked.argument = "x";
-    mAsked.text = "EXECUTE " + chosen->first + " x";
+    mStatement.kind = statement_kind::kExecute;
+    mStatement.name = chosen->first;
+    mStatement.argument = "x";
+    mStatement.text = "EXECUTE " + chosen->first + " x";
   }
 
   [[nodiscard]] bool MayWrite() const { return !mOpen || !mReadOnly; }
 
   [[nodiscard]] bool Changes() const
   {
-    if (mAsked.kind == statement_kind::kExecute) {
-      return mShapes.at(mAsked.name).back() == 'w';
+    if (mStatement.kind == statement_kind::kExecute) {
+      return mShapes.at(mStatement.name).back() == 'w';
     }
-    return mAsked.kind == statement_kind::kWrite;
+    return mStatement.kind == statement_kind::kWrite;
   }
 
   void Send()
@@ -185,11 +185,11 @@
     test::issued_request known;
     known.caller = mNumber;
     known.values = mValues;
-    if (mAsked.kind == statement_kind::kExecute) {
-      known.shape = mShapes.at(mAsked.name);
+    if (mStatement.kind == statement_kind::kExecute) {
+      known.shape = mShapes.at(mStatement.name);
     }
-    if (mAsked.kind == statement_kind::kBegin ||
-        mAsked.kind == statement_kind::kBeginReadOnly) {
+    if (mStatement.kind == statement_kind::kBegin ||
+        mStatement.kind == statement_kind::kBeginReadOnly) {
       mTransaction = ++mTransactions;
       mWrites.clear();
       mBeginRequiredIndex = RequiredIndex();
@@ -199,16 +199,16 @@
     known.sentAt = mCluster.Time().Now();
     known.requiredIndex = mOpen ? mBeginRequiredIndex : RequiredIndex();
     known.requiredTerm = mOpen ? mBeginTerm : mCluster.Group().term;
-    mCluster.known[mAsked.id] = known;
+    mCluster.known[mStatement.id] = known;
     if (!mOpen) {
       mWrites.clear();
     }
     if (Changes()) {
-      mWrites.push_back(mAsked.id);
+      mWrites.push_back(mStatement.id);
     }
     mWaiting = true;
     mSentAt = mCluster.Time().Now();
-    mCluster.Engine(mVm).Submit(*mSession, mAsked, mCluster.Time().Now());
+    mCluster.Engine(mVm).Submit(*mSession, mStatement, mCluster.Time().Now());
   }
 
   // The newest commit that a read sent now must see.
@@ -234,7 +234,7 @@
   void Reported(change_outcome::reported aWhat)
   {
     const bool single = !mOpen && Changes();
-    const bool commit = mOpen && mAsked.kind == statement_kind::kCommit;
+    const bool commit = mOpen && mStatement.kind == statement_kind::kCommit;
     if (!single && !commit) {
       return;
     }
@@ -257,22 +257,22 @@
                           : mOpen ? proxy::transaction_state::kOpen
                                   : proxy::transaction_state::kIdle;
     if (aAnswer.state != expected) {
-      mCluster.AddViolation("the answer to " + mAsked.id +
+      mCluster.AddViolation("the answer to " + mStatement.id +
                             " has a wrong state");
     }
   }
 
   void CheckFailure(const proxy::failure& aWhy)
   {
-    if (mAsked.kind == statement_kind::kSet ||
-        mAsked.kind == statement_kind::kPrepare ||
-        mAsked.kind == statement_kind::kRollback) {
+    if (mStatement.kind == statement_kind::kSet ||
+        mStatement.kind == statement_kind::kPrepare ||
+        mStatement.kind == statement_kind::kRollback) {
       mCluster.AddViolation("a local statement failed");
     }
     Reported(IsPromise(aWhy.code) ? change_outcome::reported::kNotRun
                                   : change_outcome::reported::kUnknown);
     if (mOpen) {
-      mFailed = mAsked.kind != statement_kind::kCommit;
+      mFailed = mStatement.kind != statement_kind::kCommit;
       mOpen = mFailed;
     }
   }
@@ -280,7 +280,7 @@
   void CheckSuccess(const proxy::answer& aAnswer)
   {
     ++mCluster.successes;
-    switch (mAsked.kind) {
+    switch (mStatement.kind) {
       case statement_kind::kBegin:
       case statement_kind::kBeginReadOnly:
         mOpen = true;
@@ -290,20 +290,20 @@
         mFailed = false;
         return;
       case statement_kind::kSet:
-        mValues[mAsked.name] = mAsked.argument;
+        mValues[mStatement.name] = mStatement.argument;
         return;
       case statement_kind::kPrepare:
-        mShapes[mAsked.name] = mAsked.argument;
+        mShapes[mStatement.name] = mStatement.argument;
         return;
       default:
         break;
     }
-    if (aAnswer.signature != "signed-" + mAsked.id) {
-      mCluster.AddViolation("success of " + mAsked.id +
+    if (aAnswer.signature != "signed-" + mStatement.id) {
+      mCluster.AddViolation("success of " + mStatement.id +
                             " without its signature");
     }
     Reported(change_outcome::reported::kAcknowledged);
-    const bool commit = mAsked.kind == statement_kind::kCommit;
+    const bool commit = mStatement.kind == statement_kind::kCommit;
     if ((commit && !mWrites.empty()) || (!mOpen && Changes())) {
       mOwnCommit = aAnswer.position->index;
       mOwnTerm = aAnswer.position->term;
@@ -319,7 +319,7 @@
   std::size_t mVm;
   std::string mDatabase;
   std::optional<proxy::engine::session_id> mSession;
-  proxy::session_statement mAsked;
+  proxy::session_statement mStatement;
   bool mWaiting = false;
   clock::time_point mSentAt;
   std::uint64_t mLast = 0;
--- a/test/currantshed/proxy/refusals.cpp
+++ b/test/currantshed/proxy/refusals.cpp
@@ -36,7 +36,7 @@
 
     void Send(const std::vector<proxy::command>& /*aCommands*/) override
     {
-      mOpener.asked = mServer;
+      mOpener.lastServer = mServer;
     }
 
   private:
@@ -55,7 +55,7 @@
   }
 
   std::map<std::string, proxy::link_listener*> listeners;
-  std::string asked;
+  std::string lastServer;
 };
 
 /// How a server handles the read.
@@ -132,11 +132,11 @@
       }
     }
     const auto session = engine.Open("claims-read", caller);
-    proxy::session_statement asked;
-    asked.kind = proxy::statement_kind::kRead;
-    asked.id = "id-1";
-    asked.text = "READ 1";
-    engine.Submit(*session, asked, now);
+    proxy::session_statement statement;
+    statement.kind = proxy::statement_kind::kRead;
+    statement.id = "id-1";
+    statement.text = "READ 1";
+    engine.Submit(*session, statement, now);
   }
 
   void AdvanceTime(std::chrono::milliseconds aDuration)
@@ -160,10 +160,11 @@
                         ? failure_code::kLagging
                         : failure_code::kFailed,
                       "" };
-    if (mOpener.asked.empty()) {
+    if (mOpener.lastServer.empty()) {
       return;
     }
-    auto* listener = mOpener.listeners.at(std::exchange(mOpener.asked, {}));
+    auto* listener =
+      mOpener.listeners.at(std::exchange(mOpener.lastServer, {}));
     if (aBehavior == server_behavior::kConnectionLost) {
       listener->Ended(proxy::link_close_reason::kBroken, now);
     } else {
--- a/test/currantshed/proxy/restarted_servers.cpp
+++ b/test/currantshed/proxy/restarted_servers.cpp
@@ -20,7 +20,7 @@
 struct restart_row
 {
   const char* name;
-  proxy::statement_kind asked;
+  proxy::statement_kind kind;
   std::function<void(one_vm&)> arrange;
   /// Whether "a" gets the request.
   bool expected;
@@ -86,7 +86,7 @@
     recording_caller caller;
     row.arrange(vm);
     const auto session = vm.engine.Open("claims", caller);
-    vm.Ask(*session, row.asked, "READ 1");
+    vm.Ask(*session, row.kind, "READ 1");
     vm.AdvanceTime(500ms);
     CHECK_TEXT(vm.WasSentWork("a") == row.expected, row.name);
   }
@@ -146,7 +146,7 @@
 struct primary_row
 {
   const char* name;
-  std::vector<proxy::statement_kind> asked;
+  std::vector<proxy::statement_kind> statements;
   /// Whether the last command sent carries a minimum log position.
   bool expected;
 };
@@ -172,7 +172,7 @@
     one_vm vm;
     recording_caller caller;
     const auto session = vm.engine.Open("claims", caller);
-    for (const auto kind : row.asked) {
+    for (const auto kind : row.statements) {
       vm.Ask(*session, kind, "READ 1");
     }
     vm.AdvanceTime(50ms);
--- a/test/currantshed/proxy/silent_relays.cpp
+++ b/test/currantshed/proxy/silent_relays.cpp
@@ -175,7 +175,7 @@
   CHECK_EQUAL(lost, made.vms.sent[first].size());
 }
 
-TEST(silent_relays, a_write_under_way_is_not_sent_again)
+TEST(silent_relays, a_write_in_progress_is_not_retried)
 {
   non_delegate_vm made;
   made.Ask(proxy::statement_kind::kRead, "READ 1");
