--- a/test/currantshed/proxy/random_sessions.cpp
+++ b/test/currantshed/proxy/random_sessions.cpp
@@ -182,11 +182,11 @@
 
   void Send()
   {
-    test::issued_request known;
-    known.caller = mNumber;
-    known.values = mValues;
+    test::issued_request issued;
+    issued.caller = mNumber;
+    issued.values = mValues;
     if (mStatement.kind == statement_kind::kExecute) {
-      known.shape = mShapes.at(mStatement.name);
+      issued.shape = mShapes.at(mStatement.name);
     }
     if (mStatement.kind == statement_kind::kBegin ||
         mStatement.kind == statement_kind::kBeginReadOnly) {
@@ -195,11 +195,11 @@
       mBeginRequiredIndex = RequiredIndex();
       mBeginTerm = mCluster.Group().term;
     }
-    known.transaction = mOpen ? mTransaction : 0;
-    known.sentAt = mCluster.Time().Now();
-    known.requiredIndex = mOpen ? mBeginRequiredIndex : RequiredIndex();
-    known.requiredTerm = mOpen ? mBeginTerm : mCluster.Group().term;
-    mCluster.known[mStatement.id] = known;
+    issued.transaction = mOpen ? mTransaction : 0;
+    issued.sentAt = mCluster.Time().Now();
+    issued.requiredIndex = mOpen ? mBeginRequiredIndex : RequiredIndex();
+    issued.requiredTerm = mOpen ? mBeginTerm : mCluster.Group().term;
+    mCluster.issuedRequests[mStatement.id] = issued;
     if (!mOpen) {
       mWrites.clear();
     }
