--- a/src/currantshed/proxy/connection.hpp
+++ b/src/currantshed/proxy/connection.hpp
@@ -134,8 +134,8 @@
   bool transactionOpen = false;
   /// When it was last returned to the pool.
   clock::time_point idleSince;
-  /// To be closed once it is idle: its server has restarted, or the state of the
-  /// connection is unknown.
+  /// To be closed once it is idle: its server has restarted, or the state of
+  /// the connection is unknown.
   bool retiring = false;
 
 private:
