--- a/src/currantshed/proxy/engine_controls.cpp
+++ b/src/currantshed/proxy/engine_controls.cpp
@@ -9,12 +9,12 @@
 
 using std::chrono::milliseconds;
 
-// A server that takes longer to accept a connection is taken for unreachable.
+// A server that takes longer to accept a connection is considered unreachable.
 constexpr milliseconds kConnectTimeout{ 1000 };
-// An answer that nobody waits for any longer is given up after this time.
+// Time limit for an answer that no session waits for.
 constexpr milliseconds kAnswerTimeout{ 3000 };
-// How long a connection beyond the first is kept idle: those of the server are
-// few, those through other VMs cost little.
+// Idle timeout of a connection beyond the first. Direct connections are scarce
+// on the server; those through relays are cheap.
 constexpr milliseconds kDirectIdleTimeout{ 1500 };
 constexpr milliseconds kRelayIdleTimeout{ 10000 };
 constexpr milliseconds kCustomerIdleTimeout{ 20000 };
@@ -52,8 +52,8 @@
   }
 }
 
-// Orders go before requests; one that finds no connection makes one, beyond
-// the limit for requests if need be.
+// Control commands take precedence over requests. Without an idle connection
+// one is opened, beyond the limit for requests if necessary.
 void
 engine::DispatchControls(const upstream::server_id& aServer,
                          clock::time_point aNow)
@@ -120,7 +120,7 @@
   }
 }
 
-// A server, or a way to it, that does not answer is avoided for a while.
+// Marks a server, or a path to it, that does not answer as avoided for a while.
 void
 engine::MarkUnresponsive(server_state& aState,
                          const connection& aConnection,
@@ -132,11 +132,11 @@
     return;
   }
   aState.ObserveFailure(aNow);
-  NoteReachability(aState, false, aReason);
+  RecordReachability(aState, false, aReason);
 }
 
-// One that belongs to a customer costs little while it stands, and much to open
-// again; others of the customer's may come at any time.
+// An open connection of a customer costs little, and much to open again; other
+// sessions of the customer may need it at any time.
 milliseconds
 engine::MaxIdleTime(const server_state& aState, const connection& aConnection)
 {
@@ -145,16 +145,16 @@
                                                    : kDirectIdleTimeout;
 }
 
-// Closes what is no longer needed, gives up what does not answer, and keeps
-// one connection to each server that this VM is meant to hold some to.
+// Closes unneeded and unresponsive connections, and keeps one open to each
+// server for which this VM is a connection holder.
 void
-engine::TrimConnections(clock::time_point aNow)
+engine::CloseUnneededConnections(clock::time_point aNow)
 {
-  std::vector<connection*> ended;
+  std::vector<connection*> closing;
   for (const auto& id : mMaintained) {
-    TrimServer(WithPlan(mServers.at(id)), ended, aNow);
+    CloseUnneededOf(WithPlan(mServers.at(id)), closing, aNow);
   }
-  for (auto* one : ended) {
+  for (auto* one : closing) {
     FailControlsOn(*one);
     Discard(*one);
   }
@@ -177,8 +177,8 @@
     ListHeldServers();
   }
   for (auto* state : *mHeldServers) {
-    const bool wanted = !state->unlisted && !state->listed.draining;
-    if (wanted && state->connections.empty() &&
+    const bool needsConnection = !state->unlisted && !state->listed.draining;
+    if (needsConnection && state->connections.empty() &&
         state->MayOpenDirect(state->plan.connections, aNow)) {
       OpenConnection(*state, path{}, {}, aNow);
     }
@@ -186,27 +186,27 @@
 }
 
 void
-engine::TrimServer(server_state& aState,
-                   std::vector<connection*>& aEnded,
-                   clock::time_point aNow)
+engine::CloseUnneededOf(server_state& aState,
+                        std::vector<connection*>& aClosing,
+                        clock::time_point aNow)
 {
   auto direct = aState.Count(true);
-  const std::size_t kept = aState.plan.isHolder ? 1 : 0;
+  const std::size_t keptOpen = aState.plan.isHolder ? 1 : 0;
   for (const auto& one : aState.connections) {
     const bool slow =
       !one->IsOpen() && aNow - one->CreatedAt() > kConnectTimeout;
     const bool silent = one->user == nullptr && !one->HasNoPending() &&
                         aNow - one->OldestPendingAt() > kAnswerTimeout;
     const auto idleFor = aNow - one->idleSince;
-    const bool spare = one->IsDirect()
-                         ? direct > kept && idleFor > MaxIdleTime(aState, *one)
-                         : idleFor > kRelayIdleTimeout;
-    const bool unused = one->IsIdle() && (aState.unlisted || one->retiring);
+    const bool isSurplus =
+      one->IsDirect() ? direct > keptOpen && idleFor > MaxIdleTime(aState, *one)
+                      : idleFor > kRelayIdleTimeout;
+    const bool isUnused = one->IsIdle() && (aState.unlisted || one->retiring);
     if (slow || silent) {
       MarkUnresponsive(aState, *one, aNow, slow ? "opening_timeout" : "silent");
     }
-    if (slow || silent || (one->IsIdle() && spare) || unused) {
-      aEnded.push_back(one.get());
+    if (slow || silent || (one->IsIdle() && isSurplus) || isUnused) {
+      aClosing.push_back(one.get());
       direct -= one->IsDirect() ? 1 : 0;
     }
   }
--- a/src/currantshed/proxy/engine_dispatch.cpp
+++ b/src/currantshed/proxy/engine_dispatch.cpp
@@ -9,30 +9,30 @@
 
 using std::chrono::milliseconds;
 
-// A confirmation must hold for a little longer than the way to the server, so
-// that requests are not sent in vain.
+// A confirmation must be valid for a little longer than the way to the server
+// takes, so that requests are not sent in vain.
 constexpr milliseconds kConfirmationReserve{ 20 };
-// What the bound on age is tightened by, for the way from the caller.
+// Margin subtracted from the staleness bound, for the way from the caller.
 constexpr milliseconds kFloorReserve{ 50 };
 constexpr milliseconds kConfirmationRequestInterval{ 50 };
-// The primary is left to what only it can serve, unless it is this much
-// faster.
+// Latency factor of the primary for reads: it is kept free for requests that
+// only it can serve, unless it is much faster.
 constexpr int kPrimaryPenalty = 2;
-// What the opening of a connection adds to the time of a statement.
-constexpr milliseconds kOpeningTime{ 20 };
+// Latency added by opening a connection.
+constexpr milliseconds kConnectLatency{ 20 };
 command
 StatementCommand(const session& aSession, const request& aRequest)
 {
   command made;
   made.customer = aRequest.customer;
-  made.id = aRequest.asked.id;
-  made.text = aRequest.asked.text;
-  if (aRequest.asked.kind == statement_kind::kExecute) {
+  made.id = aRequest.statement.id;
+  made.text = aRequest.statement.text;
+  if (aRequest.statement.kind == statement_kind::kExecute) {
     made.kind = command_kind::kExecute;
-    made.name = aSession.Prepared(aRequest.asked.name)->sharedName;
-    made.argument = aRequest.asked.argument;
+    made.name = aSession.Prepared(aRequest.statement.name)->sharedName;
+    made.argument = aRequest.statement.argument;
   }
-  if (aRequest.asked.kind == statement_kind::kReport) {
+  if (aRequest.statement.kind == statement_kind::kReport) {
     made.kind = command_kind::kReport;
     made.id.clear();
   }
@@ -45,7 +45,7 @@
 engine::Dispatch(session& aSession, clock::time_point aNow)
 {
   auto& request = *aSession.current;
-  Schedule(aSession, request.deadline);
+  ScheduleTimer(aSession, request.deadline);
   auto* serverConnection =
     aSession.transaction ? aSession.transaction->serverConnection : nullptr;
   if (serverConnection == nullptr) {
@@ -59,7 +59,7 @@
     }
     return;
   }
-  // A change that the old primary of a new term would commit could never be
+  // A change committed by the primary of an old term could never be
   // acknowledged.
   const auto& leadership = LeadershipOf(request.assignedRoute->service);
   if (request.needsPrimary &&
@@ -89,7 +89,7 @@
   return true;
 }
 
-// The server turned the request away before it ran: it goes to another one.
+// Sends a request that the server rejected before running it to another one.
 void
 engine::Requeue(session& aSession, clock::time_point aNow)
 {
@@ -97,7 +97,7 @@
   request.serverConnection = nullptr;
   request.awaitedAnswers = 0;
   if (aSession.callerLeft) {
-    NoteDecision(aSession, "caller_left", "not_run", false, aNow);
+    RecordDecision(aSession, "caller_left", "not_run", false, aNow);
     Finish(aSession, {}, aNow);
     return;
   }
@@ -126,8 +126,8 @@
 }
 
 // Takes the next step towards the caller's statement. Each step waits for the
-// answers of the one before, so that nothing runs with wrong values or outside
-// its transaction.
+// answers of the previous one, so that nothing runs with wrong session values
+// or outside its transaction.
 void
 engine::Advance(session& aSession, clock::time_point aNow)
 {
@@ -135,12 +135,12 @@
   auto& serverConnection = *request.serverConnection;
   const auto setup = serverConnection.SessionSetup(aSession.values);
   if (!setup.empty()) {
-    request.at = stage::kSessionSetup;
+    request.progress = stage::kSessionSetup;
     request.awaitedAnswers = static_cast<unsigned>(setup.size());
     serverConnection.Send(setup, { purpose::kSessionSetup, aNow });
     return;
   }
-  // Taking the session's values may have held the request up.
+  // The session setup may have delayed the request.
   const bool begun = aSession.transaction && aSession.transaction->begun;
   if (const auto why =
         AuthorizationFailure(aSession, *request.assignedRoute, aNow)) {
@@ -178,15 +178,15 @@
   if (aSession.transaction->readOnly || !request.needsPrimary) {
     begin.floor = RequiredPosition(request);
   }
-  request.at = stage::kBeginning;
+  request.progress = stage::kBeginning;
   request.sentAt = aNow;
   request.serverConnection->transactionOpen = true;
   request.serverConnection->Send({ begin },
                                  MakePending(purpose::kBegin, request, aNow));
 }
 
-// What a command is sent for, and whether its answer shows where the confirmed
-// primary stands.
+// The pending command, marked when its answer samples the position of the
+// confirmed primary.
 pending_command
 engine::MakePending(purpose aWhy,
                     const request& aRequest,
@@ -203,8 +203,8 @@
 {
   auto& request = *aSession.current;
   auto& serverConnection = *request.serverConnection;
-  if (request.asked.kind == statement_kind::kExecute) {
-    const auto* prepared = aSession.Prepared(request.asked.name);
+  if (request.statement.kind == statement_kind::kExecute) {
+    const auto* prepared = aSession.Prepared(request.statement.name);
     const auto prepare = serverConnection.Prepare(*prepared);
     if (!prepare.empty()) {
       serverConnection.Send(prepare, { purpose::kPrepare, aNow });
@@ -214,15 +214,15 @@
   if (!aSession.transaction && !request.commits) {
     sent.floor = RequiredPosition(request);
   }
-  request.at = stage::kRunning;
+  request.progress = stage::kRunning;
   request.sentAt = aNow;
   serverConnection.Send({ sent },
                         MakePending(purpose::kStatement, request, aNow));
 }
 
-// What a server must hold to answer a read. The primary is told as well: one
-// that has started again since it was proved holds nothing, and its connections
-// break long before the list tells of it.
+// Minimum log position for a read. It is sent to the primary as well: a primary
+// that has restarted since its confirmation holds no data, and its connections
+// break long before the listing shows the restart.
 std::optional<position::log_position>
 engine::RequiredPosition(const request& aRequest)
 {
@@ -247,8 +247,8 @@
          aNow < aLeadership.confirmed.askedAt + mSettings.validity;
 }
 
-// The lowest position that is fresh enough: a stricter one would turn replicas
-// away that could serve.
+// The lowest position that is fresh enough: a higher one would exclude replicas
+// that could serve the read.
 read_floor
 engine::FloorOf(const session& aSession, clock::time_point aNow)
 {
@@ -262,12 +262,12 @@
   read_floor floor{ *lowest,
                     leadership.samples.WrittenBy(*lowest).value_or(aNow) };
   const auto& own = aSession.lastCommit;
-  // A commit of an older term is covered by every position of this one, or
-  // was rolled back when the term began.
+  // A commit of an older term is covered by every position of the current term,
+  // or was rolled back when it began.
   const bool ownCounts = route.policy == read_policy::kReadYourWrites && own &&
                          own->term == leadership.confirmed.term;
   if (ownCounts && own->position > *floor.position) {
-    floor = { own->position, own->at };
+    floor = { own->position, own->acknowledgedAt };
   }
   return floor;
 }
@@ -316,7 +316,7 @@
       continue;
     }
     auto time = state.ExpectedLatency(aNow);
-    time += isIdle ? milliseconds{ 0 } : kOpeningTime;
+    time += isIdle ? milliseconds{ 0 } : kConnectLatency;
     time *= id == leadership.confirmed.primary ? kPrimaryPenalty : 1;
     if (time < bestTime) {
       best = &state;
@@ -336,8 +336,8 @@
                  clock::time_point aNow) const
 {
   const auto& id = aServer.listed.id;
-  const auto& refused = aRequest.refusedBy;
-  if (std::find(refused.begin(), refused.end(), id) != refused.end() ||
+  const auto& rejected = aRequest.rejectedBy;
+  if (std::find(rejected.begin(), rejected.end(), id) != rejected.end() ||
       !aServer.IsReachable(aNow) ||
       !aServer.AcceptsWork(mSettings.drainGracePeriod, aNow)) {
     return false;
@@ -357,16 +357,17 @@
   return aNow - aRequest.floor.writtenBy >= aServer.Lag(aNow);
 }
 
-// Whether the request may still be sent to the server. The use of one that
-// leaves ends by itself, however its replacement goes: it may exit at any time
-// after its own time is over, and has had requests 11 s after its word without
-// this. Questions about its state are no work.
+// Whether the request may still be sent to the server. The use of a draining
+// server is limited in time, independently of its replacement: it may exit at
+// any time after its own grace period, and without this limit it was sent
+// requests 11 s after it announced that it drains. State queries are always
+// allowed.
 bool
 engine::AcceptsWork(const upstream::server_id& aServer,
                     const request& aRequest,
                     clock::time_point aNow) const
 {
-  if (aRequest.asked.kind == statement_kind::kReport) {
+  if (aRequest.statement.kind == statement_kind::kReport) {
     return true;
   }
   const auto found = mServers.find(aServer);
@@ -384,7 +385,8 @@
   }
 }
 
-// The server that another VM has chosen, on a connection of this VM's own.
+// Connection for a relayed request: the other VM has chosen the server, and
+// only direct connections are used.
 connection*
 engine::ConnectionForRelay(session& aSession, clock::time_point aNow)
 {
--- a/src/currantshed/proxy/engine_failures.cpp
+++ b/src/currantshed/proxy/engine_failures.cpp
@@ -1,4 +1,4 @@
-// What becomes of requests that servers refuse, and whose connections are lost.
+// Rejected requests and lost connections.
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -11,10 +11,10 @@
 
 namespace {
 
-// How often a request is offered to a server in all, before the caller gets
-// the last refusal.
+// Maximum number of attempts of a request before the caller gets the last
+// rejection.
 constexpr unsigned kMaxAttempts = 5;
-// Reads that a server failed to run are run once more, elsewhere.
+// Reads that failed on a server are retried once on another one.
 constexpr unsigned kMaxAttemptsAfterFailure = 2;
 
 std::string_view
@@ -38,11 +38,13 @@
 } // namespace
 
 void
-engine::Refused(session& aSession, answer aAnswer, clock::time_point aNow)
+engine::HandleRejection(session& aSession,
+                        answer aAnswer,
+                        clock::time_point aNow)
 {
   auto& request = *aSession.current;
   const auto why = *aAnswer.failed;
-  // A primary that is none, or lacks what the primary has held.
+  // The server is not the primary, or lacks positions that the primary had.
   const bool deniesLeadership =
     why.code == failure_code::kReadOnly || why.code == failure_code::kLagging;
   if (deniesLeadership && request.needsPrimary) {
@@ -71,12 +73,12 @@
   if (request.mayHaveRun) {
     aAnswer.failed->code = failure_code::kFailed;
   }
-  // The log has the server's word, and what the caller is told instead.
+  // The log contains the server's code, and what the caller is told instead.
   const auto reasonText =
     absl::StrCat(std::string(NameOf(why.code)),
                  request.mayHaveRun ? "; told that it may have run" : "");
-  NoteDecision(aSession, "refused", reasonText, false, aNow);
-  const bool isCommit = request.asked.kind == statement_kind::kCommit;
+  RecordDecision(aSession, "refused", reasonText, false, aNow);
+  const bool isCommit = request.statement.kind == statement_kind::kCommit;
   if (aSession.transaction) {
     EndTransaction(aSession, aNow);
     if (!isCommit) {
@@ -87,8 +89,8 @@
   Finish(aSession, std::move(aAnswer), aNow);
 }
 
-// Sends the request to another server, or to the same one later, when the
-// answer shows that nothing of it ran, or that running it twice is harmless.
+// Retries the request on another server, or later on the same one, when the
+// answer shows that it has not run or when it is idempotent.
 bool
 engine::RetryElsewhere(session& aSession,
                        const failure& aWhy,
@@ -126,18 +128,18 @@
     default:
       return false;
   }
-  NoteDecision(aSession, "elsewhere", NameOf(aWhy.code), false, aNow);
-  request.refusedBy.push_back(request.lastServer);
+  RecordDecision(aSession, "elsewhere", NameOf(aWhy.code), false, aNow);
+  request.rejectedBy.push_back(request.lastServer);
   Requeue(aSession, aNow);
   return true;
 }
 
-// The connection under the request is gone, or its time is up.
+// The request's connection was lost, or its deadline has passed.
 void
 engine::ConnectionLost(session& aSession, clock::time_point aNow)
 {
   auto& request = *aSession.current;
-  const auto lastStage = request.at;
+  const auto lastStage = request.progress;
   if (request.serverConnection != nullptr) {
     request.serverConnection->user = nullptr;
     Discard(*request.serverConnection);
@@ -159,12 +161,12 @@
   const bool expired = aNow >= request.deadline;
   const bool mayRepeat = !begun && (!ran || !request.commits);
   if (mayRepeat && !expired && request.tries < kMaxAttempts) {
-    NoteDecision(aSession, "elsewhere", "connection_lost", false, aNow);
-    request.refusedBy.push_back(request.lastServer);
+    RecordDecision(aSession, "elsewhere", "connection_lost", false, aNow);
+    request.rejectedBy.push_back(request.lastServer);
     Requeue(aSession, aNow);
     return;
   }
-  const bool isCommit = request.asked.kind == statement_kind::kCommit;
+  const bool isCommit = request.statement.kind == statement_kind::kCommit;
   const bool wrote =
     inTransaction ? isCommit && aSession.transaction->wrote : request.commits;
   if (ran && wrote) {
@@ -181,11 +183,12 @@
   }
 }
 
-// The other VM sees its way to the server break, and decides what that means.
+// Closes the relay session: the other VM sees its connection close, and decides
+// what that means.
 void
 engine::EndRelay(session& aSession)
 {
-  if (aSession.current && aSession.current->at == stage::kQueued) {
+  if (aSession.current && aSession.current->progress == stage::kQueued) {
     Dequeue(aSession);
   }
   if (aSession.transaction) {
@@ -210,7 +213,7 @@
       state->ObserveRelayFailure(aConnection.via, aNow);
     } else {
       state->ObserveFailure(aNow);
-      NoteReachability(*state, false, NameOf(aWhy));
+      RecordReachability(*state, false, NameOf(aWhy));
     }
   }
   FailControlsOn(aConnection);
@@ -230,22 +233,22 @@
     user->transaction->serverConnection = nullptr;
     user->transaction->connectionLost = true;
   }
-  DropIfGone(id);
+  RemoveIfCallerLeft(id);
 }
 
 void
-engine::NoteDecision(const session& aSession,
-                     std::string_view aOutcome,
-                     std::string_view aReason,
-                     bool aOrdinary,
-                     clock::time_point aNow)
+engine::RecordDecision(const session& aSession,
+                       std::string_view aOutcome,
+                       std::string_view aReason,
+                       bool aOrdinary,
+                       clock::time_point aNow)
 {
   const auto& request = *aSession.current;
   const auto& leadership = LeadershipOf(request.assignedRoute->service);
   decision made;
   made.outcome = aOutcome;
   made.session = aSession.number;
-  made.requestId = request.asked.id;
+  made.requestId = request.statement.id;
   made.customer = request.customer;
   made.service = request.assignedRoute->service;
   made.server = request.lastServer;
--- a/src/currantshed/proxy/engine_quota.cpp
+++ b/src/currantshed/proxy/engine_quota.cpp
@@ -1,4 +1,4 @@
-// How many operations of a customer may begin.
+// Quotas: limits how many operations of a customer may begin.
 #include <string>
 #include <utility>
 
@@ -12,14 +12,15 @@
 
 using std::chrono::milliseconds;
 
-// How long an operation waits for its token, as a part of its target: asking
-// takes a few milliseconds, and what is left over is needed to serve it.
+// Divisor of the target that limits how long an operation waits for its token:
+// requesting one takes a few milliseconds, and the rest is needed to serve the
+// operation.
 constexpr int kTokenWaitDivisor = 2;
 
 } // namespace
 
-// Whether the session's request may begin. A transaction counts once, with its
-// first statement. Where there is no token at hand the request waits for one.
+// Whether the session's request may begin. A transaction takes one token, with
+// its first statement. Without an available token the request waits for one.
 bool
 engine::TakeToken(session& aSession, clock::time_point aNow)
 {
@@ -40,17 +41,17 @@
   if (queue.empty() && mTokens.Take(request.customer, aNow)) {
     return true;
   }
-  request.at = stage::kAwaitingToken;
+  request.progress = stage::kAwaitingToken;
   request.waitUntil =
     aNow + (request.waitUntil - request.arrivedAt) / kTokenWaitDivisor;
-  Schedule(aSession, request.waitUntil);
+  ScheduleTimer(aSession, request.waitUntil);
   queue.push_back(aSession.number);
   mHost.NeedsTokens(request.customer, 1);
   return false;
 }
 
-// The first session that still waits for a token of the customer, taken off its
-// queue; null where there is none.
+// Removes and returns the first session that still waits for a token of the
+// customer; null when there is none.
 session*
 engine::NextAwaitingToken(const std::string& aCustomer)
 {
@@ -63,8 +64,9 @@
     const auto id = queue.front();
     queue.pop_front();
     const auto owner = mSessions.find(id);
-    const bool waits = owner != mSessions.end() && owner->second->current &&
-                       owner->second->current->at == stage::kAwaitingToken;
+    const bool waits =
+      owner != mSessions.end() && owner->second->current &&
+      owner->second->current->progress == stage::kAwaitingToken;
     if (waits) {
       return owner->second.get();
     }
@@ -86,7 +88,7 @@
       return;
     }
     auto& request = *next->current;
-    request.at = stage::kQueued;
+    request.progress = stage::kQueued;
     request.waitUntil = std::min(
       request.arrivedAt + request.assignedRoute->target, request.deadline);
     Dispatch(*next, aNow);
@@ -104,12 +106,12 @@
     if (next == nullptr) {
       return;
     }
-    RefuseOverQuota(*next, aRetryAfter, aNow);
+    RejectOverQuota(*next, aRetryAfter, aNow);
   }
 }
 
 void
-engine::RefuseOverQuota(session& aSession,
+engine::RejectOverQuota(session& aSession,
                         milliseconds aRetryAfter,
                         clock::time_point aNow)
 {
--- a/src/currantshed/proxy/engine_relays.cpp
+++ b/src/currantshed/proxy/engine_relays.cpp
@@ -1,4 +1,4 @@
-// Other VMs as ways to servers: which of them have fallen silent.
+// Relays: detects those that no longer answer.
 #include <algorithm>
 #include <utility>
 
@@ -10,10 +10,11 @@
 
 using std::chrono::milliseconds;
 
-// A VM that owes answers for this long and has said nothing since is taken to
-// be out of reach. Statements take some 20 ms, and those on a slow server don't
-// keep the VM from answering others. Each VM learns it once for all servers: by
-// one lost statement for each of them it took seconds.
+// A relay with an answer overdue by this time and no other answer since is
+// considered unreachable. Statements take some 20 ms, and those on a slow
+// server don't delay the relay's other answers. The relay is avoided for all
+// servers at once: detecting it by a lost statement for each server took
+// seconds.
 constexpr milliseconds kRelaySilenceTimeout{ 300 };
 
 } // namespace
@@ -21,7 +22,7 @@
 void
 engine::AvoidSilentRelays(clock::time_point aNow)
 {
-  absl::btree_map<std::string, clock::time_point> owedSince;
+  absl::btree_map<std::string, clock::time_point> unansweredSince;
   for (const auto& id : mMaintained) {
     for (const auto& one : mServers.at(id).connections) {
       if (one->IsDirect()) {
@@ -29,14 +30,14 @@
       }
       const auto since =
         one->IsOpen() ? one->OldestPendingAt() : one->CreatedAt();
-      const auto place = owedSince.try_emplace(one->via, since).first;
+      const auto place = unansweredSince.try_emplace(one->via, since).first;
       place->second = std::min(place->second, since);
     }
   }
-  absl::erase_if(mRelayContacts, [&owedSince](const auto& aEntry) {
-    return !owedSince.contains(aEntry.first);
+  absl::erase_if(mRelayContacts, [&unansweredSince](const auto& aEntry) {
+    return !unansweredSince.contains(aEntry.first);
   });
-  for (const auto& [vm, since] : owedSince) {
+  for (const auto& [vm, since] : unansweredSince) {
     const auto heard = mRelayContacts.find(vm);
     const bool isHeard =
       heard != mRelayContacts.end() && heard->second >= since;
@@ -46,15 +47,16 @@
   }
 }
 
-// Takes other ways for a while, also for reads under way: a statement that may
-// change something is left, since only its answer tells what became of it.
+// Avoids the relay for a while, and reroutes its reads in progress. A statement
+// that may write is left alone, since only its answer shows whether it took
+// effect.
 void
 engine::AvoidRelay(const std::string& aVm, clock::time_point aNow)
 {
   std::vector<connection*> unused;
   std::vector<session_id> reroutable;
   for (auto& [id, state] : mServers) {
-    // Nothing has gone to this server yet, by whatever way.
+    // The server has not been used yet.
     if (state.planEpoch == 0) {
       continue;
     }
@@ -78,7 +80,7 @@
     const auto found = mSessions.find(id);
     if (found != mSessions.end() && found->second->current) {
       ConnectionLost(*found->second, aNow);
-      DropIfGone(id);
+      RemoveIfCallerLeft(id);
     }
   }
 }
--- a/src/currantshed/proxy/engine_requests.cpp
+++ b/src/currantshed/proxy/engine_requests.cpp
@@ -1,5 +1,4 @@
-// One request from its coming to its answer: what a session may ask, and how
-// its request ends.
+// A request from its arrival to its answer.
 #include <algorithm>
 #include <utility>
 
@@ -11,24 +10,24 @@
 
 using std::chrono::milliseconds;
 
-// How much of the time for a statement is left for the way back to the
+// Part of the statement timeout that is reserved for the way back to the
 // caller.
 constexpr milliseconds kAnswerReserve{ 10 };
-// When a caller comes back whose quota can't be checked: those who keep it may
-// be out of reach for a while.
+// Retry delay for a caller whose quota can't be checked: the VMs that keep the
+// quota may be unreachable for a while.
 constexpr milliseconds kTokenRetryDelay{ 500 };
 
 bool
-IsWrite(const session& aSession, const session_statement& aAsked)
+IsWrite(const session& aSession, const session_statement& aStatement)
 {
-  if (aAsked.kind == statement_kind::kExecute) {
-    const auto* prepared = aSession.Prepared(aAsked.name);
+  if (aStatement.kind == statement_kind::kExecute) {
+    const auto* prepared = aSession.Prepared(aStatement.name);
     return prepared != nullptr && prepared->writes;
   }
-  return aAsked.kind == statement_kind::kWrite;
+  return aStatement.kind == statement_kind::kWrite;
 }
 
-// Whether a server must run it; all else is answered here.
+// Whether a server must run it; other statements are answered locally.
 bool
 NeedsServer(statement_kind aKind)
 {
@@ -47,14 +46,14 @@
 
 void
 engine::Accept(session& aSession,
-               session_statement aAsked,
+               session_statement aStatement,
                clock::time_point aNow)
 {
-  const bool endsFailed = aSession.transaction && aSession.transaction->failed;
-  if (aAsked.kind == statement_kind::kRollback || endsFailed) {
-    const bool ends = aAsked.kind == statement_kind::kRollback ||
-                      aAsked.kind == statement_kind::kCommit;
-    if (ends && aSession.transaction &&
+  const bool hasFailed = aSession.transaction && aSession.transaction->failed;
+  if (aStatement.kind == statement_kind::kRollback || hasFailed) {
+    const bool endsTransaction = aStatement.kind == statement_kind::kRollback ||
+                                 aStatement.kind == statement_kind::kCommit;
+    if (endsTransaction && aSession.transaction &&
         aSession.transaction->serverConnection != nullptr) {
       auto& serverConnection = *aSession.transaction->serverConnection;
       aSession.transaction->serverConnection = nullptr;
@@ -62,49 +61,49 @@
     }
   }
   if (aSession.transaction && aSession.transaction->connectionLost &&
-      NeedsServer(aAsked.kind)) {
-    FailLostTransaction(aSession, aAsked, aNow);
+      NeedsServer(aStatement.kind)) {
+    FailLostTransaction(aSession, aStatement, aNow);
     return;
   }
-  if (auto local = aSession.AnswerLocally(aAsked)) {
+  if (auto local = aSession.AnswerLocally(aStatement)) {
     Finish(aSession, std::move(*local), aNow);
     return;
   }
   auto route = aSession.transaction ? aSession.transaction->assignedRoute
                                     : RouteOf(aSession);
   if (route == nullptr) {
-    answer refused;
-    refused.failed =
+    answer rejected;
+    rejected.failed =
       failure{ failure_code::kNoDatabase, "no such database any longer" };
-    Finish(aSession, std::move(refused), aNow);
+    Finish(aSession, std::move(rejected), aNow);
     return;
   }
   if (!aSession.IsRelay()) {
     LeadershipOf(route->service).lastUsedAt = aNow;
   }
   if (const auto why = AuthorizationFailure(aSession, *route, aNow)) {
-    request refused;
-    refused.number = ++mLastNumber;
-    refused.arrivedAt = aNow;
-    refused.asked = std::move(aAsked);
-    refused.assignedRoute = std::move(route);
-    aSession.current = std::move(refused);
+    request rejected;
+    rejected.number = ++mLastNumber;
+    rejected.arrivedAt = aNow;
+    rejected.statement = std::move(aStatement);
+    rejected.assignedRoute = std::move(route);
+    aSession.current = std::move(rejected);
     Fail(aSession, why->code, why->text, aNow);
     return;
   }
   const auto owner = CustomerOf(aSession, *route);
-  const auto customer = aSession.IsRelay() ? aAsked.customer
+  const auto customer = aSession.IsRelay() ? aStatement.customer
                         : owner == nullptr ? std::string()
                                            : owner->name;
-  if (aAsked.kind == statement_kind::kBegin ||
-      aAsked.kind == statement_kind::kBeginReadOnly) {
+  if (aStatement.kind == statement_kind::kBegin ||
+      aStatement.kind == statement_kind::kBeginReadOnly) {
     open_transaction begun;
     begun.assignedRoute = route;
     begun.customer = customer;
-    begun.readOnly = aAsked.kind == statement_kind::kBeginReadOnly;
+    begun.readOnly = aStatement.kind == statement_kind::kBeginReadOnly;
     aSession.transaction = std::move(begun);
-    // The server is asked with the first statement; another VM wants to know
-    // what it says now.
+    // The server begins it with the first statement. A relay begins it at once,
+    // since the other VM waits for the server's answer.
     if (!aSession.IsRelay()) {
       answer done;
       done.signature = "-";
@@ -117,19 +116,19 @@
   made.arrivedAt = aNow;
   made.deadline = aNow + route->statementTimeout - kAnswerReserve;
   made.waitUntil = std::min(aNow + route->target, made.deadline);
-  const bool writes = IsWrite(aSession, aAsked);
+  const bool writes = IsWrite(aSession, aStatement);
   if (aSession.IsRelay()) {
-    made.floor.position = aAsked.floor;
+    made.floor.position = aStatement.floor;
   } else if (aSession.transaction) {
     made.needsPrimary =
       !aSession.transaction->readOnly || route->policy == read_policy::kPrimary;
-    made.commits = aAsked.kind == statement_kind::kCommit;
+    made.commits = aStatement.kind == statement_kind::kCommit;
     aSession.transaction->wrote = aSession.transaction->wrote || writes;
   } else {
     made.needsPrimary = writes || route->policy == read_policy::kPrimary;
     made.commits = writes;
   }
-  made.asked = std::move(aAsked);
+  made.statement = std::move(aStatement);
   made.assignedRoute = std::move(route);
   made.customer =
     aSession.transaction ? aSession.transaction->customer : customer;
@@ -139,17 +138,17 @@
   }
 }
 
-// The transaction's server connection broke between two statements, and with
-// it all that the transaction did.
+// The transaction's server connection was lost between two statements, and the
+// transaction with it.
 void
 engine::FailLostTransaction(session& aSession,
-                            const session_statement& aAsked,
+                            const session_statement& aStatement,
                             clock::time_point aNow)
 {
   answer made;
   made.failed =
     failure{ failure_code::kAborted, "the connection to the server was lost" };
-  if (aAsked.kind == statement_kind::kCommit) {
+  if (aStatement.kind == statement_kind::kCommit) {
     aSession.transaction.reset();
   } else {
     aSession.transaction->connectionLost = false;
@@ -168,7 +167,7 @@
   return found == mConfiguration->routes.end() ? nullptr : found->second;
 }
 
-// Hands the answer over and goes on with what the caller sent meanwhile.
+// Delivers the answer and continues with the requests queued behind it.
 void
 engine::Finish(session& aSession, answer aAnswer, clock::time_point aNow)
 {
@@ -182,7 +181,7 @@
   if (aSession.transaction) {
     aSession.transaction->lastUsed = aNow;
     const auto idle = mConfiguration->transactionIdle;
-    Schedule(aSession, aNow + idle);
+    ScheduleTimer(aSession, aNow + idle);
   }
   aSession.client.Deliver(aAnswer);
   const auto found = mSessions.find(id);
@@ -200,23 +199,23 @@
   }
 }
 
-// Ends the request under way without a result. A transaction does not outlive
-// a failed statement.
+// Ends the current request with an error. A failed statement ends its
+// transaction.
 void
 engine::Fail(session& aSession,
              failure_code aCode,
              std::string aText,
              clock::time_point aNow)
 {
-  NoteDecision(aSession, NameOf(aCode), aText, false, aNow);
+  RecordDecision(aSession, NameOf(aCode), aText, false, aNow);
   answer made;
   made.failed = failure{ aCode, std::move(aText) };
   if (aSession.IsRelay()) {
-    // Only what has not begun waits, and so fails, here.
+    // Only a transaction that has not begun can wait, and so fail, here.
     aSession.transaction.reset();
   } else if (aSession.transaction) {
     const bool wasCommit =
-      aSession.current->asked.kind == statement_kind::kCommit;
+      aSession.current->statement.kind == statement_kind::kCommit;
     EndTransaction(aSession, aNow);
     if (!wasCommit) {
       aSession.transaction = open_transaction{};
@@ -226,7 +225,7 @@
   Finish(aSession, std::move(made), aNow);
 }
 
-// Gives up the open transaction; its server connection rolls back.
+// Ends the open transaction; its server connection rolls it back.
 void
 engine::EndTransaction(session& aSession, clock::time_point aNow)
 {
@@ -241,7 +240,7 @@
 }
 
 void
-engine::DropIfGone(session_id aSession)
+engine::RemoveIfCallerLeft(session_id aSession)
 {
   const auto found = mSessions.find(aSession);
   if (found != mSessions.end() && found->second->callerLeft &&
@@ -251,12 +250,12 @@
 }
 
 void
-engine::Schedule(session& aSession, clock::time_point aAt)
+engine::ScheduleTimer(session& aSession, clock::time_point aAt)
 {
   mTimers.insert({ aAt, aSession.number });
 }
 
-// A time that concerned the session has come; which one, its state tells.
+// Handles a timer of the session; its state shows which one has expired.
 void
 engine::Expire(session& aSession, clock::time_point aNow)
 {
@@ -270,16 +269,16 @@
     return;
   }
   auto& request = *aSession.current;
-  if (request.at == stage::kAwaitingToken) {
+  if (request.progress == stage::kAwaitingToken) {
     if (aNow >= request.waitUntil) {
-      RefuseOverQuota(aSession, kTokenRetryDelay, aNow);
+      RejectOverQuota(aSession, kTokenRetryDelay, aNow);
     }
     return;
   }
-  if (request.at == stage::kQueued) {
+  if (request.progress == stage::kQueued) {
     if (aNow >= std::min(request.waitUntil, request.deadline)) {
       Dequeue(aSession);
-      // What has begun meanwhile is no reason to send the caller away.
+      // An outage that began meanwhile is no reason to reject the request.
       if (aNow < request.deadline && IsOutage(aSession, aNow)) {
         request.queueEntry.reset();
         Enqueue(aSession, aNow);
@@ -292,7 +291,7 @@
   if (aNow < request.deadline) {
     return;
   }
-  if (request.at == stage::kConfirming) {
+  if (request.progress == stage::kConfirming) {
     Fail(
       aSession, failure_code::kInDoubt, "the primary is not confirmed", aNow);
     return;
--- a/src/currantshed/proxy/server_state.cpp
+++ b/src/currantshed/proxy/server_state.cpp
@@ -10,42 +10,43 @@
 
 using std::chrono::milliseconds;
 
-// What a statement is expected to take before any was measured: a few
-// milliseconds of work, and the way to another failure domain and back.
+// Assumed latency of a statement before any was measured: a few milliseconds of
+// work, plus a round trip within or between failure domains.
 constexpr milliseconds kNearLatency{ 10 };
 constexpr milliseconds kFarLatency{ 13 };
-// Weight of the newest measurement: an eighth follows a server that turns
-// slow within ten statements.
+// Divisor of the newest sample in the moving average: an eighth follows a
+// server that becomes slow within ten statements.
 constexpr int kMeanWeight = 8;
-// A mean that is not renewed goes back to the usual time, so that a server
-// which was slow is tried again.
+// An average that is not updated expires, so that a server which was slow is
+// tried again.
 constexpr milliseconds kMeanLifetime{ 2000 };
-// What a replica is taken to be behind at first, and at the least.
+// Assumed replication lag at first, and its lower bound.
 constexpr milliseconds kInitialLag{ 100 };
 constexpr milliseconds kMinLag{ 5 };
 constexpr milliseconds kMaxLag{ 5000 };
-// A refusal shows only the least lag, which is taken for so many times more.
-// With the time in which half of it fades, a replica that stays behind is tried
-// about once a second by each VM.
+// A rejection shows only a lower bound of the lag, which is multiplied by this
+// factor. Together with the half-life, each VM tries a replica that stays
+// behind about once a second.
 constexpr double kLagOvershoot = 1.5;
 constexpr milliseconds kLagHalfLife{ 2000 };
 constexpr milliseconds kInitialAvoidance{ 100 };
 constexpr unsigned kMaxDoublings = 4;
-// How long a server that was full is not asked for another connection.
+// How long no connection is requested from a server that was at its limit.
 constexpr milliseconds kServerFullBackoff{ 250 };
-// Connections that wait for a lost answer or a caller's pause do not count, up
-// to this many times the limit: the others' share stays free.
+// Stalled connections, which wait for a lost answer or a paused caller, do not
+// count towards the limit, up to this multiple of it: the share of the other
+// VMs stays free.
 constexpr std::size_t kMaxStalledFactor = 2;
-// Ways through other VMs that are kept open to one server; each is a session
-// of some hundred bytes there.
+// Connections through relays to one server; each is a session of some hundred
+// bytes on the relay.
 constexpr std::size_t kMaxRelayed = 32;
 constexpr unsigned kMaxOpeningRelayed = 4;
-// Direct connections that are opened at once where each belongs to a customer:
-// each opening takes one of the server's few slots from those that work.
+// Direct connections opened at the same time when each belongs to a customer:
+// each opening takes one of the server's few execution slots.
 constexpr unsigned kMaxOpeningDirect = 2;
-// A connection usually opens within some 20 ms; after this time another way is
-// tried beside it.
-constexpr milliseconds kSlowOpening{ 100 };
+// A connection usually opens within 20 ms; after this time another path is
+// tried in parallel.
+constexpr milliseconds kSlowConnect{ 100 };
 
 } // namespace
 
@@ -72,8 +73,8 @@
   }
 }
 
-// A server that has just started holds nothing: reads go elsewhere until it has
-// shown where its log stands, or has had the time to catch up.
+// A restarted server holds no data yet: reads go elsewhere until it has
+// reported its log position or has had time to catch up.
 void
 server_state::ResetForNewIncarnation(clock::time_point aNow)
 {
@@ -140,11 +141,11 @@
         (aCustomer != nullptr && !one->Serves(*aCustomer))) {
       continue;
     }
-    const int worth =
+    const int rank =
       1 + (one->IsDirect() ? 2 : 0) + (one->HasValues(aValues) ? 1 : 0);
-    if (worth > best) {
+    if (rank > best) {
       found = one.get();
-      best = worth;
+      best = rank;
     }
   }
   return found;
@@ -159,13 +160,13 @@
       if (MayOpenFor(aCustomer, aNow)) {
         return &candidate;
       }
-      // One that holds connections waits for one of them, unless it has none
-      // that works.
+      // A connection holder waits for one of its connections, unless none of
+      // them works.
       if (plan.isHolder && !IsCutOff(aNow)) {
         return nullptr;
       }
     } else if (!IsRelayAvoided(candidate.vm, aNow)) {
-      // One that takes long to open is not waited for if there are others.
+      // A slow path is not waited for while there are others.
       const auto opening = CountOpening(candidate.vm, aNow);
       if (opening.slow > 0) {
         continue;
@@ -185,7 +186,7 @@
   for (const auto& one : connections) {
     if (!one->IsOpen() && one->via == aVm) {
       ++found.all;
-      found.slow += aNow - one->CreatedAt() > kSlowOpening ? 1 : 0;
+      found.slow += aNow - one->CreatedAt() > kSlowConnect ? 1 : 0;
     }
   }
   return found;
@@ -205,14 +206,14 @@
   if (IsAvoided(aNow)) {
     return true;
   }
-  // One that is full of other VMs' connections, perhaps of VMs that are gone,
-  // is reached through those that have one.
+  // A server at its connection limit, perhaps due to connections of VMs that
+  // are gone, is reached through VMs that have one.
   bool slow = aNow < mNoOpenUntil;
   for (const auto& one : connections) {
     if (one->IsDirect() && one->IsOpen()) {
       return false;
     }
-    slow = slow || (one->IsDirect() && aNow - one->CreatedAt() > kSlowOpening);
+    slow = slow || (one->IsDirect() && aNow - one->CreatedAt() > kSlowConnect);
   }
   return slow;
 }
@@ -297,13 +298,13 @@
   }
   const auto mean =
     aNow - mMeanLatencyAt > kMeanLifetime ? mDefaultLatency : mMeanLatency;
-  // A server that owes an answer for long is slow, whatever it was before.
-  const auto owed = oldest < aNow ? aNow - oldest : clock::duration::zero();
-  return std::max(mean, owed / 2) * (Running() + 1);
+  // A server with an overdue answer is slow, whatever its average says.
+  const auto overdue = oldest < aNow ? aNow - oldest : clock::duration::zero();
+  return std::max(mean, overdue / 2) * (Running() + 1);
 }
 
 void
-server_state::Served(clock::time_point aSentAt, clock::time_point aNow)
+server_state::ObserveLatency(clock::time_point aSentAt, clock::time_point aNow)
 {
   const auto base =
     aNow - mMeanLatencyAt > kMeanLifetime ? mDefaultLatency : mMeanLatency;
@@ -321,9 +322,11 @@
   applied = aPosition;
   const auto current = aPrimary.CurrentAsOf(aPosition);
   if (current) {
-    const auto seen = aNow - *current;
-    const auto likely = Lag(aNow);
-    mLag = seen < likely ? likely + (seen - likely) / kMeanWeight : likely;
+    const auto observed = aNow - *current;
+    const auto estimated = Lag(aNow);
+    mLag = observed < estimated
+             ? estimated + (observed - estimated) / kMeanWeight
+             : estimated;
     mLagAt = aNow;
   }
 }
@@ -331,9 +334,9 @@
 void
 server_state::ObserveLag(clock::time_point aWrittenBy, clock::time_point aNow)
 {
-  const auto shown = std::chrono::duration_cast<clock::duration>(
+  const auto lowerBound = std::chrono::duration_cast<clock::duration>(
     (aNow - aWrittenBy) * kLagOvershoot);
-  mLag = std::min<clock::duration>(std::max(Lag(aNow), shown), kMaxLag);
+  mLag = std::min<clock::duration>(std::max(Lag(aNow), lowerBound), kMaxLag);
   mLagAt = aNow;
 }
 
--- a/test/currantshed/proxy/access_planner.cpp
+++ b/test/currantshed/proxy/access_planner.cpp
@@ -32,18 +32,18 @@
   std::size_t vms;
   std::size_t domains;
   std::size_t connections;
-  /// VMs that hold connections.
+  /// Expected number of connection holders.
   std::size_t holders;
 };
 
 constexpr plan_row kRows[] = {
-  { "one VM has all", 1, 1, 16, 1 },
+  { "one VM uses them alone", 1, 1, 16, 1 },
   { "connections for every VM", 7, 4, 55, 7 },
-  { "few connections: one VM a failure domain", 9, 3, 16, 3 },
+  { "few connections: one VM per failure domain", 9, 3, 16, 3 },
   { "many VMs", 83, 3, 25, 3 },
   { "many VMs, just enough for two each", 60, 5, 146, 5 },
   { "one failure domain: two VMs", 9, 1, 16, 2 },
-  { "hardly any connections", 9, 3, 2, 3 },
+  { "very few connections", 9, 3, 2, 3 },
 };
 
 } // namespace
@@ -67,7 +67,7 @@
                       plan.paths.end(),
                       [](const auto& aPath) { return aPath.IsDirect(); });
       CHECK_TEXT(direct == 1, row.name);
-      // Holders go first themselves, others through their own domain.
+      // Connection holders connect directly first, others through a relay.
       const bool first = plan.paths.front().IsDirect();
       CHECK_TEXT(first == plan.isHolder, row.name);
     }
--- a/test/currantshed/proxy/customers.cpp
+++ b/test/currantshed/proxy/customers.cpp
@@ -30,7 +30,7 @@
   return made;
 }
 
-/// A VM that tells two customers apart.
+/// A VM with two customers.
 class customers_vm : public test::one_vm
 {
 public:
@@ -46,8 +46,8 @@
     return *engine.Open("claims", aCaller, aKey);
   }
 
-  /// Answers what the server was sent last.
-  void Answer(const std::string& aServer)
+  /// Answers the last command that the server received.
+  void AnswerLast(const std::string& aServer)
   {
     proxy::answer made;
     made.signature = "signed";
@@ -62,15 +62,15 @@
   std::vector<declared> customers;
   const char* database;
   const char* key;
-  /// When the store was last known to have nothing newer; the session was asked
-  /// for at the start.
+  /// When the store was last known to have no newer keys; the session is
+  /// requested at the start.
   std::chrono::milliseconds provedAfter;
   std::chrono::milliseconds sinceStart;
   session_admission expect;
 };
 
 const admission_row kAdmissionRows[] = {
-  { "a key in force",
+  { "a valid key",
     kTwo,
     "claims",
     "key-s",
@@ -84,14 +84,14 @@
     -1000ms,
     0ms,
     session_admission::kGranted },
-  { "an unknown key, a proof from before",
+  { "an unknown key, verified before the request",
     kTwo,
     "claims",
     "key-x",
     -1ms,
     0ms,
     session_admission::kKeyNotYetKnown },
-  { "an unknown key, a proof from after",
+  { "an unknown key, verified after the request",
     kTwo,
     "claims",
     "key-x",
@@ -99,21 +99,21 @@
     2ms,
     session_admission::kUnknownKey },
   { "no key", kTwo, "claims", "", 1ms, 2ms, session_admission::kUnknownKey },
-  { "no key for what is public",
+  { "no key for a public database",
     kTwo,
     "open",
     "",
     -9000ms,
     0ms,
     session_admission::kGranted },
-  { "keys that may be old",
+  { "stale keys",
     kTwo,
     "claims",
     "key-s",
     -5000ms,
     0ms,
     session_admission::kKeysStale },
-  { "keys that get old",
+  { "keys that become stale",
     kTwo,
     "claims",
     "key-s",
@@ -134,7 +134,7 @@
     1ms,
     2ms,
     session_admission::kUnknownKey },
-  { "nobody there",
+  { "no customers",
     {},
     "claims",
     "key-b",
@@ -150,29 +150,29 @@
     session_admission::kNoDatabase },
 };
 
-struct change_row
+struct revocation_row
 {
   const char* name;
-  /// What is in force after the session has begun.
+  /// The configuration in force after the session has begun.
   std::vector<declared> customers;
   std::chrono::milliseconds later;
   bool inTransaction;
   std::optional<failure_code> expect;
 };
 
-const change_row kChangeRows[] = {
+const revocation_row kRevocationRows[] = {
   { "nothing changes", kTwo, 0ms, false, std::nullopt },
-  { "the key goes",
+  { "the key is revoked",
     { { "baker", { "key-b2" } } },
     0ms,
     false,
     failure_code::kNotAuthorized },
-  { "the customer's last key goes",
+  { "the customer's last key is revoked",
     { { "baker", {} } },
     0ms,
     false,
     failure_code::kNotAuthorized },
-  { "the customer goes in a transaction",
+  { "the customer is removed during a transaction",
     {},
     0ms,
     true,
@@ -182,13 +182,13 @@
     0ms,
     false,
     std::nullopt },
-  { "the key passes on in a transaction",
+  { "the key passes to another customer during a transaction",
     { { "smith", { "key-b" } } },
     0ms,
     true,
     failure_code::kAborted },
-  { "keys may be old", kTwo, 5000ms, false, failure_code::kBusy },
-  { "keys may be old in a transaction",
+  { "the keys are stale", kTwo, 5000ms, false, failure_code::kBusy },
+  { "the keys become stale during a transaction",
     kTwo,
     5000ms,
     true,
@@ -199,7 +199,7 @@
 
 TEST_GROUP(customers){};
 
-TEST(customers, A_session_begins_with_a_key_in_force)
+TEST(customers, A_session_needs_a_valid_key)
 {
   for (const auto& row : kAdmissionRows) {
     test::one_vm vm;
@@ -212,9 +212,9 @@
   }
 }
 
-TEST(customers, Each_statement_needs_the_key_to_be_in_force)
+TEST(customers, Each_statement_needs_a_valid_key)
 {
-  for (const auto& row : kChangeRows) {
+  for (const auto& row : kRevocationRows) {
     customers_vm vm;
     recording_caller caller;
     const auto session = vm.Open(caller, "key-b");
@@ -234,13 +234,13 @@
     }
     CHECK_TEXT(caller.lastAnswer && caller.lastAnswer->failed, row.name);
     CHECK_TEXT(caller.lastAnswer->failed->code == *row.expect, row.name);
-    CHECK_TEXT(!vm.HasWork("a"), row.name);
+    CHECK_TEXT(!vm.WasSentWork("a"), row.name);
   }
 }
 
-// What has waited for a connection, or stood still, is looked at again before
-// it is sent.
-TEST(customers, A_request_is_looked_at_again_when_it_is_sent)
+// A request is authorized again when it is sent, since it may have been queued
+// or the process suspended meanwhile.
+TEST(customers, A_request_is_authorized_again_when_it_is_sent)
 {
   customers_vm vm;
   recording_caller first;
@@ -252,7 +252,7 @@
   for (auto* one : std::exchange(vm.servers.opening, {})) {
     one->Opened(vm.opensAt, vm.now);
   }
-  CHECK(!vm.HasWork("a"));
+  CHECK(!vm.WasSentWork("a"));
   for (const auto* one : { &first, &second }) {
     CHECK(one->lastAnswer && one->lastAnswer->failed);
     STRCMP_CONTAINS("keys", one->lastAnswer->failed->text.c_str());
@@ -260,31 +260,31 @@
   }
 }
 
-// The server takes the first customer's statements on the first connection, so
-// the second customer needs one of its own.
+// The server accepts the first customer's statements on the first connection,
+// so the second customer needs its own.
 TEST(customers, Customers_have_connections_of_their_own)
 {
   customers_vm vm;
   recording_caller first;
   const auto session = vm.Open(first, "key-b");
   vm.Ask(session, statement_kind::kRead, "READ x");
-  vm.Pass(100ms);
+  vm.AdvanceTime(100ms);
   const auto own = vm.servers.lastUsed;
-  vm.Answer("a");
+  vm.AnswerLast("a");
   CHECK(first.lastAnswer && !first.lastAnswer->failed);
 
   recording_caller second;
   vm.Ask(vm.Open(second, "key-s"), statement_kind::kRead, "READ y");
   CHECK_EQUAL(own, vm.servers.lastUsed);
-  vm.Pass(100ms);
+  vm.AdvanceTime(100ms);
   CHECK(vm.servers.lastUsed > own);
 
   vm.Ask(session, statement_kind::kRead, "READ z");
   CHECK_EQUAL(own, vm.servers.lastUsed);
 }
 
-// Nine connections, of which this VM uses six: the seventh customer's takes the
-// place of the one that has rested for longest.
+// Of nine connections this VM uses six: the seventh customer's connection
+// replaces the one that has been idle for longest.
 TEST(customers, The_least_recently_used_connection_is_closed)
 {
   std::vector<declared> many;
@@ -297,18 +297,18 @@
     recording_caller caller;
     const auto session = vm.Open(caller, one.customer);
     vm.Ask(session, statement_kind::kRead, "READ x");
-    vm.Pass(100ms);
-    vm.Answer("a");
+    vm.AdvanceTime(100ms);
+    vm.AnswerLast("a");
     CHECK_TEXT(caller.lastAnswer && !caller.lastAnswer->failed, one.customer);
     vm.engine.Close(session, vm.now);
   }
   const auto opened = vm.servers.opened;
   recording_caller last;
   vm.Ask(vm.Open(last, "c6"), statement_kind::kRead, "READ x");
-  vm.Pass(100ms);
+  vm.AdvanceTime(100ms);
   CHECK_EQUAL(opened, vm.servers.opened);
   recording_caller gone;
   vm.Ask(vm.Open(gone, "c0"), statement_kind::kRead, "READ x");
-  vm.Pass(100ms);
+  vm.AdvanceTime(100ms);
   CHECK_EQUAL(opened + 1, vm.servers.opened);
 }
--- a/test/currantshed/proxy/delegate_selection.cpp
+++ b/test/currantshed/proxy/delegate_selection.cpp
@@ -14,7 +14,7 @@
 {
   const char* name;
   std::vector<vm_capacity> vms;
-  /// One letter a VM: y if it works for others.
+  /// One letter per VM: y if it is a delegate.
   std::string works;
 };
 
@@ -36,25 +36,27 @@
 const selection_row kRows[] = {
   { "no VM", {}, "" },
   { "one", { { "marka", 250 } }, "y" },
-  { "all alike", Domain(0, 4), "yyyy" },
-  { "a few strong ones", Domain(3, 4), "yyynnnn" },
-  { "one strong one is not enough", Domain(1, 4), "yyyyy" },
-  { "strong ones that leave don't count", Leaving(Domain(2, 3), 0), "nyyyy" },
-  { "one of three strong ones leaves", Leaving(Domain(3, 2), 1), "ynynn" },
-  { "strong ones that would do too much for others",
+  { "equal capacity", Domain(0, 4), "yyyy" },
+  { "some with high capacity", Domain(3, 4), "yyynnnn" },
+  { "one with high capacity is not enough", Domain(1, 4), "yyyyy" },
+  { "draining VMs do not count", Leaving(Domain(2, 3), 0), "nyyyy" },
+  { "one of three with high capacity drains",
+    Leaving(Domain(3, 2), 1),
+    "ynynn" },
+  { "too little capacity for the others' work",
     Domain(2, 100),
     std::string(102, 'y') },
-  { "half as strong as the strongest is strong",
+  { "half of the largest capacity is high",
     { { "marka", 500 }, { "marka", 250 }, { "marka", 249 } },
     "yyn" },
-  { "each failure domain by itself",
+  { "each failure domain separately",
     { { "marka", 500 },
       { "marka", 500 },
       { "marka", 120 },
       { "khalda", 120 },
       { "khalda", 120 } },
     "yynyy" },
-  { "strength unknown", { { "marka", 0 }, { "marka", 0 } }, "yy" },
+  { "unknown capacity", { { "marka", 0 }, { "marka", 0 } }, "yy" },
 };
 
 } // namespace
--- a/test/currantshed/proxy/many_groups.cpp
+++ b/test/currantshed/proxy/many_groups.cpp
@@ -29,7 +29,7 @@
 {
   std::vector<proxy::fleet_vm> fleet;
   for (std::size_t i = 0; i < aVms; ++i) {
-    // One in ten is strong; the VM looked at is not.
+    // One VM in ten is a delegate; the VM under test is not.
     fleet.push_back({ "vm-" + std::to_string(i),
                       i % 2 == 0 ? "north" : "south",
                       "10.0.0.1",
@@ -40,8 +40,8 @@
   return fleet;
 }
 
-/// One weak VM of a fleet before as many groups as there are VMs, of which its
-/// callers use one.
+/// A VM that is no delegate, in a fleet with as many groups as VMs, of which
+/// its callers use one.
 class non_delegate_vm
 {
 public:
@@ -72,11 +72,11 @@
   {
     const auto session = mEngine.Open("reads", mCaller);
     CHECK(session.has_value());
-    proxy::session_statement asked;
-    asked.kind = proxy::statement_kind::kRead;
-    asked.id = "0123456789abcdef";
-    asked.text = "READ 1";
-    mEngine.Submit(*session, asked, mNow);
+    proxy::session_statement statement;
+    statement.kind = proxy::statement_kind::kRead;
+    statement.id = "0123456789abcdef";
+    statement.text = "READ 1";
+    mEngine.Submit(*session, statement, mNow);
   }
 
   void AddVm(bool aIsDelegate)
@@ -121,9 +121,9 @@
 
 TEST_GROUP(many_groups){};
 
-// Before a thousand groups a VM's callers use a dozen. A request that looked at
-// the servers of all of them, and a VM that planned its ways to all whenever
-// another one came, took time for each that nobody used.
+// With a thousand groups, the callers of one VM use about a dozen. These tests
+// guard against work for unused groups: examining the servers of all groups for
+// a request, or replanning the paths to all servers when a VM joins.
 TEST(many_groups, a_request_examines_only_its_own_group)
 {
   for (const std::size_t size : { 50, 100, 200 }) {
@@ -141,7 +141,7 @@
     non_delegate_vm one(size);
     one.Ask();
     const auto before = one.PlansMade();
-    // One that works for others changes the plans that are used, another none.
+    // A new delegate changes the plans in use, another VM does not.
     one.AddVm(false);
     CHECK_EQUAL(before, one.PlansMade());
     one.AddVm(true);
--- a/test/currantshed/proxy/one_vm.hpp
+++ b/test/currantshed/proxy/one_vm.hpp
@@ -21,7 +21,8 @@
 
 inline constexpr clock::time_point kStart{ 1h };
 
-/// Servers that take connections at once, and keep what they are sent.
+/// Servers that accept connections at once and record the commands that they
+/// receive.
 class recording_servers final : public proxy::link_opener
 {
 public:
@@ -63,11 +64,11 @@
   }
 
   std::vector<proxy::link_listener*> opening;
-  /// Connections are numbered as they are opened.
+  /// Number of connections opened; they are numbered in this order.
   int opened = 0;
-  /// The command that was sent last.
+  /// The last command sent.
   proxy::command last;
-  /// The connection that commands were sent on last.
+  /// Number of the connection that was used last.
   int lastUsed = 0;
   std::map<std::string, proxy::link_listener*> listeners;
   std::map<std::string, std::vector<command_kind>> sent;
@@ -82,7 +83,7 @@
   std::optional<proxy::answer> lastAnswer;
 };
 
-/// One VM before a group whose primary is "a".
+/// One VM in front of a group whose primary is "a".
 class one_vm
 {
 public:
@@ -108,7 +109,7 @@
     List({ "a", "b" }, {});
     engine.Confirm("claims", { 1, "a", now }, now);
     engine.AddSample("claims", { 1, { 1, 5 }, now });
-    Pass(300ms);
+    AdvanceTime(300ms);
   }
 
   void List(const std::vector<std::string>& aServers,
@@ -127,7 +128,7 @@
     engine.SetServers(listed, now);
   }
 
-  /// Lists both servers, one of them with its second start.
+  /// Lists both servers, one of them restarted.
   void Restart(const std::string& aServer)
   {
     std::vector<proxy::server> listed;
@@ -142,9 +143,9 @@
     engine.SetServers(listed, now);
   }
 
-  void Pass(std::chrono::milliseconds aSpan)
+  void AdvanceTime(std::chrono::milliseconds aDuration)
   {
-    for (const auto end = now + aSpan; now < end; now += 50ms) {
+    for (const auto end = now + aDuration; now < end; now += 50ms) {
       engine.Tick(now);
       for (auto* one : std::exchange(servers.opening, {})) {
         one->Opened(opensAt, now);
@@ -156,17 +157,17 @@
            proxy::statement_kind aKind,
            const std::string& aText)
   {
-    proxy::session_statement asked;
-    asked.kind = aKind;
-    asked.id = "id-1";
-    asked.text = aText;
-    asked.name = "shop";
-    asked.argument = "7";
-    engine.Submit(aSession, asked, now);
+    proxy::session_statement statement;
+    statement.kind = aKind;
+    statement.id = "id-1";
+    statement.text = aText;
+    statement.name = "shop";
+    statement.argument = "7";
+    engine.Submit(aSession, statement, now);
   }
 
   /// Whether the server was sent a caller's statement or a transaction.
-  [[nodiscard]] bool HasWork(const std::string& aServer) const
+  [[nodiscard]] bool WasSentWork(const std::string& aServer) const
   {
     const auto found = servers.sent.find(aServer);
     return found != servers.sent.end() &&
@@ -178,7 +179,7 @@
   }
 
   recording_servers servers;
-  /// Where servers' logs stand as connections open.
+  /// Log position that servers report when connections open.
   position::log_position opensAt{ 1, 5 };
   clock::time_point now = kStart;
 
--- a/test/currantshed/proxy/quota.cpp
+++ b/test/currantshed/proxy/quota.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-/// A VM before a customer with a quota.
+/// A VM with one customer that has a quota.
 class limited_vm : public test::one_vm
 {
 public:
@@ -37,10 +37,10 @@
     return *engine.Open(aDatabase, aCaller, "key-b");
   }
 
-  /// Lets connections open, and answers what was sent last.
+  /// Lets connections open, and answers the last command.
   void Serve()
   {
-    Pass(100ms);
+    AdvanceTime(100ms);
     proxy::answer made;
     made.signature = "signed";
     made.position = position::log_position{ 1, 6 };
@@ -53,9 +53,9 @@
   const char* name;
   std::optional<customer::quota> limit;
   const char* database;
-  /// What the session asks, one after the other.
-  std::vector<std::pair<statement_kind, const char*>> asked;
-  /// Tokens that this takes.
+  /// Requests of the session, in order.
+  std::vector<std::pair<statement_kind, const char*>> statements;
+  /// Expected number of tokens taken.
   unsigned tokens;
 };
 
@@ -71,7 +71,7 @@
     { { statement_kind::kRead, "READ x" },
       { statement_kind::kRead, "READ y" } },
     2 },
-  { "what needs no server",
+  { "a statement that needs no server",
     customer::quota{ 10, 10 },
     "claims",
     { { statement_kind::kSet, "SET n v" } },
@@ -100,10 +100,10 @@
     recording_caller caller;
     const auto session = vm.Open(caller, row.database);
     unsigned used = 0;
-    for (const auto& [kind, text] : row.asked) {
+    for (const auto& [kind, text] : row.statements) {
       caller.lastAnswer.reset();
       vm.Ask(session, kind, text);
-      vm.Pass(50ms);
+      vm.AdvanceTime(50ms);
       if (row.tokens > 0) {
         CHECK_TEXT(!caller.lastAnswer && vm.servers.sent["a"].size() == used,
                    row.name);
@@ -127,10 +127,10 @@
   vm.Ask(session, statement_kind::kBegin, "BEGIN");
   caller.lastAnswer.reset();
   vm.Ask(session, statement_kind::kRead, "READ x");
-  vm.Pass(50ms);
-  CHECK(!vm.HasWork("a"));
+  vm.AdvanceTime(50ms);
+  CHECK(!vm.WasSentWork("a"));
   vm.engine.GrantTokens("baker", 1, vm.now, vm.now);
-  // The beginning, then the statement.
+  // Begins the transaction, then runs the statement.
   vm.Serve();
   vm.Serve();
   CHECK(caller.lastAnswer && !caller.lastAnswer->failed);
@@ -140,7 +140,7 @@
   CHECK(caller.lastAnswer && !caller.lastAnswer->failed);
 }
 
-TEST(quota, Refused_operations_are_told_when_to_come_back)
+TEST(quota, Rejected_operations_get_a_retry_delay)
 {
   limited_vm vm;
   recording_caller first;
@@ -152,16 +152,16 @@
   CHECK(first.lastAnswer->failed->code == failure_code::kBusy);
   STRCMP_CONTAINS("retry after 300 ms", first.lastAnswer->failed->text.c_str());
   CHECK(!second.lastAnswer);
-  vm.Pass(200ms);
-  // Nobody has answered for half of its target.
+  vm.AdvanceTime(200ms);
+  // The quota check is not answered within half of the target.
   CHECK(second.lastAnswer &&
         second.lastAnswer->failed->code == failure_code::kBusy);
-  CHECK(!vm.HasWork("a"));
+  CHECK(!vm.WasSentWork("a"));
 }
 
-// The next one gets the token of a caller that has left; one that waits comes
-// before one that has just come.
-TEST(quota, Tokens_go_to_those_that_wait_in_their_order)
+// The token of a caller that has disconnected goes to the next one; a waiting
+// operation takes precedence over a new one.
+TEST(quota, Tokens_are_granted_in_arrival_order)
 {
   limited_vm vm;
   recording_caller gone;
@@ -173,12 +173,12 @@
   recording_caller late;
   vm.Ask(vm.Open(late), statement_kind::kRead, "READ z");
   vm.engine.GrantTokens("baker", 1, vm.now, vm.now);
-  vm.Pass(50ms);
+  vm.AdvanceTime(50ms);
   STRCMP_EQUAL("READ y", vm.servers.last.text.c_str());
 }
 
-// A token that was asked for before the VM stood still is none any more.
-TEST(quota, Old_tokens_let_nothing_begin)
+// A token requested before the process was suspended is no longer valid.
+TEST(quota, Expired_tokens_are_not_used)
 {
   limited_vm vm;
   recording_caller caller;
@@ -187,6 +187,6 @@
   vm.now += 2000ms;
   vm.engine.Confirm("claims", { 1, "a", vm.now }, vm.now);
   vm.engine.GrantTokens("baker", 1, askedAt, vm.now);
-  vm.Pass(50ms);
-  CHECK(!vm.HasWork("a"));
+  vm.AdvanceTime(50ms);
+  CHECK(!vm.WasSentWork("a"));
 }
--- a/test/currantshed/proxy/random_sessions.cpp
+++ b/test/currantshed/proxy/random_sessions.cpp
@@ -31,8 +31,8 @@
   }
 }
 
-/// A caller that does one thing after the other in its session, and checks
-/// each answer.
+/// A caller that sends random requests one after the other, and checks each
+/// answer.
 class random_caller final : public proxy::caller
 {
 public:
@@ -49,7 +49,7 @@
   void Deliver(const proxy::answer& aAnswer) override
   {
     if (!mWaiting) {
-      mCluster.AddViolation("an answer to nothing");
+      mCluster.AddViolation("an answer without a request");
       return;
     }
     mWaiting = false;
@@ -108,11 +108,11 @@
       Reconnect();
       return;
     }
-    mAsked = {};
-    mAsked.id = std::to_string(mNumber) + "-" + std::to_string(++mLast);
+    mStatement = {};
+    mStatement.id = std::to_string(mNumber) + "-" + std::to_string(++mLast);
     if (mFailed) {
-      mAsked.kind = statement_kind::kRollback;
-      mAsked.text = "ROLLBACK";
+      mStatement.kind = statement_kind::kRollback;
+      mStatement.text = "ROLLBACK";
     } else {
       Choose();
     }
@@ -123,34 +123,34 @@
   {
     const auto draw = mCluster.Random()() % 100;
     if (mOpen && draw < 20) {
-      mAsked.kind = statement_kind::kCommit;
-      mAsked.text = "COMMIT";
+      mStatement.kind = statement_kind::kCommit;
+      mStatement.text = "COMMIT";
     } else if (mOpen && draw < 25) {
-      mAsked.kind = statement_kind::kRollback;
-      mAsked.text = "ROLLBACK";
+      mStatement.kind = statement_kind::kRollback;
+      mStatement.text = "ROLLBACK";
     } else if (!mOpen && draw < 15) {
       mReadOnly = mCluster.Chance(400);
-      mAsked.kind =
+      mStatement.kind =
         mReadOnly ? statement_kind::kBeginReadOnly : statement_kind::kBegin;
-      mAsked.text = mReadOnly ? "BEGIN READ" : "BEGIN";
+      mStatement.text = mReadOnly ? "BEGIN READ" : "BEGIN";
     } else if (draw < 35) {
-      mAsked.kind = statement_kind::kSet;
-      mAsked.name = "n" + std::to_string(mCluster.Random()() % 2);
-      mAsked.argument = std::to_string(mCluster.Random()() % 3);
+      mStatement.kind = statement_kind::kSet;
+      mStatement.name = "n" + std::to_string(mCluster.Random()() % 2);
+      mStatement.argument = std::to_string(mCluster.Random()() % 3);
     } else if (draw < 45) {
-      mAsked.kind = statement_kind::kPrepare;
-      mAsked.name = "p" + std::to_string(mCluster.Random()() % 2);
-      mAsked.writes = MayWrite() && mCluster.Chance(500);
-      mAsked.argument = "shape" + std::to_string(mCluster.Random()() % 3) +
-                        (mAsked.writes ? "w" : "r");
+      mStatement.kind = statement_kind::kPrepare;
+      mStatement.name = "p" + std::to_string(mCluster.Random()() % 2);
+      mStatement.writes = MayWrite() && mCluster.Chance(500);
+      mStatement.argument = "shape" + std::to_string(mCluster.Random()() % 3) +
+                            (mStatement.writes ? "w" : "r");
     } else if (draw < 60 && !mShapes.empty()) {
       ChooseExecution();
     } else if (draw < 75 && MayWrite()) {
-      mAsked.kind = statement_kind::kWrite;
-      mAsked.text = "WRITE x 1";
+      mStatement.kind = statement_kind::kWrite;
+      mStatement.text = "WRITE x 1";
     } else {
-      mAsked.kind = statement_kind::kRead;
-      mAsked.text = "READ x";
+      mStatement.kind = statement_kind::kRead;
+      mStatement.text = "READ x";
     }
   }
 
@@ -160,59 +160,59 @@
     std::advance(chosen, mCluster.Random()() % mShapes.size());
     const bool writes = chosen->second.back() == 'w';
     if (writes && !MayWrite()) {
-      mAsked.kind = statement_kind::kRead;
-      mAsked.text = "READ x";
+      mStatement.kind = statement_kind::kRead;
+      mStatement.text = "READ x";
       return;
     }
-    mAsked.kind = statement_kind::kExecute;
-    mAsked.name = chosen->first;
-    mAsked.argument = "x";
-    mAsked.text = "EXECUTE " + chosen->first + " x";
+    mStatement.kind = statement_kind::kExecute;
+    mStatement.name = chosen->first;
+    mStatement.argument = "x";
+    mStatement.text = "EXECUTE " + chosen->first + " x";
   }
 
   [[nodiscard]] bool MayWrite() const { return !mOpen || !mReadOnly; }
 
   [[nodiscard]] bool Changes() const
   {
-    if (mAsked.kind == statement_kind::kExecute) {
-      return mShapes.at(mAsked.name).back() == 'w';
+    if (mStatement.kind == statement_kind::kExecute) {
+      return mShapes.at(mStatement.name).back() == 'w';
     }
-    return mAsked.kind == statement_kind::kWrite;
+    return mStatement.kind == statement_kind::kWrite;
   }
 
   void Send()
   {
-    test::issued_request known;
-    known.caller = mNumber;
-    known.values = mValues;
-    if (mAsked.kind == statement_kind::kExecute) {
-      known.shape = mShapes.at(mAsked.name);
+    test::issued_request issued;
+    issued.caller = mNumber;
+    issued.values = mValues;
+    if (mStatement.kind == statement_kind::kExecute) {
+      issued.shape = mShapes.at(mStatement.name);
     }
-    if (mAsked.kind == statement_kind::kBegin ||
-        mAsked.kind == statement_kind::kBeginReadOnly) {
+    if (mStatement.kind == statement_kind::kBegin ||
+        mStatement.kind == statement_kind::kBeginReadOnly) {
       mTransaction = ++mTransactions;
       mWrites.clear();
-      mBegunMustSee = MustSee();
-      mBegunTerm = mCluster.Group().term;
+      mBeginRequiredIndex = RequiredIndex();
+      mBeginTerm = mCluster.Group().term;
     }
-    known.transaction = mOpen ? mTransaction : 0;
-    known.sentAt = mCluster.Time().Now();
-    known.mustSee = mOpen ? mBegunMustSee : MustSee();
-    known.mustSeeTerm = mOpen ? mBegunTerm : mCluster.Group().term;
-    mCluster.known[mAsked.id] = known;
+    issued.transaction = mOpen ? mTransaction : 0;
+    issued.sentAt = mCluster.Time().Now();
+    issued.requiredIndex = mOpen ? mBeginRequiredIndex : RequiredIndex();
+    issued.requiredTerm = mOpen ? mBeginTerm : mCluster.Group().term;
+    mCluster.issuedRequests[mStatement.id] = issued;
     if (!mOpen) {
       mWrites.clear();
     }
     if (Changes()) {
-      mWrites.push_back(mAsked.id);
+      mWrites.push_back(mStatement.id);
     }
     mWaiting = true;
     mSentAt = mCluster.Time().Now();
-    mCluster.Engine(mVm).Submit(*mSession, mAsked, mCluster.Time().Now());
+    mCluster.Engine(mVm).Submit(*mSession, mStatement, mCluster.Time().Now());
   }
 
   // The newest commit that a read sent now must see.
-  [[nodiscard]] std::uint64_t MustSee() const
+  [[nodiscard]] std::uint64_t RequiredIndex() const
   {
     const auto now = mCluster.Time().Now();
     const bool bounded = mDatabase != "db-primary";
@@ -228,13 +228,13 @@
   // A commit of an older term counts as far as the new primary has it.
   [[nodiscard]] std::uint64_t OwnCommit() const
   {
-    return mCluster.Kept(mOwnCommit, mOwnTerm);
+    return mCluster.Retained(mOwnCommit, mOwnTerm);
   }
 
   void Reported(change_outcome::reported aWhat)
   {
     const bool single = !mOpen && Changes();
-    const bool commit = mOpen && mAsked.kind == statement_kind::kCommit;
+    const bool commit = mOpen && mStatement.kind == statement_kind::kCommit;
     if (!single && !commit) {
       return;
     }
@@ -257,22 +257,22 @@
                           : mOpen ? proxy::transaction_state::kOpen
                                   : proxy::transaction_state::kIdle;
     if (aAnswer.state != expected) {
-      mCluster.AddViolation("the answer to " + mAsked.id +
+      mCluster.AddViolation("the answer to " + mStatement.id +
                             " has a wrong state");
     }
   }
 
   void CheckFailure(const proxy::failure& aWhy)
   {
-    if (mAsked.kind == statement_kind::kSet ||
-        mAsked.kind == statement_kind::kPrepare ||
-        mAsked.kind == statement_kind::kRollback) {
+    if (mStatement.kind == statement_kind::kSet ||
+        mStatement.kind == statement_kind::kPrepare ||
+        mStatement.kind == statement_kind::kRollback) {
       mCluster.AddViolation("a local statement failed");
     }
     Reported(IsPromise(aWhy.code) ? change_outcome::reported::kNotRun
                                   : change_outcome::reported::kUnknown);
     if (mOpen) {
-      mFailed = mAsked.kind != statement_kind::kCommit;
+      mFailed = mStatement.kind != statement_kind::kCommit;
       mOpen = mFailed;
     }
   }
@@ -280,7 +280,7 @@
   void CheckSuccess(const proxy::answer& aAnswer)
   {
     ++mCluster.successes;
-    switch (mAsked.kind) {
+    switch (mStatement.kind) {
       case statement_kind::kBegin:
       case statement_kind::kBeginReadOnly:
         mOpen = true;
@@ -290,20 +290,20 @@
         mFailed = false;
         return;
       case statement_kind::kSet:
-        mValues[mAsked.name] = mAsked.argument;
+        mValues[mStatement.name] = mStatement.argument;
         return;
       case statement_kind::kPrepare:
-        mShapes[mAsked.name] = mAsked.argument;
+        mShapes[mStatement.name] = mStatement.argument;
         return;
       default:
         break;
     }
-    if (aAnswer.signature != "signed-" + mAsked.id) {
-      mCluster.AddViolation("success of " + mAsked.id +
+    if (aAnswer.signature != "signed-" + mStatement.id) {
+      mCluster.AddViolation("success of " + mStatement.id +
                             " without its signature");
     }
     Reported(change_outcome::reported::kAcknowledged);
-    const bool commit = mAsked.kind == statement_kind::kCommit;
+    const bool commit = mStatement.kind == statement_kind::kCommit;
     if ((commit && !mWrites.empty()) || (!mOpen && Changes())) {
       mOwnCommit = aAnswer.position->index;
       mOwnTerm = aAnswer.position->term;
@@ -319,7 +319,7 @@
   std::size_t mVm;
   std::string mDatabase;
   std::optional<proxy::engine::session_id> mSession;
-  proxy::session_statement mAsked;
+  proxy::session_statement mStatement;
   bool mWaiting = false;
   clock::time_point mSentAt;
   std::uint64_t mLast = 0;
@@ -330,8 +330,8 @@
   bool mFailed = false;
   std::uint64_t mTransaction = 0;
   std::uint64_t mTransactions = 0;
-  std::uint64_t mBegunMustSee = 0;
-  position::term_id mBegunTerm = 0;
+  std::uint64_t mBeginRequiredIndex = 0;
+  position::term_id mBeginTerm = 0;
   std::uint64_t mOwnCommit = 0;
   position::term_id mOwnTerm = 0;
   std::vector<std::string> mWrites;
@@ -348,16 +348,16 @@
 
 constexpr session_row kRows[] = {
   { "calm, connections for all", {}, 2, 40, false },
-  { "calm, through other VMs", {}, 6, 8, false },
+  { "calm, through relays", {}, 6, 8, false },
   { "busy servers", { 60, 0, 0, 0 }, 3, 40, false },
   { "lost answers", { 0, 15, 0, 0 }, 3, 12, false },
   { "broken connections", { 0, 0, 15, 50 }, 6, 8, false },
-  { "primaries lost", {}, 3, 40, true },
-  { "primaries lost, through other VMs", {}, 6, 8, true },
-  { "all of it", { 20, 8, 8, 30 }, 6, 8, true },
+  { "failed primaries", {}, 3, 40, true },
+  { "failed primaries, through relays", {}, 6, 8, true },
+  { "all faults", { 20, 8, 8, 30 }, 6, 8, true },
 };
 
-// Seeds of each row; 40 of them took ten seconds a row.
+// Seeds per row; 40 of them took ten seconds per row.
 constexpr std::uint32_t kSeeds = 5;
 
 void
@@ -369,12 +369,12 @@
     }
     if (outcome.what == change_outcome::reported::kNotRun &&
         outcome.committed != 0) {
-      aCluster.AddViolation("change " + id + " was refused, and took effect");
+      aCluster.AddViolation("change " + id + " was rejected but took effect");
     }
     if (outcome.what == change_outcome::reported::kAcknowledged &&
         outcome.committed == 0) {
       aCluster.AddViolation("change " + id +
-                            " was acknowledged, and is not there");
+                            " was acknowledged but is missing");
     }
   }
 }
@@ -383,31 +383,30 @@
 RunSimulation(const session_row& aRow, std::uint32_t aSeed)
 {
   std::vector<std::unique_ptr<random_caller>> callers;
-  test::simulated_cluster simulated_cluster(aSeed, aRow.rates, aRow.vms);
-  simulated_cluster.Configure(aRow.connections);
-  const auto start = simulated_cluster.Time().Now();
-  simulated_cluster.Time().RunUntil(start + 500ms);
+  test::simulated_cluster cluster(aSeed, aRow.rates, aRow.vms);
+  cluster.Configure(aRow.connections);
+  const auto start = cluster.Time().Now();
+  cluster.Time().RunUntil(start + 500ms);
   for (std::uint64_t number = 1; number <= 24; ++number) {
-    callers.push_back(std::make_unique<random_caller>(
-      simulated_cluster, number, number % aRow.vms));
+    callers.push_back(
+      std::make_unique<random_caller>(cluster, number, number % aRow.vms));
   }
   if (aRow.failsPrimaries) {
     for (const auto at : { 1500ms, 5500ms }) {
-      simulated_cluster.Time().At(
-        start + at, [&simulated_cluster] { simulated_cluster.FailPrimary(); });
+      cluster.Time().At(start + at, [&cluster] { cluster.FailPrimary(); });
     }
   }
-  simulated_cluster.Time().RunUntil(start + 10s);
-  CheckOutcomes(simulated_cluster);
-  if (simulated_cluster.successes < 500) {
-    simulated_cluster.AddViolation("hardly anything was served: " +
-                                   std::to_string(simulated_cluster.successes));
+  cluster.Time().RunUntil(start + 10s);
+  CheckOutcomes(cluster);
+  if (cluster.successes < 500) {
+    cluster.AddViolation("too few requests succeeded: " +
+                         std::to_string(cluster.successes));
   }
   std::string violations;
   for (std::size_t i = 0;
-       i < std::min<std::size_t>(simulated_cluster.violations.size(), 5);
+       i < std::min<std::size_t>(cluster.violations.size(), 5);
        ++i) {
-    violations += "; " + simulated_cluster.violations[i];
+    violations += "; " + cluster.violations[i];
   }
   return violations;
 }
--- a/test/currantshed/proxy/refusals.cpp
+++ b/test/currantshed/proxy/refusals.cpp
@@ -20,7 +20,8 @@
 
 constexpr clock::time_point kStart{ 1h };
 
-/// Keeps the newest listener for each server, and who was asked last.
+/// Records the newest listener of each server, and the last server that
+/// received a command.
 class recording_opener final : public proxy::link_opener
 {
 public:
@@ -35,7 +36,7 @@
 
     void Send(const std::vector<proxy::command>& /*aCommands*/) override
     {
-      mOpener.asked = mServer;
+      mOpener.lastServer = mServer;
     }
 
   private:
@@ -54,17 +55,17 @@
   }
 
   std::map<std::string, proxy::link_listener*> listeners;
-  std::string asked;
+  std::string lastServer;
 };
 
-/// What the servers do with one read, in turn.
+/// How a server handles the read.
 enum class server_behavior
 {
   kBusy,
   kLagging,
   kFailed,
   kConnectionLost,
-  /// No server takes it: its time to wait passes.
+  /// No server gets the read before its queue timeout.
   kNotDispatched,
 };
 
@@ -76,24 +77,24 @@
 };
 
 const refusal_row kRows[] = {
-  { "no server had it",
+  { "no server received it",
     { server_behavior::kNotDispatched },
     failure_code::kBusy },
-  { "servers said that they had not run it",
+  { "servers reported that they had not run it",
     { server_behavior::kLagging, server_behavior::kBusy },
     failure_code::kBusy },
-  { "a server ran it in vain",
+  { "a server failed to run it",
     { server_behavior::kFailed },
     failure_code::kFailed },
   { "a server may have run it",
     { server_behavior::kConnectionLost },
     failure_code::kFailed },
-  { "one may have run it, another had not",
+  { "one server may have run it, another rejected it",
     { server_behavior::kConnectionLost, server_behavior::kBusy },
     failure_code::kFailed },
 };
 
-/// A VM before three servers, and one caller's read.
+/// A VM with three servers, and one caller's read.
 class one_read
 {
 public:
@@ -124,31 +125,31 @@
     engine.Tick(now);
     engine.Confirm("claims", { 1, "a", now }, now);
     engine.AddSample("claims", { 1, { 1, 5 }, now });
-    Pass(1000ms);
+    AdvanceTime(1000ms);
     for (const auto& [id, listener] : mOpener.listeners) {
       if (aReachesServers) {
         listener->Opened(position::log_position{ 1, 5 }, now);
       }
     }
     const auto session = engine.Open("claims-read", caller);
-    proxy::session_statement asked;
-    asked.kind = proxy::statement_kind::kRead;
-    asked.id = "id-1";
-    asked.text = "READ 1";
-    engine.Submit(*session, asked, now);
+    proxy::session_statement statement;
+    statement.kind = proxy::statement_kind::kRead;
+    statement.id = "id-1";
+    statement.text = "READ 1";
+    engine.Submit(*session, statement, now);
   }
 
-  void Pass(std::chrono::milliseconds aSpan)
+  void AdvanceTime(std::chrono::milliseconds aDuration)
   {
-    now += aSpan;
+    now += aDuration;
     engine.Tick(now);
   }
 
-  /// Lets the next server that has the read do that with it.
-  void Do(server_behavior aBehavior)
+  /// Applies the behavior to the server that has the read.
+  void Apply(server_behavior aBehavior)
   {
     if (aBehavior == server_behavior::kNotDispatched) {
-      Pass(5000ms);
+      AdvanceTime(5000ms);
       return;
     }
     proxy::answer made;
@@ -159,10 +160,11 @@
                         ? failure_code::kLagging
                         : failure_code::kFailed,
                       "" };
-    if (mOpener.asked.empty()) {
+    if (mOpener.lastServer.empty()) {
       return;
     }
-    auto* listener = mOpener.listeners.at(std::exchange(mOpener.asked, {}));
+    auto* listener =
+      mOpener.listeners.at(std::exchange(mOpener.lastServer, {}));
     if (aBehavior == server_behavior::kConnectionLost) {
       listener->Ended(proxy::link_close_reason::kBroken, now);
     } else {
@@ -190,12 +192,12 @@
   for (const auto& row : kRows) {
     one_read read(row.behaviors.front() != server_behavior::kNotDispatched);
     for (const auto one : row.behaviors) {
-      read.Do(one);
+      read.Apply(one);
     }
-    // From then on it is turned away, until no more tries are made.
+    // All further attempts are rejected, until the engine gives up.
     for (int i = 0; i < 40 && !read.caller.lastAnswer; ++i) {
-      read.Do(server_behavior::kBusy);
-      read.Pass(50ms);
+      read.Apply(server_behavior::kBusy);
+      read.AdvanceTime(50ms);
     }
     CHECK_TEXT(read.caller.lastAnswer && read.caller.lastAnswer->failed,
                row.name);
--- a/test/currantshed/proxy/server_state.cpp
+++ b/test/currantshed/proxy/server_state.cpp
@@ -34,17 +34,17 @@
 struct path_row
 {
   const char* name;
-  void (*given)(server_state&);
-  /// The VM that the way leads through, empty for a direct one.
+  void (*arrange)(server_state&);
+  /// The relay on the expected path, empty for a direct one.
   const char* via;
 };
 
 const path_row kPathRows[] = {
   { "a holder connects directly", [](server_state&) {}, "" },
-  { "one that the server has no room for goes through another holder",
+  { "at the server's connection limit a relay is used",
     [](server_state& aState) { aState.ObserveServerFull(kStart); },
     "vm-2" },
-  { "so does one whose connections fail",
+  { "after a failed connection a relay is used",
     [](server_state& aState) { aState.ObserveFailure(kStart); },
     "vm-2" },
 };
@@ -74,15 +74,15 @@
 {
   const char* name;
   std::size_t connections;
-  std::chrono::milliseconds sentBefore;
+  std::chrono::milliseconds pendingFor;
   bool mayOpen;
 };
 
-// Four connections are allowed, and all there are owe an answer.
+// The limit is four connections; all existing ones have a pending command.
 constexpr limit_row kLimitRows[] = {
   { "below the limit", 3, 10ms, true },
   { "at the limit", 4, 10ms, false },
-  { "at the limit, but all answers are overdue", 4, 500ms, true },
+  { "at the limit, with all answers overdue", 4, 500ms, true },
   { "twice the limit", 8, 500ms, false },
 };
 
@@ -103,7 +103,7 @@
       made->Send({ {} }, { proxy::purpose::kStatement, kStart });
       state.connections.push_back(std::move(made));
     }
-    CHECK_TEXT(state.MayOpenDirect(4, kStart + row.sentBefore) == row.mayOpen,
+    CHECK_TEXT(state.MayOpenDirect(4, kStart + row.pendingFor) == row.mayOpen,
                row.name);
   }
 }
@@ -113,7 +113,7 @@
   auto state = Holder();
   state.ObserveLag(kStart - 2400ms, kStart);
   CHECK(state.Lag(kStart) > 2400ms);
-  // Not tried again at once, but within some seconds even if nothing is heard.
+  // Not retried at once, but within some seconds even without new information.
   CHECK(state.Lag(kStart + 300ms) > 2400ms);
   CHECK(state.Lag(kStart + 3s) < 2400ms);
   CHECK(state.Lag(kStart + 30s) < 100ms);
@@ -135,7 +135,7 @@
     state.connections.push_back(std::make_unique<proxy::connection>(
       "i-1", "claims", "vm-3", "", events, kStart + 150ms));
   }
-  // As many as may be opened through one VM at a time.
+  // The maximum number of connections being opened through one relay.
   CHECK(state.PathToOpen(kStart + 160ms) == nullptr);
   STRCMP_EQUAL("", state.PathToOpen(kStart + 300ms)->vm.c_str());
 }
@@ -144,7 +144,7 @@
 {
   for (const auto& row : kPathRows) {
     auto state = Holder();
-    row.given(state);
+    row.arrange(state);
     const auto* chosen = state.PathToOpen(kStart + 10ms);
     CHECK_TEXT(chosen != nullptr, row.name);
     CHECK_TEXT(chosen->vm == row.via, row.name);
--- a/test/currantshed/proxy/session_drain.cpp
+++ b/test/currantshed/proxy/session_drain.cpp
@@ -29,14 +29,15 @@
 
 constexpr end_row kRows[] = {
   { "nothing sent", false, true },
-  { "a request that was not read yet", true, false },
+  { "an unread request", true, false },
 };
 
 } // namespace
 
 TEST_GROUP(session_drain){};
 
-// A VM that stops closes idle sessions, but none whose request has come.
+// A draining VM closes idle sessions, except those whose client has sent a
+// request.
 TEST(session_drain, closes_idle_sessions_without_unread_requests)
 {
   for (const auto& row : kRows) {
--- a/test/currantshed/proxy/simulated_cluster.cpp
+++ b/test/currantshed/proxy/simulated_cluster.cpp
@@ -46,7 +46,7 @@
   mNow = aEnd;
 }
 
-/// A connection to a fake server. Commands run one after the other.
+/// A connection to a simulated server. Commands run one after the other.
 class fake_link final : public proxy::upstream_link
 {
 public:
@@ -186,7 +186,7 @@
     } else {
       mOpen = true;
       mReadOnly = aCommand.kind == command_kind::kBeginReadOnly;
-      mBegunAt = aServer.applied;
+      mSnapshotIndex = aServer.applied;
     }
   }
 
@@ -207,7 +207,7 @@
       Refuse(aOut, failure_code::kMalformed);
       return;
     }
-    const auto& from = mCluster.known[aCommand.id];
+    const auto& from = mCluster.issuedRequests[aCommand.id];
     CheckSession(aCommand, from);
     const bool isCommit = aCommand.text == "COMMIT";
     bool writes = aCommand.text.starts_with("WRITE");
@@ -218,7 +218,7 @@
         return;
       }
       if (found->second.first != from.shape) {
-        mCluster.AddViolation("a prepared name runs another shape");
+        mCluster.AddViolation("a prepared statement runs another text");
       }
       writes = found->second.second;
     }
@@ -251,10 +251,10 @@
       mCaller = aFrom.caller;
       mTransaction = aFrom.transaction;
     }
-    const bool belongs =
+    const bool isInTransaction =
       mOpen ? aFrom.caller == mCaller && aFrom.transaction == mTransaction
             : aFrom.transaction == 0;
-    if (!belongs) {
+    if (!isInTransaction) {
       mCluster.AddViolation("statement " + aCommand.id +
                             " in another transaction");
     }
@@ -278,8 +278,8 @@
     } else if (aWrites) {
       Commit(aServer, { aCommand.id });
     } else {
-      const auto seen = mOpen ? mBegunAt : aServer.applied;
-      if (seen < mCluster.Kept(aFrom.mustSee, aFrom.mustSeeTerm)) {
+      const auto seen = mOpen ? mSnapshotIndex : aServer.applied;
+      if (seen < mCluster.Retained(aFrom.requiredIndex, aFrom.requiredTerm)) {
         mCluster.AddViolation("read " + aCommand.id + " is stale");
       }
     }
@@ -309,11 +309,11 @@
   bool mFailed = false;
   std::uint64_t mCaller = 0;
   std::uint64_t mTransaction = 0;
-  std::uint64_t mBegunAt = 0;
+  std::uint64_t mSnapshotIndex = 0;
   std::vector<std::string> mPending;
 };
 
-/// The engine of one VM, and what it needs.
+/// The engine of one VM, with its links and host.
 class simulated_cluster::vm final
   : public proxy::link_opener
   , public proxy::engine_host
@@ -405,7 +405,7 @@
 }
 
 std::uint64_t
-simulated_cluster::Kept(std::uint64_t aCount, position::term_id aTerm) const
+simulated_cluster::Retained(std::uint64_t aCount, position::term_id aTerm) const
 {
   for (const auto& [term, base] : promotionBases) {
     aCount = term > aTerm ? std::min(aCount, base) : aCount;
@@ -479,7 +479,7 @@
            [this, aVm] { ScheduleTick(aVm); });
 }
 
-// Replicas receive at once, and apply some time later.
+// Replicas receive records at once and apply them some time later.
 void
 simulated_cluster::Replicate()
 {
@@ -517,7 +517,8 @@
 {
   mGroup.confirmations = false;
   const auto old = mGroup.primary;
-  // Half of the time the old primary lives on and believes that it leads.
+  // Half of the time the old primary keeps running and still believes that it
+  // is the primary.
   const bool dies = Chance(500);
   if (dies) {
     Find(old)->up = false;
@@ -541,7 +542,7 @@
     best->leads = true;
     best->applied = best->log.size();
     mGroup.primary = best->listed.id;
-    // Servers that were ahead are cut back.
+    // Replicas that were ahead are truncated.
     for (auto& [id, server] : mGroup.servers) {
       if (id != old) {
         server.log.resize(std::min(server.log.size(), best->log.size()));
@@ -549,7 +550,7 @@
           std::min<std::uint64_t>(server.applied, server.log.size());
       }
     }
-    // What was acknowledged and rolled back need not be seen any more.
+    // Acknowledged records that were rolled back need not be seen any more.
     const std::uint64_t base = best->log.size();
     promotionBases[mGroup.term] = base;
     for (auto& [at, position] : acknowledged) {
