--- a/src/currantshed/confirm/position_samples.cpp
+++ b/src/currantshed/confirm/position_samples.cpp
@@ -92,7 +92,7 @@
 void
 position_samples::Thin()
 {
-  // Every second sample of the older half goes.
+  // Removes every second sample of the older half.
   const auto half = mSamples.size() / 2;
   std::vector<sample> kept;
   kept.reserve(mSamples.size());
--- a/src/currantshed/confirm/position_samples.hpp
+++ b/src/currantshed/confirm/position_samples.hpp
@@ -11,31 +11,32 @@
 
 namespace currantshed::confirm {
 
-/// Where a primary's log stood at known times. Whoever sees a sample's
-/// position sees all that was acknowledged before the sample's date; that is
-/// how the age of a replica's data is bounded. Memory is bounded: old samples
-/// are thinned out, which makes data look older than it is, never newer.
+/// Positions of a primary's log at known times, used to bound the age of a
+/// replica's data: a server that has applied a sample's position has all writes
+/// acknowledged before the sample's date. Memory is bounded by thinning out old
+/// samples, which can make data look older than it is but never newer.
 class position_samples
 {
 public:
-  /// Adds a sample dated by when the question was sent. Ignored when it is
-  /// older than the newest one, or goes back.
+  /// Adds a sample, dated by when the status was requested. Ignored if its date
+  /// is not newer or its position is lower than that of the newest sample.
   void Add(const position::log_position& aPosition, clock::time_point aDate);
 
-  /// Date of the newest sample that the position covers.
+  /// Date of the newest sample at or below the position; none if all samples
+  /// are above it.
   [[nodiscard]] std::optional<clock::time_point> CurrentAsOf(
     const position::log_position& aPosition) const;
 
-  /// The lowest position that is as new as the given date; none when there
-  /// is no sample from then or later.
+  /// Position of the oldest sample dated at or after aDate; none if there is no
+  /// such sample.
   [[nodiscard]] std::optional<position::log_position> LowestSince(
     clock::time_point aDate) const;
 
-  /// The newest position; none when there is no sample.
+  /// The newest position; none if there is no sample.
   [[nodiscard]] std::optional<position::log_position> Newest() const;
 
-  /// Date of the first sample that covers the position: it was written by
-  /// then. None when no sample covers it.
+  /// First date at which the log was known to include the position, so that it
+  /// was written by then; none if no sample includes it.
   [[nodiscard]] std::optional<clock::time_point> WrittenBy(
     const position::log_position& aPosition) const;
 
@@ -43,15 +44,15 @@
   struct sample
   {
     position::log_position position;
-    /// When the log was first known to stand there.
+    /// When the log was first known to be at the position.
     clock::time_point from;
-    /// When it last did.
+    /// When it was last known to be at the position.
     clock::time_point date;
   };
 
   void Thin();
 
-  // Both position and date go up.
+  // Sorted by position and by date.
   std::vector<sample> mSamples;
 };
 
--- a/src/currantshed/confirm/status_board.cpp
+++ b/src/currantshed/confirm/status_board.cpp
@@ -10,12 +10,12 @@
 namespace {
 
 constexpr std::size_t kUsualMembers = 5;
-// Terms whose confirmed index is kept.
+// Maximum number of terms for which the confirmed index is kept.
 constexpr std::size_t kMostTerms = 16;
 
 using dates = absl::InlinedVector<clock::time_point, kUsualMembers>;
 
-// The oldest date among the newest ones that make up the majority.
+// The oldest date of the most recent majority.
 std::optional<clock::time_point>
 OldestOfMajority(dates aDates, std::size_t aMajority)
 {
@@ -155,7 +155,7 @@
 status_board::WasConfirmed(const position::log_position& aPosition) const
 {
   if (aPosition == position::log_position{}) {
-    // The empty log is a part of every history.
+    // The empty log is a prefix of every log.
     return true;
   }
   const auto found = mConfirmed.find(aPosition.term);
--- a/src/currantshed/confirm/status_board.hpp
+++ b/src/currantshed/confirm/status_board.hpp
@@ -18,81 +18,82 @@
 
 namespace currantshed::confirm {
 
-/// A server's word about itself, dated by when it was asked.
+/// A server's status with the time at which it was requested.
 struct dated_status
 {
   upstream::server_status status;
   clock::time_point askedAt;
 };
 
-/// A term that a majority of the group is in.
+/// A term in which a majority of the group is.
 struct majority_term
 {
   position::term_id term = 0;
-  /// When the majority was asked: the oldest question of the newest majority.
+  /// The oldest request time within the most recent majority.
   clock::time_point askedAt;
 };
 
-/// The primary of the term that a majority is in.
+/// The primary of the majority's term.
 struct known_primary
 {
   upstream::server_id server;
   position::term_id term = 0;
 };
 
-/// The latest word of each server of a group, each asked directly, and what
-/// follows from these words: the term in force, its primary, what is
-/// confirmed, and where the primary's log stood at known times.
+/// Tracks the latest status of each server of a group, each polled directly,
+/// and derives from them the current term, its primary, the confirmed
+/// positions, and samples of the primary's log position.
 ///
 /// A position is confirmed once a majority, each in the position's own term,
-/// holds a record of that term at or beyond it: any majority that a later
-/// primary is chosen from then has a member that holds it.
+/// stores a record of that term at or beyond it. Any majority from which a
+/// later primary is elected then includes a server that stores it.
 class status_board
 {
 public:
   explicit status_board(std::chrono::milliseconds aValidity);
 
-  /// Sets the servers that the majority is counted over.
+  /// Sets the servers of which a majority is required.
   void SetMembers(const std::vector<upstream::server_id>& aServers);
 
-  /// Takes a server's word. A word asked for before the one at hand only
-  /// counts towards what was ever confirmed.
+  /// Records a server's status. One that was requested before the latest status
+  /// only counts towards confirmed positions.
   void Record(const upstream::server_id& aServer,
               const upstream::server_status& aStatus,
               clock::time_point aAskedAt);
 
-  /// The server's latest word; null when it has said nothing yet.
+  /// The server's latest status; null if none was received yet.
   [[nodiscard]] const dated_status* Find(
     const upstream::server_id& aServer) const;
 
-  /// The highest term that a majority is in, by their latest words.
+  /// The highest term in which a majority is, by their latest statuses.
   [[nodiscard]] const std::optional<majority_term>& Term() const noexcept;
 
-  /// The primary, when it and a majority were asked within the validity.
+  /// The primary, if its status and those of a majority were requested within
+  /// the validity.
   [[nodiscard]] std::optional<known_primary> Primary(
     clock::time_point aNow) const;
 
-  /// When the majority that holds the position in its own term was asked:
-  /// the oldest question of the newest such majority. None when no majority
-  /// holds it by their latest words.
+  /// The oldest request time within the most recent majority that stores the
+  /// position in its own term; none if there is no such majority by the latest
+  /// statuses.
   [[nodiscard]] std::optional<clock::time_point> HeldSince(
     const position::log_position& aPosition) const;
 
-  /// Whether a majority, each asked no earlier than given, holds the position
-  /// in its own term, and their word is still valid.
+  /// Whether a majority stores the position in its own term, by statuses that
+  /// were requested at or after aAskedSince and are still valid.
   [[nodiscard]] bool Holds(const position::log_position& aPosition,
                            clock::time_point aAskedSince,
                            clock::time_point aNow) const;
 
-  /// Whether the position was confirmed at any time. It then is part of the
-  /// history of every later term.
+  /// Whether the position was ever confirmed. It then is in the log of every
+  /// later term.
   [[nodiscard]] bool WasConfirmed(
     const position::log_position& aPosition) const;
 
-  /// Goes up with each word that may change any of the above.
+  /// Increases with each status that may change any of the above.
   [[nodiscard]] std::uint64_t Version() const noexcept;
 
-  /// The primary's position at known times.
+  /// Samples of the primary's log position.
   [[nodiscard]] const position_samples& Samples() const noexcept;
 
 private:
@@ -100,7 +101,7 @@
   {
     bool heard = false;
     dated_status latest;
-    /// The highest record stored in the server's own term at the time.
+    /// The highest position that the server stored in its own term.
     position::log_position highest;
   };
 
@@ -117,7 +118,7 @@
   members mMembers;
   std::uint64_t mVersion = 0;
   std::optional<majority_term> mTerm;
-  // The highest confirmed index of the latest terms.
+  // The highest confirmed index of each of the latest terms.
   std::map<position::term_id, position::log_index> mConfirmed;
   position_samples mSamples;
 };
--- a/src/currantshed/member/news_box.cpp
+++ b/src/currantshed/member/news_box.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-// A term goes out with this many heartbeats, so that one lost message does
-// not hide it.
+// Each term update is repeated in this many heartbeats, so that one lost
+// message does not hide it.
 constexpr unsigned kTermRepeats = 10;
-// So does the withdrawal of a suspicion.
+// A withdrawn suspicion is repeated in this many heartbeats.
 constexpr unsigned kWithdrawalRepeats = 5;
-// Each VM passes a loss on this often: with four random receivers a time it
-// reaches a whole fleet.
+// Each VM repeats a lost VM in this many heartbeats. With four random receivers
+// per heartbeat, the loss reaches a whole fleet.
 constexpr unsigned kLostRepeats = 6;
-// Losses in one heartbeat.
+// Maximum number of lost VMs in one heartbeat.
 constexpr std::size_t kLostLimit = 32;
 
 } // namespace
--- a/src/currantshed/member/news_box.hpp
+++ b/src/currantshed/member/news_box.hpp
@@ -9,20 +9,23 @@
 
 namespace currantshed::member {
 
-/// What the next heartbeats carry besides the sender's own state. Each word
-/// goes out a bounded number of times, a suspicion as long as it lasts.
+/// Gossip updates that are piggybacked on the next heartbeats: terms,
+/// suspicions and lost VMs. Each is repeated in a bounded number of heartbeats,
+/// except that a suspicion is sent until it is withdrawn.
 class news_box
 {
 public:
-  /// Whether the word is news, to be sent at once.
+  /// Queues a term. Returns false if the term is older than or the same as the
+  /// known one; otherwise it should be sent at once.
   bool SetTerm(const term_news& aNews);
   void SetSuspicion(const failover::suspicion& aWord);
   void SetLost(const lost_vm& aWord);
 
-  /// The VM is back.
+  /// Drops the update on a lost VM, once the VM has been heard from again.
   void EraseLost(const std::string& aId) { mLost.erase(aId); }
 
-  /// Puts the words that are due into a heartbeat, and counts them as sent.
+  /// Adds the pending updates to a heartbeat and decrements their remaining
+  /// repeats.
   void Fill(heartbeat& aBeat);
 
 private:
@@ -35,7 +38,8 @@
   struct repeated_suspicion
   {
     failover::suspicion word;
-    // Set once the suspicion is withdrawn.
+    // Set once the suspicion is withdrawn; unset means that it is repeated
+    // without limit.
     std::optional<unsigned> left;
   };
 
--- a/src/currantshed/member/owners.cpp
+++ b/src/currantshed/member/owners.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// Both names usually fit without memory of their own.
+// Group and VM names up to this total length need no heap allocation.
 constexpr std::size_t kUsualNames = 128;
 
 struct scored_vm
@@ -47,8 +47,8 @@
   return scored;
 }
 
-// Moves the best VM of each failure domain to the front, the best ones first,
-// and tells how many there are.
+// Moves the VM with the highest score of each failure domain to the front, in
+// descending order of score, and returns their number.
 std::size_t
 DomainsFirst(std::vector<scored_vm>& aScored)
 {
@@ -76,8 +76,8 @@
 
 } // namespace
 
-// Scores by the hash of both names. The zero byte keeps "ab" + "c" apart from
-// "a" + "bc".
+// The score is a hash of both names. The zero byte between them distinguishes
+// "ab" + "c" from "a" + "bc".
 std::uint64_t
 OwnerScore(std::string_view aGroup, std::string_view aVm)
 {
--- a/src/currantshed/member/owners.hpp
+++ b/src/currantshed/member/owners.hpp
@@ -6,8 +6,9 @@
 
 namespace currantshed::member {
 
-/// How well the VM fits to own the group: the highest score comes first. By
-/// both names alone, so that all processes come to the same order.
+/// Rendezvous hashing score of a VM for a group; the VM with the highest score
+/// ranks first. It depends on the two names only, so that all processes compute
+/// the same order.
 [[nodiscard]] std::uint64_t
 OwnerScore(std::string_view aGroup, std::string_view aVm);
 
--- a/src/currantshed/member/peer_table.cpp
+++ b/src/currantshed/member/peer_table.cpp
@@ -6,17 +6,18 @@
 
 namespace {
 
-// VMs that one heartbeat names as heard of.
+// Number of recently heard VMs that one heartbeat includes.
 constexpr std::size_t kHeardOfLimit = 1;
-// VMs known by hearsay alone that are kept at a time.
+// Maximum number of unconfirmed VMs that are kept at a time.
 constexpr std::ptrdiff_t kCandidateLimit = 32;
 constexpr std::size_t kPastIncarnations = 4;
-// How long a word on a lost VM holds unless it is renewed; it may be in the
-// second half of that time.
+// How long a report of a lost VM is valid. It can be renewed in the second half
+// of that time.
 constexpr std::chrono::milliseconds kLostFor{ 10000 };
 
-// Takes over the sender's incarnation and sequence; false for a heartbeat that
-// is older than what has been heard.
+// Stores the incarnation and sequence of the heartbeat. Returns false for a
+// replayed or reordered one: its sequence is not newer, or its incarnation was
+// replaced by a later one.
 bool
 Accept(peer_record& aPeer, const heartbeat& aBeat)
 {
@@ -48,8 +49,8 @@
   return !aPeer.lostUntil || *aPeer.lostUntil - aNow <= kLostFor / 2;
 }
 
-// The sender's own word goes before the lagging list, but leaving is believed
-// from either.
+// The VM's own description takes precedence over the listing, which lags. The
+// VM counts as leaving if either says so.
 store::vm
 Described(const peer_record& aPeer)
 {
@@ -89,7 +90,7 @@
       peer.accused = false;
     }
   }
-  // A VM that was only listed leaves nothing to describe it by.
+  // Also removes VMs that were known from the listing only.
   Forget(aNow);
   mDirty = true;
 }
@@ -133,8 +134,8 @@
   }
 }
 
-// A word counts only about the life that is known here, and not against what
-// was heard directly.
+// Ignored for another incarnation than the known one, and for a VM that was
+// heard from directly within the failure timeout.
 bool
 peer_table::NoteLost(const lost_vm& aWord, clock::time_point aNow)
 {
@@ -179,7 +180,8 @@
   return changed;
 }
 
-// In a large fleet most VMs hear of a loss by word only.
+// With a full mesh every VM detects the failure itself. In a larger fleet most
+// VMs learn of it only from these reports.
 std::vector<lost_vm>
 peer_table::TakeLosses(clock::time_point aNow)
 {
@@ -224,7 +226,8 @@
     } else if (peer.lostUntil) {
       bound = *peer.lostUntil;
     }
-    // A bound still counts as within it, so the change comes just after.
+    // The VM still counts as live at the bound itself, so the change happens
+    // one tick after it.
     if (bound >= aNow) {
       next = std::min(next, bound + clock::duration{ 1 });
     }
@@ -292,7 +295,7 @@
   return peer.watchedSince && !heard;
 }
 
-// Whether every VM sends to every other one.
+// Whether the fleet is small enough for every VM to send to every other one.
 bool
 peer_table::FullMesh() const
 {
@@ -305,8 +308,8 @@
   return aPeer.heard && aNow - aPeer.heardAt <= mSettings.silentAfter;
 }
 
-// Until when a watched VM counts as live without another heartbeat. One that
-// has only come to be watched gets time to answer.
+// Until when a monitored VM counts as live without another heartbeat. A VM that
+// has become monitored only recently gets the grace period to answer.
 clock::time_point
 peer_table::LiveUntil(const peer_record& aPeer) const
 {
@@ -316,8 +319,8 @@
   return std::max(*aPeer.watchedSince, aPeer.listedSince) + mSettings.grace;
 }
 
-// A VM that does not send here regularly is judged by the list and by what the
-// peers say.
+// A VM that is not monitored here is assessed by the listing and by reports of
+// peers.
 bool
 peer_table::IsLive(const peer_record& aPeer, clock::time_point aNow) const
 {
--- a/src/currantshed/member/peer_table.hpp
+++ b/src/currantshed/member/peer_table.hpp
@@ -14,7 +14,7 @@
 
 namespace currantshed::member {
 
-/// What is known of one other VM.
+/// State of one other VM.
 struct peer_record
 {
   std::optional<store::vm> listed;
@@ -23,21 +23,22 @@
   clock::time_point heardAt;
   failover::incarnation_id incarnation;
   std::uint64_t sequence = 0;
-  /// Earlier incarnations, whose late heartbeats are told apart.
+  /// Earlier incarnations, to reject their delayed heartbeats.
   std::deque<failover::incarnation_id> past;
-  /// Since when it is to be heard here regularly.
+  /// Since when this VM has monitored it, that is, expected regular heartbeats.
   std::optional<clock::time_point> watchedSince;
-  /// Until when a peer's word that it is lost holds.
+  /// Until when a peer's report of its loss is valid.
   std::optional<clock::time_point> lostUntil;
-  /// Known by hearsay, until a heartbeat or the list confirms it.
+  /// Set while the VM is known only from a peer's heartbeat.
   std::optional<store::vm> rumoured;
   clock::time_point rumouredAt;
-  /// Found silent here: watched until it is heard or off the list.
+  /// Found failed by this VM: monitored until a heartbeat arrives or the VM is
+  /// no longer listed.
   bool accused = false;
   bool live = false;
 };
 
-/// The other VMs and which of them count as live.
+/// The other VMs of the fleet and their liveness.
 class peer_table
 {
 public:
@@ -45,48 +46,52 @@
 
   void Listed(const std::vector<store::vm>& aVms, clock::time_point aNow);
 
-  /// Takes over a heartbeat; false for one that is older than what has been
-  /// heard.
+  /// Processes a heartbeat. Returns false if it is older than the latest one.
   bool Heard(const heartbeat& aBeat, clock::time_point aNow);
 
-  /// Whether the VM's heartbeat changes the view.
+  /// Whether the last heartbeat of the VM requires UpdateLiveness: VM data
+  /// changed, or the VM was not live.
   [[nodiscard]] bool NeedsJudgement(const std::string& aId) const;
 
-  /// Notes a VM known by hearsay: it gets heartbeats, and is live once it
-  /// answers.
+  /// Adds a VM named in a peer's heartbeat. It gets heartbeats, and becomes
+  /// live once it answers.
   void NoteRumour(const store::vm& aVm, clock::time_point aNow);
 
-  /// Notes a peer's word that a VM is lost; true if it is to be passed on.
+  /// Records a peer's report that a VM is lost. Returns true if the report
+  /// should be passed on.
   bool NoteLost(const lost_vm& aWord, clock::time_point aNow);
 
-  /// Sets the VMs that are to be heard here regularly; in a small fleet all.
+  /// Sets the VMs to monitor; in a small fleet, all are monitored.
   void Watch(const absl::flat_hash_set<std::string>& aIds,
              clock::time_point aNow);
 
-  /// Judges all VMs anew; true if the live ones or their data have changed.
+  /// Recomputes the liveness of all VMs. Returns true if the set of live VMs or
+  /// their data changed.
   bool Judge(clock::time_point aNow);
 
-  /// Watched VMs that are not live, and of which no word went out lately.
+  /// Returns monitored VMs that have failed and were not reported recently, and
+  /// marks them as reported.
   [[nodiscard]] std::vector<lost_vm> TakeLosses(clock::time_point aNow);
 
-  /// Drops VMs that neither the list nor a heartbeat speaks of any longer.
+  /// Removes VMs that are neither listed nor within the grace period since
+  /// their last heartbeat or since a peer named them.
   void Forget(clock::time_point aNow);
 
-  /// When time alone changes the view next.
+  /// The next time at which liveness can change without further events.
   [[nodiscard]] clock::time_point NextChange(clock::time_point aNow) const;
 
-  /// Live VMs, and all that may be alive, by id.
+  /// Live VMs, and all known VMs, each sorted by id.
   [[nodiscard]] std::vector<store::vm> Live() const;
   [[nodiscard]] std::vector<store::vm> All() const;
 
-  /// A few of the VMs heard directly, others for each number.
+  /// A bounded sample of the VMs heard from directly. It rotates with aNumber.
   [[nodiscard]] std::vector<store::vm> HeardOf(std::uint64_t aNumber,
                                                clock::time_point aNow) const;
 
   [[nodiscard]] std::optional<store::vm> Find(const std::string& aId) const;
 
-  /// Whether a watched VM is to be asked for a heartbeat: in a small fleet,
-  /// where all send to all, only one that has missed a turn.
+  /// Whether to request a heartbeat from a monitored VM. In a small fleet,
+  /// where every VM sends to every other one, only if a heartbeat is overdue.
   [[nodiscard]] bool IsOverdue(const std::string& aId,
                                clock::time_point aNow) const;
 
@@ -100,7 +105,7 @@
 
   roster_settings mSettings;
   absl::btree_map<std::string, peer_record> mPeers;
-  // Whether the data of a VM changed since the last judgement.
+  // Whether VM data changed since the last UpdateLiveness.
   bool mDirty = false;
 };
 
--- a/src/currantshed/member/peers.cpp
+++ b/src/currantshed/member/peers.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-// A VM and its place in some order by hash.
+// A VM with the hash by which it is ordered.
 using placed_vm = std::pair<std::uint64_t, const store::vm*>;
 
 std::uint64_t
@@ -39,7 +39,7 @@
   return drawn;
 }
 
-// Takes VMs that are not taken yet until the limit of the list is reached.
+// Appends VMs that are not in aTaken yet, until aPeers has aLimit entries.
 void
 Take(const std::vector<placed_vm>& aFrom,
      std::size_t aLimit,
--- a/src/currantshed/member/peers.hpp
+++ b/src/currantshed/member/peers.hpp
@@ -11,32 +11,33 @@
 
 namespace currantshed::member {
 
-/// What the choice of heartbeat receivers rests on.
+/// Inputs to the choice of heartbeat receivers.
 struct peer_choice
 {
   const store::vm& self;
-  /// The other VMs that may be alive.
+  /// All other known VMs.
   const std::vector<store::vm>& others;
-  /// Ids of those next on the ring; always chosen.
+  /// Ids of the ring neighbours; always chosen.
   const absl::flat_hash_set<std::string>& neighbours;
-  /// Ids of VMs that own a group together with this one; always chosen.
+  /// Ids of VMs that own a group together with this VM; always chosen.
   const absl::flat_hash_set<std::string>& coOwners;
-  /// Receivers besides the co-owners.
+  /// Number of receivers besides the co-owners.
   unsigned fanout = 0;
   std::uint64_t seed = 0;
-  /// Number of the heartbeat: other random peers are drawn for each.
+  /// Sequence number of the heartbeat; a different random subset is drawn for
+  /// each.
   std::uint64_t beat = 0;
 };
 
-/// The next VMs of the own failure domain on the hashed ring, among the given
-/// ones.
+/// Ids of the aCount VMs among aOthers that follow this VM on the hash ring of
+/// its failure domain.
 [[nodiscard]] absl::flat_hash_set<std::string>
 RingNeighbours(const store::vm& aSelf,
                const std::vector<store::vm>& aOthers,
                unsigned aCount);
 
-/// Receivers of one heartbeat: every other VM in a small fleet. In a larger
-/// one the co-owners, the neighbours, and a random few of the rest.
+/// Receivers of one heartbeat. In a small fleet, all other VMs; in a larger
+/// one, the co-owners, the ring neighbours and a random subset of the rest.
 [[nodiscard]] std::vector<store::vm>
 ChoosePeers(const peer_choice& aChoice);
 
--- a/src/currantshed/member/roster.cpp
+++ b/src/currantshed/member/roster.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-// Heartbeats of which one names a VM heard of: it is a third of their size,
-// and new VMs are few.
+// One heartbeat in this many includes a peer sample: the sample is a third of
+// the message size, and new VMs are rare.
 constexpr std::uint64_t kHeardOfEvery = 4;
 
 class hashed_roster final : public roster
@@ -168,7 +168,8 @@
     mNextChange = mTable.NextChange(mNow);
   }
 
-  // Makes the view anew, and with it who is watched.
+  // Recomputes the live VMs, and with them the neighbours and the monitored
+  // VMs.
   void Rebuild()
   {
     auto live = mTable.Live();
@@ -247,7 +248,7 @@
     return askers;
   }
 
-  // A watched VM that does not send by itself is asked to answer.
+  // Requests a reply from monitored VMs whose heartbeat is overdue.
   [[nodiscard]] std::vector<send_heartbeat> Address(
     const heartbeat& aBeat,
     const std::vector<store::vm>& aReceivers) const
--- a/src/currantshed/member/roster.hpp
+++ b/src/currantshed/member/roster.hpp
@@ -14,7 +14,7 @@
 
 namespace currantshed::member {
 
-/// A term of a group and its primary, as passed on between poolers.
+/// A term of a group and its primary, as gossiped between poolers.
 struct term_news
 {
   group::group_name group;
@@ -22,7 +22,7 @@
   upstream::server_id primary;
 };
 
-/// A VM that was watched and has fallen silent, in the life named.
+/// A VM that its monitors found failed, in the given incarnation.
 struct lost_vm
 {
   std::string id;
@@ -32,99 +32,99 @@
                                        const lost_vm&) = default;
 };
 
-/// What one pooler tells another in one short message.
+/// Periodic message between poolers with the sender's state and gossip updates.
 struct heartbeat
 {
   store::vm sender;
   failover::incarnation_id incarnation;
-  /// Goes up with each heartbeat of one incarnation.
+  /// Increases with each heartbeat of one incarnation.
   std::uint64_t sequence = 0;
-  /// Version of the configuration in force at the sender.
+  /// Version of the configuration that the sender uses.
   std::uint64_t configuration = 0;
-  /// VMs that the sender has heard of lately, a bounded few.
+  /// A bounded sample of the VMs that the sender heard from recently.
   std::vector<store::vm> heardOf;
   std::vector<failover::suspicion> suspicions;
   std::vector<term_news> terms;
-  /// Asks the receiver for a heartbeat back.
+  /// Requests a heartbeat in reply.
   bool answer = false;
-  /// VMs that were found to be silent, a bounded number.
+  /// VMs that were found failed; bounded in number.
   std::vector<lost_vm> lost;
 };
 
-/// A heartbeat to be sent to one VM.
+/// A heartbeat and its receiver.
 struct send_heartbeat
 {
   store::vm to;
   heartbeat message;
 };
 
-/// Bounds and times of a roster.
+/// Settings of a membership.
 struct roster_settings
 {
   store::vm self;
   failover::incarnation_id incarnation;
   std::chrono::milliseconds interval{ 150 };
-  /// A watched VM that sent heartbeats and has been silent for this long is
-  /// taken for dead.
+  /// A monitored VM that has sent heartbeats counts as failed after this time
+  /// without one.
   std::chrono::milliseconds silentAfter{ 500 };
-  /// How long a VM that the platform lists counts as live before it has sent
-  /// its first heartbeat.
+  /// How long a listed VM counts as live before its first heartbeat.
   std::chrono::milliseconds grace{ 3000 };
-  /// Peers that get each heartbeat.
+  /// Number of receivers of each heartbeat besides the co-owners.
   unsigned fanout = 8;
-  /// Poolers that own a group, in different failure domains where it can be.
+  /// Number of poolers that own each group, placed in different failure domains
+  /// where possible.
   unsigned owners = 3;
 };
 
-/// The VMs that one pooler takes for live, from the platform's lagging list
-/// and from heartbeats, and the poolers that own each group. A wrong view
-/// costs speed, never safety. Does no I/O.
+/// One pooler's view of the live VMs, built from the platform's listing, which
+/// lags, and from heartbeats; and the poolers that own each group. A wrong view
+/// can cost performance but never safety. Does no I/O.
 class roster
 {
 public:
   virtual ~roster() = default;
 
-  /// The platform's list, newly read.
+  /// Handles a new listing of the VMs by the platform.
   virtual void Listed(const std::vector<store::vm>& aVms,
                       clock::time_point aNow) = 0;
 
   virtual void HeartbeatArrived(const heartbeat& aBeat,
                                 clock::time_point aNow) = 0;
 
-  /// Sets what the next heartbeats carry.
+  /// These set what the next heartbeats carry.
   virtual void SetConfiguration(std::uint64_t aVersion) = 0;
   virtual void SetSuspicion(const failover::suspicion& aWord) = 0;
   virtual void SetTerm(const term_news& aNews) = 0;
 
-  /// Names the groups that the platform lists: co-owners of a group that this
-  /// VM owns always get its heartbeats.
+  /// Sets the groups that the platform lists. Co-owners of a group that this VM
+  /// owns get every heartbeat.
   virtual void SetGroups(const std::vector<group::group_name>& aGroups) = 0;
 
-  /// Marks this VM as leaving: it stops to be an owner.
+  /// Marks this VM as leaving; it no longer owns any group.
   virtual void Leave() = 0;
 
   virtual void Tick(clock::time_point aNow) = 0;
   [[nodiscard]] virtual clock::time_point NextTick() const noexcept = 0;
   [[nodiscard]] virtual std::vector<send_heartbeat> TakeHeartbeats() = 0;
 
-  /// VMs taken for live, this one included, by id.
+  /// Live VMs, including this one, sorted by id.
   [[nodiscard]] virtual std::vector<store::vm> Live() const = 0;
 
-  /// Owners of a group in rank order; the first one leads it.
+  /// Owners of a group in rank order; the first one leads the group.
   [[nodiscard]] virtual std::vector<store::vm> Owners(
     const group::group_name& aGroup) const = 0;
 
-  /// Version of this view; goes up with every change of the live VMs.
+  /// Version of this view; increases with every change of the live VMs.
   [[nodiscard]] virtual std::uint64_t Version() const noexcept = 0;
 };
 
-/// Makes a roster; aSeed drives the choice of the peers that get heartbeats.
+/// Creates a membership. aSeed seeds the random choice of heartbeat receivers.
 [[nodiscard]] std::unique_ptr<roster>
 MakeRoster(const roster_settings& aSettings, std::uint64_t aSeed);
 
-/// Owners of a group among the given VMs, in rank order, by rendezvous
-/// hashing and spread over failure domains first. Every process that sees
-/// the same VMs comes to the same answer.
+/// Chooses the owners of a group among the given VMs, in rank order, by
+/// rendezvous hashing with failure domains spread first. All processes that see
+/// the same VMs choose the same owners.
 [[nodiscard]] std::vector<store::vm>
 ChooseOwners(const group::group_name& aGroup,
              const std::vector<store::vm>& aVms,
