--- a/bench/currantshed/member/roster.cpp
+++ b/bench/currantshed/member/roster.cpp
@@ -17,7 +17,7 @@
 constexpr std::int64_t kToday = 8;
 constexpr std::int64_t kPlanned = 530;
 constexpr unsigned kDomains = 3;
-// Groups of either fleet: three today, 740 planned.
+// Groups in the current and in the planned fleet.
 constexpr int kGroupsToday = 3;
 constexpr int kGroupsPlanned = 740;
 
@@ -51,7 +51,7 @@
   return groups;
 }
 
-// A roster, and heartbeats of all its peers to feed it.
+// A membership, and the heartbeats of its peers.
 class running_roster
 {
 public:
@@ -66,7 +66,7 @@
     subject->SetGroups(MakeGroups(aVms));
   }
 
-  // The next heartbeat of some peer.
+  // Delivers the next heartbeat; the peers take turns.
   void Arrive()
   {
     mTurn = mTurn % (mVms.size() - 1) + 1;
--- a/bench/currantshed/place/jump.cpp
+++ b/bench/currantshed/place/jump.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-// Draws for one owner in a new failure domain before any domain is accepted.
+// Draws that are restricted to new failure domains; later ones accept any
+// domain.
 constexpr std::uint64_t kDraws = 32;
 
 std::uint64_t
@@ -20,7 +21,7 @@
   return XXH3_64bits_withSeed(aGroup.data(), aGroup.size(), aDraw);
 }
 
-// Figure 1 of Fujii's paper, after Lamping and Veach.
+// Figure 1 of Fujii's paper, which follows Lamping and Veach.
 std::size_t
 JumpHash(std::uint64_t aKey, std::size_t aCount)
 {
@@ -46,7 +47,7 @@
   return static_cast<std::uint32_t>(XXH3_64bits(both.data(), sizeof(both)));
 }
 
-// Figure 3 of Fujii's paper; XXH3 stands for Jenkins' hash.
+// Figure 3 of Fujii's paper, with XXH3 instead of Jenkins' hash.
 std::size_t
 JumpBucket(std::uint64_t aKey, const std::vector<std::uint32_t>& aSums)
 {
@@ -73,7 +74,8 @@
   }
 }
 
-// Owners one by one: draws until a VM of a new failure domain turns up.
+// Chooses the owners one at a time, drawing until a VM in a new failure domain
+// is found.
 class drawn_placement : public placement
 {
 public:
--- a/bench/currantshed/place/owners.cpp
+++ b/bench/currantshed/place/owners.cpp
@@ -14,12 +14,12 @@
 constexpr unsigned kOwners = 3;
 constexpr unsigned kGroups = 740;
 constexpr unsigned kDomains = 3;
-// Fleets of other names over which each figure is averaged.
+// Number of fleets with different VM names over which each figure is averaged.
 constexpr unsigned kRounds = 10;
 
 using vm_list = std::vector<store::vm>;
 using maker = std::unique_ptr<place::placement> (*)();
-// Changes a fleet; the number names the VM that comes, if one does.
+// Changes a fleet; the number distinguishes the name of an added VM.
 using change = void (*)(vm_list&, unsigned);
 
 store::vm
@@ -55,14 +55,15 @@
   aVms.pop_back();
 }
 
-// The list closes up, as one that is ordered by age or name does.
+// The VMs after the removed one move up, as in a list ordered by age or name.
 void
 RemoveOld(vm_list& aVms, unsigned /*aRound*/)
 {
   aVms.erase(aVms.begin() + 1);
 }
 
-// The slot stays, at weight zero; the ways without weights see it as leaving.
+// The slot remains, with weight zero. Algorithms without weights see the VM as
+// leaving.
 void
 MarkOld(vm_list& aVms, unsigned /*aRound*/)
 {
@@ -77,7 +78,7 @@
   aVms.push_back(MakeVm(aRound, 100000, domain));
 }
 
-// The new VM takes the old one's slot, which all processes must agree on.
+// The new VM takes the old one's slot, on which all processes must agree.
 void
 ReplaceInSlot(vm_list& aVms, unsigned aRound)
 {
@@ -97,7 +98,8 @@
   return placed;
 }
 
-// Seats in percent that another VM holds afterwards.
+// Percentage of ownerships (one per group and owner) that are with another VM
+// afterwards.
 double
 MovedSeats(const std::vector<vm_list>& aBefore,
            const std::vector<vm_list>& aAfter)
@@ -116,7 +118,7 @@
   return 100 * moved / (kGroups * kOwners);
 }
 
-// Groups in percent that another VM leads afterwards.
+// Percentage of groups that another VM leads afterwards.
 double
 MovedLeads(const std::vector<vm_list>& aBefore,
            const std::vector<vm_list>& aAfter)
@@ -128,7 +130,7 @@
   return 100 * moved / kGroups;
 }
 
-// Seats of the fullest VM over the mean.
+// Ownerships of the VM with the most, relative to the mean.
 double
 FullestSeats(const std::vector<vm_list>& aPlaced, std::size_t aVms)
 {
--- a/bench/currantshed/place/placement.hpp
+++ b/bench/currantshed/place/placement.hpp
@@ -9,23 +9,23 @@
 
 namespace currantshed::place {
 
-/// A way to choose the poolers that own a group.
+/// An algorithm that chooses the poolers that own a group.
 class placement
 {
 public:
   virtual ~placement() = default;
 
-  /// Takes over the VMs, in the order that every process agrees on.
+  /// Sets the VMs, in an order on which all processes agree.
   virtual void SetVms(const std::vector<store::vm>& aVms) = 0;
 
-  /// Owners of a group, the leading one first, in different failure domains
-  /// where it can be.
+  /// Owners of a group, the leader first, in different failure domains where
+  /// possible.
   [[nodiscard]] virtual std::vector<store::vm> Owners(
     const group::group_name& aGroup,
     unsigned aCount) const = 0;
 };
 
-/// The way that the library uses: rendezvous hashing.
+/// The algorithm that the library uses: rendezvous hashing.
 [[nodiscard]] std::unique_ptr<placement>
 MakeRendezvous();
 
@@ -35,7 +35,7 @@
 MakeJumpHash();
 
 /// Jump bucket: Kazuho Fujii, "An Algorithm for Mapping Data to Storage
-/// Clusters", 2016. A VM that is marked leaving keeps its slot at weight zero.
+/// Clusters", 2016. A leaving VM keeps its slot with weight zero.
 [[nodiscard]] std::unique_ptr<placement>
 MakeJumpBucket();
 
--- a/src/currantshed/admit/deadline_queue.cpp
+++ b/src/currantshed/admit/deadline_queue.cpp
@@ -8,12 +8,13 @@
 
 namespace {
 
-// Stated when nothing was measured yet.
+// Used until a drain rate was measured.
 constexpr std::chrono::milliseconds kUnmeasuredRetry{ 50 };
 constexpr std::chrono::milliseconds kLongestRetry{ 5000 };
-// A part of the wait that is added to it, for what the mean rate leaves out.
+// The estimated wait is increased by one part in this many, as a margin for
+// variation around the mean rate.
 constexpr int kWaitMargin = 4;
-// Weight of the newest time that a server took, in the mean.
+// Weight of the newest service time in the mean.
 constexpr double kNewest = 0.05;
 
 using seconds = std::chrono::duration<double>;
@@ -150,7 +151,8 @@
       delayed.push_back(*entry);
       continue;
     }
-    // One that was late already is nobody's fault.
+    // A request that would miss its deadline anyway does not prevent the
+    // admission.
     if (isLate && IsInTime(*entry, place - 1, aNow)) {
       return std::nullopt;
     }
--- a/src/currantshed/admit/deadline_queue.hpp
+++ b/src/currantshed/admit/deadline_queue.hpp
@@ -15,16 +15,16 @@
 
 namespace currantshed::admit {
 
-/// One request that waits for a server.
+/// A request waiting for a server.
 struct waiting
 {
   clock::time_point deadline;
   std::uint64_t request = 0;
-  /// The class's objective: the share of its requests that must meet their
-  /// deadline.
+  /// Objective of the request's class: the fraction of its requests that must
+  /// meet their deadline.
   double objective = 0;
 
-  /// Stricter classes come first, then earlier deadlines.
+  /// Stricter classes first, then earlier deadlines.
   [[nodiscard]] friend bool operator<(const waiting& aLeft,
                                       const waiting& aRight) noexcept
   {
@@ -36,21 +36,22 @@
   }
 };
 
-/// What became of a request that asked to wait.
+/// Result of an admission attempt.
 struct admission
 {
   bool admitted = false;
-  /// Requests of classes with a lower objective that gave up their place.
+  /// Requests of less strict classes that were removed to make room.
   std::vector<std::uint64_t> displaced;
 };
 
-/// Requests that wait for a server, by their class's objective, then by
-/// deadline. A request is admitted if it is expected to leave the queue in
-/// time to run, at the rate at which the queue drains, and without making one
-/// of its own class miss its deadline that was admitted before it. Waiting
-/// requests of less strict classes that would miss theirs give way: they are
-/// refused now rather than run late. While there is room for all, the order
-/// hardly matters; where there isn't, the strictest classes keep their targets.
+/// Requests waiting for a server, ordered by their class's objective, then by
+/// deadline. A request is admitted if, at the measured drain rate, it is
+/// expected to meet its deadline and does not make an already admitted request
+/// of an equally strict class miss its own. Waiting requests of less strict
+/// classes that would miss their deadlines are removed, so that they are
+/// refused at once instead of running late. The order has little effect while
+/// the capacity suffices; under overload the strictest classes keep their
+/// targets.
 class deadline_queue
 {
 public:
@@ -58,44 +59,45 @@
 
   explicit deadline_queue(std::size_t aLimit);
 
-  /// Asks for a place at the given time.
+  /// Admits a request, or refuses it, by the rule above.
   [[nodiscard]] admission Offer(const waiting& aRequest,
                                 clock::time_point aNow);
 
-  /// Puts a request that was admitted before back, whatever waits.
+  /// Puts an admitted request back, regardless of the limit and of deadlines.
   void Put(const waiting& aRequest);
 
-  /// Takes a request out, for a server or not.
+  /// Removes a request, whether it was dispatched or not.
   void Remove(const waiting& aRequest);
 
-  /// Notes that a request left for a server.
+  /// Records that a request was dispatched.
   void Departed(clock::time_point aNow);
 
-  /// Notes how long a request took from when it was sent to its answer.
+  /// Records the service time of a request, from dispatch to response.
   void Served(clock::duration aTime);
 
-  /// Whether a request that would be sent now is likely to end in time.
+  /// Whether a request dispatched now is expected to meet its deadline.
   [[nodiscard]] bool CanEndInTime(const waiting& aRequest,
                                   clock::time_point aNow) const;
 
-  /// When a refused request should come back: once those that wait now, and
-  /// those that were told to come back before, are gone at the measured rate;
-  /// spread by the request's number.
+  /// When to retry a refused request: after the waiting requests, and those
+  /// told earlier to retry, have been dispatched at the measured rate. Jitter
+  /// is derived from the request's number.
   [[nodiscard]] std::chrono::milliseconds RetryAfter(std::uint64_t aRequest,
                                                      clock::time_point aNow);
 
-  /// Waiting requests in their order.
+  /// Waiting requests in queue order.
   [[nodiscard]] const entries& Entries() const noexcept;
 
 private:
-  /// The time from sent to answered to count with.
+  /// Expected service time: mean plus mean deviation.
   [[nodiscard]] clock::duration Service() const;
-  /// Whether the request at that place of the queue would start in time.
+  /// Whether a request at this index of the queue is expected to meet its
+  /// deadline.
   [[nodiscard]] bool IsInTime(const waiting& aRequest,
                               std::size_t aPlace,
                               clock::time_point aNow) const;
-  /// Requests behind that would miss their deadlines with it admitted; none
-  /// when one of a class as strict is among them.
+  /// Requests behind aRequest that would miss their deadlines if it were
+  /// admitted; none if one of an equally strict class is among them.
   [[nodiscard]] std::optional<std::vector<waiting>> Delayed(
     const waiting& aRequest,
     std::size_t aPlace,
@@ -104,10 +106,10 @@
   std::size_t mLimit;
   entries mEntries;
   drain_meter mDrain;
-  // Mean and mean deviation of the time from sent to answered.
+  // Mean and mean deviation of the service time.
   std::chrono::duration<double> mService{ 0 };
   std::chrono::duration<double> mDeviation{ 0 };
-  // When the last one that was refused should come back.
+  // When the request refused last was told to retry.
   clock::time_point mLastReturn{};
 };
 
--- a/src/currantshed/admit/drain_meter.cpp
+++ b/src/currantshed/admit/drain_meter.cpp
@@ -10,7 +10,7 @@
 
 using seconds = std::chrono::duration<double>;
 
-// A gap counts as no longer than so many times the mean, and a little more.
+// A measured gap is capped at this multiple of the mean plus an allowance.
 constexpr double kMostGrowth = 4.0;
 constexpr seconds kGrowthRoom{ 0.001 };
 // Weight of the newest gap in the mean.
@@ -50,7 +50,7 @@
   const auto part = static_cast<std::int64_t>(hash % kParts);
   const auto time = std::chrono::ceil<std::chrono::milliseconds>(aTime);
   const auto base = std::max(time, kShortest);
-  // Halves are rounded up, so that short times are spread too.
+  // The half is rounded up, so that short times get jitter too.
   const auto jitter =
     (base.count() + 1) * part / static_cast<std::int64_t>(2 * kParts);
   return base + std::chrono::milliseconds{ jitter };
--- a/src/currantshed/admit/drain_meter.hpp
+++ b/src/currantshed/admit/drain_meter.hpp
@@ -11,30 +11,29 @@
 
 namespace currantshed::admit {
 
-/// Measures how fast a queue drains: the mean time between departures while
-/// requests wait, with newer ones weighing more. A single long gap, as a
-/// failover makes, counts for little.
+/// Measures how fast a queue drains, as an exponentially weighted mean of the
+/// time between dispatches while requests wait. The effect of a single long
+/// gap, as in a failover, is limited.
 class drain_meter
 {
 public:
-  /// A request left the queue for a server; aWaiting are left behind.
+  /// Records the dispatch of a request that leaves aWaiting requests behind.
   void Departed(std::size_t aWaiting, clock::time_point aNow);
 
-  /// Time until so many requests have left, at the measured rate; none
-  /// before anything was measured.
+  /// Expected time until aRequests more requests are dispatched; none before
+  /// the first measurement.
   [[nodiscard]] std::optional<clock::duration> TimeFor(
     std::size_t aRequests) const;
 
 private:
-  // Whether requests waited behind the last departure, which makes the time
-  // since then a time of draining.
+  // Whether requests were waiting after the last dispatch. Only then does the
+  // time since it measure the drain rate.
   bool mBusy = false;
   clock::time_point mLast{};
   std::optional<std::chrono::duration<double>> mGap;
 };
 
-/// Spreads times to come back: the time given, lengthened by up to a half of
-/// it, by a hash of the request's number.
+/// Extends a retry time by up to half of it, by a hash of the request's number.
 [[nodiscard]] std::chrono::milliseconds
 Spread(clock::duration aTime, std::uint64_t aRequest);
 
--- a/src/currantshed/admit/retry_budget.hpp
+++ b/src/currantshed/admit/retry_budget.hpp
@@ -5,22 +5,22 @@
 
 namespace currantshed::admit {
 
-/// Bounds the work that retries add: each first try earns a part of a retry,
-/// up to a small store, so that retries stay a small share of the load when
-/// much fails, and a single failure is always retried.
+/// Limits the load added by retries. Each first attempt deposits a fraction of
+/// a retry, up to a small capacity. Retries thus remain a small share of the
+/// load when many requests fail, while a single failure can always be retried.
 class retry_budget
 {
 public:
-  /// Retries in store at first and at most, for a sender that makes some
-  /// thousand first tries a second.
+  /// Initial and maximum number of retries, for a sender with some thousand
+  /// first attempts per second.
   static constexpr double kUsualStore = 50.0;
 
   explicit retry_budget(double aStore = kUsualStore) noexcept;
 
-  /// A first try was made.
+  /// Records a first attempt.
   void Earn() noexcept;
 
-  /// Takes one retry if there is one.
+  /// Takes one retry from the budget; false if there is none.
   [[nodiscard]] bool Spend() noexcept;
 
 private:
--- a/src/currantshed/clock/now.hpp
+++ b/src/currantshed/clock/now.hpp
@@ -5,8 +5,8 @@
 
 namespace currantshed::clock {
 
-/// The steady clock's time, for adapters to sockets; engines get it as a
-/// parameter.
+/// Current time of the steady clock. Only for adapters to sockets; engines get
+/// the time as a parameter.
 [[nodiscard]] inline time_point
 Now() noexcept
 {
--- a/src/currantshed/clock/print_time.cpp
+++ b/src/currantshed/clock/print_time.cpp
@@ -8,7 +8,7 @@
 namespace currantshed::clock {
 namespace {
 
-/// The time up to its seconds, without the zone.
+/// Date and time to the second, without the time zone.
 std::string
 PrintWhole(std::chrono::sys_seconds aTime)
 {
--- a/src/currantshed/clock/print_time.hpp
+++ b/src/currantshed/clock/print_time.hpp
@@ -7,11 +7,11 @@
 
 namespace currantshed::clock {
 
-/// A wall time as RFC 3339 has it, in UTC, to the second.
+/// Formats a wall time as RFC 3339 in UTC, to the second.
 [[nodiscard]] std::string
 PrintTime(wall_time aTime);
 
-/// The same with milliseconds.
+/// Formats a wall time as RFC 3339 in UTC, to the millisecond.
 [[nodiscard]] std::string
 PrintTimeMs(wall_time aTime);
 
--- a/src/currantshed/clock/time.hpp
+++ b/src/currantshed/clock/time.hpp
@@ -5,15 +5,15 @@
 
 namespace currantshed::clock {
 
-/// A point on the process's steady clock. All expiry and every deadline uses
-/// it; it is never sent to another process, which gets a duration instead.
+/// A time of the process's steady clock, used for all expiry and deadlines. It
+/// is never sent to another process; a duration is sent instead.
 using time_point = std::chrono::steady_clock::time_point;
 
-/// A span of time at the clock's own precision.
+/// A duration in the resolution of the steady clock.
 using duration = std::chrono::steady_clock::duration;
 
-/// A point on the wall clock: only for what a person reads, and for the time
-/// of issue that an idempotency key carries.
+/// A wall clock time. Used only for output to people and for the time of issue
+/// in an idempotency key.
 using wall_time = std::chrono::system_clock::time_point;
 
 } // namespace currantshed::clock
--- a/src/currantshed/member/roster.hpp
+++ b/src/currantshed/member/roster.hpp
@@ -91,7 +91,8 @@
   virtual void HeartbeatArrived(const heartbeat& aBeat,
                                 clock::time_point aNow) = 0;
 
-  /// These set what the next heartbeats carry.
+  /// SetConfiguration, SetSuspicion and SetTerm set what the next heartbeats
+  /// carry.
   virtual void SetConfiguration(std::uint64_t aVersion) = 0;
   virtual void SetSuspicion(const failover::suspicion& aWord) = 0;
   virtual void SetTerm(const term_news& aNews) = 0;
--- a/src/currantshed/outcome/idempotency_key.cpp
+++ b/src/currantshed/outcome/idempotency_key.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Layout of a UUID of version 7, from RFC 9562, section 5.7.
+// Layout of a version 7 UUID, RFC 9562, section 5.7.
 constexpr std::size_t kTimeBytes = 6;
 constexpr std::size_t kVersionByte = 6;
 constexpr std::size_t kVariantByte = 8;
--- a/src/currantshed/outcome/idempotency_key.hpp
+++ b/src/currantshed/outcome/idempotency_key.hpp
@@ -13,29 +13,29 @@
 
 namespace currantshed::outcome {
 
-/// The name of one change, given by its caller or made at the gateway: a
-/// UUID of version 7 (RFC 9562), which carries its time of issue.
+/// Identifies one change; given by the caller or generated at the gateway. A
+/// version 7 UUID (RFC 9562), which contains its time of issue.
 class idempotency_key
 {
 public:
   using bytes = std::array<std::uint8_t, 16>;
 
-  /// A key without a value; only for requests that change nothing.
+  /// Creates an empty key, for requests that change nothing.
   idempotency_key() = default;
 
-  /// Makes a key issued at the given time from 74 random bits, of which the
-  /// lowest ones of the two words are used.
+  /// Creates a key for the given time of issue and 74 random bits: the lowest
+  /// 12 of aRandomHigh and 62 of aRandomLow.
   [[nodiscard]] static idempotency_key Make(clock::wall_time aIssued,
                                             std::uint64_t aRandomHigh,
                                             std::uint64_t aRandomLow) noexcept;
 
-  /// Reads the usual text form (8-4-4-4-12 hexadecimal digits); none when
-  /// the text isn't a UUID of version 7.
+  /// Parses the canonical text form (8-4-4-4-12 hexadecimal digits); none if
+  /// the text is not a version 7 UUID.
   [[nodiscard]] static std::optional<idempotency_key> Parse(
     std::string_view aText) noexcept;
 
-  /// Takes the sixteen bytes as another process sent them; none when they
-  /// aren't a UUID of version 7.
+  /// Creates a key from the 16 bytes of Bytes; none if they are not a version 7
+  /// UUID.
   [[nodiscard]] static std::optional<idempotency_key> FromBytes(
     std::string_view aBytes) noexcept
   {
@@ -58,13 +58,13 @@
     return isVersion7 ? std::optional(key) : std::nullopt;
   }
 
-  /// The sixteen bytes, for another process.
+  /// The 16 bytes, as sent to other processes.
   [[nodiscard]] const bytes& Bytes() const noexcept { return mBytes; }
 
-  /// The time of issue, in whole milliseconds.
+  /// Time of issue, to the millisecond.
   [[nodiscard]] clock::wall_time IssuedAt() const noexcept;
 
-  /// The text form, in lower case.
+  /// The canonical text form, in lower case.
   [[nodiscard]] std::string Text() const;
 
   [[nodiscard]] bool empty() const noexcept;
--- a/src/currantshed/outcome/request_digest.cpp
+++ b/src/currantshed/outcome/request_digest.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Written before a parameter, so that NULL, an empty text and the absence of
-// a parameter differ.
+// Type tags of parameters, which distinguish NULL, an empty text, and no
+// parameter.
 constexpr char kNullMark = 'n';
 constexpr char kTextMark = 't';
 
--- a/src/currantshed/outcome/request_digest.hpp
+++ b/src/currantshed/outcome/request_digest.hpp
@@ -9,16 +9,16 @@
 
 namespace currantshed::outcome {
 
-/// A digest of the statements of one change, in their order, by which a key
-/// that is used again for another change is told from a repeated request. It
-/// guards against mistakes and not against attack: XXH3 with 128 bits.
+/// Digest of a change's statements in their order. It distinguishes a retried
+/// request from one that reuses the idempotency key for another change. It
+/// protects against mistakes, not against attacks: 128-bit XXH3.
 class request_digest
 {
 public:
   void Add(const upstream::statement& aStatement);
   void Add(const std::vector<upstream::statement>& aStatements);
 
-  /// 32 hexadecimal digits.
+  /// The digest as 32 hexadecimal digits.
   [[nodiscard]] std::string Text() const;
 
 private:
--- a/src/currantshed/outcome/stored_outcome.hpp
+++ b/src/currantshed/outcome/stored_outcome.hpp
@@ -11,25 +11,26 @@
 
 namespace currantshed::outcome {
 
-/// What a group's table of outcomes holds for one key.
+/// The record of a key in a group's outcome table.
 struct stored_outcome
 {
-  /// Whether the key was made void; the change ran otherwise.
+  /// Whether the key was voided; otherwise the change was committed.
   bool isVoid = false;
-  /// Digest of the request whose change ran.
+  /// Digest of the request that was committed.
   std::string digest;
 };
 
-/// Reads the answer to the dialect's ReadOutcome; none when the key isn't
-/// there or the answer is not in the expected form.
+/// Parses the result of the dialect's ReadOutcome; none if there is no record
+/// or the result does not have the expected form.
 [[nodiscard]] std::optional<stored_outcome>
 ReadStoredOutcome(const upstream::result_set& aAnswer);
 
-/// How far ahead of this process's wall clock a key may be issued.
+/// How far a key's time of issue may be ahead of this process's wall clock.
 inline constexpr std::chrono::minutes kKeyClockTolerance{ 1 };
 
-/// Whether a key's outcome would still be kept: one that is older than the
-/// retention, or issued in the future, is refused and never guessed about.
+/// Whether the outcome of a key would still be stored. Requests with a key that
+/// is older than the retention or issued in the future are refused, because
+/// their outcome cannot be determined.
 [[nodiscard]] bool
 IsKeyInRetention(const idempotency_key& aKey,
                  clock::wall_time aWallNow,
--- a/src/currantshed/outcome/verdict.hpp
+++ b/src/currantshed/outcome/verdict.hpp
@@ -5,52 +5,54 @@
 
 namespace currantshed::outcome {
 
-/// What a caller is told about a request. Each is final.
+/// Final result of a request, as reported to the caller.
 enum class verdict
 {
-  /// It ran; a change is confirmed by a majority of the group.
+  /// The request ran; a change is confirmed by a majority of the group.
   kDone,
-  /// It has not run and never will; the caller may ask again.
+  /// The request has not run and never will; the caller may retry it.
   kNotRun,
-  /// It isn't known; the caller may ask for the outcome by its key.
+  /// It is unknown whether the request ran; the caller may query the outcome by
+  /// its key.
   kUnknown,
-  /// It is wrong in itself, and would be refused again.
+  /// The request is invalid and would be refused again.
   kRefused,
 };
 
-/// Why a request was not done.
+/// Why a request was not completed.
 enum class reason
 {
   kNone,
-  /// No room before the deadline; see the time to come back.
+  /// No capacity before the deadline; the response says when to retry.
   kOverloaded,
-  /// The deadline passed, or can't be met.
+  /// The deadline has passed or cannot be met.
   kDeadline,
-  /// The group has no confirmed primary at the moment.
+  /// The group currently has no confirmed primary.
   kNoPrimary,
-  /// No server in the places that the class allows can serve it.
+  /// No server in the failure domains that the class allows can serve the
+  /// request.
   kNoPlace,
-  /// No server with data as new as the session or the class asks for.
+  /// No server has data as recent as the session or the class requires.
   kTooStale,
-  /// The transaction ended, or its VM or server was lost.
+  /// The transaction has ended, or its VM or server was lost.
   kTransactionLost,
-  /// The group isn't known here.
+  /// The group is unknown to this process.
   kUnknownGroup,
-  /// The answer passed the limit on its size.
+  /// The result exceeds the size limit.
   kAnswerTooLarge,
-  /// The database refused the statement; see its SQLSTATE.
+  /// The database rejected the statement; see its SQLSTATE.
   kStatement,
-  /// The key is older than outcomes are kept.
+  /// The key is older than the retention of outcomes.
   kKeyExpired,
-  /// The key was used before for another request.
+  /// The key was already used for a different request.
   kKeyReused,
-  /// The key was voided: a doubt about it was resolved as not run.
+  /// The key was voided: its unknown outcome was resolved as not run.
   kKeyVoid,
   /// The process is shutting down.
   kLeaving,
   /// The request is malformed.
   kMalformed,
-  /// No pooler can be reached for the group.
+  /// No pooler of the group can be reached.
   kUnreachable,
 };
 
--- a/src/currantshed/policy/configuration_record.cpp
+++ b/src/currantshed/policy/configuration_record.cpp
@@ -41,7 +41,8 @@
   return error ? 0 : number;
 }
 
-/// Reads a list of texts, which may be missing; none when it isn't one.
+/// Reads a list of strings; empty if the field is missing, none if the value is
+/// not such a list.
 std::optional<std::vector<std::string>>
 TextsAt(const boost::json::object& aObject, const char* aName)
 {
@@ -80,7 +81,7 @@
   if (!change || !declaration || !earlier || version == 0) {
     return std::nullopt;
   }
-  // A record can't name more changes than its version counts.
+  // A record cannot have more changes than versions.
   if (earlier->size() >= version) {
     return std::nullopt;
   }
--- a/src/currantshed/policy/configuration_record.hpp
+++ b/src/currantshed/policy/configuration_record.hpp
@@ -10,64 +10,64 @@
 
 namespace currantshed::policy {
 
-/// The key of the platform's store that holds the configuration.
+/// Key of the configuration in the platform's store.
 inline constexpr std::string_view kConfigurationKey =
   "currantshed/configuration";
 
-/// How many earlier changes a record names.
+/// Maximum number of earlier changes in a record.
 inline constexpr std::size_t kEarlierChanges = 16;
 
-/// The operators' declaration as the platform's store holds it.
+/// The operators' declaration as held in the platform's store.
 struct configuration_record
 {
-  /// Goes up by one with each accepted change; the first one is one.
+  /// Starts at one and increases by one with each accepted change.
   std::uint64_t version = 0;
-  /// Names the change, so that an operator whose answer was lost finds out
-  /// whether the change was made.
+  /// Unique id of the change, by which an operator whose response was lost can
+  /// find out whether the change was made.
   std::string change;
-  /// The declaration's own YAML text.
+  /// YAML text of the declaration.
   std::string declaration;
-  /// The operator's own word on who they are; only for people to read.
+  /// Who applied the change, as stated by the operator; informational only.
   std::string appliedBy;
-  /// The operator's wall clock as RFC 3339; only for people to read.
+  /// Wall clock time at the operator as RFC 3339; informational only.
   std::string appliedAt;
-  /// The changes before this one, newest first, for an operator whose change
-  /// others have since built on.
+  /// Ids of the changes before this one, newest first, by which an operator can
+  /// find a change after others have followed it.
   std::vector<std::string> earlierChanges;
 
   [[nodiscard]] friend bool operator==(const configuration_record&,
                                        const configuration_record&) = default;
 };
 
-/// Reads the store's JSON; none when it isn't a whole record with a version
-/// above zero.
+/// Parses the JSON of the store; none unless it is a complete record with a
+/// version above zero.
 [[nodiscard]] std::optional<configuration_record>
 ParseConfigurationRecord(std::string_view aJson);
 
-/// Writes the store's JSON.
+/// Serializes a record to the JSON of the store.
 [[nodiscard]] std::string
 PrintConfigurationRecord(const configuration_record& aRecord);
 
-/// Makes the record that follows another one; a record of version zero stands
-/// for none. Who applies it, and when, is left to the caller.
+/// Creates the record that follows aPrevious; version zero stands for no
+/// previous record. The caller fills in appliedBy and appliedAt.
 [[nodiscard]] configuration_record
 NextConfigurationRecord(const configuration_record& aFormer,
                         std::string aChange,
                         std::string aDeclaration);
 
-/// What a record tells about one change.
+/// Whether a configuration record includes a change.
 enum class change_trace
 {
-  /// The change was made; the record holds it or follows it.
+  /// The record is this change or follows it.
   kMade,
-  /// Another change took the version.
+  /// Another change has the version.
   kNotMade,
-  /// The version lies before all that the record names.
+  /// The version is older than all changes in the record.
   kForgotten,
 };
 
-/// Says whether a change was made as the given version, at or before which
-/// the record stands.
+/// Tells whether aChange was accepted as version aVersion; aRecord has this
+/// version or a later one if it was.
 [[nodiscard]] change_trace
 TraceChange(const configuration_record& aRecord,
             std::string_view aChange,
--- a/src/currantshed/policy/declaration.cpp
+++ b/src/currantshed/policy/declaration.cpp
@@ -44,7 +44,7 @@
                                  kMayBeRepeated, kDeadline, kObjective,
                                  kGroups };
 constexpr std::array kGroupKeys{ kTransactionLimit };
-/// What every class must state; a read must state its staleness as well.
+/// Keys that every class needs; a read class needs max_staleness as well.
 constexpr std::array kNeededKeys{ kAccess,
                                   kServedIn,
                                   kMayBeRepeated,
@@ -64,7 +64,7 @@
   return nullptr;
 }
 
-/// Reads one class; its place is that of its name.
+/// Reads one class. Its location is that of its name.
 class class_reader
 {
 public:
@@ -127,7 +127,8 @@
     }
   }
 
-  /// Access, and the staleness that depends on it.
+  /// Reads the access, and max_staleness, which is required for reads and not
+  /// allowed for writes.
   void ReadAccess(work_class& aResult)
   {
     const auto* const access = Find(mFields, kAccess);
@@ -250,7 +251,8 @@
   return result;
 }
 
-/// The one document of the text, or a fault and nothing.
+/// Returns the only document of the text; otherwise adds a fault and returns
+/// none.
 std::optional<YAML::Node>
 LoadDocument(std::string_view aYaml, fault_list& aFaults)
 {
--- a/src/currantshed/policy/declaration.hpp
+++ b/src/currantshed/policy/declaration.hpp
@@ -12,37 +12,37 @@
 
 namespace currantshed::policy {
 
-/// Longest declaration that is read.
+/// Maximum size of a declaration.
 constexpr std::size_t kLargestDeclarationBytes = 256UL * 1024;
 
-/// How long a transaction may stay open where the operators say nothing.
+/// Default maximum duration of a transaction.
 constexpr std::chrono::milliseconds kDefaultTransactionLimit{ 30'000 };
 
-/// What operators may say about one database group.
+/// Settings of one database group.
 struct group_settings
 {
   std::string name;
-  /// Time from a transaction's beginning to its end; one that is still open
-  /// then is rolled back.
+  /// Maximum duration of a transaction from its beginning; it is rolled back if
+  /// it is still open then.
   std::chrono::milliseconds transactionLimit = kDefaultTransactionLimit;
 
   [[nodiscard]] friend bool operator==(const group_settings&,
                                        const group_settings&) = default;
 };
 
-/// All that the operators declare, sorted by name.
+/// The operators' configuration: classes and group settings, each sorted by
+/// name.
 struct declaration
 {
   std::vector<work_class> classes;
-  /// Only groups for which something is said.
+  /// Only groups with explicit settings.
   std::vector<group_settings> groups;
 
   [[nodiscard]] friend bool operator==(const declaration&,
                                        const declaration&) = default;
 };
 
-/// One thing that is wrong in a declaration, with its place; line and column
-/// count from one.
+/// An error in a declaration and its location; line and column start at one.
 struct fault
 {
   int line = 0;
@@ -52,28 +52,28 @@
   [[nodiscard]] friend bool operator==(const fault&, const fault&) = default;
 };
 
-/// What was read; the value may be used only where there are no faults.
+/// Result of parsing; value is valid only if faults is empty.
 struct parsed
 {
   declaration value;
-  /// Everything that is wrong, in the order of the text.
+  /// All errors, sorted by location.
   std::vector<fault> faults;
 };
 
-/// Reads and checks a declaration as a whole.
+/// Parses and validates a declaration.
 [[nodiscard]] parsed
 ParseDeclaration(std::string_view aYaml);
 
-/// The declaration in its canonical form: reading it again gives the same
+/// Serializes a declaration in its canonical form: parsing it yields an equal
 /// declaration, and equal declarations have equal texts.
 [[nodiscard]] std::string
 PrintDeclaration(const declaration& aDeclaration);
 
-/// The class of a name, or null.
+/// Finds a class by name; null if there is none.
 [[nodiscard]] const work_class*
 FindClass(const declaration& aDeclaration, std::string_view aName);
 
-/// How long a transaction of a group may stay open.
+/// Maximum duration of a transaction of the group.
 [[nodiscard]] std::chrono::milliseconds
 TransactionLimitOf(const declaration& aDeclaration, std::string_view aGroup);
 
--- a/src/currantshed/policy/near_word.cpp
+++ b/src/currantshed/policy/near_word.cpp
@@ -8,13 +8,13 @@
 namespace currantshed::policy {
 namespace {
 
-/// Words longer than this are compared by their beginning.
+/// Longer words are truncated to this length before the comparison.
 constexpr std::size_t kLongestWord = 64;
 
-/// One edit for each so many letters still counts as near.
+/// One edit is allowed per this many letters, and one more.
 constexpr std::size_t kLettersPerEdit = 3;
 
-/// Levenshtein's distance, by rows.
+/// Levenshtein distance, computed row by row.
 std::size_t
 EditDistance(std::string_view aLeft, std::string_view aRight)
 {
--- a/src/currantshed/policy/near_word.hpp
+++ b/src/currantshed/policy/near_word.hpp
@@ -7,8 +7,8 @@
 
 namespace currantshed::policy {
 
-/// The known word nearest to the given one by edit distance; none if all are
-/// too far off to be meant.
+/// The known word with the smallest edit distance to aWord; none if all differ
+/// too much to be a misspelling.
 [[nodiscard]] std::optional<std::string_view>
 NearWord(std::string_view aWord, std::span<const std::string_view> aKnown);
 
--- a/src/currantshed/policy/work_class.hpp
+++ b/src/currantshed/policy/work_class.hpp
@@ -16,23 +16,23 @@
   kWrite,
 };
 
-/// The targets that operators declare for one class of work.
+/// Targets of one class of requests, declared by the operators.
 struct work_class
 {
   std::string name;
   access kind = access::kRead;
-  /// Failure domains whose upstreams may serve the class; a hard limit.
+  /// Failure domains whose upstreams may serve the class; a hard constraint.
   std::vector<std::string> servedIn;
-  /// How old the data of a read may be. Zero asks for a fresh read.
+  /// Maximum age of the data of a read. Zero requires a fresh read.
   std::chrono::milliseconds maxStaleness{ 0 };
-  /// Whether a request may be sent again when its outcome is in doubt. Where
-  /// it may not, the doubt is first resolved (see outcome).
+  /// Whether a request may be retried while its outcome is unknown. Otherwise
+  /// the outcome is resolved first (see outcome).
   bool repeatable = false;
-  /// Time from the caller's request to its final answer.
+  /// Time from receiving the request to sending the final response.
   std::chrono::milliseconds deadline{ 2000 };
-  /// Share of requests that must meet the deadline, between 0 and 1.
+  /// Fraction of requests that must meet the deadline, between 0 and 1.
   double objective = 0.999;
-  /// Groups that the class may use; empty for all of them.
+  /// Groups that the class may use; empty means all groups.
   std::vector<std::string> groups;
 
   [[nodiscard]] friend bool operator==(const work_class&,
--- a/src/currantshed/policy/yaml_reader.cpp
+++ b/src/currantshed/policy/yaml_reader.cpp
@@ -20,11 +20,11 @@
 constexpr std::size_t kMostNames = 64;
 constexpr double kPercent = 100;
 
-/// Shares are rounded to a millionth of a percent, so that a share that is
-/// printed and read again stays the same number.
+/// Percentages are rounded to a millionth of a percent, so that formatting and
+/// parsing a percentage yields the same number.
 constexpr double kSharesPerPercent = 1e6;
 
-/// The text in quotes, cut where it is long.
+/// Quotes a text, truncated to kMaxQuoteLength.
 std::string
 Quote(const std::string& aText)
 {
@@ -43,7 +43,7 @@
   return text;
 }
 
-/// What an unknown word is told: the near one, or all known ones.
+/// Suggests the closest known word, or else lists all known words.
 std::string
 Advice(const std::string& aWord, std::span<const std::string_view> aKnown)
 {
--- a/src/currantshed/policy/yaml_reader.hpp
+++ b/src/currantshed/policy/yaml_reader.hpp
@@ -14,27 +14,27 @@
 
 namespace currantshed::policy::internal {
 
-/// Collects what is wrong, up to a bound.
+/// Collects faults, up to a maximum number.
 class fault_list
 {
 public:
   void Add(const YAML::Mark& aPlace, std::string aMessage);
 
-  /// All faults in the order of the text.
+  /// Moves out all faults, sorted by location.
   [[nodiscard]] std::vector<fault> Take();
 
 private:
   std::vector<fault> mFaults;
 };
 
-/// The lowest and highest time that a field may have.
+/// Range of a duration, both ends included.
 struct time_bounds
 {
   std::chrono::milliseconds lowest;
   std::chrono::milliseconds highest;
 };
 
-/// One entry of a map, with the place of its key.
+/// An entry of a map and the location of its key.
 struct map_entry
 {
   std::string key;
@@ -42,45 +42,45 @@
   YAML::Node value;
 };
 
-/// Reads values out of YAML nodes and collects what is wrong. Each method
-/// names the field in its messages.
+/// Reads values from YAML nodes and collects faults. Messages name the field.
 class yaml_reader
 {
 public:
   explicit yaml_reader(fault_list& aFaults);
 
-  /// The entries of a map; empty and a fault if it is none or has a key
-  /// twice. The place is that of its key.
+  /// Returns the entries of a map. Adds a fault and returns nothing if the node
+  /// is not a map; adds one for each repeated key. aLocation is that of the
+  /// map's own key.
   [[nodiscard]] std::vector<map_entry> Map(const YAML::Node& aNode,
                                            const YAML::Mark& aPlace,
                                            const std::string& aWhere);
 
-  /// The same, where only the known keys may stand.
+  /// Like Map, but adds a fault for each unknown key.
   [[nodiscard]] std::vector<map_entry> Fields(
     const YAML::Node& aNode,
     const YAML::Mark& aPlace,
     const std::string& aWhere,
     std::span<const std::string_view> aKnown);
 
-  /// A name of letters, digits, dots, dashes and underscores.
+  /// Checks a name: letters, digits, dots, dashes and underscores.
   [[nodiscard]] bool Name(const std::string& aText,
                           const YAML::Mark& aPlace,
                           const std::string& aWhere);
 
-  /// A list of names without doubles, with at least one.
+  /// Reads a list of at least one name, without duplicates.
   [[nodiscard]] std::vector<std::string> Names(const map_entry& aField);
 
-  /// The place in the list of the word that the field holds.
+  /// Returns the index in aWords of the field's value.
   [[nodiscard]] std::optional<std::size_t> Word(
     const map_entry& aField,
     std::span<const std::string_view> aWords);
 
-  /// A time with its unit.
+  /// Reads a duration with its unit.
   [[nodiscard]] std::optional<std::chrono::milliseconds> Time(
     const map_entry& aField,
     const time_bounds& aBounds);
 
-  /// A share such as 99.9%, as a number between 0 and 1.
+  /// Reads a percentage such as 99.9% as a fraction between 0 and 1.
   [[nodiscard]] std::optional<double> Share(const map_entry& aField,
                                             double aLowest,
                                             double aHighest);
--- a/src/currantshed/pool/server_pool.cpp
+++ b/src/currantshed/pool/server_pool.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// One for status and one for control at the leader, one for control at each
-// of the two standbys.
+// The leader's status connection and control connection, and one control
+// connection of each of the two standbys.
 constexpr unsigned kOtherConnections = 4;
 constexpr std::chrono::milliseconds kFirstBackoff{ 20 };
 constexpr std::chrono::milliseconds kLongestBackoff{ 1000 };
--- a/src/currantshed/pool/server_pool.hpp
+++ b/src/currantshed/pool/server_pool.hpp
@@ -12,69 +12,72 @@
 
 namespace currantshed::pool {
 
-/// Number of one connection, never used again.
+/// Identifies a connection; never reused.
 using connection_id = std::uint64_t;
 
-/// What a server gives to the statements of the pooler that leads its group.
+/// Limits on the statements that the group's leading pooler runs on a server.
 struct pool_limits
 {
-  /// Statement connections at the same time.
+  /// Maximum number of statement connections.
   unsigned connections = 1;
-  /// Batches under way at the same time.
+  /// Maximum number of concurrent batches.
   unsigned slots = 1;
 };
 
-/// Works out the limits from what a server accepts in all. Left aside are
-/// the share for a takeover, by which the next leader can connect before the
-/// server has noticed that the last one is gone, the leader's own status and
-/// control connections, and the control connections of the two standbys.
+/// Computes the limits from the total number of connections that a server
+/// accepts. Subtracted are the fraction aTakeoverReserve, which lets the next
+/// leader connect before the server has detected that the previous one is gone;
+/// the leader's own status and control connections; and the control connections
+/// of the two standbys.
 [[nodiscard]] pool_limits
 ShareOf(unsigned aConnections, unsigned aSlots, double aTakeoverReserve);
 
 /// The statement connections to one server and their states. A connection is
-/// opening, idle, or held; a held one may be under a batch, which takes a
-/// slot. Opens and closes nothing itself.
+/// being opened, idle, or checked out. A checked-out one may be running a
+/// batch, which takes a slot. The pool itself opens and closes no connections.
 class server_pool
 {
 public:
   void SetLimits(const pool_limits& aLimits);
 
-  /// Whether one more batch may be under way.
+  /// Whether another batch may be started.
   [[nodiscard]] bool HasSlot() const noexcept;
 
-  /// Whether one more connection may be opened now: within the limit, and
-  /// not while backing off from a refused one.
+  /// Whether another connection may be opened now: the limit is not reached,
+  /// and no backoff after a failed attempt is pending.
   [[nodiscard]] bool MayOpen(clock::time_point aNow) const noexcept;
 
-  /// An idle connection of the kind asked for.
+  /// Returns an idle connection of the given kind.
   [[nodiscard]] std::optional<connection_id> Idle(
     bool aReadOnly) const noexcept;
 
-  /// Connections of the kind that are being opened.
+  /// Number of connections of the given kind that are being opened.
   [[nodiscard]] std::size_t Opening(bool aReadOnly) const noexcept;
 
-  /// Whether a connection of the kind could be had without waiting for one
-  /// that is held: idle, or opened in the place of an idle one at need.
+  /// Whether a connection of the given kind is available without waiting for a
+  /// checked-out one: idle, being opened, or opened now, in place of an idle
+  /// one of the other kind if necessary.
   [[nodiscard]] bool CanProvide(bool aReadOnly,
                                 clock::time_point aNow) const noexcept;
 
   void Add(connection_id aConnection, bool aReadOnly);
   void Opened(connection_id aConnection);
-  /// The connection could not be opened: it is gone, and the next try waits.
+  /// The connection could not be opened. It is removed, and the next attempt is
+  /// delayed.
   void Failed(connection_id aConnection, clock::time_point aNow);
-  /// Takes an idle connection.
+  /// Takes an idle connection out of the pool.
   void Hold(connection_id aConnection);
-  /// Gives a held one back.
+  /// Returns a checked-out connection.
   void Release(connection_id aConnection);
   void BatchBegins(connection_id aConnection);
   void BatchEnds(connection_id aConnection);
-  /// Forgets a connection, whatever its state.
+  /// Removes a connection in any state.
   void Remove(connection_id aConnection);
 
   [[nodiscard]] unsigned Running() const noexcept;
   [[nodiscard]] std::size_t Connections() const noexcept;
   [[nodiscard]] const pool_limits& Limits() const noexcept;
-  /// When a connection may be tried again after a refused one.
+  /// When a connection may be opened again after a failed attempt.
   [[nodiscard]] clock::time_point RetryAt() const noexcept;
 
 private:
--- a/src/currantshed/position/log_position.hpp
+++ b/src/currantshed/position/log_position.hpp
@@ -9,13 +9,14 @@
 /// Number of a primary's term in its group. Zero means that no term has begun.
 using term_id = std::uint64_t;
 
-/// Count of records in a group's log, from its beginning.
+/// Number of records in a group's log, counted from its beginning.
 using log_index = std::uint64_t;
 
-/// A place in the log of one group: the term in which the record there was
-/// written, and its index. The order goes by term first; it tells which of
-/// two histories is the newer one, and for two confirmed positions which of
-/// them covers the other, since confirmed records survive every later term.
+/// A position in the log of one group: the term in which its record was
+/// written, and its index. Positions are ordered by term first. Of two
+/// histories, the one with the higher position is newer. Of two confirmed
+/// positions, the higher one includes the lower one, since confirmed records
+/// survive every later term.
 struct log_position
 {
   term_id term = 0;
--- a/src/currantshed/route/read_route.cpp
+++ b/src/currantshed/route/read_route.cpp
@@ -10,9 +10,9 @@
 using confirm::dated_status;
 using outcome::reason;
 
-// A server that has said nothing for so long gets no reads.
+// Servers whose latest status is older than this get no reads.
 constexpr std::chrono::milliseconds kSilence{ 300 };
-// Part of the staleness bound that is left for the read itself to run in.
+// Part of the staleness bound that is reserved for the execution of the read.
 constexpr std::chrono::milliseconds kRunAllowance{ 5 };
 
 bool
@@ -21,8 +21,8 @@
   return std::find(aValues.begin(), aValues.end(), aValue) != aValues.end();
 }
 
-// When the data of a server was current, by its last word and the lag that
-// it had then; none when nothing is known.
+// Estimates as of when a server's data is current, assuming that its lag has
+// not changed since its latest status; none without samples.
 std::optional<clock::time_point>
 ExpectedAsOf(const dated_status& aWord,
              const confirm::status_board& aBoard,
@@ -49,8 +49,8 @@
   return written && aExpectedAsOf && *written <= *aExpectedAsOf;
 }
 
-// The part of the bound that the read may still use up, leaving some for it
-// to run in.
+// Maximum age of the data when the read is dispatched, such that part of the
+// bound remains for its execution.
 clock::duration
 UsableStaleness(std::chrono::milliseconds aBound)
 {
@@ -71,8 +71,9 @@
          aNow - *asOf <= UsableStaleness(aNeed.maxStaleness);
 }
 
-// Whether one would run a read sooner than another: opening a connection
-// takes longer than most reads.
+// Whether the left candidate would start a read sooner. Opening a connection
+// takes longer than most reads, so an existing connection comes before a lower
+// load.
 bool
 IsBetter(const candidate& aLeft, const candidate& aRight)
 {
@@ -83,7 +84,8 @@
          static_cast<std::uint64_t>(aRight.inUse) * aLeft.slots;
 }
 
-// Whether one more read would leave a slot to what only the primary can do.
+// Whether a further read would leave a slot free for requests that only the
+// primary can serve.
 bool
 LeavesSlot(const candidate& aPrimary)
 {
@@ -98,7 +100,8 @@
          !Contains(aNeed.tried, aCandidate.server);
 }
 
-// The best among the replicas, or among the primary alone.
+// Chooses the best of the replicas, or of the primary alone if aPrimaries is
+// set.
 choice
 ChooseAmong(bool aPrimaries,
             const std::vector<candidate>& aCandidates,
@@ -131,7 +134,7 @@
   return best;
 }
 
-// Why no server can take a read at present.
+// The reason for which no server can currently serve a read.
 reason
 ReasonForNone(const std::vector<candidate>& aCandidates,
               const read_need& aNeed,
--- a/src/currantshed/route/read_route.hpp
+++ b/src/currantshed/route/read_route.hpp
@@ -15,49 +15,50 @@
 
 namespace currantshed::route {
 
-/// One server as the choice sees it.
+/// A server that may be chosen, with its load at this pooler.
 struct candidate
 {
   upstream::server_id server;
   std::string failureDomain;
   bool leaving = false;
-  /// Statements that it runs for this pooler at the moment.
+  /// Number of statements that it currently runs for this pooler.
   unsigned inUse = 0;
   unsigned slots = 1;
-  /// Whether a batch could be sent, or a connection opened for it, now.
+  /// Whether a batch can be sent now, or a connection opened for it.
   bool room = false;
-  /// Whether a connection is at hand, so that none need be opened first.
+  /// Whether an idle connection exists, so that none needs to be opened.
   bool connected = false;
 };
 
-/// What a read asks of the server that runs it.
+/// Requirements of a read on the server that runs it.
 struct read_need
 {
-  /// Failure domains that may serve it; a hard limit, so none means nowhere.
+  /// Failure domains that may serve it; a hard constraint, so an empty list
+  /// allows none.
   const std::vector<std::string>& servedIn;
   position::log_position floor;
-  /// How old its data may be.
+  /// Maximum age of the data.
   std::chrono::milliseconds maxStaleness{ 0 };
-  /// Whether it must see all that was acknowledged before it began.
+  /// Whether it must see every write acknowledged before it began.
   bool fresh = false;
-  /// Servers that have been tried in vain.
+  /// Servers on which the read has already failed.
   const std::vector<upstream::server_id>& tried;
-  /// Whether it has waited for so long that the primary should take it
-  /// although a replica could, later.
+  /// Whether it has waited long enough for the replicas that the primary may
+  /// serve it.
   bool spill = false;
 };
 
 enum class standing
 {
-  /// A server can take it now.
+  /// A server can take the request now.
   kReady,
-  /// Servers could, but none has room now.
+  /// Servers meet the requirements, but none has capacity now.
   kBusy,
-  /// No server can at present; the reason tells why.
+  /// No server currently meets the requirements; see the reason.
   kNone,
 };
 
-/// The server chosen, by its place among the candidates.
+/// The chosen server, as an index into the candidates.
 struct choice
 {
   standing state = standing::kNone;
@@ -65,21 +66,22 @@
   outcome::reason why = outcome::reason::kNone;
 };
 
-/// Whether the class may be served in the failure domain.
+/// Whether aServedIn allows the failure domain.
 [[nodiscard]] bool
 IsServedIn(const std::vector<std::string>& aServedIn,
            const std::string& aFailureDomain);
 
-/// Chooses the server for a read. Fresh reads go to the primary. Others go
-/// to the least loaded replica that is expected to hold data new enough, by
-/// its last word and its lag, and to the primary only where no replica is.
+/// Chooses the server for a read. Fresh reads go to the primary. Other reads go
+/// to the least loaded replica that is expected, by its latest status and its
+/// lag, to have sufficiently recent data, and to the primary only if there is
+/// no such replica.
 [[nodiscard]] choice
 ChooseForRead(const std::vector<candidate>& aCandidates,
               const read_need& aNeed,
               const confirm::status_board& aBoard,
               clock::time_point aNow);
 
-/// Chooses the server for what only the primary may do.
+/// Chooses the server for a request that only the primary can serve.
 [[nodiscard]] choice
 ChoosePrimary(const std::vector<candidate>& aCandidates,
               const std::vector<std::string>& aServedIn,
--- a/src/currantshed/session/error.hpp
+++ b/src/currantshed/session/error.hpp
@@ -5,23 +5,22 @@
 
 namespace currantshed::session {
 
-/// What can be wrong with a sealed text, or with the keys that seal it.
+/// Errors of reading a signed text, or of parsing the keys that sign it.
 enum class session_error
 {
-  /// The text isn't one that any key ring could have made.
+  /// The text does not have the form of a signed text.
   kMalformed = 1,
-  /// The text was sealed by a key that isn't on the ring, or for another
+  /// The text was signed with a key that is not on the key ring, or for another
   /// purpose.
   kForeign,
-  /// The seal doesn't fit the content.
+  /// The signature does not match the content.
   kForged,
-  /// The text was made by a later version of this format.
+  /// The text has an unknown format version.
   kUnknownVersion,
-  /// The list of keys isn't of the form `id:hexadecimal,...`.
+  /// The list of keys does not have the form `id:hexadecimal,...`.
   kBadKeyRing,
 };
 
-/// The category of session errors.
 [[nodiscard]] const std::error_category&
 SessionCategory() noexcept;
 
--- a/src/currantshed/session/key_ring.cpp
+++ b/src/currantshed/session/key_ring.cpp
@@ -23,7 +23,7 @@
 constexpr std::size_t kLowestSecret = 16;
 constexpr std::size_t kHighestSecret = 64;
 constexpr std::size_t kLongestId = 32;
-/// Version, purpose and length of the key's id.
+/// Format version, purpose, and length of the key id.
 constexpr std::size_t kHeadBytes = 3;
 constexpr std::size_t kLongestText = 4096;
 
@@ -66,7 +66,7 @@
          IsHexadecimal(aHexadecimal);
 }
 
-/// Abseil's packaged strings know a view type of their own.
+/// Abseil as packaged has its own string view type.
 absl::string_view
 AbslView(std::string_view aText)
 {
--- a/src/currantshed/session/key_ring.hpp
+++ b/src/currantshed/session/key_ring.hpp
@@ -10,35 +10,37 @@
 
 namespace currantshed::session {
 
-/// What a sealed text is for; a text sealed for one purpose is refused for
-/// any other.
+/// What a signed text is used for. A text signed for one purpose is rejected
+/// for any other.
 enum class seal_purpose : unsigned char
 {
   kSession = 1,
   kTransaction = 2,
 };
 
-/// The secret keys that all gateways share. The first one seals, every one
-/// opens, so that keys can be replaced without a break: add the new key last
-/// everywhere, then put it first everywhere, then drop the old one.
+/// The secret keys that all gateways share. The first key signs; every key
+/// verifies. This allows rotation without interruption: append the new key at
+/// all gateways, then move it to the front at all gateways, then remove the old
+/// key.
 class key_ring
 {
 public:
-  /// A ring without keys: seals nothing and opens nothing.
+  /// Creates an empty key ring, which neither signs nor verifies anything.
   key_ring() = default;
 
-  /// Reads `id:hexadecimal,id:hexadecimal,...`, each key of 16 to 64 bytes;
-  /// kBadKeyRing when the text isn't of that form.
+  /// Parses `id:hexadecimal,id:hexadecimal,...`, with keys of 16 to 64 bytes
+  /// each. Returns kInvalidKeyRing if the text does not have this form or an id
+  /// is repeated.
   [[nodiscard]] std::error_code Parse(std::string_view aText);
 
-  /// Seals a content with HMAC-SHA256, cut to 16 bytes, and gives it as text
-  /// that fits into an HTTP header or a path (base64url). The content is
-  /// protected against change, not hidden.
+  /// Signs a content with HMAC-SHA256, truncated to 16 bytes, and encodes it as
+  /// base64url text for HTTP headers and paths. The content is authenticated,
+  /// not encrypted. Returns an empty text if the ring is empty.
   [[nodiscard]] std::string Seal(seal_purpose aPurpose,
                                  std::string_view aContent) const;
 
-  /// Opens a sealed text into its content; the seal is compared in constant
-  /// time. aContent is left alone on error.
+  /// Verifies a signed text and extracts its content. Signatures are compared
+  /// in constant time. aContent is unchanged on error.
   [[nodiscard]] std::error_code Open(seal_purpose aPurpose,
                                      std::string_view aText,
                                      std::string& aContent) const;
--- a/src/currantshed/session/position_vector.cpp
+++ b/src/currantshed/session/position_vector.cpp
@@ -17,7 +17,7 @@
 constexpr unsigned kVarintMore = 0x80;
 constexpr unsigned kVarintMask = 0x7f;
 constexpr unsigned kWordBits = 64;
-/// The highest shift at which one more varint byte still fits the word.
+/// The shift of a varint's last byte, of which one bit still fits into 64 bits.
 constexpr unsigned kLastShift = 63;
 
 std::uint64_t
@@ -44,8 +44,8 @@
   aBytes.push_back(static_cast<char>(aValue));
 }
 
-/// Takes values off the front of a text; each call is false when there is
-/// none.
+/// Decodes values from the front of a byte string. Each method returns false if
+/// the bytes do not hold such a value.
 class reader
 {
 public:
--- a/src/currantshed/session/position_vector.hpp
+++ b/src/currantshed/session/position_vector.hpp
@@ -13,50 +13,51 @@
 
 namespace currantshed::session {
 
-/// What a session has seen of one group.
+/// What a session's read of one group must show.
 struct group_floor
 {
-  /// A read must show this position or a later one.
+  /// Minimum position that the read must show.
   position::log_position position;
-  /// The session may have seen more than it could note; only a fresh read
-  /// is sure to show it.
+  /// The session may have seen more than the position says, so that only a
+  /// fresh read is certain to show it.
   bool fresh = false;
 };
 
 /// The highest confirmed position that one session has seen of each group.
-/// Positions only rise. Groups are noted by the XXH3 hash (64 bits) of their
-/// names; two groups that share a hash share the higher position, which costs
-/// speed and breaks nothing.
+/// Positions never decrease. Groups are identified by the 64-bit XXH3 hash of
+/// their names. If two groups have the same hash, both get the higher position,
+/// which can cost performance but not correctness.
 class position_vector
 {
 public:
-  /// Groups that one vector notes. Past it the vector overflows, and every
-  /// group that isn't noted is read fresh.
+  /// Maximum number of groups in one vector. Beyond it the vector overflows,
+  /// and groups that are not in it get fresh reads.
   static constexpr std::size_t kMostGroups = 64;
 
-  /// What a read of this group has to show.
+  /// The minimum position for a read of the group.
   [[nodiscard]] group_floor Floor(std::string_view aGroup) const noexcept;
 
-  /// Notes a confirmed position; a lower one than that noted changes nothing.
-  /// Where Floor says fresh, the position must come from a fresh read or a
-  /// change, so that it covers whatever was seen before without being noted.
+  /// Records a confirmed position; ignored if it is not higher than the
+  /// recorded one. Where Floor returns fresh, the position must come from a
+  /// fresh read or from a write, so that it covers anything seen before without
+  /// being recorded.
   void Raise(std::string_view aGroup, position::log_position aPosition);
 
-  /// Takes over what another vector of the same session has seen. A group
-  /// that one of them may have seen without noting it stays unnoted.
+  /// Merges another vector of the same session. A group that either vector may
+  /// have seen without recording it is left out.
   void Merge(const position_vector& aOther);
 
-  /// Says that the session may have seen more than is noted: every group that
-  /// isn't noted is read fresh, until it is noted.
+  /// Marks the vector as incomplete: groups that are not in it get fresh reads
+  /// until a position is recorded for them.
   void AssumeMore() noexcept;
 
   [[nodiscard]] bool Overflowed() const noexcept;
   [[nodiscard]] std::size_t size() const noexcept;
 
-  /// The vector as bytes.
+  /// Serializes the vector.
   [[nodiscard]] std::string Encode() const;
 
-  /// Reads bytes made by Encode; kMalformed for any other.
+  /// Deserializes the output of Encode; returns kMalformed for any other bytes.
   [[nodiscard]] std::error_code Decode(std::string_view aBytes);
 
   [[nodiscard]] friend bool operator==(const position_vector&,
@@ -75,7 +76,7 @@
   [[nodiscard]] const entry* Find(std::uint64_t aGroup) const noexcept;
   void DropUnlessIn(const position_vector& aOther);
 
-  /// In the order of the hashes.
+  /// Sorted by hash.
   std::vector<entry> mEntries;
   bool mOverflowed = false;
 };
--- a/src/currantshed/session/token.hpp
+++ b/src/currantshed/session/token.hpp
@@ -9,17 +9,17 @@
 
 namespace currantshed::session {
 
-/// What a caller sends in place of a token for a session that begins: it has
-/// seen nothing yet, so that any replica will do.
+/// Sent by callers instead of a token to begin a session. A new session has
+/// seen nothing, so that any replica can serve its reads.
 inline constexpr std::string_view kNewSession = "new";
 
-/// Makes the token that callers carry from one request to the next.
+/// Creates the session token, which callers return with each next request.
 [[nodiscard]] std::string
 MakeToken(const position_vector& aSeen, const key_ring& aKeys);
 
-/// Reads a token, or kNewSession as a session that has seen nothing; any
-/// error of session_error when it isn't one that these keys made. aSeen is
-/// left alone on error.
+/// Decodes a token, or kNewSession as an empty vector. Returns an error of
+/// session_error if the token was not made with these keys. aSeen is unchanged
+/// on error.
 [[nodiscard]] std::error_code
 ReadToken(std::string_view aToken,
           const key_ring& aKeys,
--- a/test/currantshed/admit/deadline_queue.cpp
+++ b/test/currantshed/admit/deadline_queue.cpp
@@ -14,7 +14,7 @@
 
 constexpr time_point kStart{ 1h };
 
-// A queue that was seen to drain one request each 10 ms.
+// A queue with a measured drain rate of one request per 10 ms.
 deadline_queue
 Measured(std::size_t aLimit)
 {
@@ -28,7 +28,8 @@
   return queue;
 }
 
-// Requests that ask one after the other at the start; the last one's fate.
+// Requests offered one after the other at the start, and the result for the
+// last one.
 struct offer_row
 {
   const char* name;
@@ -121,8 +122,8 @@
   for (std::uint64_t i = 1; i <= 10; ++i) {
     CHECK(queue.Offer({ kStart + 1s, i, 0.9 }, kStart).admitted);
   }
-  // Ten wait, so the first refused one finds room after 110 ms, the next
-  // after 120 ms, each lengthened by up to a half.
+  // Ten requests wait, so the first refused one is told to retry after 110 ms
+  // and each next one 10 ms later, plus jitter of up to a half.
   for (int i = 0; i < 20; ++i) {
     const auto earliest = 110ms + i * 10ms;
     const auto told = queue.RetryAfter(static_cast<std::uint64_t>(i), kStart);
--- a/test/currantshed/confirm/position_samples.cpp
+++ b/test/currantshed/confirm/position_samples.cpp
@@ -22,7 +22,7 @@
   samples.Add({ 1, 20 }, kStart + 10ms);
   samples.Add({ 1, 20 }, kStart + 20ms);
   samples.Add({ 2, 5 }, kStart + 30ms);
-  // Neither older dates nor lower positions count.
+  // Older dates and lower positions are ignored.
   samples.Add({ 2, 9 }, kStart + 25ms);
   samples.Add({ 1, 90 }, kStart + 40ms);
   return samples;
--- a/test/currantshed/confirm/status_board.cpp
+++ b/test/currantshed/confirm/status_board.cpp
@@ -20,8 +20,8 @@
 constexpr auto kReplica = server_role::kReplica;
 constexpr auto kFenced = server_role::kFenced;
 
-// One server's word: role, term and last stored record, and when it was
-// asked, counted from the start.
+// One server's status: role, term, last stored record, and the time of the
+// request since the start.
 struct word
 {
   const char* server;
@@ -52,7 +52,8 @@
   return board;
 }
 
-// The position (2, 10) by the words given, at 100 ms.
+// What is derived from the statuses at 100 ms, in particular for the position
+// (2, 10).
 struct board_row
 {
   const char* name;
--- a/test/currantshed/member/fleet.cpp
+++ b/test/currantshed/member/fleet.cpp
@@ -20,8 +20,8 @@
 using currantshed::clock::time_point;
 using std::chrono::milliseconds;
 
-// Rosters of a whole fleet that send to each other in virtual time. The list
-// never changes, as one that lags for long.
+// Memberships of a whole fleet that exchange heartbeats in virtual time. The
+// listing never changes, like one that lags for a long time.
 class fleet
 {
 public:
@@ -62,7 +62,7 @@
 
   void Kill(std::size_t aNumber) { mDead = aNumber; }
 
-  // Live VMs that take the given one for live.
+  // Number of other live VMs that consider the given one live.
   [[nodiscard]] std::size_t Believers(std::size_t aNumber) const
   {
     std::size_t believers = 0;
@@ -106,7 +106,7 @@
     mRosters.push_back(member::MakeRoster(settings, aNumber));
   }
 
-  // Messages arrive at once; answers go out at the receiver's next turn.
+  // Messages arrive at once; replies are sent in the receiver's next step.
   void Send(std::size_t aNumber)
   {
     constexpr unsigned kMille = 1000;
@@ -150,8 +150,8 @@
 
 TEST_GROUP(fleet){};
 
-// A loss is known everywhere soon, though the list never tells it, and so is
-// the return.
+// The failure and the return of a VM become known at every other VM within a
+// bounded time, although the listing shows neither.
 TEST(fleet, a_loss_and_a_return_reach_everyone)
 {
   for (const auto& row : kFleetRows) {
@@ -171,8 +171,8 @@
   }
 }
 
-// Nobody is taken for dead while nothing fails, and the messages of one VM
-// stay bounded.
+// Without failures no VM is considered failed, and the number of messages per
+// VM is bounded.
 TEST(fleet, a_quiet_fleet_stays_as_it_is)
 {
   for (const auto& row : kFleetRows) {
@@ -186,8 +186,8 @@
     subject.Run(milliseconds{ 10000 });
     UNSIGNED_LONGS_EQUAL_TEXT(versions, subject.Versions(), row.name);
     const auto perSecond = (subject.Sent() - sent) / row.vms / 10;
-    // Seven intervals a second, each with the fanout, the co-owners and the
-    // answers to neighbours.
+    // Seven intervals per second, each with the fanout, the co-owners and the
+    // replies to neighbours.
     constexpr std::uint64_t kMost = 119;
     CHECK_TEXT(perSecond <= kMost, row.name);
   }
--- a/test/currantshed/member/owners.cpp
+++ b/test/currantshed/member/owners.cpp
@@ -109,7 +109,7 @@
   CHECK(first == ChooseOwners("claimsbook-1", reversed, 3));
 }
 
-// The owner of a seat changes only if the VM that left or came is concerned.
+// An owner of a group is replaced only if it is the VM that left.
 TEST(owners, a_vm_that_goes_moves_only_its_own_seats)
 {
   std::vector<vm> vms;
--- a/test/currantshed/member/roster.cpp
+++ b/test/currantshed/member/roster.cpp
@@ -324,8 +324,8 @@
   STRCMP_EQUAL("a", sends.front().to.id.c_str());
 }
 
-// Events in any order, by seed: a roster keeps a view with itself in it, and
-// addresses only VMs that it was told of.
+// Random events, by seed: the view always includes the VM itself, and
+// heartbeats go only to VMs that were named to it.
 TEST(roster, any_order_of_events)
 {
   constexpr unsigned kVms = 20;
--- a/test/currantshed/outcome/idempotency_key.cpp
+++ b/test/currantshed/outcome/idempotency_key.cpp
@@ -17,7 +17,7 @@
   bool isKey;
 };
 
-// The first is the example of RFC 9562, appendix A.6.
+// The first row is the example of RFC 9562, appendix A.6.
 constexpr text_row kTextRows[] = {
   { "the standard's example", "017f22e2-79b0-7cc3-98c4-dc0c0c07398f", true },
   { "upper case", "017F22E2-79B0-7CC3-98C4-DC0C0C07398F", true },
--- a/test/currantshed/policy/configuration_record.cpp
+++ b/test/currantshed/policy/configuration_record.cpp
@@ -42,7 +42,7 @@
   change_trace expected;
 };
 
-/// Against a record of version 9, change "i", after "h" and "g".
+/// Checked against a record of version 9 with the change "i" after "h" and "g".
 constexpr trace_row kTraceRows[] = {
   { "in force", "i", 9, change_trace::kMade },
   { "the one before", "h", 8, change_trace::kMade },
--- a/test/currantshed/policy/declaration.cpp
+++ b/test/currantshed/policy/declaration.cpp
@@ -47,7 +47,7 @@
                                    "  g1:\n"
                                    "    transaction_limit: 10s\n";
 
-/// A class that is right, up to what a row adds.
+/// A valid class, to which rows append lines.
 constexpr const char* kWrite = "classes:\n"
                                "  a:\n"
                                "    access: write\n"
@@ -59,7 +59,7 @@
 {
   const char* name;
   std::string given;
-  /// Each fault as line:column message, with line ends.
+  /// One line per fault: line:column message.
   const char* expect;
 };
 
@@ -177,9 +177,9 @@
   return text;
 }
 
-/// yaml-cpp keeps the patterns of its scanner for the process's life, each
-/// from its first use on. All are used before the first test, so that the
-/// leak check of the tests sees only what a test leaves behind.
+/// yaml-cpp allocates each pattern of its scanner on first use and keeps it
+/// until the process exits. All are used before the first test, so that the
+/// leak check reports only what a test leaks.
 bool
 UseAllPatterns()
 {
--- a/test/currantshed/pool/server_pool.cpp
+++ b/test/currantshed/pool/server_pool.cpp
@@ -60,7 +60,7 @@
   CHECK(pool.HasSlot());
   pool.BatchBegins(1);
   CHECK_FALSE(pool.HasSlot());
-  // The idle one of the other kind could make place.
+  // The idle connection of the other kind could be replaced.
   CHECK(pool.CanProvide(false, kStart));
   pool.BatchEnds(1);
   CHECK(pool.HasSlot());
--- a/test/currantshed/route/read_route.cpp
+++ b/test/currantshed/route/read_route.cpp
@@ -39,8 +39,9 @@
   aBoard.Record(aServer, status, aAsked);
 }
 
-// The primary writes one record a millisecond for a second; s2 is 10 ms and
-// s3 300 ms behind. All were last asked at the end of that second.
+// The primary writes one record per millisecond for a second. The replica s2
+// lags by 10 ms and s3 by 300 ms. All statuses were last requested at the end
+// of that second.
 status_board
 Board()
 {
@@ -75,7 +76,7 @@
   void (*change)(std::vector<candidate>&);
   std::chrono::milliseconds after;
   standing state;
-  /// Server if ready.
+  /// Expected server if the state is kReady.
   const char* server;
   reason why;
 };
--- a/test/currantshed/support/captured_stream.hpp
+++ b/test/currantshed/support/captured_stream.hpp
@@ -7,7 +7,7 @@
 
 namespace currantshed::support {
 
-/// Takes what is written to a standard stream while it lives.
+/// Captures the output to a standard stream during its lifetime.
 class captured_stream
 {
 public:
--- a/test/currantshed/support/model_seeds.hpp
+++ b/test/currantshed/support/model_seeds.hpp
@@ -6,8 +6,8 @@
 
 namespace currantshed::test {
 
-/// How many seeds a model plays: the usual number, or more by hand, as
-/// CURRANTSHED_MODEL_SEEDS says.
+/// Number of seeds with which a model test runs: aUsual, unless the environment
+/// variable CURRANTSHED_MODEL_SEEDS sets another number.
 [[nodiscard]] inline std::uint32_t
 ModelSeeds(std::uint32_t aUsual)
 {
