--- a/src/currantshed/member/roster.hpp
+++ b/src/currantshed/member/roster.hpp
@@ -104,8 +104,10 @@
   /// Marks this VM as leaving; it no longer owns any group.
   virtual void Leave() = 0;
 
+  /// Advances the time; due no later than NextTick.
   virtual void Tick(clock::time_point aNow) = 0;
   [[nodiscard]] virtual clock::time_point NextTick() const noexcept = 0;
+  /// Returns the heartbeats that are due now.
   [[nodiscard]] virtual std::vector<send_heartbeat> TakeHeartbeats() = 0;
 
   /// Live VMs, including this one, sorted by id.
--- a/src/currantshed/route/read_route.hpp
+++ b/src/currantshed/route/read_route.hpp
@@ -41,7 +41,7 @@
   std::chrono::milliseconds maxStaleness{ 0 };
   /// Whether it must see every write acknowledged before it began.
   bool fresh = false;
-  /// Servers on which the read has already failed.
+  /// Servers that were already tried without success.
   const std::vector<upstream::server_id>& tried;
   /// Whether it has waited long enough for the replicas that the primary may
   /// serve it.
--- a/test/currantshed/confirm/position_samples.cpp
+++ b/test/currantshed/confirm/position_samples.cpp
@@ -40,8 +40,8 @@
   { "before all samples", { 1, 9 }, std::nullopt, 0ms },
   { "at the first", { 1, 10 }, 0ms, 0ms },
   { "between", { 1, 15 }, 0ms, 10ms },
-  { "at one that was seen twice: written by the first date, current as of the "
-    "later",
+  { "at one sampled twice: written by the first date, current as of the later "
+    "one",
     { 1, 20 },
     20ms,
     10ms },
--- a/test/currantshed/member/fleet.cpp
+++ b/test/currantshed/member/fleet.cpp
@@ -138,10 +138,10 @@
 };
 
 const fleet_row kFleetRows[] = {
-  { "today's size", 8, 3, 0 },
-  { "today's size with losses", 8, 3, 100 },
+  { "current size", 8, 3, 0 },
+  { "current size with message loss", 8, 3, 100 },
   { "a hundred VMs", 100, 60, 0 },
-  { "a hundred VMs with losses", 100, 60, 10 },
+  { "a hundred VMs with message loss", 100, 60, 10 },
 };
 
 constexpr std::size_t kVictim = 5;
--- a/test/currantshed/member/owners.cpp
+++ b/test/currantshed/member/owners.cpp
@@ -28,9 +28,9 @@
 };
 
 const owners_row kOwnersRows[] = {
-  { "no VM, no owner", {}, 3, 0, 0 },
-  { "one VM owns alone", { { "a", "x", false } }, 3, 1, 1 },
-  { "domains first",
+  { "no VMs", {}, 3, 0, 0 },
+  { "one VM is the only owner", { { "a", "x", false } }, 3, 1, 1 },
+  { "one owner in each failure domain",
     { { "a", "x", false },
       { "b", "x", false },
       { "c", "x", false },
@@ -44,12 +44,16 @@
     3,
     3,
     2 },
-  { "a leaving VM owns nothing",
+  { "a leaving VM is no owner",
     { { "a", "x", false }, { "b", "y", true }, { "c", "z", false } },
     3,
     2,
     2 },
-  { "all are leaving", { { "a", "x", true }, { "b", "y", true } }, 3, 0, 0 },
+  { "all VMs are leaving",
+    { { "a", "x", true }, { "b", "y", true } },
+    3,
+    0,
+    0 },
 };
 
 std::vector<vm>
--- a/test/currantshed/outcome/request_digest.cpp
+++ b/test/currantshed/outcome/request_digest.cpp
@@ -21,7 +21,7 @@
   { "none at all", {}, { { "", {} } } },
   { "parameter's value", { { "a", { "1" } } }, { { "a", { "2" } } } },
   { "NULL and empty", { { "a", { std::nullopt } } }, { { "a", { "" } } } },
-  { "bounds of parameters",
+  { "boundaries of parameters",
     { { "a", { "12", "3" } } },
     { { "a", { "1", "23" } } } },
   { "parameter and text", { { "a", { "b" } } }, { { "ab", {} } } },
--- a/test/currantshed/outcome/stored_outcome.cpp
+++ b/test/currantshed/outcome/stored_outcome.cpp
@@ -39,7 +39,7 @@
   { "new", 0ms, true },
   { "almost too old", 24h - 1ms, true },
   { "too old", 24h, false },
-  { "issued by a clock that is ahead", -60s, true },
+  { "issued by a clock slightly ahead", -60s, true },
   { "issued in the future", -60001ms, false },
 };
 
--- a/test/currantshed/policy/configuration_record.cpp
+++ b/test/currantshed/policy/configuration_record.cpp
@@ -30,7 +30,7 @@
     R"({"version":2,"change":"c","declaration":"d","earlier_changes":[1]})" },
   { "earlier changes are no list",
     R"({"version":2,"change":"c","declaration":"d","earlier_changes":"b"})" },
-  { "more changes than versions",
+  { "more earlier changes than versions",
     R"({"version":1,"change":"c","declaration":"d","earlier_changes":["b"]})" },
 };
 
@@ -45,12 +45,12 @@
 /// Checked against a record of version 9 with the change "i" after "h" and "g".
 constexpr trace_row kTraceRows[] = {
   { "in force", "i", 9, change_trace::kMade },
-  { "the one before", "h", 8, change_trace::kMade },
-  { "the oldest that is named", "g", 7, change_trace::kMade },
-  { "another took its version", "x", 9, change_trace::kNotMade },
-  { "another took its version earlier", "x", 7, change_trace::kNotMade },
-  { "the version isn't reached", "x", 10, change_trace::kNotMade },
-  { "older than all that are named", "f", 6, change_trace::kForgotten },
+  { "the change before", "h", 8, change_trace::kMade },
+  { "the oldest one in the record", "g", 7, change_trace::kMade },
+  { "another change has the version", "x", 9, change_trace::kNotMade },
+  { "another change has an earlier version", "x", 7, change_trace::kNotMade },
+  { "a version that does not exist yet", "x", 10, change_trace::kNotMade },
+  { "older than all changes in the record", "f", 6, change_trace::kForgotten },
 };
 
 } // namespace
--- a/test/currantshed/policy/declaration.cpp
+++ b/test/currantshed/policy/declaration.cpp
@@ -84,10 +84,10 @@
     "8:1 only one document may stand in a declaration\n" },
   { "no classes", "groups: {}", "1:1 the declaration lacks classes\n" },
   { "no class", "classes: {}", "1:1 classes must have at least one class\n" },
-  { "a top key that is nearly known",
+  { "a misspelled top-level key",
     absl::StrCat(kWrite, "group: {}\n"),
     "7:1 unknown key 'group' in the declaration; did you mean 'groups'?\n" },
-  { "an unknown key that is near, and one that is not",
+  { "a misspelled key and an unknown one",
     absl::StrCat(kWrite, "    objektive: 99%\n    weight: 3\n"),
     "7:5 unknown key 'objektive' in class 'a'; did you mean 'objective'?\n"
     "8:5 unknown key 'weight' in class 'a'; known are: access, served_in, "
@@ -98,23 +98,23 @@
   { "a class twice",
     absl::StrCat(kWrite, "  a: {}\n"),
     "7:3 'a' stands twice in classes; keep one of them\n" },
-  { "all that is missing",
+  { "all required keys missing",
     "classes:\n  a: {}\n",
     "2:3 class 'a' lacks access\n2:3 class 'a' lacks served_in\n"
     "2:3 class 'a' lacks may_be_repeated\n2:3 class 'a' lacks deadline\n" },
   { "a class without a body",
     "classes:\n  a:\n",
     "2:3 class 'a' must be a map of key: value\n" },
-  { "a write that is stale",
+  { "a write with max_staleness",
     absl::StrCat(kWrite, "    max_staleness: 1s\n"),
     "7:5 class 'a' writes, so it can't have max_staleness; leave it out, or "
     "set access: read\n" },
-  { "a read without its staleness",
+  { "a read without max_staleness",
     "classes:\n  a: {access: read, served_in: [x], may_be_repeated: yes, "
     "deadline: 1s}\n",
     "2:3 class 'a' reads, so it needs max_staleness; 0s asks for fresh "
     "data\n" },
-  { "several at once, in the order of the text",
+  { "several faults, sorted by location",
     "classes:\n"
     "  a:\n"
     "    access: reads\n"
@@ -144,7 +144,7 @@
     "5:5 may_be_repeated must be one of: no, yes\n"
     "6:15 deadline must be a time from 10ms to 5m with its unit (ms, s, m or "
     "h)\n" },
-  { "places twice, or no names",
+  { "repeated and invalid names in served_in",
     "classes:\n"
     "  a:\n"
     "    access: write\n"
@@ -155,14 +155,14 @@
     "4:23 each of served_in must be a name\n"
     "4:28 'a b' can't be a name in served_in; use up to 64 letters, digits, "
     "dots, dashes and underscores, the first a letter or digit\n" },
-  { "a name that is none",
+  { "an invalid name",
     "classes:\n  ../x: {}\n",
     "2:3 '../x' can't be a name in classes; use up to 64 letters, digits, "
     "dots, dashes and underscores, the first a letter or digit\n" },
-  { "too long a text",
+  { "a text that is too long",
     std::string(policy::kLargestDeclarationBytes + 1, '#'),
     "1:1 the declaration has 262145 bytes; at most 262144 are taken\n" },
-  { "nested without end",
+  { "nested too deeply",
     Repeat("[", 5000),
     "1:1 not valid YAML: nested too deeply\n" },
 };
--- a/test/currantshed/pool/server_pool.cpp
+++ b/test/currantshed/pool/server_pool.cpp
@@ -24,8 +24,10 @@
 };
 
 constexpr share_row kShareRows[] = {
-  { "claimsbook", 16, 2, 0.5, 4, 2 }, { "planner-db", 55, 5, 0.5, 23, 5 },
-  { "no reserve", 16, 2, 0, 12, 2 },  { "hardly any", 8, 2, 0.5, 1, 2 },
+  { "claimsbook", 16, 2, 0.5, 4, 2 },
+  { "planner-db", 55, 5, 0.5, 23, 5 },
+  { "no reserve", 16, 2, 0, 12, 2 },
+  { "no more than are reserved", 8, 2, 0.5, 1, 2 },
   { "one", 1, 0, 0.5, 1, 1 },
 };
 
--- a/test/currantshed/session/token.cpp
+++ b/test/currantshed/session/token.cpp
@@ -77,8 +77,8 @@
 
 const exchange_row kExchangeRows[] = {
   { "same ring", kOld, kOld, {} },
-  { "old key after the new one came first", kOld, kBoth, {} },
-  { "new key while the old one still seals", kNew, kTurned, {} },
+  { "old key after the new one was moved to the front", kOld, kBoth, {} },
+  { "new key while the old one still signs", kNew, kTurned, {} },
   { "key was dropped", kOld, kNew, session_error::kForeign },
   { "same id, other secret", kImpostor, kOld, session_error::kForged },
 };
@@ -97,7 +97,7 @@
   { "later version",
     "AgEDb2xkAAAAAAAAAAAAAAAAAAAAAAAAAAAA",
     session_error::kUnknownVersion },
-  { "id longer than the text",
+  { "id length exceeds the text",
     "AQH_b2xkAAAAAAAAAAAAAAAAAAAAAAAAAAAA",
     session_error::kMalformed },
 };
