--- a/src/currantshed/route/read_route.hpp
+++ b/src/currantshed/route/read_route.hpp
@@ -26,7 +26,7 @@
   unsigned slots = 1;
   /// Whether a batch can be sent now, or a connection opened for it.
   bool room = false;
-  /// Whether an idle connection exists, so that none needs to be opened.
+  /// Whether the pool has an idle connection, so that none needs to be opened.
   bool connected = false;
 };
 
--- a/src/currantshed/session/key_ring.cpp
+++ b/src/currantshed/session/key_ring.cpp
@@ -73,7 +73,8 @@
   return { aText.data(), aText.size() };
 }
 
-/// Takes the text up to the next separator, or the rest, off the front.
+/// Removes the text up to the next separator, or all of it, from the front of
+/// aRest and returns it.
 std::string_view
 TakePart(std::string_view& aRest, char aSeparator)
 {
@@ -83,8 +84,8 @@
   return part;
 }
 
-/// Decodes base64url and refuses every text but the one that encodes the
-/// same bytes, so that each sealed content has exactly one text.
+/// Decodes base64url. Rejects non-canonical encodings, so that each signed
+/// content has exactly one text.
 bool
 Decode(std::string_view aText, std::string& aBytes)
 {
