--- a/src/currantshed/admit/deadline_queue.cpp
+++ b/src/currantshed/admit/deadline_queue.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 // Used until a drain rate was measured.
-constexpr std::chrono::milliseconds kUnmeasuredRetry{ 50 };
-constexpr std::chrono::milliseconds kLongestRetry{ 5000 };
+constexpr std::chrono::milliseconds kDefaultRetryAfter{ 50 };
+constexpr std::chrono::milliseconds kMaxRetryAfter{ 5000 };
 // The estimated wait is increased by one part in this many, as a margin for
 // variation around the mean rate.
 constexpr int kWaitMargin = 4;
 // Weight of the newest service time in the mean.
-constexpr double kNewest = 0.05;
+constexpr double kNewestWeight = 0.05;
 
 using seconds = std::chrono::duration<double>;
 
@@ -33,7 +33,7 @@
 }
 
 admission
-deadline_queue::Offer(const waiting& aRequest, clock::time_point aNow)
+deadline_queue::TryAdmit(const waiting& aRequest, clock::time_point aNow)
 {
   const entries::const_iterator behind = mEntries.lower_bound(aRequest);
   const auto isFull = mEntries.size() >= mLimit;
@@ -45,7 +45,7 @@
   if (!IsInTime(aRequest, place, aNow)) {
     return {};
   }
-  auto delayed = Delayed(aRequest, place, aNow);
+  auto delayed = FindDelayed(aRequest, place, aNow);
   if (!delayed) {
     return {};
   }
@@ -63,7 +63,7 @@
 }
 
 void
-deadline_queue::Put(const waiting& aRequest)
+deadline_queue::Requeue(const waiting& aRequest)
 {
   mEntries.insert(aRequest);
 }
@@ -89,13 +89,13 @@
     return;
   }
   const auto error = time - mService;
-  mService += kNewest * error;
-  mDeviation += kNewest * (std::chrono::abs(error) - mDeviation);
+  mService += kNewestWeight * error;
+  mDeviation += kNewestWeight * (std::chrono::abs(error) - mDeviation);
 }
 
 bool
-deadline_queue::CanEndInTime(const waiting& aRequest,
-                             clock::time_point aNow) const
+deadline_queue::CanMeetDeadline(const waiting& aRequest,
+                                clock::time_point aNow) const
 {
   return aNow + Service() <= aRequest.deadline;
 }
@@ -103,14 +103,14 @@
 std::chrono::milliseconds
 deadline_queue::RetryAfter(std::uint64_t aRequest, clock::time_point aNow)
 {
-  const auto gap = mDrain.TimeFor(1);
+  const auto gap = mDrain.TimeToDrain(1);
   if (!gap) {
-    return Spread(kUnmeasuredRetry, aRequest);
+    return AddJitter(kDefaultRetryAfter, aRequest);
   }
-  const auto drained = aNow + *mDrain.TimeFor(mEntries.size());
-  mLastReturn = std::min(std::max(mLastReturn, drained) + *gap,
-                         std::max(aNow + kLongestRetry, drained));
-  return Spread(mLastReturn - aNow, aRequest);
+  const auto drained = aNow + *mDrain.TimeToDrain(mEntries.size());
+  mLastRetryAt = std::min(std::max(mLastRetryAt, drained) + *gap,
+                          std::max(aNow + kMaxRetryAfter, drained));
+  return AddJitter(mLastRetryAt - aNow, aRequest);
 }
 
 const deadline_queue::entries&
@@ -130,7 +130,7 @@
                          std::size_t aPlace,
                          clock::time_point aNow) const
 {
-  const auto wait = mDrain.TimeFor(aPlace);
+  const auto wait = mDrain.TimeToDrain(aPlace);
   if (aPlace == 0 || !wait) {
     return true;
   }
@@ -138,9 +138,9 @@
 }
 
 std::optional<std::vector<waiting>>
-deadline_queue::Delayed(const waiting& aRequest,
-                        std::size_t aPlace,
-                        clock::time_point aNow) const
+deadline_queue::FindDelayed(const waiting& aRequest,
+                            std::size_t aPlace,
+                            clock::time_point aNow) const
 {
   std::vector<waiting> delayed;
   auto place = aPlace + 1;
--- a/src/currantshed/admit/deadline_queue.hpp
+++ b/src/currantshed/admit/deadline_queue.hpp
@@ -60,11 +60,11 @@
   explicit deadline_queue(std::size_t aLimit);
 
   /// Admits a request, or refuses it, by the rule above.
-  [[nodiscard]] admission Offer(const waiting& aRequest,
-                                clock::time_point aNow);
+  [[nodiscard]] admission TryAdmit(const waiting& aRequest,
+                                   clock::time_point aNow);
 
   /// Puts an admitted request back, regardless of the limit and of deadlines.
-  void Put(const waiting& aRequest);
+  void Requeue(const waiting& aRequest);
 
   /// Removes a request, whether it was dispatched or not.
   void Remove(const waiting& aRequest);
@@ -76,8 +76,8 @@
   void Served(clock::duration aTime);
 
   /// Whether a request dispatched now is expected to meet its deadline.
-  [[nodiscard]] bool CanEndInTime(const waiting& aRequest,
-                                  clock::time_point aNow) const;
+  [[nodiscard]] bool CanMeetDeadline(const waiting& aRequest,
+                                     clock::time_point aNow) const;
 
   /// When to retry a refused request: after the waiting requests, and those
   /// told earlier to retry, have been dispatched at the measured rate. Jitter
@@ -98,7 +98,7 @@
                               clock::time_point aNow) const;
   /// Requests behind aRequest that would miss their deadlines if it were
   /// admitted; none if one of an equally strict class is among them.
-  [[nodiscard]] std::optional<std::vector<waiting>> Delayed(
+  [[nodiscard]] std::optional<std::vector<waiting>> FindDelayed(
     const waiting& aRequest,
     std::size_t aPlace,
     clock::time_point aNow) const;
@@ -110,7 +110,7 @@
   std::chrono::duration<double> mService{ 0 };
   std::chrono::duration<double> mDeviation{ 0 };
   // When the request refused last was told to retry.
-  clock::time_point mLastReturn{};
+  clock::time_point mLastRetryAt{};
 };
 
 } // namespace currantshed::admit
--- a/src/currantshed/admit/drain_meter.hpp
+++ b/src/currantshed/admit/drain_meter.hpp
@@ -22,7 +22,7 @@
 
   /// Expected time until aRequests more requests are dispatched; none before
   /// the first measurement.
-  [[nodiscard]] std::optional<clock::duration> TimeFor(
+  [[nodiscard]] std::optional<clock::duration> TimeToDrain(
     std::size_t aRequests) const;
 
 private:
@@ -35,7 +35,7 @@
 
 /// Extends a retry time by up to half of it, by a hash of the request's number.
 [[nodiscard]] std::chrono::milliseconds
-Spread(clock::duration aTime, std::uint64_t aRequest);
+AddJitter(clock::duration aTime, std::uint64_t aRequest);
 
 } // namespace currantshed::admit
 
--- a/src/currantshed/admit/retry_budget.hpp
+++ b/src/currantshed/admit/retry_budget.hpp
@@ -13,21 +13,21 @@
 public:
   /// Initial and maximum number of retries, for a sender with some thousand
   /// first attempts per second.
-  static constexpr double kUsualStore = 50.0;
+  static constexpr double kDefaultCapacity = 50.0;
 
-  explicit retry_budget(double aStore = kUsualStore) noexcept;
+  explicit retry_budget(double aCapacity = kDefaultCapacity) noexcept;
 
   /// Records a first attempt.
-  void Earn() noexcept;
+  void Deposit() noexcept;
 
   /// Takes one retry from the budget; false if there is none.
-  [[nodiscard]] bool Spend() noexcept;
+  [[nodiscard]] bool TryWithdraw() noexcept;
 
 private:
-  static constexpr double kEarned = 0.1;
+  static constexpr double kDepositPerAttempt = 0.1;
 
-  double mMost;
-  double mRetries;
+  double mCapacity;
+  double mBalance;
 };
 
 } // namespace currantshed::admit
--- a/src/currantshed/confirm/position_samples.hpp
+++ b/src/currantshed/confirm/position_samples.hpp
@@ -50,7 +50,7 @@
     clock::time_point date;
   };
 
-  void Thin();
+  void ThinOut();
 
   // Sorted by position and by date.
   std::vector<sample> mSamples;
--- a/src/currantshed/confirm/status_board.hpp
+++ b/src/currantshed/confirm/status_tracker.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_CONFIRM_STATUS_BOARD_HPP
-#define CURRANTSHED_CONFIRM_STATUS_BOARD_HPP
+#ifndef CURRANTSHED_CONFIRM_STATUS_TRACKER_HPP
+#define CURRANTSHED_CONFIRM_STATUS_TRACKER_HPP
 
 #include <chrono>
 #include <cstddef>
@@ -19,7 +19,7 @@
 namespace currantshed::confirm {
 
 /// A server's status with the time at which it was requested.
-struct dated_status
+struct timestamped_status
 {
   upstream::server_status status;
   clock::time_point askedAt;
@@ -47,10 +47,10 @@
 /// A position is confirmed once a majority, each in the position's own term,
 /// stores a record of that term at or beyond it. Any majority from which a
 /// later primary is elected then includes a server that stores it.
-class status_board
+class status_tracker
 {
 public:
-  explicit status_board(std::chrono::milliseconds aValidity);
+  explicit status_tracker(std::chrono::milliseconds aValidity);
 
   /// Sets the servers of which a majority is required.
   void SetMembers(const std::vector<upstream::server_id>& aServers);
@@ -62,7 +62,7 @@
               clock::time_point aAskedAt);
 
   /// The server's latest status; null if none was received yet.
-  [[nodiscard]] const dated_status* Find(
+  [[nodiscard]] const timestamped_status* Find(
     const upstream::server_id& aServer) const;
 
   /// The highest term in which a majority is, by their latest statuses.
@@ -76,14 +76,14 @@
   /// The oldest request time within the most recent majority that stores the
   /// position in its own term; none if there is no such majority by the latest
   /// statuses.
-  [[nodiscard]] std::optional<clock::time_point> HeldSince(
+  [[nodiscard]] std::optional<clock::time_point> HeldByMajorityAsOf(
     const position::log_position& aPosition) const;
 
   /// Whether a majority stores the position in its own term, by statuses that
   /// were requested at or after aAskedSince and are still valid.
-  [[nodiscard]] bool Holds(const position::log_position& aPosition,
-                           clock::time_point aAskedSince,
-                           clock::time_point aNow) const;
+  [[nodiscard]] bool IsHeldByMajority(const position::log_position& aPosition,
+                                      clock::time_point aAskedSince,
+                                      clock::time_point aNow) const;
 
   /// Whether the position was ever confirmed. It then is in the log of every
   /// later term.
@@ -100,7 +100,7 @@
   struct member
   {
     bool heard = false;
-    dated_status latest;
+    timestamped_status latest;
     /// The highest position that the server stored in its own term.
     position::log_position highest;
   };
@@ -111,8 +111,8 @@
   [[nodiscard]] const members::value_type* PrimaryOf(
     position::term_id aTerm) const;
   [[nodiscard]] std::optional<majority_term> FindTerm() const;
-  void NoteConfirmed(position::term_id aTerm);
-  void NoteSample();
+  void UpdateConfirmed(position::term_id aTerm);
+  void AddSample();
 
   std::chrono::milliseconds mValidity;
   members mMembers;
--- a/src/currantshed/member/news_box.hpp
+++ b/src/currantshed/member/gossip_queue.hpp
@@ -1,23 +1,23 @@
-#ifndef CURRANTSHED_MEMBER_NEWS_BOX_HPP
-#define CURRANTSHED_MEMBER_NEWS_BOX_HPP
+#ifndef CURRANTSHED_MEMBER_GOSSIP_QUEUE_HPP
+#define CURRANTSHED_MEMBER_GOSSIP_QUEUE_HPP
 
 #include <optional>
 
 #include <absl/container/btree_map.h>
 
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 
 namespace currantshed::member {
 
 /// Gossip updates that are piggybacked on the next heartbeats: terms,
 /// suspicions and lost VMs. Each is repeated in a bounded number of heartbeats,
 /// except that a suspicion is sent until it is withdrawn.
-class news_box
+class gossip_queue
 {
 public:
   /// Queues a term. Returns false if the term is older than or the same as the
   /// known one; otherwise it should be sent at once.
-  bool SetTerm(const term_news& aNews);
+  bool SetTerm(const term_update& aUpdate);
   void SetSuspicion(const failover::suspicion& aWord);
   void SetLost(const lost_vm& aWord);
 
@@ -31,22 +31,22 @@
 private:
   struct repeated_term
   {
-    term_news news;
-    unsigned left = 0;
+    term_update update;
+    unsigned remaining = 0;
   };
 
   struct repeated_suspicion
   {
-    failover::suspicion word;
+    failover::suspicion latest;
     // Set once the suspicion is withdrawn; unset means that it is repeated
     // without limit.
-    std::optional<unsigned> left;
+    std::optional<unsigned> remaining;
   };
 
   struct repeated_loss
   {
     failover::incarnation_id incarnation;
-    unsigned left = 0;
+    unsigned remaining = 0;
   };
 
   void FillSuspicions(heartbeat& aBeat);
--- a/src/currantshed/member/roster.hpp
+++ b/src/currantshed/member/membership.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_MEMBER_ROSTER_HPP
-#define CURRANTSHED_MEMBER_ROSTER_HPP
+#ifndef CURRANTSHED_MEMBER_MEMBERSHIP_HPP
+#define CURRANTSHED_MEMBER_MEMBERSHIP_HPP
 
 #include <chrono>
 #include <cstdint>
@@ -15,7 +15,7 @@
 namespace currantshed::member {
 
 /// A term of a group and its primary, as gossiped between poolers.
-struct term_news
+struct term_update
 {
   group::group_name group;
   position::term_id term = 0;
@@ -42,9 +42,9 @@
   /// Version of the configuration that the sender uses.
   std::uint64_t configuration = 0;
   /// A bounded sample of the VMs that the sender heard from recently.
-  std::vector<store::vm> heardOf;
+  std::vector<store::vm> peerSample;
   std::vector<failover::suspicion> suspicions;
-  std::vector<term_news> terms;
+  std::vector<term_update> terms;
   /// Requests a heartbeat in reply.
   bool answer = false;
   /// VMs that were found failed; bounded in number.
@@ -52,23 +52,23 @@
 };
 
 /// A heartbeat and its receiver.
-struct send_heartbeat
+struct outgoing_heartbeat
 {
   store::vm to;
   heartbeat message;
 };
 
 /// Settings of a membership.
-struct roster_settings
+struct membership_settings
 {
   store::vm self;
   failover::incarnation_id incarnation;
   std::chrono::milliseconds interval{ 150 };
   /// A monitored VM that has sent heartbeats counts as failed after this time
   /// without one.
-  std::chrono::milliseconds silentAfter{ 500 };
+  std::chrono::milliseconds failureTimeout{ 500 };
   /// How long a listed VM counts as live before its first heartbeat.
-  std::chrono::milliseconds grace{ 3000 };
+  std::chrono::milliseconds gracePeriod{ 3000 };
   /// Number of receivers of each heartbeat besides the co-owners.
   unsigned fanout = 8;
   /// Number of poolers that own each group, placed in different failure domains
@@ -79,10 +79,10 @@
 /// One pooler's view of the live VMs, built from the platform's listing, which
 /// lags, and from heartbeats; and the poolers that own each group. A wrong view
 /// can cost performance but never safety. Does no I/O.
-class roster
+class membership
 {
 public:
-  virtual ~roster() = default;
+  virtual ~membership() = default;
 
   /// Handles a new listing of the VMs by the platform.
   virtual void Listed(const std::vector<store::vm>& aVms,
@@ -95,7 +95,7 @@
   /// carry.
   virtual void SetConfiguration(std::uint64_t aVersion) = 0;
   virtual void SetSuspicion(const failover::suspicion& aWord) = 0;
-  virtual void SetTerm(const term_news& aNews) = 0;
+  virtual void SetTerm(const term_update& aUpdate) = 0;
 
   /// Sets the groups that the platform lists. Co-owners of a group that this VM
   /// owns get every heartbeat.
@@ -108,7 +108,7 @@
   virtual void Tick(clock::time_point aNow) = 0;
   [[nodiscard]] virtual clock::time_point NextTick() const noexcept = 0;
   /// Returns the heartbeats that are due now.
-  [[nodiscard]] virtual std::vector<send_heartbeat> TakeHeartbeats() = 0;
+  [[nodiscard]] virtual std::vector<outgoing_heartbeat> TakeHeartbeats() = 0;
 
   /// Live VMs, including this one, sorted by id.
   [[nodiscard]] virtual std::vector<store::vm> Live() const = 0;
@@ -122,8 +122,8 @@
 };
 
 /// Creates a membership. aSeed seeds the random choice of heartbeat receivers.
-[[nodiscard]] std::unique_ptr<roster>
-MakeRoster(const roster_settings& aSettings, std::uint64_t aSeed);
+[[nodiscard]] std::unique_ptr<membership>
+MakeMembership(const membership_settings& aSettings, std::uint64_t aSeed);
 
 /// Chooses the owners of a group among the given VMs, in rank order, by
 /// rendezvous hashing with failure domains spread first. All processes that see
--- a/src/currantshed/outcome/verdict.hpp
+++ b/src/currantshed/outcome/verdict.hpp
@@ -31,7 +31,7 @@
   kNoPrimary,
   /// No server in the failure domains that the class allows can serve the
   /// request.
-  kNoPlace,
+  kNoEligibleServer,
   /// No server has data as recent as the session or the class requires.
   kTooStale,
   /// The transaction has ended, or its VM or server was lost.
--- a/src/currantshed/policy/configuration_record.hpp
+++ b/src/currantshed/policy/configuration_record.hpp
@@ -51,27 +51,27 @@
 /// Creates the record that follows aPrevious; version zero stands for no
 /// previous record. The caller fills in appliedBy and appliedAt.
 [[nodiscard]] configuration_record
-NextConfigurationRecord(const configuration_record& aFormer,
+NextConfigurationRecord(const configuration_record& aPrevious,
                         std::string aChange,
                         std::string aDeclaration);
 
 /// Whether a configuration record includes a change.
-enum class change_trace
+enum class change_status
 {
   /// The record is this change or follows it.
-  kMade,
+  kIncluded,
   /// Another change has the version.
-  kNotMade,
+  kNotIncluded,
   /// The version is older than all changes in the record.
-  kForgotten,
+  kTooOld,
 };
 
 /// Tells whether aChange was accepted as version aVersion; aRecord has this
 /// version or a later one if it was.
-[[nodiscard]] change_trace
-TraceChange(const configuration_record& aRecord,
-            std::string_view aChange,
-            std::uint64_t aVersion);
+[[nodiscard]] change_status
+FindChange(const configuration_record& aRecord,
+           std::string_view aChange,
+           std::uint64_t aVersion);
 
 } // namespace currantshed::policy
 
--- a/src/currantshed/policy/declaration.hpp
+++ b/src/currantshed/policy/declaration.hpp
@@ -13,7 +13,7 @@
 namespace currantshed::policy {
 
 /// Maximum size of a declaration.
-constexpr std::size_t kLargestDeclarationBytes = 256UL * 1024;
+constexpr std::size_t kMaxDeclarationBytes = 256UL * 1024;
 
 /// Default maximum duration of a transaction.
 constexpr std::chrono::milliseconds kDefaultTransactionLimit{ 30'000 };
@@ -53,7 +53,7 @@
 };
 
 /// Result of parsing; value is valid only if faults is empty.
-struct parsed
+struct parsed_declaration
 {
   declaration value;
   /// All errors, sorted by location.
@@ -61,7 +61,7 @@
 };
 
 /// Parses and validates a declaration.
-[[nodiscard]] parsed
+[[nodiscard]] parsed_declaration
 ParseDeclaration(std::string_view aYaml);
 
 /// Serializes a declaration in its canonical form: parsing it yields an equal
--- a/src/currantshed/policy/yaml_reader.hpp
+++ b/src/currantshed/policy/yaml_reader.hpp
@@ -18,7 +18,7 @@
 class fault_list
 {
 public:
-  void Add(const YAML::Mark& aPlace, std::string aMessage);
+  void Add(const YAML::Mark& aLocation, std::string aMessage);
 
   /// Moves out all faults, sorted by location.
   [[nodiscard]] std::vector<fault> Take();
@@ -38,7 +38,7 @@
 struct map_entry
 {
   std::string key;
-  YAML::Mark place;
+  YAML::Mark location;
   YAML::Node value;
 };
 
@@ -52,26 +52,26 @@
   /// is not a map; adds one for each repeated key. aLocation is that of the
   /// map's own key.
   [[nodiscard]] std::vector<map_entry> Map(const YAML::Node& aNode,
-                                           const YAML::Mark& aPlace,
-                                           const std::string& aWhere);
+                                           const YAML::Mark& aLocation,
+                                           const std::string& aContext);
 
   /// Like Map, but adds a fault for each unknown key.
   [[nodiscard]] std::vector<map_entry> Fields(
     const YAML::Node& aNode,
-    const YAML::Mark& aPlace,
-    const std::string& aWhere,
+    const YAML::Mark& aLocation,
+    const std::string& aContext,
     std::span<const std::string_view> aKnown);
 
   /// Checks a name: letters, digits, dots, dashes and underscores.
   [[nodiscard]] bool Name(const std::string& aText,
-                          const YAML::Mark& aPlace,
-                          const std::string& aWhere);
+                          const YAML::Mark& aLocation,
+                          const std::string& aContext);
 
   /// Reads a list of at least one name, without duplicates.
   [[nodiscard]] std::vector<std::string> Names(const map_entry& aField);
 
   /// Returns the index in aWords of the field's value.
-  [[nodiscard]] std::optional<std::size_t> Word(
+  [[nodiscard]] std::optional<std::size_t> OneOf(
     const map_entry& aField,
     std::span<const std::string_view> aWords);
 
@@ -81,15 +81,15 @@
     const time_bounds& aBounds);
 
   /// Reads a percentage such as 99.9% as a fraction between 0 and 1.
-  [[nodiscard]] std::optional<double> Share(const map_entry& aField,
-                                            double aLowest,
-                                            double aHighest);
+  [[nodiscard]] std::optional<double> Percentage(const map_entry& aField,
+                                                 double aLowest,
+                                                 double aHighest);
 
-  void Add(const YAML::Mark& aPlace, std::string aMessage);
+  void Add(const YAML::Mark& aLocation, std::string aMessage);
 
 private:
   [[nodiscard]] std::optional<std::string> Scalar(const map_entry& aField,
-                                                  const std::string& aRight);
+                                                  const std::string& aExpected);
 
   fault_list& mFaults;
 };
--- a/src/currantshed/pool/server_pool.hpp
+++ b/src/currantshed/pool/connection_pool.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_POOL_SERVER_POOL_HPP
-#define CURRANTSHED_POOL_SERVER_POOL_HPP
+#ifndef CURRANTSHED_POOL_CONNECTION_POOL_HPP
+#define CURRANTSHED_POOL_CONNECTION_POOL_HPP
 
 #include <chrono>
 #include <cstddef>
@@ -30,12 +30,14 @@
 /// the leader's own status and control connections; and the control connections
 /// of the two standbys.
 [[nodiscard]] pool_limits
-ShareOf(unsigned aConnections, unsigned aSlots, double aTakeoverReserve);
+ComputePoolLimits(unsigned aConnections,
+                  unsigned aSlots,
+                  double aTakeoverReserve);
 
 /// The statement connections to one server and their states. A connection is
 /// being opened, idle, or checked out. A checked-out one may be running a
 /// batch, which takes a slot. The pool itself opens and closes no connections.
-class server_pool
+class connection_pool
 {
 public:
   void SetLimits(const pool_limits& aLimits);
@@ -66,11 +68,11 @@
   /// delayed.
   void Failed(connection_id aConnection, clock::time_point aNow);
   /// Takes an idle connection out of the pool.
-  void Hold(connection_id aConnection);
+  void CheckOut(connection_id aConnection);
   /// Returns a checked-out connection.
-  void Release(connection_id aConnection);
-  void BatchBegins(connection_id aConnection);
-  void BatchEnds(connection_id aConnection);
+  void CheckIn(connection_id aConnection);
+  void BatchStarted(connection_id aConnection);
+  void BatchEnded(connection_id aConnection);
   /// Removes a connection in any state.
   void Remove(connection_id aConnection);
 
@@ -85,7 +87,7 @@
   {
     kOpening,
     kIdle,
-    kHeld,
+    kCheckedOut,
   };
 
   struct connection
@@ -101,7 +103,7 @@
   pool_limits mLimits;
   std::vector<connection> mConnections;
   unsigned mRunning = 0;
-  unsigned mRefusals = 0;
+  unsigned mFailures = 0;
   clock::time_point mRetryAt{};
 };
 
--- a/src/currantshed/route/read_route.hpp
+++ b/src/currantshed/route/read_route.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "currantshed/clock/time.hpp"
-#include "currantshed/confirm/status_board.hpp"
+#include "currantshed/confirm/status_tracker.hpp"
 #include "currantshed/outcome/verdict.hpp"
 #include "currantshed/position/log_position.hpp"
 #include "currantshed/route/fwd.hpp"
@@ -25,13 +25,13 @@
   unsigned inUse = 0;
   unsigned slots = 1;
   /// Whether a batch can be sent now, or a connection opened for it.
-  bool room = false;
+  bool hasCapacity = false;
   /// Whether the pool has an idle connection, so that none needs to be opened.
   bool connected = false;
 };
 
 /// Requirements of a read on the server that runs it.
-struct read_need
+struct read_requirements
 {
   /// Failure domains that may serve it; a hard constraint, so an empty list
   /// allows none.
@@ -45,10 +45,10 @@
   const std::vector<upstream::server_id>& tried;
   /// Whether it has waited long enough for the replicas that the primary may
   /// serve it.
-  bool spill = false;
+  bool allowSpillover = false;
 };
 
-enum class standing
+enum class availability
 {
   /// A server can take the request now.
   kReady,
@@ -61,7 +61,7 @@
 /// The chosen server, as an index into the candidates.
 struct choice
 {
-  standing state = standing::kNone;
+  availability state = availability::kNone;
   std::size_t index = 0;
   outcome::reason why = outcome::reason::kNone;
 };
@@ -77,15 +77,15 @@
 /// no such replica.
 [[nodiscard]] choice
 ChooseForRead(const std::vector<candidate>& aCandidates,
-              const read_need& aNeed,
-              const confirm::status_board& aBoard,
+              const read_requirements& aRequirements,
+              const confirm::status_tracker& aTracker,
               clock::time_point aNow);
 
 /// Chooses the server for a request that only the primary can serve.
 [[nodiscard]] choice
 ChoosePrimary(const std::vector<candidate>& aCandidates,
               const std::vector<std::string>& aServedIn,
-              const confirm::status_board& aBoard,
+              const confirm::status_tracker& aTracker,
               clock::time_point aNow);
 
 } // namespace currantshed::route
--- a/src/currantshed/session/error.hpp
+++ b/src/currantshed/session/error.hpp
@@ -12,13 +12,13 @@
   kMalformed = 1,
   /// The text was signed with a key that is not on the key ring, or for another
   /// purpose.
-  kForeign,
+  kUntrusted,
   /// The signature does not match the content.
-  kForged,
+  kBadSignature,
   /// The text has an unknown format version.
   kUnknownVersion,
   /// The list of keys does not have the form `id:hexadecimal,...`.
-  kBadKeyRing,
+  kInvalidKeyRing,
 };
 
 [[nodiscard]] const std::error_category&
--- a/src/currantshed/session/key_ring.hpp
+++ b/src/currantshed/session/key_ring.hpp
@@ -12,7 +12,7 @@
 
 /// What a signed text is used for. A text signed for one purpose is rejected
 /// for any other.
-enum class seal_purpose : unsigned char
+enum class token_purpose : unsigned char
 {
   kSession = 1,
   kTransaction = 2,
@@ -36,14 +36,14 @@
   /// Signs a content with HMAC-SHA256, truncated to 16 bytes, and encodes it as
   /// base64url text for HTTP headers and paths. The content is authenticated,
   /// not encrypted. Returns an empty text if the ring is empty.
-  [[nodiscard]] std::string Seal(seal_purpose aPurpose,
+  [[nodiscard]] std::string Sign(token_purpose aPurpose,
                                  std::string_view aContent) const;
 
   /// Verifies a signed text and extracts its content. Signatures are compared
   /// in constant time. aContent is unchanged on error.
-  [[nodiscard]] std::error_code Open(seal_purpose aPurpose,
-                                     std::string_view aText,
-                                     std::string& aContent) const;
+  [[nodiscard]] std::error_code Verify(token_purpose aPurpose,
+                                       std::string_view aText,
+                                       std::string& aContent) const;
 
   [[nodiscard]] bool empty() const noexcept;
 
--- a/src/currantshed/session/position_vector.hpp
+++ b/src/currantshed/session/position_vector.hpp
@@ -32,7 +32,7 @@
 public:
   /// Maximum number of groups in one vector. Beyond it the vector overflows,
   /// and groups that are not in it get fresh reads.
-  static constexpr std::size_t kMostGroups = 64;
+  static constexpr std::size_t kMaxGroups = 64;
 
   /// The minimum position for a read of the group.
   [[nodiscard]] group_floor Floor(std::string_view aGroup) const noexcept;
@@ -41,7 +41,7 @@
   /// recorded one. Where Floor returns fresh, the position must come from a
   /// fresh read or from a write, so that it covers anything seen before without
   /// being recorded.
-  void Raise(std::string_view aGroup, position::log_position aPosition);
+  void AdvanceTo(std::string_view aGroup, position::log_position aPosition);
 
   /// Merges another vector of the same session. A group that either vector may
   /// have seen without recording it is left out.
@@ -49,7 +49,7 @@
 
   /// Marks the vector as incomplete: groups that are not in it get fresh reads
   /// until a position is recorded for them.
-  void AssumeMore() noexcept;
+  void MarkIncomplete() noexcept;
 
   [[nodiscard]] bool Overflowed() const noexcept;
   [[nodiscard]] std::size_t size() const noexcept;
@@ -72,9 +72,9 @@
     [[nodiscard]] friend bool operator==(const entry&, const entry&) = default;
   };
 
-  void RaiseHash(std::uint64_t aGroup, position::log_position aPosition);
+  void AdvanceHashTo(std::uint64_t aGroup, position::log_position aPosition);
   [[nodiscard]] const entry* Find(std::uint64_t aGroup) const noexcept;
-  void DropUnlessIn(const position_vector& aOther);
+  void RemoveUnlessIn(const position_vector& aOther);
 
   /// Sorted by hash.
   std::vector<entry> mEntries;
--- a/test/currantshed/policy/configuration_record.cpp
+++ b/test/currantshed/policy/configuration_record.cpp
@@ -39,18 +39,21 @@
   const char* name;
   const char* change;
   std::uint64_t version;
-  change_trace expected;
+  change_status expected;
 };
 
 /// Checked against a record of version 9 with the change "i" after "h" and "g".
 constexpr trace_row kTraceRows[] = {
-  { "in force", "i", 9, change_trace::kMade },
-  { "the change before", "h", 8, change_trace::kMade },
-  { "the oldest one in the record", "g", 7, change_trace::kMade },
-  { "another change has the version", "x", 9, change_trace::kNotMade },
-  { "another change has an earlier version", "x", 7, change_trace::kNotMade },
-  { "a version that does not exist yet", "x", 10, change_trace::kNotMade },
-  { "older than all changes in the record", "f", 6, change_trace::kForgotten },
+  { "in force", "i", 9, change_status::kIncluded },
+  { "the change before", "h", 8, change_status::kIncluded },
+  { "the oldest one in the record", "g", 7, change_status::kIncluded },
+  { "another change has the version", "x", 9, change_status::kNotIncluded },
+  { "another change has an earlier version",
+    "x",
+    7,
+    change_status::kNotIncluded },
+  { "a version that does not exist yet", "x", 10, change_status::kNotIncluded },
+  { "older than all changes in the record", "f", 6, change_status::kTooOld },
 };
 
 } // namespace
@@ -98,7 +101,7 @@
 {
   const configuration_record record{ 9, "i", "d", "", "", { "h", "g" } };
   for (const auto& row : kTraceRows) {
-    CHECK_TEXT(TraceChange(record, row.change, row.version) == row.expected,
+    CHECK_TEXT(FindChange(record, row.change, row.version) == row.expected,
                row.name);
   }
 }
--- a/test/currantshed/route/read_route.cpp
+++ b/test/currantshed/route/read_route.cpp
@@ -7,14 +7,14 @@
 #include <CppUTest/TestHarness.h>
 
 using currantshed::clock::time_point;
-using currantshed::confirm::status_board;
+using currantshed::confirm::status_tracker;
 using currantshed::outcome::reason;
 using currantshed::position::log_position;
+using currantshed::route::availability;
 using currantshed::route::candidate;
 using currantshed::route::choice;
 using currantshed::route::ChooseForRead;
-using currantshed::route::read_need;
-using currantshed::route::standing;
+using currantshed::route::read_requirements;
 using currantshed::upstream::server_role;
 using currantshed::upstream::server_status;
 using namespace std::chrono_literals;
@@ -25,7 +25,7 @@
 constexpr std::uint64_t kNewest = 1000;
 
 void
-Say(status_board& aBoard,
+Say(status_tracker& aTracker,
     const std::string& aServer,
     server_role aRole,
     std::uint64_t aIndex,
@@ -36,24 +36,24 @@
   status.role = aRole;
   status.stored = { 1, aIndex };
   status.applied = { 1, aIndex };
-  aBoard.Record(aServer, status, aAsked);
+  aTracker.Record(aServer, status, aAsked);
 }
 
 // The primary writes one record per millisecond for a second. The replica s2
 // lags by 10 ms and s3 by 300 ms. All statuses were last requested at the end
 // of that second.
-status_board
-Board()
+status_tracker
+MakeTracker()
 {
-  status_board board(200ms);
-  board.SetMembers({ "s1", "s2", "s3" });
+  status_tracker tracker(200ms);
+  tracker.SetMembers({ "s1", "s2", "s3" });
   for (std::uint64_t i = 1; i <= kNewest; ++i) {
     const auto asked = kStart + std::chrono::milliseconds(i) - 1000ms;
-    Say(board, "s1", server_role::kPrimary, i, asked);
-    Say(board, "s2", server_role::kReplica, i > 10 ? i - 10 : 0, asked);
-    Say(board, "s3", server_role::kReplica, i > 300 ? i - 300 : 0, asked);
+    Say(tracker, "s1", server_role::kPrimary, i, asked);
+    Say(tracker, "s2", server_role::kReplica, i > 10 ? i - 10 : 0, asked);
+    Say(tracker, "s3", server_role::kReplica, i > 300 ? i - 300 : 0, asked);
   }
-  return board;
+  return tracker;
 }
 
 std::vector<candidate>
@@ -72,10 +72,10 @@
   bool fresh;
   std::vector<std::string> servedIn;
   std::vector<std::string> tried;
-  bool spill;
+  bool allowSpillover;
   void (*change)(std::vector<candidate>&);
   std::chrono::milliseconds after;
-  standing state;
+  availability state;
   /// Expected server if the state is kReady.
   const char* server;
   reason why;
@@ -94,7 +94,7 @@
     false,
     kAsIs,
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s2",
     reason::kNone },
   { "the less loaded one",
@@ -106,7 +106,7 @@
     false,
     [](std::vector<candidate>& aAll) { aAll[1].inUse = 1; },
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s3",
     reason::kNone },
   { "an idle connection comes before a lower load",
@@ -121,7 +121,7 @@
       aAll[2].connected = false;
     },
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s2",
     reason::kNone },
   { "load is relative to the slots",
@@ -137,7 +137,7 @@
       aAll[2].slots = 5;
     },
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s3",
     reason::kNone },
   { "only one is within the bound",
@@ -149,7 +149,7 @@
     false,
     kAsIs,
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s2",
     reason::kNone },
   { "none is within the bound: the primary",
@@ -161,7 +161,7 @@
     false,
     kAsIs,
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s1",
     reason::kNone },
   { "a position that a replica has by its latest status",
@@ -173,7 +173,7 @@
     false,
     kAsIs,
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s2",
     reason::kNone },
   { "a position that no replica has yet: the primary",
@@ -185,7 +185,7 @@
     false,
     kAsIs,
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s1",
     reason::kNone },
   { "the same later, when by its lag a replica has it",
@@ -197,7 +197,7 @@
     false,
     kAsIs,
     20ms,
-    standing::kReady,
+    availability::kReady,
     "s2",
     reason::kNone },
   { "a position that no server has",
@@ -209,7 +209,7 @@
     false,
     kAsIs,
     0ms,
-    standing::kNone,
+    availability::kNone,
     "",
     reason::kTooStale },
   { "fresh: the primary",
@@ -221,7 +221,7 @@
     false,
     kAsIs,
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s1",
     reason::kNone },
   { "fresh, without recent statuses of a majority",
@@ -233,7 +233,7 @@
     false,
     kAsIs,
     201ms,
-    standing::kNone,
+    availability::kNone,
     "",
     reason::kNoPrimary },
   { "not fresh, in the same case",
@@ -245,7 +245,7 @@
     false,
     kAsIs,
     201ms,
-    standing::kReady,
+    availability::kReady,
     "s2",
     reason::kNone },
   { "all statuses are too old",
@@ -257,7 +257,7 @@
     false,
     kAsIs,
     1001ms,
-    standing::kNone,
+    availability::kNone,
     "",
     reason::kNoPrimary },
   { "replicas already tried: the primary",
@@ -269,7 +269,7 @@
     false,
     kAsIs,
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s1",
     reason::kNone },
   { "replicas leaving: the primary",
@@ -284,7 +284,7 @@
       aAll[2].leaving = true;
     },
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s1",
     reason::kNone },
   { "replicas busy: wait for them",
@@ -295,11 +295,11 @@
     {},
     false,
     [](std::vector<candidate>& aAll) {
-      aAll[1].room = false;
-      aAll[2].room = false;
+      aAll[1].hasCapacity = false;
+      aAll[2].hasCapacity = false;
     },
     0ms,
-    standing::kBusy,
+    availability::kBusy,
     "",
     reason::kNone },
   { "replicas busy and spillover allowed: the primary",
@@ -310,11 +310,11 @@
     {},
     true,
     [](std::vector<candidate>& aAll) {
-      aAll[1].room = false;
-      aAll[2].room = false;
+      aAll[1].hasCapacity = false;
+      aAll[2].hasCapacity = false;
     },
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s1",
     reason::kNone },
   { "all busy",
@@ -326,11 +326,11 @@
     true,
     [](std::vector<candidate>& aAll) {
       for (auto& one : aAll) {
-        one.room = false;
+        one.hasCapacity = false;
       }
     },
     0ms,
-    standing::kBusy,
+    availability::kBusy,
     "",
     reason::kNone },
   { "a failure domain without a server",
@@ -342,9 +342,9 @@
     false,
     kAsIs,
     0ms,
-    standing::kNone,
+    availability::kNone,
     "",
-    reason::kNoPlace },
+    reason::kNoEligibleServer },
   { "only the primary's failure domain",
     10s,
     {},
@@ -354,7 +354,7 @@
     false,
     kAsIs,
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s1",
     reason::kNone },
   { "only the failure domain of a replica that lags too far",
@@ -366,7 +366,7 @@
     false,
     kAsIs,
     0ms,
-    standing::kNone,
+    availability::kNone,
     "",
     reason::kTooStale },
   { "fresh, but not in the primary's failure domain",
@@ -378,9 +378,9 @@
     false,
     kAsIs,
     0ms,
-    standing::kNone,
+    availability::kNone,
     "",
-    reason::kNoPlace },
+    reason::kNoEligibleServer },
 };
 
 } // namespace
@@ -389,17 +389,17 @@
 
 TEST(read_route, choice)
 {
-  const auto board = Board();
+  const auto tracker = MakeTracker();
   for (const auto& row : kRouteRows) {
     auto candidates = Candidates();
     row.change(candidates);
-    const read_need need{ row.servedIn, row.floor, row.maxStaleness,
-                          row.fresh,    row.tried, row.spill };
+    const read_requirements need{ row.servedIn, row.floor, row.maxStaleness,
+                                  row.fresh,    row.tried, row.allowSpillover };
     const auto made =
-      ChooseForRead(candidates, need, board, kStart + row.after);
+      ChooseForRead(candidates, need, tracker, kStart + row.after);
     CHECK_TEXT(made.state == row.state, row.name);
     CHECK_TEXT(made.why == row.why, row.name);
-    if (made.state == standing::kReady) {
+    if (made.state == availability::kReady) {
       CHECK_TEXT(candidates[made.index].server == row.server, row.name);
     }
   }
