--- a/bench/currantshed/member/membership.cpp
+++ b/bench/currantshed/member/membership.cpp
@@ -14,12 +14,12 @@
 using namespace currantshed;
 using std::chrono::milliseconds;
 
-constexpr std::int64_t kToday = 8;
-constexpr std::int64_t kPlanned = 530;
+constexpr std::int64_t kCurrentVms = 8;
+constexpr std::int64_t kPlannedVms = 530;
 constexpr unsigned kDomains = 3;
 // Groups in the current and in the planned fleet.
-constexpr int kGroupsToday = 3;
-constexpr int kGroupsPlanned = 740;
+constexpr int kCurrentGroups = 3;
+constexpr int kPlannedGroups = 740;
 
 std::vector<store::vm>
 MakeFleet(std::int64_t aCount)
@@ -43,7 +43,7 @@
 MakeGroups(std::int64_t aVms)
 {
   std::vector<group::group_name> groups;
-  const int count = aVms == kToday ? kGroupsToday : kGroupsPlanned;
+  const int count = aVms == kCurrentVms ? kCurrentGroups : kPlannedGroups;
   groups.reserve(static_cast<std::size_t>(count));
   for (int group = 0; group < count; ++group) {
     groups.push_back("group-" + std::to_string(group));
@@ -67,20 +67,20 @@
   }
 
   // Delivers the next heartbeat; the peers take turns.
-  void Arrive()
+  void DeliverNext()
   {
-    mTurn = mTurn % (mVms.size() - 1) + 1;
+    mNextPeer = mNextPeer % (mVms.size() - 1) + 1;
     member::heartbeat beat;
-    beat.sender = mVms[mTurn];
+    beat.sender = mVms[mNextPeer];
     beat.incarnation = "vm-n/1796229257718/ff178768";
     beat.sequence = ++mSequence;
     subject->HeartbeatArrived(beat, now);
   }
 
-  void HearAll()
+  void DeliverAll()
   {
     for (std::size_t peer = 1; peer < mVms.size(); ++peer) {
-      Arrive();
+      DeliverNext();
     }
   }
 
@@ -89,39 +89,39 @@
 
 private:
   std::vector<store::vm> mVms;
-  std::size_t mTurn = 0;
+  std::size_t mNextPeer = 0;
   std::uint64_t mSequence = 0;
 };
 
 void
 HeartbeatArrives(benchmark::State& aState)
 {
-  running_membership given(aState.range(0));
-  given.HearAll();
+  running_membership fixture(aState.range(0));
+  fixture.DeliverAll();
   for (auto step : aState) {
     static_cast<void>(step);
-    given.Arrive();
+    fixture.DeliverNext();
   }
 }
 
 void
 HeartbeatsGoOut(benchmark::State& aState)
 {
-  running_membership given(aState.range(0));
-  given.HearAll();
+  running_membership fixture(aState.range(0));
+  fixture.DeliverAll();
   double messages = 0;
   double bytes = 0;
   for (auto step : aState) {
     static_cast<void>(step);
     aState.PauseTiming();
-    given.now += milliseconds{ 150 };
-    given.HearAll();
+    fixture.now += milliseconds{ 150 };
+    fixture.DeliverAll();
     aState.ResumeTiming();
-    given.subject->Tick(given.now);
-    for (const auto& send : given.subject->TakeHeartbeats()) {
+    fixture.subject->Tick(fixture.now);
+    for (const auto& send : fixture.subject->TakeHeartbeats()) {
       ++messages;
       bytes +=
-        static_cast<double>(wire::Encode(send.message, given.now).size());
+        static_cast<double>(wire::Encode(send.message, fixture.now).size());
     }
   }
   const auto rounds = static_cast<double>(aState.iterations());
@@ -132,17 +132,17 @@
 void
 ViewChanges(benchmark::State& aState)
 {
-  running_membership given(aState.range(0));
+  running_membership fixture(aState.range(0));
   auto vms = MakeFleet(aState.range(0));
   for (auto step : aState) {
     static_cast<void>(step);
     vms.back().leaving = !vms.back().leaving;
-    given.subject->Listed(vms, given.now);
+    fixture.subject->Listed(vms, fixture.now);
   }
 }
 
-BENCHMARK(HeartbeatArrives)->Arg(kToday)->Arg(kPlanned);
-BENCHMARK(HeartbeatsGoOut)->Arg(kToday)->Arg(kPlanned);
-BENCHMARK(ViewChanges)->Arg(kToday)->Arg(kPlanned);
+BENCHMARK(HeartbeatArrives)->Arg(kCurrentVms)->Arg(kPlannedVms);
+BENCHMARK(HeartbeatsGoOut)->Arg(kCurrentVms)->Arg(kPlannedVms);
+BENCHMARK(ViewChanges)->Arg(kCurrentVms)->Arg(kPlannedVms);
 
 } // namespace
--- a/bench/currantshed/place/jump.cpp
+++ b/bench/currantshed/place/jump.cpp
@@ -26,7 +26,7 @@
 JumpHash(std::uint64_t aKey, std::size_t aCount)
 {
   constexpr std::uint64_t kFactor = 2862933555777941757U;
-  constexpr double kTop = 2147483648.0;
+  constexpr double kTwoToThe31 = 2147483648.0;
   constexpr unsigned kShift = 33;
   std::uint64_t last = 0;
   std::uint64_t next = 0;
@@ -35,7 +35,7 @@
     aKey = aKey * kFactor + 1;
     const auto drawn = static_cast<double>((aKey >> kShift) + 1);
     next = static_cast<std::uint64_t>(static_cast<double>(last + 1) *
-                                      (kTop / drawn));
+                                      (kTwoToThe31 / drawn));
   }
   return last;
 }
@@ -43,8 +43,8 @@
 std::uint32_t
 BucketHash(std::size_t aItem, std::uint64_t aKey)
 {
-  const std::array<std::uint64_t, 2> both{ aItem, aKey };
-  return static_cast<std::uint32_t>(XXH3_64bits(both.data(), sizeof(both)));
+  const std::array<std::uint64_t, 2> input{ aItem, aKey };
+  return static_cast<std::uint32_t>(XXH3_64bits(input.data(), sizeof(input)));
 }
 
 // Figure 3 of Fujii's paper, with XXH3 instead of Jenkins' hash.
@@ -52,11 +52,11 @@
 JumpBucket(std::uint64_t aKey, const std::vector<std::uint32_t>& aSums)
 {
   constexpr std::uint32_t kMask = 0x7fffffffU;
-  constexpr double kTop = 2147483648.0;
+  constexpr double kTwoToThe31 = 2147483648.0;
   std::size_t item = 0;
   while (true) {
     const auto drawn = static_cast<double>(BucketHash(item, aKey) & kMask) + 1;
-    const double bound = aSums[item] * (kTop / drawn);
+    const double bound = aSums[item] * (kTwoToThe31 / drawn);
     if (bound >= aSums.back()) {
       return item;
     }
@@ -76,7 +76,7 @@
 
 // Chooses the owners one at a time, drawing until a VM in a new failure domain
 // is found.
-class drawn_placement : public placement
+class drawing_placement : public placement
 {
 public:
   void SetVms(const std::vector<store::vm>& aVms) override
@@ -95,16 +95,16 @@
   {
     std::vector<store::vm> owners;
     absl::flat_hash_set<std::string> domains;
-    absl::flat_hash_set<std::string> taken;
+    absl::flat_hash_set<std::string> chosen;
     for (std::uint64_t draw = 0; draw < 2 * kDraws && owners.size() < aCount;
          ++draw) {
       const auto& vm = mVms[Draw(DrawKey(aGroup, draw))];
       const bool anyDomain = draw >= kDraws;
-      if (vm.leaving || taken.contains(vm.id) ||
+      if (vm.leaving || chosen.contains(vm.id) ||
           (domains.contains(vm.failureDomain) && !anyDomain)) {
         continue;
       }
-      taken.insert(vm.id);
+      chosen.insert(vm.id);
       domains.insert(vm.failureDomain);
       owners.push_back(vm);
     }
@@ -121,7 +121,7 @@
   std::vector<std::uint32_t> mSums;
 };
 
-class jump_hash final : public drawn_placement
+class jump_hash final : public drawing_placement
 {
   [[nodiscard]] std::size_t Draw(std::uint64_t aKey) const override
   {
@@ -129,7 +129,7 @@
   }
 };
 
-class jump_bucket final : public drawn_placement
+class jump_bucket final : public drawing_placement
 {
   [[nodiscard]] std::size_t Draw(std::uint64_t aKey) const override
   {
--- a/bench/currantshed/place/owners.cpp
+++ b/bench/currantshed/place/owners.cpp
@@ -101,8 +101,8 @@
 // Percentage of ownerships (one per group and owner) that are with another VM
 // afterwards.
 double
-MovedSeats(const std::vector<vm_list>& aBefore,
-           const std::vector<vm_list>& aAfter)
+MovedOwnerships(const std::vector<vm_list>& aBefore,
+                const std::vector<vm_list>& aAfter)
 {
   double moved = 0;
   for (std::size_t group = 0; group < aBefore.size(); ++group) {
@@ -132,16 +132,16 @@
 
 // Ownerships of the VM with the most, relative to the mean.
 double
-FullestSeats(const std::vector<vm_list>& aPlaced, std::size_t aVms)
+MaxOwnerships(const std::vector<vm_list>& aPlaced, std::size_t aVms)
 {
-  std::map<std::string, double> seats;
-  double fullest = 0;
+  std::map<std::string, double> ownerships;
+  double largest = 0;
   for (const auto& owners : aPlaced) {
     for (const auto& vm : owners) {
-      fullest = std::max(fullest, ++seats[vm.id]);
+      largest = std::max(largest, ++ownerships[vm.id]);
     }
   }
-  return fullest * static_cast<double>(aVms) / (kGroups * kOwners);
+  return largest * static_cast<double>(aVms) / (kGroups * kOwners);
 }
 
 void
@@ -156,12 +156,12 @@
     auto owners = subject->Owners("group-" + std::to_string(group++), kOwners);
     benchmark::DoNotOptimize(owners);
   }
-  double fullest = 0;
+  double largest = 0;
   for (unsigned round = 0; round < kRounds; ++round) {
     const auto fleet = MakeFleet(round, count);
-    fullest += FullestSeats(PlaceAll(*subject, fleet), count) / kRounds;
+    largest += MaxOwnerships(PlaceAll(*subject, fleet), count) / kRounds;
   }
-  aState.counters["fullest_over_mean"] = fullest;
+  aState.counters["fullest_over_mean"] = largest;
 }
 
 void
@@ -169,22 +169,22 @@
 {
   const auto count = static_cast<unsigned>(aState.range(0));
   const auto subject = aMake();
-  double seats = 0;
+  double ownerships = 0;
   double leads = 0;
   for (auto step : aState) {
     static_cast<void>(step);
-    seats = 0;
+    ownerships = 0;
     leads = 0;
     for (unsigned round = 0; round < kRounds; ++round) {
       auto fleet = MakeFleet(round, count);
       const auto before = PlaceAll(*subject, fleet);
       aChange(fleet, round);
       const auto after = PlaceAll(*subject, fleet);
-      seats += MovedSeats(before, after) / kRounds;
+      ownerships += MovedOwnerships(before, after) / kRounds;
       leads += MovedLeads(before, after) / kRounds;
     }
   }
-  aState.counters["moved_seats_percent"] = seats;
+  aState.counters["moved_seats_percent"] = ownerships;
   aState.counters["moved_leads_percent"] = leads;
 }
 
@@ -211,23 +211,26 @@
                                       { "replace_old", ReplaceOld },
                                       { "replace_in_slot", ReplaceInSlot } };
 
-constexpr std::int64_t kToday = 8;
-constexpr std::int64_t kPlanned = 530;
+constexpr std::int64_t kCurrentVms = 8;
+constexpr std::int64_t kPlannedVms = 530;
 
 bool
 RegisterAll()
 {
-  for (const auto& way : kMakers) {
+  for (const auto& algorithm : kMakers) {
     benchmark::RegisterBenchmark(
-      (std::string("owners/") + way.name).c_str(), BenchOwners, way.make)
-      ->Arg(kToday)
-      ->Arg(kPlanned);
+      (std::string("owners/") + algorithm.name).c_str(),
+      BenchOwners,
+      algorithm.make)
+      ->Arg(kCurrentVms)
+      ->Arg(kPlannedVms);
     for (const auto& change : kChanges) {
-      const auto name = std::string("move/") + change.name + "/" + way.name;
+      const auto name =
+        std::string("move/") + change.name + "/" + algorithm.name;
       benchmark::RegisterBenchmark(
-        name.c_str(), BenchMovement, way.make, change.apply)
-        ->Arg(kToday)
-        ->Arg(kPlanned)
+        name.c_str(), BenchMovement, algorithm.make, change.apply)
+        ->Arg(kCurrentVms)
+        ->Arg(kPlannedVms)
         ->Iterations(1);
     }
   }
--- a/src/currantshed/admit/deadline_queue.cpp
+++ b/src/currantshed/admit/deadline_queue.cpp
@@ -13,7 +13,7 @@
 constexpr std::chrono::milliseconds kMaxRetryAfter{ 5000 };
 // The estimated wait is increased by one part in this many, as a margin for
 // variation around the mean rate.
-constexpr int kWaitMargin = 4;
+constexpr int kWaitMarginDivisor = 4;
 // Weight of the newest service time in the mean.
 constexpr double kNewestWeight = 0.05;
 
@@ -35,31 +35,31 @@
 admission
 deadline_queue::TryAdmit(const waiting& aRequest, clock::time_point aNow)
 {
-  const entries::const_iterator behind = mEntries.lower_bound(aRequest);
+  const entries::const_iterator next = mEntries.lower_bound(aRequest);
   const auto isFull = mEntries.size() >= mLimit;
   if (isFull && !IsStricter(aRequest, *mEntries.rbegin())) {
     return {};
   }
-  const auto place =
-    static_cast<std::size_t>(std::distance(mEntries.cbegin(), behind));
-  if (!IsInTime(aRequest, place, aNow)) {
+  const auto index =
+    static_cast<std::size_t>(std::distance(mEntries.cbegin(), next));
+  if (!WouldMeetDeadline(aRequest, index, aNow)) {
     return {};
   }
-  auto delayed = FindDelayed(aRequest, place, aNow);
+  auto delayed = FindDelayed(aRequest, index, aNow);
   if (!delayed) {
     return {};
   }
   if (isFull && delayed->empty()) {
     delayed->push_back(*mEntries.rbegin());
   }
-  admission made;
-  made.admitted = true;
-  for (const auto& victim : *delayed) {
-    made.displaced.push_back(victim.request);
-    mEntries.erase(victim);
+  admission result;
+  result.admitted = true;
+  for (const auto& other : *delayed) {
+    result.displaced.push_back(other.request);
+    mEntries.erase(other);
   }
   mEntries.insert(aRequest);
-  return made;
+  return result;
 }
 
 void
@@ -84,20 +84,21 @@
 deadline_queue::Served(clock::duration aTime)
 {
   const seconds time = aTime;
-  if (mService == seconds::zero()) {
-    mService = time;
+  if (mMeanServiceTime == seconds::zero()) {
+    mMeanServiceTime = time;
     return;
   }
-  const auto error = time - mService;
-  mService += kNewestWeight * error;
-  mDeviation += kNewestWeight * (std::chrono::abs(error) - mDeviation);
+  const auto error = time - mMeanServiceTime;
+  mMeanServiceTime += kNewestWeight * error;
+  mServiceTimeDeviation +=
+    kNewestWeight * (std::chrono::abs(error) - mServiceTimeDeviation);
 }
 
 bool
 deadline_queue::CanMeetDeadline(const waiting& aRequest,
                                 clock::time_point aNow) const
 {
-  return aNow + Service() <= aRequest.deadline;
+  return aNow + ExpectedServiceTime() <= aRequest.deadline;
 }
 
 std::chrono::milliseconds
@@ -120,43 +121,45 @@
 }
 
 clock::duration
-deadline_queue::Service() const
+deadline_queue::ExpectedServiceTime() const
 {
-  return std::chrono::duration_cast<clock::duration>(mService + mDeviation);
+  return std::chrono::duration_cast<clock::duration>(mMeanServiceTime +
+                                                     mServiceTimeDeviation);
 }
 
 bool
-deadline_queue::IsInTime(const waiting& aRequest,
-                         std::size_t aPlace,
-                         clock::time_point aNow) const
+deadline_queue::WouldMeetDeadline(const waiting& aRequest,
+                                  std::size_t aIndex,
+                                  clock::time_point aNow) const
 {
-  const auto wait = mDrain.TimeToDrain(aPlace);
-  if (aPlace == 0 || !wait) {
+  const auto wait = mDrain.TimeToDrain(aIndex);
+  if (aIndex == 0 || !wait) {
     return true;
   }
-  return aNow + *wait + *wait / kWaitMargin + Service() <= aRequest.deadline;
+  return aNow + *wait + *wait / kWaitMarginDivisor + ExpectedServiceTime() <=
+         aRequest.deadline;
 }
 
 std::optional<std::vector<waiting>>
 deadline_queue::FindDelayed(const waiting& aRequest,
-                            std::size_t aPlace,
+                            std::size_t aIndex,
                             clock::time_point aNow) const
 {
   std::vector<waiting> delayed;
-  auto place = aPlace + 1;
+  auto index = aIndex + 1;
   for (auto entry = mEntries.lower_bound(aRequest); entry != mEntries.end();
        ++entry) {
-    const auto isLate = !IsInTime(*entry, place, aNow);
+    const auto isLate = !WouldMeetDeadline(*entry, index, aNow);
     if (isLate && IsStricter(aRequest, *entry)) {
       delayed.push_back(*entry);
       continue;
     }
     // A request that would miss its deadline anyway does not prevent the
     // admission.
-    if (isLate && IsInTime(*entry, place - 1, aNow)) {
+    if (isLate && WouldMeetDeadline(*entry, index - 1, aNow)) {
       return std::nullopt;
     }
-    ++place;
+    ++index;
   }
   return delayed;
 }
--- a/src/currantshed/admit/deadline_queue.hpp
+++ b/src/currantshed/admit/deadline_queue.hpp
@@ -90,25 +90,25 @@
 
 private:
   /// Expected service time: mean plus mean deviation.
-  [[nodiscard]] clock::duration Service() const;
+  [[nodiscard]] clock::duration ExpectedServiceTime() const;
   /// Whether a request at this index of the queue is expected to meet its
   /// deadline.
-  [[nodiscard]] bool IsInTime(const waiting& aRequest,
-                              std::size_t aPlace,
-                              clock::time_point aNow) const;
+  [[nodiscard]] bool WouldMeetDeadline(const waiting& aRequest,
+                                       std::size_t aIndex,
+                                       clock::time_point aNow) const;
   /// Requests behind aRequest that would miss their deadlines if it were
   /// admitted; none if one of an equally strict class is among them.
   [[nodiscard]] std::optional<std::vector<waiting>> FindDelayed(
     const waiting& aRequest,
-    std::size_t aPlace,
+    std::size_t aIndex,
     clock::time_point aNow) const;
 
   std::size_t mLimit;
   entries mEntries;
   drain_meter mDrain;
   // Mean and mean deviation of the service time.
-  std::chrono::duration<double> mService{ 0 };
-  std::chrono::duration<double> mDeviation{ 0 };
+  std::chrono::duration<double> mMeanServiceTime{ 0 };
+  std::chrono::duration<double> mServiceTimeDeviation{ 0 };
   // When the request refused last was told to retry.
   clock::time_point mLastRetryAt{};
 };
--- a/src/currantshed/admit/drain_meter.cpp
+++ b/src/currantshed/admit/drain_meter.cpp
@@ -23,37 +23,37 @@
 void
 drain_meter::Departed(std::size_t aWaiting, clock::time_point aNow)
 {
-  if (mBusy) {
-    const seconds measured = aNow - mLast;
+  if (mHadWaiting) {
+    const seconds measured = aNow - mLastDispatch;
     const auto gap =
-      mGap ? std::min(measured, *mGap * kMaxGrowth + kGrowthAllowance)
-           : measured;
-    mGap = mGap ? *mGap + kNewestWeight * (gap - *mGap) : gap;
+      mMeanGap ? std::min(measured, *mMeanGap * kMaxGrowth + kGrowthAllowance)
+               : measured;
+    mMeanGap = mMeanGap ? *mMeanGap + kNewestWeight * (gap - *mMeanGap) : gap;
   }
-  mBusy = aWaiting > 0;
-  mLast = aNow;
+  mHadWaiting = aWaiting > 0;
+  mLastDispatch = aNow;
 }
 
 std::optional<clock::duration>
 drain_meter::TimeToDrain(std::size_t aRequests) const
 {
-  if (!mGap) {
+  if (!mMeanGap) {
     return std::nullopt;
   }
   return std::chrono::duration_cast<clock::duration>(
-    *mGap * static_cast<double>(aRequests));
+    *mMeanGap * static_cast<double>(aRequests));
 }
 
 std::chrono::milliseconds
 AddJitter(clock::duration aTime, std::uint64_t aRequest)
 {
   const auto hash = XXH3_64bits(&aRequest, sizeof(aRequest));
-  const auto part = static_cast<std::int64_t>(hash % kJitterSteps);
+  const auto step = static_cast<std::int64_t>(hash % kJitterSteps);
   const auto time = std::chrono::ceil<std::chrono::milliseconds>(aTime);
   const auto base = std::max(time, kMinTime);
   // The half is rounded up, so that short times get jitter too.
   const auto jitter =
-    (base.count() + 1) * part / static_cast<std::int64_t>(2 * kJitterSteps);
+    (base.count() + 1) * step / static_cast<std::int64_t>(2 * kJitterSteps);
   return base + std::chrono::milliseconds{ jitter };
 }
 
--- a/src/currantshed/admit/drain_meter.hpp
+++ b/src/currantshed/admit/drain_meter.hpp
@@ -28,9 +28,9 @@
 private:
   // Whether requests were waiting after the last dispatch. Only then does the
   // time since it measure the drain rate.
-  bool mBusy = false;
-  clock::time_point mLast{};
-  std::optional<std::chrono::duration<double>> mGap;
+  bool mHadWaiting = false;
+  clock::time_point mLastDispatch{};
+  std::optional<std::chrono::duration<double>> mMeanGap;
 };
 
 /// Extends a retry time by up to half of it, by a hash of the request's number.
--- a/src/currantshed/clock/print_time.cpp
+++ b/src/currantshed/clock/print_time.cpp
@@ -12,11 +12,11 @@
 std::string
 PrintWhole(std::chrono::sys_seconds aTime)
 {
-  constexpr std::size_t kRoom = 32;
+  constexpr std::size_t kMaxLength = 32;
   const std::time_t seconds = std::chrono::system_clock::to_time_t(aTime);
   std::tm parts{};
   gmtime_r(&seconds, &parts);
-  char text[kRoom];
+  char text[kMaxLength];
   const std::size_t length =
     std::strftime(text, sizeof(text), "%Y-%m-%dT%H:%M:%S", &parts);
   return { text, length };
--- a/src/currantshed/confirm/status_tracker.cpp
+++ b/src/currantshed/confirm/status_tracker.cpp
@@ -68,11 +68,11 @@
     member.highest = std::max(member.highest, aStatus.stored);
     UpdateConfirmed(aStatus.term);
   }
-  if (member.heard && aAskedAt < member.latest.askedAt) {
+  if (member.hasStatus && aAskedAt < member.latest.askedAt) {
     return;
   }
   ++mVersion;
-  member.heard = true;
+  member.hasStatus = true;
   member.latest = { aStatus, aAskedAt };
   mTerm = FindTerm();
   AddSample();
@@ -82,7 +82,7 @@
 status_tracker::Find(const upstream::server_id& aServer) const
 {
   const auto found = mMembers.find(aServer);
-  if (found == mMembers.end() || !found->second.heard) {
+  if (found == mMembers.end() || !found->second.hasStatus) {
     return nullptr;
   }
   return &found->second.latest;
@@ -100,16 +100,17 @@
   std::optional<majority_term> highest;
   for (const auto& [server, candidate] : mMembers) {
     const auto term = candidate.latest.status.term;
-    if (!candidate.heard || (highest && term <= highest->term)) {
+    if (!candidate.hasStatus || (highest && term <= highest->term)) {
       continue;
     }
-    dates asked;
+    dates requestTimes;
     for (const auto& [other, member] : mMembers) {
-      if (member.heard && member.latest.status.term == term) {
-        asked.push_back(member.latest.askedAt);
+      if (member.hasStatus && member.latest.status.term == term) {
+        requestTimes.push_back(member.latest.askedAt);
       }
     }
-    if (const auto oldest = OldestOfMajority(std::move(asked), Majority())) {
+    if (const auto oldest =
+          OldestOfMajority(std::move(requestTimes), Majority())) {
       highest = majority_term{ term, *oldest };
     }
   }
@@ -134,13 +135,13 @@
 status_tracker::HeldByMajorityAsOf(
   const position::log_position& aPosition) const
 {
-  dates asked;
+  dates requestTimes;
   for (const auto& [server, member] : mMembers) {
-    if (member.heard && IsHeldInTerm(member.latest.status, aPosition)) {
-      asked.push_back(member.latest.askedAt);
+    if (member.hasStatus && IsHeldInTerm(member.latest.status, aPosition)) {
+      requestTimes.push_back(member.latest.askedAt);
     }
   }
-  return OldestOfMajority(std::move(asked), Majority());
+  return OldestOfMajority(std::move(requestTimes), Majority());
 }
 
 bool
@@ -186,7 +187,7 @@
 {
   for (const auto& entry : mMembers) {
     const auto& status = entry.second.latest.status;
-    if (entry.second.heard && status.term == aTerm &&
+    if (entry.second.hasStatus && status.term == aTerm &&
         status.role == upstream::server_role::kPrimary) {
       return &entry;
     }
@@ -228,8 +229,9 @@
   if (primary == nullptr) {
     return;
   }
-  const auto& word = primary->second.latest;
-  mSamples.Add(word.status.stored, std::min(word.askedAt, mTerm->askedAt));
+  const auto& primaryStatus = primary->second.latest;
+  mSamples.Add(primaryStatus.status.stored,
+               std::min(primaryStatus.askedAt, mTerm->askedAt));
 }
 
 } // namespace currantshed::confirm
--- a/src/currantshed/confirm/status_tracker.hpp
+++ b/src/currantshed/confirm/status_tracker.hpp
@@ -99,7 +99,7 @@
 private:
   struct member
   {
-    bool heard = false;
+    bool hasStatus = false;
     timestamped_status latest;
     /// The highest position that the server stored in its own term.
     position::log_position highest;
--- a/src/currantshed/member/gossip_queue.cpp
+++ b/src/currantshed/member/gossip_queue.cpp
@@ -15,7 +15,7 @@
 // per heartbeat, the loss reaches a whole fleet.
 constexpr unsigned kLostRepeats = 6;
 // Maximum number of lost VMs in one heartbeat.
-constexpr std::size_t kLostLimit = 32;
+constexpr std::size_t kMaxLost = 32;
 
 } // namespace
 
@@ -23,9 +23,9 @@
 gossip_queue::SetTerm(const term_update& aUpdate)
 {
   auto& entry = mTerms[aUpdate.group];
-  const bool same = aUpdate.term == entry.update.term &&
-                    aUpdate.primary == entry.update.primary;
-  if (aUpdate.term < entry.update.term || same) {
+  const bool isSame = aUpdate.term == entry.update.term &&
+                      aUpdate.primary == entry.update.primary;
+  if (aUpdate.term < entry.update.term || isSame) {
     return false;
   }
   entry = { aUpdate, kTermRepeats };
@@ -33,35 +33,35 @@
 }
 
 void
-gossip_queue::SetSuspicion(const failover::suspicion& aWord)
+gossip_queue::SetSuspicion(const failover::suspicion& aUpdate)
 {
-  auto& entry = mSuspicions[aWord.group];
-  entry.latest = aWord;
+  auto& entry = mSuspicions[aUpdate.group];
+  entry.latest = aUpdate;
   entry.remaining.reset();
-  if (aWord.primary.empty()) {
+  if (aUpdate.primary.empty()) {
     entry.remaining = kWithdrawalRepeats;
   }
 }
 
 void
-gossip_queue::SetLost(const lost_vm& aWord)
+gossip_queue::SetLost(const lost_vm& aUpdate)
 {
-  mLost[aWord.id] = { aWord.incarnation, kLostRepeats };
+  mLost[aUpdate.id] = { aUpdate.incarnation, kLostRepeats };
 }
 
 void
-gossip_queue::Fill(heartbeat& aBeat)
+gossip_queue::Fill(heartbeat& aHeartbeat)
 {
-  FillSuspicions(aBeat);
-  FillTerms(aBeat);
-  FillLost(aBeat);
+  FillSuspicions(aHeartbeat);
+  FillTerms(aHeartbeat);
+  FillLost(aHeartbeat);
 }
 
 void
-gossip_queue::FillSuspicions(heartbeat& aBeat)
+gossip_queue::FillSuspicions(heartbeat& aHeartbeat)
 {
   for (auto& [group, entry] : mSuspicions) {
-    aBeat.suspicions.push_back(entry.latest);
+    aHeartbeat.suspicions.push_back(entry.latest);
     if (entry.remaining) {
       --*entry.remaining;
     }
@@ -72,25 +72,25 @@
 }
 
 void
-gossip_queue::FillTerms(heartbeat& aBeat)
+gossip_queue::FillTerms(heartbeat& aHeartbeat)
 {
   for (auto& [group, entry] : mTerms) {
     if (entry.remaining > 0) {
       --entry.remaining;
-      aBeat.terms.push_back(entry.update);
+      aHeartbeat.terms.push_back(entry.update);
     }
   }
 }
 
 void
-gossip_queue::FillLost(heartbeat& aBeat)
+gossip_queue::FillLost(heartbeat& aHeartbeat)
 {
   for (auto& [id, entry] : mLost) {
-    if (aBeat.lost.size() == kLostLimit) {
+    if (aHeartbeat.lost.size() == kMaxLost) {
       break;
     }
     --entry.remaining;
-    aBeat.lost.push_back({ id, entry.incarnation });
+    aHeartbeat.lost.push_back({ id, entry.incarnation });
   }
   absl::erase_if(
     mLost, [](const auto& aEntry) { return aEntry.second.remaining == 0; });
--- a/src/currantshed/member/gossip_queue.hpp
+++ b/src/currantshed/member/gossip_queue.hpp
@@ -18,15 +18,15 @@
   /// Queues a term. Returns false if the term is older than or the same as the
   /// known one; otherwise it should be sent at once.
   bool SetTerm(const term_update& aUpdate);
-  void SetSuspicion(const failover::suspicion& aWord);
-  void SetLost(const lost_vm& aWord);
+  void SetSuspicion(const failover::suspicion& aUpdate);
+  void SetLost(const lost_vm& aUpdate);
 
   /// Drops the update on a lost VM, once the VM has been heard from again.
   void EraseLost(const std::string& aId) { mLost.erase(aId); }
 
   /// Adds the pending updates to a heartbeat and decrements their remaining
   /// repeats.
-  void Fill(heartbeat& aBeat);
+  void Fill(heartbeat& aHeartbeat);
 
 private:
   struct repeated_term
@@ -49,9 +49,9 @@
     unsigned remaining = 0;
   };
 
-  void FillSuspicions(heartbeat& aBeat);
-  void FillTerms(heartbeat& aBeat);
-  void FillLost(heartbeat& aBeat);
+  void FillSuspicions(heartbeat& aHeartbeat);
+  void FillTerms(heartbeat& aHeartbeat);
+  void FillLost(heartbeat& aHeartbeat);
 
   absl::btree_map<group::group_name, repeated_suspicion> mSuspicions;
   absl::btree_map<group::group_name, repeated_term> mTerms;
--- a/src/currantshed/member/membership.cpp
+++ b/src/currantshed/member/membership.cpp
@@ -24,7 +24,7 @@
     : mSettings(aSettings)
     , mSelf(aSettings.self)
     , mSeed(aSeed)
-    , mTable(aSettings)
+    , mPeers(aSettings)
   {
     Rebuild();
   }
@@ -33,27 +33,29 @@
               clock::time_point aNow) override
   {
     Advance(aNow);
-    mTable.Listed(aVms, mNow);
+    mPeers.Listed(aVms, mNow);
     Refresh();
   }
 
-  void HeartbeatArrived(const heartbeat& aBeat, clock::time_point aNow) override
+  void HeartbeatArrived(const heartbeat& aHeartbeat,
+                        clock::time_point aNow) override
   {
     Advance(aNow);
-    if (aBeat.sender.id == mSelf.id || !mTable.RecordHeartbeat(aBeat, mNow)) {
+    if (aHeartbeat.sender.id == mSelf.id ||
+        !mPeers.RecordHeartbeat(aHeartbeat, mNow)) {
       return;
     }
-    mGossip.EraseLost(aBeat.sender.id);
-    if (aBeat.answer) {
-      mReplyTo.insert(aBeat.sender.id);
+    mGossip.EraseLost(aHeartbeat.sender.id);
+    if (aHeartbeat.answer) {
+      mReplyTo.insert(aHeartbeat.sender.id);
     }
-    for (const auto& vm : aBeat.peerSample) {
-      mTable.AddUnconfirmed(vm, mNow);
+    for (const auto& vm : aHeartbeat.peerSample) {
+      mPeers.AddUnconfirmed(vm, mNow);
     }
-    bool changed = mTable.NeedsEvaluation(aBeat.sender.id);
-    for (const auto& word : aBeat.lost) {
-      if (mTable.RecordLost(word, mNow)) {
-        mGossip.SetLost(word);
+    bool changed = mPeers.NeedsEvaluation(aHeartbeat.sender.id);
+    for (const auto& report : aHeartbeat.lost) {
+      if (mPeers.RecordLost(report, mNow)) {
+        mGossip.SetLost(report);
         changed = true;
       }
     }
@@ -70,9 +72,9 @@
     }
   }
 
-  void SetSuspicion(const failover::suspicion& aWord) override
+  void SetSuspicion(const failover::suspicion& aSuspicion) override
   {
-    mGossip.SetSuspicion(aWord);
+    mGossip.SetSuspicion(aSuspicion);
     mSendNow = true;
   }
 
@@ -102,37 +104,37 @@
   void Tick(clock::time_point aNow) override
   {
     Advance(aNow);
-    if (mNow >= std::min(mNextBeat, mNextChange)) {
-      mTable.RemoveExpired(mNow);
+    if (mNow >= std::min(mNextHeartbeat, mNextChange)) {
+      mPeers.RemoveExpired(mNow);
       Refresh();
     }
   }
 
   [[nodiscard]] clock::time_point NextTick() const noexcept override
   {
-    const bool atOnce = mSendNow || !mReplyTo.empty();
-    return atOnce ? mNow : std::min(mNextBeat, mNextChange);
+    const bool isImmediate = mSendNow || !mReplyTo.empty();
+    return isImmediate ? mNow : std::min(mNextHeartbeat, mNextChange);
   }
 
   [[nodiscard]] std::vector<outgoing_heartbeat> TakeHeartbeats() override
   {
-    const bool due = mNow >= mNextBeat;
+    const bool due = mNow >= mNextHeartbeat;
     const bool toAll = due || mSendNow;
     if (!toAll && mReplyTo.empty()) {
       return {};
     }
     if (due) {
-      mNextBeat = mNow + mSettings.interval;
+      mNextHeartbeat = mNow + mSettings.interval;
     }
     mSendNow = false;
     ++mSequence;
-    const auto beat = Compose();
+    const auto message = Compose();
     const auto receivers = toAll ? Receivers() : std::vector<store::vm>{};
     for (const auto& vm : receivers) {
       mReplyTo.erase(vm.id);
     }
-    auto sends = Address(beat, receivers);
-    for (auto& send : Address(beat, ReplyReceivers())) {
+    auto sends = Address(message, receivers);
+    for (auto& send : Address(message, ReplyReceivers())) {
       sends.push_back(std::move(send));
     }
     mReplyTo.clear();
@@ -157,22 +159,22 @@
 
   void Refresh()
   {
-    Watch();
-    const bool changed = mTable.UpdateLiveness(mNow);
-    for (const auto& word : mTable.TakeNewLosses(mNow)) {
-      mGossip.SetLost(word);
+    SetMonitored();
+    const bool changed = mPeers.UpdateLiveness(mNow);
+    for (const auto& report : mPeers.TakeNewLosses(mNow)) {
+      mGossip.SetLost(report);
     }
     if (changed) {
       Rebuild();
     }
-    mNextChange = mTable.NextChange(mNow);
+    mNextChange = mPeers.NextChange(mNow);
   }
 
   // Recomputes the live VMs, and with them the neighbours and the monitored
   // VMs.
   void Rebuild()
   {
-    auto live = mTable.Live();
+    auto live = mPeers.Live();
     mNeighbours = RingNeighbours(mSelf, live, mSettings.fanout / 2);
     live.push_back(mSelf);
     std::sort(
@@ -184,14 +186,14 @@
       ++mVersion;
       FindCoOwners();
     }
-    Watch();
+    SetMonitored();
   }
 
-  void Watch()
+  void SetMonitored()
   {
-    auto watched = mNeighbours;
-    watched.insert(mCoOwners.begin(), mCoOwners.end());
-    mTable.Watch(watched, mNow);
+    auto monitored = mNeighbours;
+    monitored.insert(mCoOwners.begin(), mCoOwners.end());
+    mPeers.SetMonitored(monitored, mNow);
   }
 
   void FindCoOwners()
@@ -213,22 +215,22 @@
 
   [[nodiscard]] heartbeat Compose()
   {
-    heartbeat beat;
-    beat.sender = mSelf;
-    beat.incarnation = mSettings.incarnation;
-    beat.sequence = mSequence;
-    beat.configuration = mConfiguration;
+    heartbeat message;
+    message.sender = mSelf;
+    message.incarnation = mSettings.incarnation;
+    message.sequence = mSequence;
+    message.configuration = mConfiguration;
     if (mSequence % kPeerSampleInterval == 0) {
-      beat.peerSample =
-        mTable.SampleRecent(mSequence / kPeerSampleInterval, mNow);
+      message.peerSample =
+        mPeers.SampleRecent(mSequence / kPeerSampleInterval, mNow);
     }
-    mGossip.Fill(beat);
-    return beat;
+    mGossip.Fill(message);
+    return message;
   }
 
   [[nodiscard]] std::vector<store::vm> Receivers() const
   {
-    const auto others = mTable.All();
+    const auto others = mPeers.All();
     return ChoosePeers({ mSelf,
                          others,
                          mNeighbours,
@@ -240,25 +242,25 @@
 
   [[nodiscard]] std::vector<store::vm> ReplyReceivers() const
   {
-    std::vector<store::vm> askers;
+    std::vector<store::vm> receivers;
     for (const auto& id : mReplyTo) {
-      if (const auto vm = mTable.Find(id)) {
-        askers.push_back(*vm);
+      if (const auto vm = mPeers.Find(id)) {
+        receivers.push_back(*vm);
       }
     }
-    return askers;
+    return receivers;
   }
 
   // Requests a reply from monitored VMs whose heartbeat is overdue.
   [[nodiscard]] std::vector<outgoing_heartbeat> Address(
-    const heartbeat& aBeat,
+    const heartbeat& aHeartbeat,
     const std::vector<store::vm>& aReceivers) const
   {
     std::vector<outgoing_heartbeat> sends;
     sends.reserve(aReceivers.size());
     for (const auto& vm : aReceivers) {
-      sends.push_back({ vm, aBeat });
-      sends.back().message.answer = mTable.IsOverdue(vm.id, mNow);
+      sends.push_back({ vm, aHeartbeat });
+      sends.back().message.answer = mPeers.IsOverdue(vm.id, mNow);
     }
     return sends;
   }
@@ -266,10 +268,10 @@
   membership_settings mSettings;
   store::vm mSelf;
   std::uint64_t mSeed;
-  peer_table mTable;
+  peer_table mPeers;
   gossip_queue mGossip;
   clock::time_point mNow;
-  clock::time_point mNextBeat;
+  clock::time_point mNextHeartbeat;
   clock::time_point mNextChange = clock::time_point::max();
   bool mSendNow = false;
   std::uint64_t mSequence = 0;
--- a/src/currantshed/member/membership.hpp
+++ b/src/currantshed/member/membership.hpp
@@ -88,13 +88,13 @@
   virtual void Listed(const std::vector<store::vm>& aVms,
                       clock::time_point aNow) = 0;
 
-  virtual void HeartbeatArrived(const heartbeat& aBeat,
+  virtual void HeartbeatArrived(const heartbeat& aHeartbeat,
                                 clock::time_point aNow) = 0;
 
   /// SetConfiguration, SetSuspicion and SetTerm set what the next heartbeats
   /// carry.
   virtual void SetConfiguration(std::uint64_t aVersion) = 0;
-  virtual void SetSuspicion(const failover::suspicion& aWord) = 0;
+  virtual void SetSuspicion(const failover::suspicion& aSuspicion) = 0;
   virtual void SetTerm(const term_update& aUpdate) = 0;
 
   /// Sets the groups that the platform lists. Co-owners of a group that this VM
--- a/src/currantshed/member/peer_table.cpp
+++ b/src/currantshed/member/peer_table.cpp
@@ -19,19 +19,19 @@
 // replayed or reordered one: its sequence is not newer, or its incarnation was
 // replaced by a later one.
 bool
-Accept(peer_record& aPeer, const heartbeat& aBeat)
+Accept(peer_record& aPeer, const heartbeat& aHeartbeat)
 {
-  if (aPeer.incarnation == aBeat.incarnation) {
-    if (aPeer.reported && aBeat.sequence <= aPeer.sequence) {
+  if (aPeer.incarnation == aHeartbeat.incarnation) {
+    if (aPeer.reported && aHeartbeat.sequence <= aPeer.sequence) {
       return false;
     }
-    aPeer.sequence = aBeat.sequence;
+    aPeer.sequence = aHeartbeat.sequence;
     return true;
   }
   auto& pastIncarnations = aPeer.pastIncarnations;
   if (std::find(pastIncarnations.begin(),
                 pastIncarnations.end(),
-                aBeat.incarnation) != pastIncarnations.end()) {
+                aHeartbeat.incarnation) != pastIncarnations.end()) {
     return false;
   }
   if (!aPeer.incarnation.empty()) {
@@ -40,8 +40,8 @@
   if (pastIncarnations.size() > kPastIncarnations) {
     pastIncarnations.pop_front();
   }
-  aPeer.incarnation = aBeat.incarnation;
-  aPeer.sequence = aBeat.sequence;
+  aPeer.incarnation = aHeartbeat.incarnation;
+  aPeer.sequence = aHeartbeat.sequence;
   return true;
 }
 
@@ -98,14 +98,14 @@
 }
 
 bool
-peer_table::RecordHeartbeat(const heartbeat& aBeat, clock::time_point aNow)
+peer_table::RecordHeartbeat(const heartbeat& aHeartbeat, clock::time_point aNow)
 {
-  auto& peer = mPeers[aBeat.sender.id];
-  if (!Accept(peer, aBeat)) {
+  auto& peer = mPeers[aHeartbeat.sender.id];
+  if (!Accept(peer, aHeartbeat)) {
     return false;
   }
-  mChanged = mChanged || peer.reported != aBeat.sender;
-  peer.reported = aBeat.sender;
+  mChanged = mChanged || peer.reported != aHeartbeat.sender;
+  peer.reported = aHeartbeat.sender;
   peer.lastHeartbeatAt = aNow;
   peer.unconfirmed.reset();
   peer.lostUntil.reset();
@@ -139,16 +139,16 @@
 // Ignored for another incarnation than the known one, and for a VM that was
 // heard from directly within the failure timeout.
 bool
-peer_table::RecordLost(const lost_vm& aWord, clock::time_point aNow)
+peer_table::RecordLost(const lost_vm& aReport, clock::time_point aNow)
 {
-  const auto found = mPeers.find(aWord.id);
+  const auto found = mPeers.find(aReport.id);
   if (found == mPeers.end() || WasHeardRecently(found->second, aNow)) {
     return false;
   }
   auto& peer = found->second;
-  const bool otherLife =
-    !peer.incarnation.empty() && peer.incarnation != aWord.incarnation;
-  if (otherLife || !IsRenewable(peer, aNow)) {
+  const bool otherIncarnation =
+    !peer.incarnation.empty() && peer.incarnation != aReport.incarnation;
+  if (otherIncarnation || !IsRenewable(peer, aNow)) {
     return false;
   }
   peer.lostUntil = aNow + kLostDuration;
@@ -156,12 +156,12 @@
 }
 
 void
-peer_table::Watch(const absl::flat_hash_set<std::string>& aIds,
-                  clock::time_point aNow)
+peer_table::SetMonitored(const absl::flat_hash_set<std::string>& aIds,
+                         clock::time_point aNow)
 {
-  const bool all = FullMesh();
+  const bool isFullMesh = FullMesh();
   for (auto& [id, peer] : mPeers) {
-    if (!all && !peer.suspected && !aIds.contains(id)) {
+    if (!isFullMesh && !peer.suspected && !aIds.contains(id)) {
       peer.monitoredSince.reset();
     } else if (!peer.monitoredSince) {
       peer.monitoredSince = aNow;
@@ -205,7 +205,7 @@
 void
 peer_table::RemoveExpired(clock::time_point aNow)
 {
-  const auto gone = absl::erase_if(mPeers, [&](const auto& aEntry) {
+  const auto removed = absl::erase_if(mPeers, [&](const auto& aEntry) {
     const auto& peer = aEntry.second;
     const bool unconfirmed =
       peer.unconfirmed && aNow - peer.unconfirmedSince <= mSettings.gracePeriod;
@@ -213,7 +213,7 @@
       peer.reported && aNow - peer.lastHeartbeatAt <= mSettings.gracePeriod;
     return !peer.listed && !reported && !unconfirmed;
   });
-  mChanged = mChanged || gone > 0;
+  mChanged = mChanged || removed > 0;
 }
 
 clock::time_point
@@ -253,12 +253,12 @@
 std::vector<store::vm>
 peer_table::All() const
 {
-  std::vector<store::vm> all;
-  all.reserve(mPeers.size());
+  std::vector<store::vm> isFullMesh;
+  isFullMesh.reserve(mPeers.size());
   for (const auto& [id, peer] : mPeers) {
-    all.push_back(Describe(peer));
+    isFullMesh.push_back(Describe(peer));
   }
-  return all;
+  return isFullMesh;
 }
 
 std::vector<store::vm>
@@ -270,13 +270,13 @@
       reported.push_back(&*peer.reported);
     }
   }
-  std::vector<store::vm> few;
+  std::vector<store::vm> sample;
   const auto count = std::min(kPeerSampleLimit, reported.size());
-  for (std::size_t place = 0; place < count; ++place) {
-    few.push_back(
-      *reported[(aNumber * kPeerSampleLimit + place) % reported.size()]);
+  for (std::size_t index = 0; index < count; ++index) {
+    sample.push_back(
+      *reported[(aNumber * kPeerSampleLimit + index) % reported.size()]);
   }
-  return few;
+  return sample;
 }
 
 std::optional<store::vm>
@@ -294,9 +294,8 @@
 {
   const auto& peer = mPeers.at(aId);
   const auto half = mSettings.interval / 2;
-  const auto patience = FullMesh() ? mSettings.interval + half : half;
-  const bool reported =
-    peer.reported && aNow - peer.lastHeartbeatAt <= patience;
+  const auto maxAge = FullMesh() ? mSettings.interval + half : half;
+  const bool reported = peer.reported && aNow - peer.lastHeartbeatAt <= maxAge;
   return peer.monitoredSince && !reported;
 }
 
--- a/src/currantshed/member/peer_table.hpp
+++ b/src/currantshed/member/peer_table.hpp
@@ -47,7 +47,7 @@
   void Listed(const std::vector<store::vm>& aVms, clock::time_point aNow);
 
   /// Processes a heartbeat. Returns false if it is older than the latest one.
-  bool RecordHeartbeat(const heartbeat& aBeat, clock::time_point aNow);
+  bool RecordHeartbeat(const heartbeat& aHeartbeat, clock::time_point aNow);
 
   /// Whether the last heartbeat of the VM requires UpdateLiveness: VM data
   /// changed, or the VM was not live.
@@ -59,11 +59,11 @@
 
   /// Records a peer's report that a VM is lost. Returns true if the report
   /// should be passed on.
-  bool RecordLost(const lost_vm& aWord, clock::time_point aNow);
+  bool RecordLost(const lost_vm& aReport, clock::time_point aNow);
 
   /// Sets the VMs to monitor; in a small fleet, all are monitored.
-  void Watch(const absl::flat_hash_set<std::string>& aIds,
-             clock::time_point aNow);
+  void SetMonitored(const absl::flat_hash_set<std::string>& aIds,
+                    clock::time_point aNow);
 
   /// Recomputes the liveness of all VMs. Returns true if the set of live VMs or
   /// their data changed.
--- a/src/currantshed/member/peers.cpp
+++ b/src/currantshed/member/peers.cpp
@@ -23,13 +23,13 @@
 std::uint64_t
 Draw(const peer_choice& aChoice, const std::string& aId)
 {
-  const std::array<std::uint64_t, 2> round{ aChoice.seed, aChoice.beat };
+  const std::array<std::uint64_t, 2> round{ aChoice.seed, aChoice.sequence };
   const auto seed = XXH3_64bits(round.data(), sizeof(round));
   return XXH3_64bits_withSeed(aId.data(), aId.size(), seed);
 }
 
 std::vector<hashed_vm>
-Shuffled(const peer_choice& aChoice)
+Shuffle(const peer_choice& aChoice)
 {
   std::vector<hashed_vm> drawn;
   for (const auto& vm : aChoice.others) {
@@ -41,10 +41,10 @@
 
 // Appends VMs that are not in aTaken yet, until aPeers has aLimit entries.
 void
-Take(const std::vector<hashed_vm>& aFrom,
-     std::size_t aLimit,
-     absl::flat_hash_set<std::string>& aTaken,
-     std::vector<store::vm>& aPeers)
+AppendUntilLimit(const std::vector<hashed_vm>& aFrom,
+                 std::size_t aLimit,
+                 absl::flat_hash_set<std::string>& aTaken,
+                 std::vector<store::vm>& aPeers)
 {
   for (const auto& [place, vm] : aFrom) {
     if (aPeers.size() >= aLimit) {
@@ -98,7 +98,7 @@
       peers.push_back(vm);
     }
   }
-  Take(Shuffled(aChoice), limit, taken, peers);
+  AppendUntilLimit(Shuffle(aChoice), limit, taken, peers);
   return peers;
 }
 
--- a/src/currantshed/member/peers.hpp
+++ b/src/currantshed/member/peers.hpp
@@ -26,7 +26,7 @@
   std::uint64_t seed = 0;
   /// Sequence number of the heartbeat; a different random subset is drawn for
   /// each.
-  std::uint64_t beat = 0;
+  std::uint64_t sequence = 0;
 };
 
 /// Ids of the aCount VMs among aOthers that follow this VM on the hash ring of
--- a/src/currantshed/outcome/idempotency_key.cpp
+++ b/src/currantshed/outcome/idempotency_key.cpp
@@ -23,9 +23,9 @@
 constexpr std::string_view kDigits = "0123456789abcdef";
 
 bool
-IsDashPlace(std::size_t aPlace)
+IsDashIndex(std::size_t aIndex)
 {
-  return aPlace == 8 || aPlace == 13 || aPlace == 18 || aPlace == 23;
+  return aIndex == 8 || aIndex == 13 || aIndex == 18 || aIndex == 23;
 }
 
 std::optional<std::uint8_t>
@@ -89,7 +89,7 @@
   idempotency_key key;
   std::size_t digits = 0;
   for (std::size_t i = 0; i < aText.size(); ++i) {
-    if (IsDashPlace(i)) {
+    if (IsDashIndex(i)) {
       if (aText[i] != '-') {
         return std::nullopt;
       }
@@ -125,7 +125,7 @@
   std::string text;
   text.reserve(kTextLength);
   for (const auto byte : mBytes) {
-    if (IsDashPlace(text.size())) {
+    if (IsDashIndex(text.size())) {
       text.push_back('-');
     }
     text.push_back(kDigits[byte >> kBitsInDigit]);
--- a/src/currantshed/outcome/idempotency_key.hpp
+++ b/src/currantshed/outcome/idempotency_key.hpp
@@ -43,18 +43,18 @@
     if (aBytes.size() != key.mBytes.size()) {
       return std::nullopt;
     }
-    for (std::size_t place = 0; place < aBytes.size(); ++place) {
-      key.mBytes[place] = static_cast<std::uint8_t>(aBytes[place]);
+    for (std::size_t index = 0; index < aBytes.size(); ++index) {
+      key.mBytes[index] = static_cast<std::uint8_t>(aBytes[index]);
     }
     constexpr unsigned kVersionShift = 4;
     constexpr unsigned kVersion = 7;
     constexpr unsigned kVariantShift = 6;
     constexpr unsigned kVariant = 2;
-    constexpr std::size_t kVersionPlace = 6;
-    constexpr std::size_t kVariantPlace = 8;
+    constexpr std::size_t kVersionIndex = 6;
+    constexpr std::size_t kVariantIndex = 8;
     const bool isVersion7 =
-      (key.mBytes[kVersionPlace] >> kVersionShift) == kVersion &&
-      (key.mBytes[kVariantPlace] >> kVariantShift) == kVariant;
+      (key.mBytes[kVersionIndex] >> kVersionShift) == kVersion &&
+      (key.mBytes[kVariantIndex] >> kVariantShift) == kVariant;
     return isVersion7 ? std::optional(key) : std::nullopt;
   }
 
--- a/src/currantshed/outcome/request_digest.cpp
+++ b/src/currantshed/outcome/request_digest.cpp
@@ -9,8 +9,8 @@
 
 // Type tags of parameters, which distinguish NULL, an empty text, and no
 // parameter.
-constexpr char kNullMark = 'n';
-constexpr char kTextMark = 't';
+constexpr char kNullTag = 'n';
+constexpr char kTextTag = 't';
 
 void
 AppendNumber(std::string& aBuffer, std::uint64_t aNumber)
@@ -37,7 +37,7 @@
   AppendText(buffer, aStatement.sql);
   AppendNumber(buffer, aStatement.parameters.size());
   for (const auto& parameter : aStatement.parameters) {
-    buffer.push_back(parameter ? kTextMark : kNullMark);
+    buffer.push_back(parameter ? kTextTag : kNullTag);
     if (parameter) {
       AppendText(buffer, *parameter);
     }
--- a/src/currantshed/policy/configuration_record.cpp
+++ b/src/currantshed/policy/configuration_record.cpp
@@ -139,12 +139,13 @@
   if (aRecord.version < aVersion) {
     return change_status::kNotIncluded;
   }
-  const auto behind = aRecord.version - aVersion;
-  if (behind > aRecord.earlierChanges.size()) {
+  const auto versionsBehind = aRecord.version - aVersion;
+  if (versionsBehind > aRecord.earlierChanges.size()) {
     return change_status::kTooOld;
   }
-  const auto& found =
-    behind == 0 ? aRecord.change : aRecord.earlierChanges[behind - 1];
+  const auto& found = versionsBehind == 0
+                        ? aRecord.change
+                        : aRecord.earlierChanges[versionsBehind - 1];
   return found == aChange ? change_status::kIncluded
                           : change_status::kNotIncluded;
 }
--- a/src/currantshed/policy/declaration.cpp
+++ b/src/currantshed/policy/declaration.cpp
@@ -142,11 +142,11 @@
     if (access == nullptr) {
       return;
     }
-    const auto word = mReader.OneOf(*access, kAccessWords);
-    if (!word) {
+    const auto index = mReader.OneOf(*access, kAccessWords);
+    if (!index) {
       return;
     }
-    aResult.kind = *word == 0 ? access::kRead : access::kWrite;
+    aResult.kind = *index == 0 ? access::kRead : access::kWrite;
     if (aResult.kind == access::kWrite && staleness != nullptr) {
       mReader.Add(staleness->location,
                   absl::StrCat(mContext,
--- a/src/currantshed/pool/connection_pool.cpp
+++ b/src/currantshed/pool/connection_pool.cpp
@@ -30,11 +30,11 @@
                   unsigned aSlots,
                   double aTakeoverReserve)
 {
-  const auto kept =
+  const auto unreserved =
     static_cast<unsigned>(std::floor(aConnections * (1.0 - aTakeoverReserve)));
-  const auto ours =
-    kept > kReservedConnections ? kept - kReservedConnections : 1;
-  return { std::max(ours, 1U), std::max(aSlots, 1U) };
+  const auto available =
+    unreserved > kReservedConnections ? unreserved - kReservedConnections : 1;
+  return { std::max(available, 1U), std::max(aSlots, 1U) };
 }
 
 void
@@ -59,7 +59,8 @@
 connection_pool::Idle(bool aReadOnly) const noexcept
 {
   for (const auto& connection : mConnections) {
-    if (connection.now == state::kIdle && connection.readOnly == aReadOnly) {
+    if (connection.current == state::kIdle &&
+        connection.readOnly == aReadOnly) {
       return connection.id;
     }
   }
@@ -73,7 +74,7 @@
     std::count_if(mConnections.begin(),
                   mConnections.end(),
                   [aReadOnly](const connection& aConnection) {
-                    return aConnection.now == state::kOpening &&
+                    return aConnection.current == state::kOpening &&
                            aConnection.readOnly == aReadOnly;
                   }));
 }
@@ -96,7 +97,7 @@
 connection_pool::Opened(connection_id aConnection)
 {
   if (auto* connection = Find(aConnection)) {
-    connection->now = state::kIdle;
+    connection->current = state::kIdle;
     mFailures = 0;
   }
 }
@@ -116,7 +117,7 @@
 connection_pool::CheckOut(connection_id aConnection)
 {
   if (auto* connection = Find(aConnection)) {
-    connection->now = state::kCheckedOut;
+    connection->current = state::kCheckedOut;
   }
 }
 
@@ -124,7 +125,7 @@
 connection_pool::CheckIn(connection_id aConnection)
 {
   if (auto* connection = Find(aConnection)) {
-    connection->now = state::kIdle;
+    connection->current = state::kIdle;
   }
 }
 
--- a/src/currantshed/pool/connection_pool.hpp
+++ b/src/currantshed/pool/connection_pool.hpp
@@ -94,7 +94,7 @@
   {
     connection_id id = 0;
     bool readOnly = false;
-    state now = state::kOpening;
+    state current = state::kOpening;
     bool running = false;
   };
 
--- a/src/currantshed/route/read_route.cpp
+++ b/src/currantshed/route/read_route.cpp
@@ -24,29 +24,29 @@
 // Estimates as of when a server's data is current, assuming that its lag has
 // not changed since its latest status; none without samples.
 std::optional<clock::time_point>
-ExpectedAsOf(const timestamped_status& aWord,
+ExpectedAsOf(const timestamped_status& aStatus,
              const confirm::status_tracker& aTracker,
              clock::time_point aNow)
 {
-  const auto asOf = aTracker.Samples().CurrentAsOf(aWord.status.applied);
+  const auto asOf = aTracker.Samples().CurrentAsOf(aStatus.status.applied);
   if (!asOf) {
     return std::nullopt;
   }
-  const auto lag = std::max(aWord.askedAt - *asOf, clock::duration{ 0 });
+  const auto lag = std::max(aStatus.askedAt - *asOf, clock::duration{ 0 });
   return std::max(*asOf, aNow - lag);
 }
 
 bool
-CoversFloor(const timestamped_status& aWord,
+CoversFloor(const timestamped_status& aStatus,
             const read_requirements& aRequirements,
             const confirm::status_tracker& aTracker,
             std::optional<clock::time_point> aExpectedAsOf)
 {
-  if (aWord.status.applied >= aRequirements.floor) {
+  if (aStatus.status.applied >= aRequirements.floor) {
     return true;
   }
-  const auto written = aTracker.Samples().WrittenBy(aRequirements.floor);
-  return written && aExpectedAsOf && *written <= *aExpectedAsOf;
+  const auto writtenBy = aTracker.Samples().WrittenBy(aRequirements.floor);
+  return writtenBy && aExpectedAsOf && *writtenBy <= *aExpectedAsOf;
 }
 
 // Maximum age of the data when the read is dispatched, such that part of the
@@ -58,16 +58,16 @@
 }
 
 bool
-IsExpectedToServe(const timestamped_status& aWord,
+IsExpectedToServe(const timestamped_status& aStatus,
                   const read_requirements& aRequirements,
                   const confirm::status_tracker& aTracker,
                   clock::time_point aNow)
 {
-  if (aWord.askedAt + kMaxStatusAge < aNow) {
+  if (aStatus.askedAt + kMaxStatusAge < aNow) {
     return false;
   }
-  const auto asOf = ExpectedAsOf(aWord, aTracker, aNow);
-  return CoversFloor(aWord, aRequirements, aTracker, asOf) && asOf &&
+  const auto asOf = ExpectedAsOf(aStatus, aTracker, aNow);
+  return CoversFloor(aStatus, aRequirements, aTracker, asOf) && asOf &&
          aNow - *asOf <= UsableStaleness(aRequirements.maxStaleness);
 }
 
@@ -112,13 +112,14 @@
   choice best;
   for (std::size_t i = 0; i < aCandidates.size(); ++i) {
     const auto& candidate = aCandidates[i];
-    const auto* word = aTracker.Find(candidate.server);
-    if (word == nullptr || !MayServe(candidate, aRequirements)) {
+    const auto* latest = aTracker.Find(candidate.server);
+    if (latest == nullptr || !MayServe(candidate, aRequirements)) {
       continue;
     }
-    const auto isPrimary = word->status.role == upstream::server_role::kPrimary;
+    const auto isPrimary =
+      latest->status.role == upstream::server_role::kPrimary;
     if (isPrimary != aPrimaries ||
-        !IsExpectedToServe(*word, aRequirements, aTracker, aNow)) {
+        !IsExpectedToServe(*latest, aRequirements, aTracker, aNow)) {
       continue;
     }
     if (!candidate.hasCapacity) {
@@ -141,12 +142,12 @@
               const confirm::status_tracker& aTracker,
               clock::time_point aNow)
 {
-  const auto hasPlace = std::any_of(
+  const auto hasServer = std::any_of(
     aCandidates.begin(), aCandidates.end(), [&](const candidate& aCandidate) {
       return !aCandidate.leaving &&
              IsServedIn(aRequirements.servedIn, aCandidate.failureDomain);
     });
-  if (!hasPlace) {
+  if (!hasServer) {
     return reason::kNoEligibleServer;
   }
   return aTracker.Primary(aNow) ? reason::kTooStale : reason::kNoPrimary;
--- a/src/currantshed/session/key_ring.cpp
+++ b/src/currantshed/session/key_ring.cpp
@@ -104,11 +104,11 @@
   do {
     std::string_view secret = TakePart(rest, ',');
     const std::string_view id = TakePart(secret, ':');
-    const bool taken =
+    const bool isDuplicate =
       std::any_of(keys.begin(), keys.end(), [id](const key& aKey) {
         return aKey.id == id;
       });
-    if (id.empty() || id.size() > kMaxIdBytes || taken ||
+    if (id.empty() || id.size() > kMaxIdBytes || isDuplicate ||
         !IsValidSecret(secret)) {
       return session_error::kInvalidKeyRing;
     }
@@ -125,16 +125,16 @@
   if (mKeys.empty()) {
     return {};
   }
-  const key& first = mKeys.front();
+  const key& signingKey = mKeys.front();
   std::string message;
-  message.reserve(kHeaderBytes + first.id.size() + aContent.size() +
+  message.reserve(kHeaderBytes + signingKey.id.size() + aContent.size() +
                   kSignatureBytes);
   message.push_back(kVersion);
   message.push_back(static_cast<char>(aPurpose));
-  message.push_back(static_cast<char>(first.id.size()));
-  message.append(first.id);
+  message.push_back(static_cast<char>(signingKey.id.size()));
+  message.append(signingKey.id);
   message.append(aContent);
-  message.append(MakeSignature(first.secret, message));
+  message.append(MakeSignature(signingKey.secret, message));
   return absl::WebSafeBase64Escape(message);
 }
 
@@ -156,12 +156,12 @@
     return session_error::kMalformed;
   }
   const std::string_view all = bytes;
-  const key* used = Find(all.substr(kHeaderBytes, idLength));
-  if (used == nullptr) {
+  const key* verifyingKey = Find(all.substr(kHeaderBytes, idLength));
+  if (verifyingKey == nullptr) {
     return session_error::kUntrusted;
   }
   const std::size_t end = bytes.size() - kSignatureBytes;
-  if (!IsSameSignature(MakeSignature(used->secret, all.substr(0, end)),
+  if (!IsSameSignature(MakeSignature(verifyingKey->secret, all.substr(0, end)),
                        all.substr(end))) {
     return session_error::kBadSignature;
   }
--- a/src/currantshed/session/position_vector.cpp
+++ b/src/currantshed/session/position_vector.cpp
@@ -11,14 +11,14 @@
 namespace {
 
 constexpr unsigned char kOverflowed = 1;
-constexpr std::size_t kHashBytes = 8;
+constexpr std::size_t kFixed64Bytes = 8;
 constexpr unsigned kByteBits = 8;
 constexpr unsigned kVarintBits = 7;
-constexpr unsigned kVarintMore = 0x80;
+constexpr unsigned kVarintContinuation = 0x80;
 constexpr unsigned kVarintMask = 0x7f;
-constexpr unsigned kWordBits = 64;
+constexpr unsigned kFixed64Bits = 64;
 /// The shift of a varint's last byte, of which one bit still fits into 64 bits.
-constexpr unsigned kLastShift = 63;
+constexpr unsigned kLastVarintShift = 63;
 
 std::uint64_t
 HashOf(std::string_view aGroup) noexcept
@@ -27,18 +27,19 @@
 }
 
 void
-PutWord(std::string& aBytes, std::uint64_t aWord)
+AppendFixed64(std::string& aBytes, std::uint64_t aValue)
 {
-  for (unsigned shift = 0; shift < kWordBits; shift += kByteBits) {
-    aBytes.push_back(static_cast<char>(aWord >> shift));
+  for (unsigned shift = 0; shift < kFixed64Bits; shift += kByteBits) {
+    aBytes.push_back(static_cast<char>(aValue >> shift));
   }
 }
 
 void
-PutVarint(std::string& aBytes, std::uint64_t aValue)
+AppendVarint(std::string& aBytes, std::uint64_t aValue)
 {
-  while (aValue >= kVarintMore) {
-    aBytes.push_back(static_cast<char>((aValue & kVarintMask) | kVarintMore));
+  while (aValue >= kVarintContinuation) {
+    aBytes.push_back(
+      static_cast<char>((aValue & kVarintMask) | kVarintContinuation));
     aValue >>= kVarintBits;
   }
   aBytes.push_back(static_cast<char>(aValue));
@@ -54,7 +55,7 @@
   {
   }
 
-  bool Byte(unsigned char& aByte)
+  bool ReadByte(unsigned char& aByte)
   {
     if (mBytes.empty()) {
       return false;
@@ -64,29 +65,29 @@
     return true;
   }
 
-  bool Word(std::uint64_t& aWord)
+  bool ReadFixed64(std::uint64_t& aValue)
   {
-    aWord = 0;
-    for (std::size_t at = 0; at < kHashBytes; ++at) {
+    aValue = 0;
+    for (std::size_t at = 0; at < kFixed64Bytes; ++at) {
       unsigned char byte = 0;
-      if (!Byte(byte)) {
+      if (!ReadByte(byte)) {
         return false;
       }
-      aWord |= static_cast<std::uint64_t>(byte) << (at * kByteBits);
+      aValue |= static_cast<std::uint64_t>(byte) << (at * kByteBits);
     }
     return true;
   }
 
-  bool Varint(std::uint64_t& aValue)
+  bool ReadVarint(std::uint64_t& aValue)
   {
     aValue = 0;
-    for (unsigned shift = 0; shift <= kLastShift; shift += kVarintBits) {
+    for (unsigned shift = 0; shift <= kLastVarintShift; shift += kVarintBits) {
       unsigned char byte = 0;
-      if (!Byte(byte) || (shift == kLastShift && byte > 1)) {
+      if (!ReadByte(byte) || (shift == kLastVarintShift && byte > 1)) {
         return false;
       }
       aValue |= static_cast<std::uint64_t>(byte & kVarintMask) << shift;
-      if ((byte & kVarintMore) == 0) {
+      if ((byte & kVarintContinuation) == 0) {
         return true;
       }
     }
@@ -201,9 +202,9 @@
   bytes.push_back(static_cast<char>(mOverflowed ? kOverflowed : 0));
   bytes.push_back(static_cast<char>(mEntries.size()));
   for (const entry& known : mEntries) {
-    PutWord(bytes, known.group);
-    PutVarint(bytes, known.position.term);
-    PutVarint(bytes, known.position.index);
+    AppendFixed64(bytes, known.group);
+    AppendVarint(bytes, known.position.term);
+    AppendVarint(bytes, known.position.index);
   }
   return bytes;
 }
@@ -214,7 +215,7 @@
   reader bytes(aBytes);
   unsigned char flags = 0;
   unsigned char count = 0;
-  if (!bytes.Byte(flags) || !bytes.Byte(count) || flags > kOverflowed ||
+  if (!bytes.ReadByte(flags) || !bytes.ReadByte(count) || flags > kOverflowed ||
       count > kMaxGroups) {
     return session_error::kMalformed;
   }
@@ -222,8 +223,9 @@
   read.mOverflowed = flags == kOverflowed;
   for (unsigned at = 0; at < count; ++at) {
     entry next;
-    if (!bytes.Word(next.group) || !bytes.Varint(next.position.term) ||
-        !bytes.Varint(next.position.index)) {
+    if (!bytes.ReadFixed64(next.group) ||
+        !bytes.ReadVarint(next.position.term) ||
+        !bytes.ReadVarint(next.position.index)) {
       return session_error::kMalformed;
     }
     if (!read.mEntries.empty() && read.mEntries.back().group >= next.group) {
--- a/test/currantshed/admit/deadline_queue.cpp
+++ b/test/currantshed/admit/deadline_queue.cpp
@@ -16,7 +16,7 @@
 
 // A queue with a measured drain rate of one request per 10 ms.
 deadline_queue
-Measured(std::size_t aLimit)
+MakeMeasuredQueue(std::size_t aLimit)
 {
   deadline_queue queue(aLimit);
   const waiting other{ kStart + 1h, 99, 0.9 };
@@ -94,14 +94,14 @@
 TEST(deadline_queue, admission)
 {
   for (const auto& row : kOfferRows) {
-    auto queue = Measured(row.limit);
+    auto queue = MakeMeasuredQueue(row.limit);
     for (const auto& request : row.before) {
       CHECK_TEXT(queue.TryAdmit(request, kStart).admitted, row.name);
     }
     const auto size = queue.Entries().size();
-    const auto made = queue.TryAdmit(row.last, kStart);
-    CHECK_TEXT(made.admitted == row.admitted, row.name);
-    CHECK_TEXT(made.displaced == row.displaced, row.name);
+    const auto result = queue.TryAdmit(row.last, kStart);
+    CHECK_TEXT(result.admitted == row.admitted, row.name);
+    CHECK_TEXT(result.displaced == row.displaced, row.name);
     const auto expected = size + (row.admitted ? 1 : 0) - row.displaced.size();
     LONGS_EQUAL_TEXT(expected, queue.Entries().size(), row.name);
   }
@@ -116,9 +116,9 @@
   CHECK_FALSE(queue.TryAdmit({ kStart + 1ms, 4, 0.9 }, kStart).admitted);
 }
 
-TEST(deadline_queue, times_to_come_back_follow_the_drain_rate)
+TEST(deadline_queue, retry_times_follow_the_drain_rate)
 {
-  auto queue = Measured(100);
+  auto queue = MakeMeasuredQueue(100);
   for (std::uint64_t i = 1; i <= 10; ++i) {
     CHECK(queue.TryAdmit({ kStart + 1s, i, 0.9 }, kStart).admitted);
   }
@@ -126,15 +126,16 @@
   // and each next one 10 ms later, plus jitter of up to a half.
   for (int i = 0; i < 20; ++i) {
     const auto earliest = 110ms + i * 10ms;
-    const auto told = queue.RetryAfter(static_cast<std::uint64_t>(i), kStart);
-    CHECK(told >= earliest);
-    CHECK(told <= earliest * 3 / 2 + 2ms);
+    const auto retryAfter =
+      queue.RetryAfter(static_cast<std::uint64_t>(i), kStart);
+    CHECK(retryAfter >= earliest);
+    CHECK(retryAfter <= earliest * 3 / 2 + 2ms);
   }
 }
 
-TEST(deadline_queue, a_single_stall_counts_for_little)
+TEST(deadline_queue, a_single_stall_has_little_effect)
 {
-  auto queue = Measured(100);
+  auto queue = MakeMeasuredQueue(100);
   const waiting other{ kStart + 1h, 99, 0.9 };
   queue.Requeue(other);
   queue.Departed(kStart + 5s);
--- a/test/currantshed/confirm/position_samples.cpp
+++ b/test/currantshed/confirm/position_samples.cpp
@@ -76,7 +76,7 @@
   CHECK_FALSE(samples.LowestSince(kStart + 31ms).has_value());
 }
 
-TEST(position_samples, thinned_out_ones_never_look_newer)
+TEST(position_samples, thinned_out_samples_never_look_newer)
 {
   position_samples samples;
   constexpr std::uint64_t kCount = 20000;
--- a/test/currantshed/confirm/status_tracker.cpp
+++ b/test/currantshed/confirm/status_tracker.cpp
@@ -22,7 +22,7 @@
 
 // One server's status: role, term, last stored record, and the time of the
 // request since the start.
-struct word
+struct reported_status
 {
   const char* server;
   server_role role;
@@ -32,15 +32,16 @@
 };
 
 void
-Say(status_tracker& aTracker, const std::vector<word>& aWords)
+RecordAll(status_tracker& aTracker,
+          const std::vector<reported_status>& aStatuses)
 {
-  for (const auto& said : aWords) {
+  for (const auto& reported : aStatuses) {
     server_status status;
-    status.term = said.term;
-    status.role = said.role;
-    status.stored = said.stored;
-    status.applied = said.stored;
-    aTracker.Record(said.server, status, kStart + said.asked);
+    status.term = reported.term;
+    status.role = reported.role;
+    status.stored = reported.stored;
+    status.applied = reported.stored;
+    aTracker.Record(reported.server, status, kStart + reported.asked);
   }
 }
 
@@ -57,10 +58,10 @@
 struct tracker_row
 {
   const char* name;
-  std::vector<word> words;
+  std::vector<reported_status> statuses;
   std::optional<std::uint64_t> term;
   const char* primary;
-  std::optional<std::chrono::milliseconds> heldSince;
+  std::optional<std::chrono::milliseconds> heldAsOf;
   bool wasConfirmed;
 };
 
@@ -162,11 +163,11 @@
 
 TEST_GROUP(status_tracker){};
 
-TEST(status_tracker, what_follows_from_words)
+TEST(status_tracker, what_follows_from_statuses)
 {
   for (const auto& row : kTrackerRows) {
     auto tracker = MakeTrackerOfThree();
-    Say(tracker, row.words);
+    RecordAll(tracker, row.statuses);
     const auto now = kStart + 100ms;
     const auto term = tracker.Term();
     CHECK_TEXT(term.has_value() == row.term.has_value(), row.name);
@@ -174,8 +175,8 @@
     const auto primary = tracker.Primary(now);
     CHECK_TEXT((primary ? primary->server : "") == row.primary, row.name);
     const auto held = tracker.HeldByMajorityAsOf({ 2, 10 });
-    CHECK_TEXT(held.has_value() == row.heldSince.has_value(), row.name);
-    CHECK_TEXT(!held || *held == kStart + *row.heldSince, row.name);
+    CHECK_TEXT(held.has_value() == row.heldAsOf.has_value(), row.name);
+    CHECK_TEXT(!held || *held == kStart + *row.heldAsOf, row.name);
     CHECK_TEXT(tracker.WasConfirmed({ 2, 10 }) == row.wasConfirmed, row.name);
   }
 }
@@ -183,9 +184,9 @@
 TEST(status_tracker, a_position_holds_for_the_validity_from_the_question)
 {
   auto tracker = MakeTrackerOfThree();
-  Say(tracker,
-      { { "s1", kPrimary, 2, { 2, 10 }, 0ms },
-        { "s2", kReplica, 2, { 2, 10 }, 10ms } });
+  RecordAll(tracker,
+            { { "s1", kPrimary, 2, { 2, 10 }, 0ms },
+              { "s2", kReplica, 2, { 2, 10 }, 10ms } });
   CHECK(tracker.IsHeldByMajority({ 2, 10 }, kStart, kStart + 200ms));
   CHECK_FALSE(tracker.IsHeldByMajority({ 2, 10 }, kStart, kStart + 201ms));
   CHECK_FALSE(
@@ -193,12 +194,12 @@
   CHECK_FALSE(tracker.IsHeldByMajority({ 2, 11 }, kStart, kStart + 100ms));
 }
 
-TEST(status_tracker, samples_are_dated_by_the_older_question)
+TEST(status_tracker, samples_are_dated_by_the_older_request)
 {
   auto tracker = MakeTrackerOfThree();
-  Say(tracker,
-      { { "s1", kPrimary, 2, { 2, 10 }, 50ms },
-        { "s2", kReplica, 2, { 2, 5 }, 20ms } });
+  RecordAll(tracker,
+            { { "s1", kPrimary, 2, { 2, 10 }, 50ms },
+              { "s2", kReplica, 2, { 2, 5 }, 20ms } });
   CHECK(tracker.Samples().CurrentAsOf({ 2, 10 }) == kStart + 20ms);
   CHECK_FALSE(tracker.Samples().CurrentAsOf({ 2, 9 }).has_value());
 }
@@ -206,9 +207,9 @@
 TEST(status_tracker, a_lone_primary_gives_no_sample)
 {
   auto tracker = MakeTrackerOfThree();
-  Say(tracker,
-      { { "s1", kPrimary, 2, { 2, 10 }, 50ms },
-        { "s2", kFenced, 3, { 2, 5 }, 50ms },
-        { "s3", kFenced, 3, { 2, 5 }, 50ms } });
+  RecordAll(tracker,
+            { { "s1", kPrimary, 2, { 2, 10 }, 50ms },
+              { "s2", kFenced, 3, { 2, 5 }, 50ms },
+              { "s3", kFenced, 3, { 2, 5 }, 50ms } });
   CHECK_FALSE(tracker.Samples().CurrentAsOf({ 2, 10 }).has_value());
 }
--- a/test/currantshed/member/fleet.cpp
+++ b/test/currantshed/member/fleet.cpp
@@ -52,7 +52,7 @@
     while (mNow < end) {
       mNow += milliseconds{ 20 };
       for (std::size_t number = 0; number < mMemberships.size(); ++number) {
-        if (mDead != number) {
+        if (mFailed != number) {
           mMemberships[number]->Tick(mNow);
           Send(number);
         }
@@ -60,21 +60,21 @@
     }
   }
 
-  void Kill(std::size_t aNumber) { mDead = aNumber; }
+  void Fail(std::size_t aNumber) { mFailed = aNumber; }
 
   // Number of other live VMs that consider the given one live.
   [[nodiscard]] std::size_t CountConsideringLive(std::size_t aNumber) const
   {
-    std::size_t believers = 0;
+    std::size_t count = 0;
     for (std::size_t number = 0; number < mMemberships.size(); ++number) {
-      if (number == aNumber || mDead == number) {
+      if (number == aNumber || mFailed == number) {
         continue;
       }
       for (const auto& vm : mMemberships[number]->Live()) {
-        believers += vm.id == mVms[aNumber].id ? 1 : 0;
+        count += vm.id == mVms[aNumber].id ? 1 : 0;
       }
     }
-    return believers;
+    return count;
   }
 
   [[nodiscard]] std::uint64_t Sent() const { return mSent; }
@@ -87,9 +87,9 @@
     return versions;
   }
 
-  void Revive(std::size_t aNumber)
+  void Restart(std::size_t aNumber)
   {
-    mDead.reset();
+    mFailed.reset();
     member::membership_settings settings;
     settings.self = mVms[aNumber];
     settings.incarnation = "second";
@@ -109,11 +109,11 @@
   // Messages arrive at once; replies are sent in the receiver's next step.
   void Send(std::size_t aNumber)
   {
-    constexpr unsigned kMille = 1000;
+    constexpr unsigned kPerMille = 1000;
     for (const auto& send : mMemberships[aNumber]->TakeHeartbeats()) {
       ++mSent;
       const auto to = mNumbers.at(send.to.id);
-      if (mDead != to && mGenerator() % kMille >= mLoss) {
+      if (mFailed != to && mGenerator() % kPerMille >= mLoss) {
         mMemberships[to]->HeartbeatArrived(send.message, mNow);
       }
     }
@@ -125,7 +125,7 @@
   std::vector<store::vm> mVms;
   absl::flat_hash_map<std::string, std::size_t> mNumbers;
   std::vector<std::unique_ptr<member::membership>> mMemberships;
-  std::optional<std::size_t> mDead;
+  std::optional<std::size_t> mFailed;
   std::uint64_t mSent = 0;
 };
 
@@ -159,14 +159,14 @@
     subject.Run(milliseconds{ 4000 });
     UNSIGNED_LONGS_EQUAL_TEXT(
       row.vms - 1, subject.CountConsideringLive(kFailedVm), row.name);
-    subject.Kill(kFailedVm);
+    subject.Fail(kFailedVm);
     subject.Run(milliseconds{ 3000 });
     UNSIGNED_LONGS_EQUAL_TEXT(
       0, subject.CountConsideringLive(kFailedVm), row.name);
     subject.Run(milliseconds{ 12000 });
     UNSIGNED_LONGS_EQUAL_TEXT(
       0, subject.CountConsideringLive(kFailedVm), row.name);
-    subject.Revive(kFailedVm);
+    subject.Restart(kFailedVm);
     subject.Run(milliseconds{ 12000 });
     UNSIGNED_LONGS_EQUAL_TEXT(
       row.vms - 1, subject.CountConsideringLive(kFailedVm), row.name);
@@ -175,7 +175,7 @@
 
 // Without failures no VM is considered failed, and the number of messages per
 // VM is bounded.
-TEST(fleet, a_quiet_fleet_stays_as_it_is)
+TEST(fleet, a_fleet_without_failures_does_not_change)
 {
   for (const auto& row : kFleetRows) {
     if (row.lossPerMille > 0) {
@@ -190,7 +190,7 @@
     const auto perSecond = (subject.Sent() - sent) / row.vms / 10;
     // Seven intervals per second, each with the fanout, the co-owners and the
     // replies to neighbours.
-    constexpr std::uint64_t kMost = 119;
-    CHECK_TEXT(perSecond <= kMost, row.name);
+    constexpr std::uint64_t kMaxMessages = 119;
+    CHECK_TEXT(perSecond <= kMaxMessages, row.name);
   }
 }
--- a/test/currantshed/member/membership.cpp
+++ b/test/currantshed/member/membership.cpp
@@ -39,8 +39,8 @@
 {
   kListed,
   kUnlisted,
-  kBeat,
-  kLeavingBeat,
+  kHeartbeat,
+  kLeavingHeartbeat,
   kUnconfirmed,
   kTick,
 };
@@ -77,37 +77,37 @@
     false,
     false },
   { "heartbeat received, not listed",
-    { { 0, event_kind::kBeat, "i", 1 }, { 400, event_kind::kTick } },
+    { { 0, event_kind::kHeartbeat, "i", 1 }, { 400, event_kind::kTick } },
     true,
     false },
   { "listed, heartbeats stopped",
     { { 0, event_kind::kListed },
-      { 100, event_kind::kBeat, "i", 1 },
+      { 100, event_kind::kHeartbeat, "i", 1 },
       { 700, event_kind::kTick } },
     false,
     false },
   { "heartbeats stopped, then resumed",
-    { { 0, event_kind::kBeat, "i", 1 },
+    { { 0, event_kind::kHeartbeat, "i", 1 },
       { 700, event_kind::kTick },
-      { 800, event_kind::kBeat, "i", 2 } },
+      { 800, event_kind::kHeartbeat, "i", 2 } },
     true,
     false },
   { "a replayed heartbeat does not make a VM live",
-    { { 0, event_kind::kBeat, "i", 5 },
-      { 400, event_kind::kBeat, "i", 5 },
+    { { 0, event_kind::kHeartbeat, "i", 5 },
+      { 400, event_kind::kHeartbeat, "i", 5 },
       { 600, event_kind::kTick } },
     false,
     false },
   { "a delayed heartbeat of an earlier incarnation does not make a VM live",
-    { { 0, event_kind::kBeat, "i", 5 },
-      { 100, event_kind::kBeat, "j", 1 },
-      { 500, event_kind::kBeat, "i", 6 },
+    { { 0, event_kind::kHeartbeat, "i", 5 },
+      { 100, event_kind::kHeartbeat, "j", 1 },
+      { 500, event_kind::kHeartbeat, "i", 6 },
       { 700, event_kind::kTick } },
     false,
     false },
   { "a new incarnation restarts its sequence",
-    { { 0, event_kind::kBeat, "i", 500 },
-      { 400, event_kind::kBeat, "j", 1 },
+    { { 0, event_kind::kHeartbeat, "i", 500 },
+      { 400, event_kind::kHeartbeat, "j", 1 },
       { 800, event_kind::kTick } },
     true,
     false },
@@ -116,16 +116,17 @@
     false,
     false },
   { "unconfirmed, then a heartbeat",
-    { { 0, event_kind::kUnconfirmed }, { 10, event_kind::kBeat, "i", 1 } },
+    { { 0, event_kind::kUnconfirmed }, { 10, event_kind::kHeartbeat, "i", 1 } },
     true,
     false },
   { "a VM that says that it is leaving",
-    { { 0, event_kind::kListed }, { 10, event_kind::kLeavingBeat, "i", 1 } },
+    { { 0, event_kind::kListed },
+      { 10, event_kind::kLeavingHeartbeat, "i", 1 } },
     true,
     true },
   { "removed from the listing while heartbeats arrive",
     { { 0, event_kind::kListed },
-      { 100, event_kind::kBeat, "i", 1 },
+      { 100, event_kind::kHeartbeat, "i", 1 },
       { 200, event_kind::kUnlisted },
       { 300, event_kind::kTick } },
     true,
@@ -133,11 +134,11 @@
 };
 
 member::heartbeat
-MakeBeat(const store::vm& aSender, const event_row& aRow)
+MakeHeartbeat(const store::vm& aSender, const event_row& aRow)
 {
   member::heartbeat beat;
   beat.sender = aSender;
-  beat.sender.leaving = aRow.kind == event_kind::kLeavingBeat;
+  beat.sender.leaving = aRow.kind == event_kind::kLeavingHeartbeat;
   beat.incarnation = aRow.incarnation;
   beat.sequence = aRow.sequence;
   return beat;
@@ -154,12 +155,13 @@
     case event_kind::kUnlisted:
       aMembership.Listed({}, At(aRow.at));
       break;
-    case event_kind::kBeat:
-    case event_kind::kLeavingBeat:
-      aMembership.HeartbeatArrived(MakeBeat(other, aRow), At(aRow.at));
+    case event_kind::kHeartbeat:
+    case event_kind::kLeavingHeartbeat:
+      aMembership.HeartbeatArrived(MakeHeartbeat(other, aRow), At(aRow.at));
       break;
     case event_kind::kUnconfirmed: {
-      auto beat = MakeBeat(MakeVm("third", "z"), { 0, event_kind::kBeat, "k" });
+      auto beat =
+        MakeHeartbeat(MakeVm("third", "z"), { 0, event_kind::kHeartbeat, "k" });
       beat.peerSample = { other };
       aMembership.HeartbeatArrived(beat, At(aRow.at));
       break;
@@ -207,10 +209,10 @@
   }
 }
 
-TEST(membership, tick_is_due_when_silence_changes_the_view)
+TEST(membership, tick_is_due_when_a_failure_timeout_expires)
 {
   const auto membership = member::MakeMembership(MakeSettings(), kSeed);
-  Apply(*membership, { 0, event_kind::kBeat, "i", 1 });
+  Apply(*membership, { 0, event_kind::kHeartbeat, "i", 1 });
   const auto version = membership->Version();
   for (int step = 0; step < 100 && membership->Version() == version; ++step) {
     membership->Tick(membership->NextTick());
@@ -220,7 +222,7 @@
   CHECK(membership->NextTick() < At(700));
 }
 
-TEST(membership, news_go_out_at_once_and_a_bounded_number_of_times)
+TEST(membership, term_updates_are_sent_at_once_and_a_bounded_number_of_times)
 {
   const auto membership = member::MakeMembership(MakeSettings(), kSeed);
   membership->Listed({ MakeVm("other", "y") }, At(0));
@@ -229,15 +231,15 @@
   CHECK(membership->TakeHeartbeats().empty());
   membership->SetTerm({ "g", 4, "s1" });
   CHECK(membership->NextTick() <= At(10));
-  int carried = 0;
+  int sent = 0;
   for (int beat = 0; beat < 50; ++beat) {
     membership->Tick(At(10 + beat * 200));
     for (const auto& send : membership->TakeHeartbeats()) {
-      carried += send.message.terms.empty() ? 0 : 1;
+      sent += send.message.terms.empty() ? 0 : 1;
     }
-    CHECK(beat > 0 || carried == 1);
+    CHECK(beat > 0 || sent == 1);
   }
-  LONGS_EQUAL(10, carried);
+  LONGS_EQUAL(10, sent);
   membership->SetTerm({ "g", 3, "s2" });
   CHECK(membership->NextTick() > At(8000));
 }
@@ -257,8 +259,8 @@
   for (int beat = 20; beat < 40; ++beat) {
     membership->Tick(At(beat * 200));
     for (const auto& send : membership->TakeHeartbeats()) {
-      for (const auto& word : send.message.suspicions) {
-        CHECK(word.primary.empty());
+      for (const auto& suspicion : send.message.suspicions) {
+        CHECK(suspicion.primary.empty());
         ++withdrawn;
       }
     }
@@ -311,7 +313,7 @@
   }
 }
 
-TEST(membership, a_vm_that_was_only_listed_gets_nothing_once_it_is_not)
+TEST(membership, a_vm_known_from_the_listing_only_gets_nothing_once_unlisted)
 {
   const auto membership = member::MakeMembership(MakeSettings(), kSeed);
   membership->Listed({ MakeVm("a", "x"), MakeVm("spare", "y") }, At(0));
@@ -333,7 +335,7 @@
   for (const std::uint64_t seed : { 1, 2, 3, 5, 8, 13 }) {
     std::mt19937_64 generator(seed);
     const auto membership = member::MakeMembership(MakeSettings(), seed);
-    const auto pick = [&generator] {
+    const auto pickVm = [&generator] {
       const auto number = generator() % kVms;
       return MakeVm("vm" + std::to_string(number),
                     std::string(1, "xyz"[number % 3]));
@@ -347,7 +349,7 @@
       switch (generator() % 6) {
         case 0:
           for (auto count = generator() % kVms; count > 0; --count) {
-            listed.push_back(pick());
+            listed.push_back(pickVm());
           }
           membership->Listed(listed, At(now));
           break;
@@ -358,11 +360,11 @@
           membership->Tick(At(now));
           break;
         default:
-          beat.sender = pick();
+          beat.sender = pickVm();
           beat.incarnation = std::to_string(generator() % 3);
           beat.sequence = generator() % 50;
-          beat.peerSample = { pick() };
-          beat.lost = { { pick().id, std::to_string(generator() % 3) } };
+          beat.peerSample = { pickVm() };
+          beat.lost = { { pickVm().id, std::to_string(generator() % 3) } };
           beat.answer = generator() % 2 == 0;
           membership->HeartbeatArrived(beat, At(now));
           break;
--- a/test/currantshed/member/owners.cpp
+++ b/test/currantshed/member/owners.cpp
@@ -114,7 +114,7 @@
 }
 
 // An owner of a group is replaced only if it is the VM that left.
-TEST(owners, a_vm_that_goes_moves_only_its_own_seats)
+TEST(owners, a_removed_vm_moves_only_its_own_groups)
 {
   std::vector<vm> vms;
   vms.reserve(30);
@@ -124,17 +124,17 @@
     made.failureDomain = std::string(1, "xyz"[number % 3]);
     vms.push_back(made);
   }
-  const auto gone = vms[7];
-  auto left = vms;
-  left.erase(left.begin() + 7);
+  const auto removed = vms[7];
+  auto remaining = vms;
+  remaining.erase(remaining.begin() + 7);
   for (int group = 0; group < 50; ++group) {
     const auto name = "group-" + std::to_string(group);
     const auto before = ChooseOwners(name, vms, 3);
-    const auto after = ChooseOwners(name, left, 3);
+    const auto after = ChooseOwners(name, remaining, 3);
     for (const auto& owner : before) {
       const bool kept =
         std::find(after.begin(), after.end(), owner) != after.end();
-      CHECK_TEXT(kept || owner.id == gone.id, name.c_str());
+      CHECK_TEXT(kept || owner.id == removed.id, name.c_str());
     }
   }
 }
--- a/test/currantshed/policy/configuration_record.cpp
+++ b/test/currantshed/policy/configuration_record.cpp
@@ -34,7 +34,7 @@
     R"({"version":1,"change":"c","declaration":"d","earlier_changes":["b"]})" },
 };
 
-struct trace_row
+struct status_row
 {
   const char* name;
   const char* change;
@@ -43,7 +43,7 @@
 };
 
 /// Checked against a record of version 9 with the change "i" after "h" and "g".
-constexpr trace_row kTraceRows[] = {
+constexpr status_row kStatusRows[] = {
   { "in force", "i", 9, change_status::kIncluded },
   { "the change before", "h", 8, change_status::kIncluded },
   { "the oldest one in the record", "g", 7, change_status::kIncluded },
@@ -60,7 +60,7 @@
 
 TEST_GROUP(configuration_record){};
 
-TEST(configuration_record, comes_back_whole)
+TEST(configuration_record, round_trip)
 {
   const configuration_record record{
     12, "a\"b", "classes:\n  - ü", "operator", "2026-12-02T16:00:00Z", { "x" }
@@ -70,7 +70,7 @@
   CHECK(*back == record);
 }
 
-TEST(configuration_record, what_is_only_for_people_may_be_missing)
+TEST(configuration_record, informational_fields_may_be_missing)
 {
   const auto read =
     ParseConfigurationRecord(R"({"version":3,"change":"c","declaration":"d"})");
@@ -97,10 +97,10 @@
   STRCMP_EQUAL("16", record.earlierChanges.back().c_str());
 }
 
-TEST(configuration_record, traces_a_change)
+TEST(configuration_record, finds_a_change)
 {
   const configuration_record record{ 9, "i", "d", "", "", { "h", "g" } };
-  for (const auto& row : kTraceRows) {
+  for (const auto& row : kStatusRows) {
     CHECK_TEXT(FindChange(record, row.change, row.version) == row.expected,
                row.name);
   }
--- a/test/currantshed/pool/connection_pool.cpp
+++ b/test/currantshed/pool/connection_pool.cpp
@@ -71,7 +71,7 @@
   CHECK(pool.Idle(false) == 1);
 }
 
-TEST(connection_pool, a_removed_connection_gives_its_slot_back)
+TEST(connection_pool, a_removed_connection_releases_its_slot)
 {
   connection_pool pool;
   pool.SetLimits({ 2, 1 });
--- a/test/currantshed/route/read_route.cpp
+++ b/test/currantshed/route/read_route.cpp
@@ -25,18 +25,18 @@
 constexpr std::uint64_t kNewest = 1000;
 
 void
-Say(status_tracker& aTracker,
-    const std::string& aServer,
-    server_role aRole,
-    std::uint64_t aIndex,
-    time_point aAsked)
+RecordStatus(status_tracker& aTracker,
+             const std::string& aServer,
+             server_role aRole,
+             std::uint64_t aIndex,
+             time_point aRequestedAt)
 {
   server_status status;
   status.term = 1;
   status.role = aRole;
   status.stored = { 1, aIndex };
   status.applied = { 1, aIndex };
-  aTracker.Record(aServer, status, aAsked);
+  aTracker.Record(aServer, status, aRequestedAt);
 }
 
 // The primary writes one record per millisecond for a second. The replica s2
@@ -48,10 +48,12 @@
   status_tracker tracker(200ms);
   tracker.SetMembers({ "s1", "s2", "s3" });
   for (std::uint64_t i = 1; i <= kNewest; ++i) {
-    const auto asked = kStart + std::chrono::milliseconds(i) - 1000ms;
-    Say(tracker, "s1", server_role::kPrimary, i, asked);
-    Say(tracker, "s2", server_role::kReplica, i > 10 ? i - 10 : 0, asked);
-    Say(tracker, "s3", server_role::kReplica, i > 300 ? i - 300 : 0, asked);
+    const auto requestedAt = kStart + std::chrono::milliseconds(i) - 1000ms;
+    RecordStatus(tracker, "s1", server_role::kPrimary, i, requestedAt);
+    RecordStatus(
+      tracker, "s2", server_role::kReplica, i > 10 ? i - 10 : 0, requestedAt);
+    RecordStatus(
+      tracker, "s3", server_role::kReplica, i > 300 ? i - 300 : 0, requestedAt);
   }
   return tracker;
 }
@@ -82,7 +84,7 @@
 };
 
 const std::vector<std::string> kEverywhere{ "d1", "d2", "d3" };
-const auto kAsIs = [](std::vector<candidate>&) {};
+const auto kUnchanged = [](std::vector<candidate>&) {};
 
 const route_row kRouteRows[] = {
   { "both replicas are equally suitable: the first one",
@@ -92,7 +94,7 @@
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kReady,
     "s2",
@@ -104,7 +106,7 @@
     kEverywhere,
     {},
     false,
-    [](std::vector<candidate>& aAll) { aAll[1].inUse = 1; },
+    [](std::vector<candidate>& aCandidates) { aCandidates[1].inUse = 1; },
     0ms,
     availability::kReady,
     "s3",
@@ -116,9 +118,9 @@
     kEverywhere,
     {},
     false,
-    [](std::vector<candidate>& aAll) {
-      aAll[1].inUse = 1;
-      aAll[2].connected = false;
+    [](std::vector<candidate>& aCandidates) {
+      aCandidates[1].inUse = 1;
+      aCandidates[2].connected = false;
     },
     0ms,
     availability::kReady,
@@ -131,10 +133,10 @@
     kEverywhere,
     {},
     false,
-    [](std::vector<candidate>& aAll) {
-      aAll[1].inUse = 1;
-      aAll[2].inUse = 2;
-      aAll[2].slots = 5;
+    [](std::vector<candidate>& aCandidates) {
+      aCandidates[1].inUse = 1;
+      aCandidates[2].inUse = 2;
+      aCandidates[2].slots = 5;
     },
     0ms,
     availability::kReady,
@@ -147,7 +149,7 @@
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kReady,
     "s2",
@@ -159,7 +161,7 @@
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kReady,
     "s1",
@@ -171,7 +173,7 @@
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kReady,
     "s2",
@@ -183,7 +185,7 @@
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kReady,
     "s1",
@@ -195,7 +197,7 @@
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     20ms,
     availability::kReady,
     "s2",
@@ -207,7 +209,7 @@
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kNone,
     "",
@@ -219,7 +221,7 @@
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kReady,
     "s1",
@@ -231,7 +233,7 @@
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     201ms,
     availability::kNone,
     "",
@@ -243,7 +245,7 @@
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     201ms,
     availability::kReady,
     "s2",
@@ -255,7 +257,7 @@
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     1001ms,
     availability::kNone,
     "",
@@ -267,7 +269,7 @@
     kEverywhere,
     { "s2", "s3" },
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kReady,
     "s1",
@@ -279,9 +281,9 @@
     kEverywhere,
     {},
     false,
-    [](std::vector<candidate>& aAll) {
-      aAll[1].leaving = true;
-      aAll[2].leaving = true;
+    [](std::vector<candidate>& aCandidates) {
+      aCandidates[1].leaving = true;
+      aCandidates[2].leaving = true;
     },
     0ms,
     availability::kReady,
@@ -294,9 +296,9 @@
     kEverywhere,
     {},
     false,
-    [](std::vector<candidate>& aAll) {
-      aAll[1].hasCapacity = false;
-      aAll[2].hasCapacity = false;
+    [](std::vector<candidate>& aCandidates) {
+      aCandidates[1].hasCapacity = false;
+      aCandidates[2].hasCapacity = false;
     },
     0ms,
     availability::kBusy,
@@ -309,9 +311,9 @@
     kEverywhere,
     {},
     true,
-    [](std::vector<candidate>& aAll) {
-      aAll[1].hasCapacity = false;
-      aAll[2].hasCapacity = false;
+    [](std::vector<candidate>& aCandidates) {
+      aCandidates[1].hasCapacity = false;
+      aCandidates[2].hasCapacity = false;
     },
     0ms,
     availability::kReady,
@@ -324,8 +326,8 @@
     kEverywhere,
     {},
     true,
-    [](std::vector<candidate>& aAll) {
-      for (auto& one : aAll) {
+    [](std::vector<candidate>& aCandidates) {
+      for (auto& one : aCandidates) {
         one.hasCapacity = false;
       }
     },
@@ -340,7 +342,7 @@
     { "d9" },
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kNone,
     "",
@@ -352,7 +354,7 @@
     { "d1" },
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kReady,
     "s1",
@@ -364,7 +366,7 @@
     { "d3" },
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kNone,
     "",
@@ -376,7 +378,7 @@
     { "d2" },
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kNone,
     "",
@@ -395,12 +397,12 @@
     row.change(candidates);
     const read_requirements need{ row.servedIn, row.floor, row.maxStaleness,
                                   row.fresh,    row.tried, row.allowSpillover };
-    const auto made =
+    const auto chosen =
       ChooseForRead(candidates, need, tracker, kStart + row.after);
-    CHECK_TEXT(made.state == row.state, row.name);
-    CHECK_TEXT(made.why == row.why, row.name);
-    if (made.state == availability::kReady) {
-      CHECK_TEXT(candidates[made.index].server == row.server, row.name);
+    CHECK_TEXT(chosen.state == row.state, row.name);
+    CHECK_TEXT(chosen.why == row.why, row.name);
+    if (chosen.state == availability::kReady) {
+      CHECK_TEXT(candidates[chosen.index].server == row.server, row.name);
     }
   }
 }
--- a/test/currantshed/session/token.cpp
+++ b/test/currantshed/session/token.cpp
@@ -20,13 +20,14 @@
 constexpr const char* kOld = "old:000102030405060708090a0b0c0d0e0f";
 constexpr const char* kBoth =
   "new:101112131415161718191a1b1c1d1e1f,old:000102030405060708090a0b0c0d0e0f";
-constexpr const char* kTurned =
+constexpr const char* kBothReversed =
   "old:000102030405060708090a0b0c0d0e0f,new:101112131415161718191a1b1c1d1e1f";
 constexpr const char* kNew = "new:101112131415161718191a1b1c1d1e1f";
-constexpr const char* kImpostor = "old:f00102030405060708090a0b0c0d0e0f";
+constexpr const char* kSameIdOtherSecret =
+  "old:f00102030405060708090a0b0c0d0e0f";
 
 key_ring
-Ring(const char* aText)
+MakeKeyRing(const char* aText)
 {
   key_ring ring;
   CHECK_TEXT(!ring.Parse(aText), aText);
@@ -46,7 +47,7 @@
 {
   const char* name;
   const char* text;
-  bool good;
+  bool isValid;
 };
 
 constexpr ring_row kRingRows[] = {
@@ -70,17 +71,20 @@
 struct exchange_row
 {
   const char* name;
-  const char* sealer;
-  const char* opener;
+  const char* signer;
+  const char* verifier;
   std::error_code expect;
 };
 
 const exchange_row kExchangeRows[] = {
   { "same ring", kOld, kOld, {} },
   { "old key after the new one was moved to the front", kOld, kBoth, {} },
-  { "new key while the old one still signs", kNew, kTurned, {} },
+  { "new key while the old one still signs", kNew, kBothReversed, {} },
   { "key was dropped", kOld, kNew, session_error::kUntrusted },
-  { "same id, other secret", kImpostor, kOld, session_error::kBadSignature },
+  { "same id, other secret",
+    kSameIdOtherSecret,
+    kOld,
+    session_error::kBadSignature },
 };
 
 struct text_row
@@ -132,8 +136,8 @@
 {
   for (const auto& row : kRingRows) {
     key_ring ring;
-    CHECK_EQUAL_TEXT(row.good, !ring.Parse(row.text), row.name);
-    CHECK_EQUAL_TEXT(row.good, !ring.empty(), row.name);
+    CHECK_EQUAL_TEXT(row.isValid, !ring.Parse(row.text), row.name);
+    CHECK_EQUAL_TEXT(row.isValid, !ring.empty(), row.name);
   }
 }
 
@@ -141,9 +145,9 @@
 {
   for (const auto& row : kExchangeRows) {
     const auto seen = SampleVector();
-    const auto token = MakeToken(seen, Ring(row.sealer));
+    const auto token = MakeToken(seen, MakeKeyRing(row.signer));
     position_vector read;
-    const auto error = ReadToken(token, Ring(row.opener), read);
+    const auto error = ReadToken(token, MakeKeyRing(row.verifier), read);
     CHECK_TEXT(row.expect == error, row.name);
     CHECK_EQUAL_TEXT(!row.expect, read == seen, row.name);
   }
@@ -153,7 +157,7 @@
 {
   for (const auto& row : kTextRows) {
     position_vector read = SampleVector();
-    const std::error_code error = ReadToken(row.text, Ring(kOld), read);
+    const std::error_code error = ReadToken(row.text, MakeKeyRing(kOld), read);
     CHECK_TEXT(make_error_code(row.expect) == error, row.name);
     CHECK_TEXT(read == SampleVector(), row.name);
   }
@@ -162,14 +166,14 @@
 TEST(session_token, new_session_has_seen_nothing)
 {
   position_vector read = SampleVector();
-  CHECK(!ReadToken(kNewSession, Ring(kOld), read));
+  CHECK(!ReadToken(kNewSession, MakeKeyRing(kOld), read));
   CHECK(read == position_vector{});
   CHECK_FALSE(read.Floor("claims-north").fresh);
 }
 
 TEST(session_token, every_changed_byte_is_found)
 {
-  const auto ring = Ring(kOld);
+  const auto ring = MakeKeyRing(kOld);
   const auto token = MakeToken(SampleVector(), ring);
   std::string bytes;
   CHECK(absl::WebSafeBase64Unescape(token, &bytes));
@@ -186,7 +190,7 @@
 
 TEST(session_token, every_changed_character_is_found)
 {
-  const auto ring = Ring(kOld);
+  const auto ring = MakeKeyRing(kOld);
   const auto token = MakeToken(SampleVector(), ring);
   for (std::size_t at = 0; at < token.size(); ++at) {
     for (const char other : { 'A', 'B', 'Q', 'z', '_', '=', ' ' }) {
@@ -202,9 +206,9 @@
   }
 }
 
-TEST(session_token, other_purpose_is_foreign)
+TEST(session_token, other_purpose_is_untrusted)
 {
-  const auto ring = Ring(kOld);
+  const auto ring = MakeKeyRing(kOld);
   const auto text = ring.Sign(token_purpose::kTransaction, "content");
   std::string content;
   CHECK(ring.Verify(token_purpose::kSession, text, content) ==
@@ -244,9 +248,9 @@
   CHECK_FALSE(seen.Floor(GroupName(7)).fresh);
   seen.AdvanceTo(GroupName(7), { 2, 1 });
   CHECK(seen.Floor(GroupName(7)).position == (log_position{ 2, 1 }));
-  const auto token = MakeToken(seen, Ring(kOld));
+  const auto token = MakeToken(seen, MakeKeyRing(kOld));
   position_vector read;
-  CHECK(!ReadToken(token, Ring(kOld), read));
+  CHECK(!ReadToken(token, MakeKeyRing(kOld), read));
   CHECK(read == seen);
 }
 
@@ -263,7 +267,8 @@
   CHECK(seen.size() <= position_vector::kMaxGroups);
 }
 
-TEST(session_token, more_seen_than_noted_is_read_fresh_until_noted)
+TEST(session_token,
+     an_incomplete_vector_needs_fresh_reads_until_a_position_is_recorded)
 {
   position_vector seen;
   seen.MarkIncomplete();
--- a/test/currantshed/support/captured_stream.hpp
+++ b/test/currantshed/support/captured_stream.hpp
@@ -13,11 +13,11 @@
 public:
   explicit captured_stream(std::ostream& aStream)
     : mStream(aStream)
-    , mFormer(aStream.rdbuf(mText.rdbuf()))
+    , mOriginal(aStream.rdbuf(mText.rdbuf()))
   {
   }
 
-  ~captured_stream() { mStream.rdbuf(mFormer); }
+  ~captured_stream() { mStream.rdbuf(mOriginal); }
 
   captured_stream(const captured_stream&) = delete;
   captured_stream& operator=(const captured_stream&) = delete;
@@ -27,7 +27,7 @@
 private:
   std::ostream& mStream;
   std::ostringstream mText;
-  std::streambuf* mFormer;
+  std::streambuf* mOriginal;
 };
 
 } // namespace currantshed::support
