--- a/src/currantshed/admit/deadline_queue.cpp
+++ b/src/currantshed/admit/deadline_queue.cpp
@@ -20,7 +20,7 @@
 using seconds = std::chrono::duration<double>;
 
 bool
-IsStricter(const waiting& aLeft, const waiting& aRight)
+IsStricter(const queued_request& aLeft, const queued_request& aRight)
 {
   return aLeft.objective > aRight.objective;
 }
@@ -33,7 +33,7 @@
 }
 
 admission
-deadline_queue::TryAdmit(const waiting& aRequest, clock::time_point aNow)
+deadline_queue::TryAdmit(const queued_request& aRequest, clock::time_point aNow)
 {
   const entries::const_iterator next = mEntries.lower_bound(aRequest);
   const auto isFull = mEntries.size() >= mLimit;
@@ -63,13 +63,13 @@
 }
 
 void
-deadline_queue::Requeue(const waiting& aRequest)
+deadline_queue::Requeue(const queued_request& aRequest)
 {
   mEntries.insert(aRequest);
 }
 
 void
-deadline_queue::Remove(const waiting& aRequest)
+deadline_queue::Remove(const queued_request& aRequest)
 {
   mEntries.erase(aRequest);
 }
@@ -95,7 +95,7 @@
 }
 
 bool
-deadline_queue::CanMeetDeadline(const waiting& aRequest,
+deadline_queue::CanMeetDeadline(const queued_request& aRequest,
                                 clock::time_point aNow) const
 {
   return aNow + ExpectedServiceTime() <= aRequest.deadline;
@@ -128,7 +128,7 @@
 }
 
 bool
-deadline_queue::WouldMeetDeadline(const waiting& aRequest,
+deadline_queue::WouldMeetDeadline(const queued_request& aRequest,
                                   std::size_t aIndex,
                                   clock::time_point aNow) const
 {
@@ -140,12 +140,12 @@
          aRequest.deadline;
 }
 
-std::optional<std::vector<waiting>>
-deadline_queue::FindDelayed(const waiting& aRequest,
+std::optional<std::vector<queued_request>>
+deadline_queue::FindDelayed(const queued_request& aRequest,
                             std::size_t aIndex,
                             clock::time_point aNow) const
 {
-  std::vector<waiting> delayed;
+  std::vector<queued_request> delayed;
   auto index = aIndex + 1;
   for (auto entry = mEntries.lower_bound(aRequest); entry != mEntries.end();
        ++entry) {
--- a/src/currantshed/admit/deadline_queue.hpp
+++ b/src/currantshed/admit/deadline_queue.hpp
@@ -16,7 +16,7 @@
 namespace currantshed::admit {
 
 /// A request waiting for a server.
-struct waiting
+struct queued_request
 {
   clock::time_point deadline;
   std::uint64_t request = 0;
@@ -25,8 +25,8 @@
   double objective = 0;
 
   /// Stricter classes first, then earlier deadlines.
-  [[nodiscard]] friend bool operator<(const waiting& aLeft,
-                                      const waiting& aRight) noexcept
+  [[nodiscard]] friend bool operator<(const queued_request& aLeft,
+                                      const queued_request& aRight) noexcept
   {
     if (aLeft.objective != aRight.objective) {
       return aLeft.objective > aRight.objective;
@@ -55,19 +55,19 @@
 class deadline_queue
 {
 public:
-  using entries = absl::btree_set<waiting>;
+  using entries = absl::btree_set<queued_request>;
 
   explicit deadline_queue(std::size_t aLimit);
 
   /// Admits a request, or refuses it, by the rule above.
-  [[nodiscard]] admission TryAdmit(const waiting& aRequest,
+  [[nodiscard]] admission TryAdmit(const queued_request& aRequest,
                                    clock::time_point aNow);
 
   /// Puts an admitted request back, regardless of the limit and of deadlines.
-  void Requeue(const waiting& aRequest);
+  void Requeue(const queued_request& aRequest);
 
   /// Removes a request, whether it was dispatched or not.
-  void Remove(const waiting& aRequest);
+  void Remove(const queued_request& aRequest);
 
   /// Records that a request was dispatched.
   void Departed(clock::time_point aNow);
@@ -76,7 +76,7 @@
   void Served(clock::duration aTime);
 
   /// Whether a request dispatched now is expected to meet its deadline.
-  [[nodiscard]] bool CanMeetDeadline(const waiting& aRequest,
+  [[nodiscard]] bool CanMeetDeadline(const queued_request& aRequest,
                                      clock::time_point aNow) const;
 
   /// When to retry a refused request: after the waiting requests, and those
@@ -93,13 +93,13 @@
   [[nodiscard]] clock::duration ExpectedServiceTime() const;
   /// Whether a request at this index of the queue is expected to meet its
   /// deadline.
-  [[nodiscard]] bool WouldMeetDeadline(const waiting& aRequest,
+  [[nodiscard]] bool WouldMeetDeadline(const queued_request& aRequest,
                                        std::size_t aIndex,
                                        clock::time_point aNow) const;
   /// Requests behind aRequest that would miss their deadlines if it were
   /// admitted; none if one of an equally strict class is among them.
-  [[nodiscard]] std::optional<std::vector<waiting>> FindDelayed(
-    const waiting& aRequest,
+  [[nodiscard]] std::optional<std::vector<queued_request>> FindDelayed(
+    const queued_request& aRequest,
     std::size_t aIndex,
     clock::time_point aNow) const;
 
--- a/src/currantshed/group/group_engine.hpp
+++ b/src/currantshed/group/group_engine.hpp
@@ -85,7 +85,7 @@
   [[nodiscard]] std::unique_ptr<flow> MakeFlow(request aRequest,
                                                clock::time_point aNow);
   [[nodiscard]] static lane LaneOf(const request& aRequest);
-  [[nodiscard]] static admit::waiting WaitingOf(const request& aRequest);
+  [[nodiscard]] static admit::queued_request WaitingOf(const request& aRequest);
   [[nodiscard]] admit::deadline_queue& QueueOf(lane aLane);
   /// Gives a new request its place, or its refusal.
   void Enter(entry aEntry, clock::time_point aNow);
--- a/src/currantshed/group/progress.cpp
+++ b/src/currantshed/group/progress.cpp
@@ -50,7 +50,7 @@
   mLinks.BeginPass();
   // All lanes in one order; the first ones only, since those behind them
   // would wait for the same servers.
-  std::vector<admit::waiting> waiting;
+  std::vector<admit::queued_request> waiting;
   for (const auto* queue : { &mReads, &mFreshReads, &mWrites }) {
     int looked = 0;
     for (const auto& request : queue->Entries()) {
--- a/src/currantshed/group/submit.cpp
+++ b/src/currantshed/group/submit.cpp
@@ -173,7 +173,7 @@
   return IsFresh(aRequest) ? lane::kFreshReads : lane::kReads;
 }
 
-admit::waiting
+admit::queued_request
 group_engine::WaitingOf(const request& aRequest)
 {
   return { aRequest.deadline, aRequest.id, aRequest.work.objective };
--- a/src/currantshed/proxy/engine_queues.cpp
+++ b/src/currantshed/proxy/engine_queues.cpp
@@ -69,7 +69,7 @@
   } else if (!aSession.IsRelay()) {
     answeredBy -= (request.waitUntil - request.arrivedAt) / 2;
   }
-  request.queueEntry = admit::waiting{
+  request.queueEntry = admit::queued_request{
     answeredBy, request.number, 1.0 / (1.0 + request.assignedRoute->priority)
   };
   auto made = queue.TryAdmit(*request.queueEntry, aNow);
@@ -207,8 +207,8 @@
                       blocked_queues& aBlocked,
                       clock::time_point aNow)
 {
-  const std::vector<admit::waiting> waiting(aQueue.Entries().begin(),
-                                            aQueue.Entries().end());
+  const std::vector<admit::queued_request> waiting(aQueue.Entries().begin(),
+                                                   aQueue.Entries().end());
   for (const auto& queueEntry : waiting) {
     if (aQueue.CanMeetDeadline(queueEntry, aNow) != aInTime) {
       continue;
--- a/src/currantshed/proxy/request.hpp
+++ b/src/currantshed/proxy/request.hpp
@@ -59,7 +59,7 @@
   /// Until when it may wait for a connection.
   clock::time_point waitUntil;
   /// Its place in the queue, once it was given one.
-  std::optional<admit::waiting> queueEntry;
+  std::optional<admit::queued_request> queueEntry;
   /// Answers of the connection before the next step.
   unsigned awaitedAnswers = 0;
   /// Servers tried so far that turned the request away.
--- a/test/currantshed/admit/deadline_queue.cpp
+++ b/test/currantshed/admit/deadline_queue.cpp
@@ -6,7 +6,7 @@
 #include <CppUTest/TestHarness.h>
 
 using currantshed::admit::deadline_queue;
-using currantshed::admit::waiting;
+using currantshed::admit::queued_request;
 using currantshed::clock::time_point;
 using namespace std::chrono_literals;
 
@@ -19,7 +19,7 @@
 MakeMeasuredQueue(std::size_t aLimit)
 {
   deadline_queue queue(aLimit);
-  const waiting other{ kStart + 1h, 99, 0.9 };
+  const queued_request other{ kStart + 1h, 99, 0.9 };
   queue.Requeue(other);
   for (int i = 0; i <= 200; ++i) {
     queue.Departed(kStart + i * 10ms - 2000ms);
@@ -34,8 +34,8 @@
 {
   const char* name;
   std::size_t limit;
-  std::vector<waiting> before;
-  waiting last;
+  std::vector<queued_request> before;
+  queued_request last;
   bool admitted;
   std::vector<std::uint64_t> displaced;
 };
@@ -136,7 +136,7 @@
 TEST(deadline_queue, a_single_stall_has_little_effect)
 {
   auto queue = MakeMeasuredQueue(100);
-  const waiting other{ kStart + 1h, 99, 0.9 };
+  const queued_request other{ kStart + 1h, 99, 0.9 };
   queue.Requeue(other);
   queue.Departed(kStart + 5s);
   queue.Remove(other);
