--- a/src/currantshed/confirm/status_tracker.hpp
+++ b/src/currantshed/confirm/status_tracker.hpp
@@ -25,7 +25,7 @@
   clock::time_point askedAt;
 };
 
-/// A term in which a majority of the group is.
+/// A term that a majority of the group is in.
 struct majority_term
 {
   position::term_id term = 0;
@@ -65,7 +65,7 @@
   [[nodiscard]] const timestamped_status* Find(
     const upstream::server_id& aServer) const;
 
-  /// The highest term in which a majority is, by their latest statuses.
+  /// The highest term that a majority is in, by their latest statuses.
   [[nodiscard]] const std::optional<majority_term>& Term() const noexcept;
 
   /// The primary, if its status and those of a majority were requested within
--- a/src/currantshed/policy/configuration_record.hpp
+++ b/src/currantshed/policy/configuration_record.hpp
@@ -60,7 +60,7 @@
 {
   /// The record is this change or follows it.
   kIncluded,
-  /// Another change has the version.
+  /// Another change has the version, or the record has not reached it.
   kNotIncluded,
   /// The version is older than all changes in the record.
   kTooOld,
--- a/test/currantshed/member/fleet.cpp
+++ b/test/currantshed/member/fleet.cpp
@@ -106,7 +106,7 @@
     mMemberships.push_back(member::MakeMembership(settings, aNumber));
   }
 
-  // Messages arrive at once; replies are sent in the receiver's next step.
+  // Messages arrive at once. Replies are sent in the receiver's next step.
   void Send(std::size_t aNumber)
   {
     constexpr unsigned kPerMille = 1000;
