--- a/test/currantshed/session/token.cpp
+++ b/test/currantshed/session/token.cpp
@@ -106,7 +106,7 @@
     session_error::kMalformed },
 };
 
-struct raise_row
+struct advance_row
 {
   const char* name;
   log_position first;
@@ -114,7 +114,7 @@
   log_position expect;
 };
 
-constexpr raise_row kRaiseRows[] = {
+constexpr advance_row kAdvanceRows[] = {
   { "rises within a term", { 1, 5 }, { 1, 6 }, { 1, 6 } },
   { "is never lowered", { 1, 6 }, { 1, 5 }, { 1, 6 } },
   { "a later term wins", { 1, 900 }, { 2, 4 }, { 2, 4 } },
@@ -217,9 +217,9 @@
   STRCMP_EQUAL("content", content.c_str());
 }
 
-TEST(session_token, raise)
+TEST(session_token, advance)
 {
-  for (const auto& row : kRaiseRows) {
+  for (const auto& row : kAdvanceRows) {
     position_vector seen;
     seen.AdvanceTo("claims", row.first);
     seen.AdvanceTo("claims", row.second);
