--- a/bench/currantshed/place/owners.cpp
+++ b/bench/currantshed/place/owners.cpp
@@ -14,12 +14,12 @@
 constexpr unsigned kOwners = 3;
 constexpr unsigned kGroups = 740;
 constexpr unsigned kDomains = 3;
-// Fleets of other names over which each figure is averaged.
+// Number of fleets with different VM names over which each figure is averaged.
 constexpr unsigned kRounds = 10;
 
 using vm_list = std::vector<store::vm>;
 using maker = std::unique_ptr<place::placement> (*)();
-// Changes a fleet; the number names the VM that comes, if one does.
+// Changes a fleet; the number distinguishes the name of an added VM.
 using change = void (*)(vm_list&, unsigned);
 
 store::vm
@@ -55,14 +55,15 @@
   aVms.pop_back();
 }
 
-// The list closes up, as one that is ordered by age or name does.
+// The VMs after the removed one move up, as in a list ordered by age or name.
 void
 RemoveOld(vm_list& aVms, unsigned /*aRound*/)
 {
   aVms.erase(aVms.begin() + 1);
 }
 
-// The slot stays, at weight zero; the ways without weights see it as leaving.
+// The slot remains, with weight zero. Algorithms without weights see the VM as
+// leaving.
 void
 MarkOld(vm_list& aVms, unsigned /*aRound*/)
 {
@@ -77,7 +78,7 @@
   aVms.push_back(MakeVm(aRound, 100000, domain));
 }
 
-// The new VM takes the old one's slot, which all processes must agree on.
+// The new VM takes the old one's slot, on which all processes must agree.
 void
 ReplaceInSlot(vm_list& aVms, unsigned aRound)
 {
@@ -97,10 +98,11 @@
   return placed;
 }
 
-// Seats in percent that another VM holds afterwards.
+// Percentage of ownerships (one per group and owner) that are with another VM
+// afterwards.
 double
-MovedSeats(const std::vector<vm_list>& aBefore,
-           const std::vector<vm_list>& aAfter)
+MovedOwnerships(const std::vector<vm_list>& aBefore,
+                const std::vector<vm_list>& aAfter)
 {
   double moved = 0;
   for (std::size_t group = 0; group < aBefore.size(); ++group) {
@@ -116,7 +118,7 @@
   return 100 * moved / (kGroups * kOwners);
 }
 
-// Groups in percent that another VM leads afterwards.
+// Percentage of groups that another VM leads afterwards.
 double
 MovedLeads(const std::vector<vm_list>& aBefore,
            const std::vector<vm_list>& aAfter)
@@ -128,18 +130,18 @@
   return 100 * moved / kGroups;
 }
 
-// Seats of the fullest VM over the mean.
+// Ownerships of the VM with the most, relative to the mean.
 double
-FullestSeats(const std::vector<vm_list>& aPlaced, std::size_t aVms)
+MaxOwnerships(const std::vector<vm_list>& aPlaced, std::size_t aVms)
 {
-  std::map<std::string, double> seats;
-  double fullest = 0;
+  std::map<std::string, double> ownerships;
+  double largest = 0;
   for (const auto& owners : aPlaced) {
     for (const auto& vm : owners) {
-      fullest = std::max(fullest, ++seats[vm.id]);
+      largest = std::max(largest, ++ownerships[vm.id]);
     }
   }
-  return fullest * static_cast<double>(aVms) / (kGroups * kOwners);
+  return largest * static_cast<double>(aVms) / (kGroups * kOwners);
 }
 
 void
@@ -154,12 +156,12 @@
     auto owners = subject->Owners("group-" + std::to_string(group++), kOwners);
     benchmark::DoNotOptimize(owners);
   }
-  double fullest = 0;
+  double largest = 0;
   for (unsigned round = 0; round < kRounds; ++round) {
     const auto fleet = MakeFleet(round, count);
-    fullest += FullestSeats(PlaceAll(*subject, fleet), count) / kRounds;
+    largest += MaxOwnerships(PlaceAll(*subject, fleet), count) / kRounds;
   }
-  aState.counters["fullest_over_mean"] = fullest;
+  aState.counters["fullest_over_mean"] = largest;
 }
 
 void
@@ -167,22 +169,22 @@
 {
   const auto count = static_cast<unsigned>(aState.range(0));
   const auto subject = aMake();
-  double seats = 0;
+  double ownerships = 0;
   double leads = 0;
   for (auto step : aState) {
     static_cast<void>(step);
-    seats = 0;
+    ownerships = 0;
     leads = 0;
     for (unsigned round = 0; round < kRounds; ++round) {
       auto fleet = MakeFleet(round, count);
       const auto before = PlaceAll(*subject, fleet);
       aChange(fleet, round);
       const auto after = PlaceAll(*subject, fleet);
-      seats += MovedSeats(before, after) / kRounds;
+      ownerships += MovedOwnerships(before, after) / kRounds;
       leads += MovedLeads(before, after) / kRounds;
     }
   }
-  aState.counters["moved_seats_percent"] = seats;
+  aState.counters["moved_seats_percent"] = ownerships;
   aState.counters["moved_leads_percent"] = leads;
 }
 
@@ -209,23 +211,26 @@
                                       { "replace_old", ReplaceOld },
                                       { "replace_in_slot", ReplaceInSlot } };
 
-constexpr std::int64_t kToday = 8;
-constexpr std::int64_t kPlanned = 530;
+constexpr std::int64_t kCurrentVms = 8;
+constexpr std::int64_t kPlannedVms = 530;
 
 bool
 RegisterAll()
 {
-  for (const auto& way : kMakers) {
+  for (const auto& algorithm : kMakers) {
     benchmark::RegisterBenchmark(
-      (std::string("owners/") + way.name).c_str(), BenchOwners, way.make)
-      ->Arg(kToday)
-      ->Arg(kPlanned);
+      (std::string("owners/") + algorithm.name).c_str(),
+      BenchOwners,
+      algorithm.make)
+      ->Arg(kCurrentVms)
+      ->Arg(kPlannedVms);
     for (const auto& change : kChanges) {
-      const auto name = std::string("move/") + change.name + "/" + way.name;
+      const auto name =
+        std::string("move/") + change.name + "/" + algorithm.name;
       benchmark::RegisterBenchmark(
-        name.c_str(), BenchMovement, way.make, change.apply)
-        ->Arg(kToday)
-        ->Arg(kPlanned)
+        name.c_str(), BenchMovement, algorithm.make, change.apply)
+        ->Arg(kCurrentVms)
+        ->Arg(kPlannedVms)
         ->Iterations(1);
     }
   }
--- a/src/currantshed/clock/print_time.cpp
+++ b/src/currantshed/clock/print_time.cpp
@@ -8,15 +8,15 @@
 namespace currantshed::clock {
 namespace {
 
-/// The time up to its seconds, without the zone.
+/// Date and time to the second, without the time zone.
 std::string
 PrintWhole(std::chrono::sys_seconds aTime)
 {
-  constexpr std::size_t kRoom = 32;
+  constexpr std::size_t kMaxLength = 32;
   const std::time_t seconds = std::chrono::system_clock::to_time_t(aTime);
   std::tm parts{};
   gmtime_r(&seconds, &parts);
-  char text[kRoom];
+  char text[kMaxLength];
   const std::size_t length =
     std::strftime(text, sizeof(text), "%Y-%m-%dT%H:%M:%S", &parts);
   return { text, length };
--- a/src/currantshed/member/peer_table.cpp
+++ b/src/currantshed/member/peer_table.cpp
@@ -6,31 +6,32 @@
 
 namespace {
 
-// VMs that one heartbeat names as heard of.
+// Number of recently heard VMs that one heartbeat includes.
 constexpr std::size_t kPeerSampleLimit = 1;
-// VMs known by hearsay alone that are kept at a time.
+// Maximum number of unconfirmed VMs that are kept at a time.
 constexpr std::ptrdiff_t kUnconfirmedLimit = 32;
 constexpr std::size_t kPastIncarnations = 4;
-// How long a word on a lost VM holds unless it is renewed; it may be in the
-// second half of that time.
+// How long a report of a lost VM is valid. It can be renewed in the second half
+// of that time.
 constexpr std::chrono::milliseconds kLostDuration{ 10000 };
 
-// Takes over the sender's incarnation and sequence; false for a heartbeat that
-// is older than what has been heard.
+// Stores the incarnation and sequence of the heartbeat. Returns false for a
+// replayed or reordered one: its sequence is not newer, or its incarnation was
+// replaced by a later one.
 bool
-Accept(peer_record& aPeer, const heartbeat& aBeat)
+Accept(peer_record& aPeer, const heartbeat& aHeartbeat)
 {
-  if (aPeer.incarnation == aBeat.incarnation) {
-    if (aPeer.reported && aBeat.sequence <= aPeer.sequence) {
+  if (aPeer.incarnation == aHeartbeat.incarnation) {
+    if (aPeer.reported && aHeartbeat.sequence <= aPeer.sequence) {
       return false;
     }
-    aPeer.sequence = aBeat.sequence;
+    aPeer.sequence = aHeartbeat.sequence;
     return true;
   }
   auto& pastIncarnations = aPeer.pastIncarnations;
   if (std::find(pastIncarnations.begin(),
                 pastIncarnations.end(),
-                aBeat.incarnation) != pastIncarnations.end()) {
+                aHeartbeat.incarnation) != pastIncarnations.end()) {
     return false;
   }
   if (!aPeer.incarnation.empty()) {
@@ -39,8 +40,8 @@
   if (pastIncarnations.size() > kPastIncarnations) {
     pastIncarnations.pop_front();
   }
-  aPeer.incarnation = aBeat.incarnation;
-  aPeer.sequence = aBeat.sequence;
+  aPeer.incarnation = aHeartbeat.incarnation;
+  aPeer.sequence = aHeartbeat.sequence;
   return true;
 }
 
@@ -50,8 +51,8 @@
   return !aPeer.lostUntil || *aPeer.lostUntil - aNow <= kLostDuration / 2;
 }
 
-// The sender's own word goes before the lagging list, but leaving is believed
-// from either.
+// The VM's own description takes precedence over the listing, which lags. The
+// VM counts as leaving if either says so.
 store::vm
 Describe(const peer_record& aPeer)
 {
@@ -91,20 +92,20 @@
       peer.suspected = false;
     }
   }
-  // A VM that was only listed leaves nothing to describe it by.
+  // Also removes VMs that were known from the listing only.
   RemoveExpired(aNow);
   mChanged = true;
 }
 
 bool
-peer_table::RecordHeartbeat(const heartbeat& aBeat, clock::time_point aNow)
+peer_table::RecordHeartbeat(const heartbeat& aHeartbeat, clock::time_point aNow)
 {
-  auto& peer = mPeers[aBeat.sender.id];
-  if (!Accept(peer, aBeat)) {
+  auto& peer = mPeers[aHeartbeat.sender.id];
+  if (!Accept(peer, aHeartbeat)) {
     return false;
   }
-  mChanged = mChanged || peer.reported != aBeat.sender;
-  peer.reported = aBeat.sender;
+  mChanged = mChanged || peer.reported != aHeartbeat.sender;
+  peer.reported = aHeartbeat.sender;
   peer.lastHeartbeatAt = aNow;
   peer.unconfirmed.reset();
   peer.lostUntil.reset();
@@ -135,19 +136,19 @@
   }
 }
 
-// A word counts only about the life that is known here, and not against what
-// was heard directly.
+// Ignored for another incarnation than the known one, and for a VM that was
+// heard from directly within the failure timeout.
 bool
-peer_table::RecordLost(const lost_vm& aWord, clock::time_point aNow)
+peer_table::RecordLost(const lost_vm& aReport, clock::time_point aNow)
 {
-  const auto found = mPeers.find(aWord.id);
+  const auto found = mPeers.find(aReport.id);
   if (found == mPeers.end() || WasHeardRecently(found->second, aNow)) {
     return false;
   }
   auto& peer = found->second;
-  const bool otherLife =
-    !peer.incarnation.empty() && peer.incarnation != aWord.incarnation;
-  if (otherLife || !IsRenewable(peer, aNow)) {
+  const bool otherIncarnation =
+    !peer.incarnation.empty() && peer.incarnation != aReport.incarnation;
+  if (otherIncarnation || !IsRenewable(peer, aNow)) {
     return false;
   }
   peer.lostUntil = aNow + kLostDuration;
@@ -155,12 +156,12 @@
 }
 
 void
-peer_table::Watch(const absl::flat_hash_set<std::string>& aIds,
-                  clock::time_point aNow)
+peer_table::SetMonitored(const absl::flat_hash_set<std::string>& aIds,
+                         clock::time_point aNow)
 {
-  const bool all = FullMesh();
+  const bool isFullMesh = FullMesh();
   for (auto& [id, peer] : mPeers) {
-    if (!all && !peer.suspected && !aIds.contains(id)) {
+    if (!isFullMesh && !peer.suspected && !aIds.contains(id)) {
       peer.monitoredSince.reset();
     } else if (!peer.monitoredSince) {
       peer.monitoredSince = aNow;
@@ -181,7 +182,8 @@
   return changed;
 }
 
-// In a large fleet most VMs hear of a loss by word only.
+// With a full mesh every VM detects the failure itself. In a larger fleet most
+// VMs learn of it only from these reports.
 std::vector<lost_vm>
 peer_table::TakeNewLosses(clock::time_point aNow)
 {
@@ -203,7 +205,7 @@
 void
 peer_table::RemoveExpired(clock::time_point aNow)
 {
-  const auto gone = absl::erase_if(mPeers, [&](const auto& aEntry) {
+  const auto removed = absl::erase_if(mPeers, [&](const auto& aEntry) {
     const auto& peer = aEntry.second;
     const bool unconfirmed =
       peer.unconfirmed && aNow - peer.unconfirmedSince <= mSettings.gracePeriod;
@@ -211,7 +213,7 @@
       peer.reported && aNow - peer.lastHeartbeatAt <= mSettings.gracePeriod;
     return !peer.listed && !reported && !unconfirmed;
   });
-  mChanged = mChanged || gone > 0;
+  mChanged = mChanged || removed > 0;
 }
 
 clock::time_point
@@ -227,7 +229,8 @@
     } else if (peer.lostUntil) {
       bound = *peer.lostUntil;
     }
-    // A bound still counts as within it, so the change comes just after.
+    // The VM still counts as live at the bound itself, so the change happens
+    // one tick after it.
     if (bound >= aNow) {
       next = std::min(next, bound + clock::duration{ 1 });
     }
@@ -250,12 +253,12 @@
 std::vector<store::vm>
 peer_table::All() const
 {
-  std::vector<store::vm> all;
-  all.reserve(mPeers.size());
+  std::vector<store::vm> isFullMesh;
+  isFullMesh.reserve(mPeers.size());
   for (const auto& [id, peer] : mPeers) {
-    all.push_back(Describe(peer));
+    isFullMesh.push_back(Describe(peer));
   }
-  return all;
+  return isFullMesh;
 }
 
 std::vector<store::vm>
@@ -267,13 +270,13 @@
       reported.push_back(&*peer.reported);
     }
   }
-  std::vector<store::vm> few;
+  std::vector<store::vm> sample;
   const auto count = std::min(kPeerSampleLimit, reported.size());
-  for (std::size_t place = 0; place < count; ++place) {
-    few.push_back(
-      *reported[(aNumber * kPeerSampleLimit + place) % reported.size()]);
+  for (std::size_t index = 0; index < count; ++index) {
+    sample.push_back(
+      *reported[(aNumber * kPeerSampleLimit + index) % reported.size()]);
   }
-  return few;
+  return sample;
 }
 
 std::optional<store::vm>
@@ -291,13 +294,12 @@
 {
   const auto& peer = mPeers.at(aId);
   const auto half = mSettings.interval / 2;
-  const auto patience = FullMesh() ? mSettings.interval + half : half;
-  const bool reported =
-    peer.reported && aNow - peer.lastHeartbeatAt <= patience;
+  const auto maxAge = FullMesh() ? mSettings.interval + half : half;
+  const bool reported = peer.reported && aNow - peer.lastHeartbeatAt <= maxAge;
   return peer.monitoredSince && !reported;
 }
 
-// Whether every VM sends to every other one.
+// Whether the fleet is small enough for every VM to send to every other one.
 bool
 peer_table::FullMesh() const
 {
@@ -312,8 +314,8 @@
          aNow - aPeer.lastHeartbeatAt <= mSettings.failureTimeout;
 }
 
-// Until when a watched VM counts as live without another heartbeat. One that
-// has only come to be watched gets time to answer.
+// Until when a monitored VM counts as live without another heartbeat. A VM that
+// has become monitored only recently gets the grace period to answer.
 clock::time_point
 peer_table::LiveUntil(const peer_record& aPeer) const
 {
@@ -324,8 +326,8 @@
          mSettings.gracePeriod;
 }
 
-// A VM that does not send here regularly is judged by the list and by what the
-// peers say.
+// A VM that is not monitored here is assessed by the listing and by reports of
+// peers.
 bool
 peer_table::IsLive(const peer_record& aPeer, clock::time_point aNow) const
 {
--- a/src/currantshed/policy/declaration.cpp
+++ b/src/currantshed/policy/declaration.cpp
@@ -44,7 +44,7 @@
                                  kMayBeRepeated, kDeadline, kObjective,
                                  kGroups };
 constexpr std::array kGroupKeys{ kTransactionLimit };
-/// What every class must state; a read must state its staleness as well.
+/// Keys that every class needs; a read class needs max_staleness as well.
 constexpr std::array kRequiredKeys{ kAccess,
                                     kServedIn,
                                     kMayBeRepeated,
@@ -64,7 +64,7 @@
   return nullptr;
 }
 
-/// Reads one class; its place is that of its name.
+/// Reads one class. Its location is that of its name.
 class class_reader
 {
 public:
@@ -129,7 +129,8 @@
     }
   }
 
-  /// Access, and the staleness that depends on it.
+  /// Reads the access, and max_staleness, which is required for reads and not
+  /// allowed for writes.
   void ReadAccess(work_class& aResult)
   {
     const auto* const access = Find(mFields, kAccess);
@@ -141,11 +142,11 @@
     if (access == nullptr) {
       return;
     }
-    const auto word = mReader.OneOf(*access, kAccessWords);
-    if (!word) {
+    const auto index = mReader.OneOf(*access, kAccessWords);
+    if (!index) {
       return;
     }
-    aResult.kind = *word == 0 ? access::kRead : access::kWrite;
+    aResult.kind = *index == 0 ? access::kRead : access::kWrite;
     if (aResult.kind == access::kWrite && staleness != nullptr) {
       mReader.Add(staleness->location,
                   absl::StrCat(mContext,
@@ -252,7 +253,8 @@
   return result;
 }
 
-/// The one document of the text, or a fault and nothing.
+/// Returns the only document of the text; otherwise adds a fault and returns
+/// none.
 std::optional<YAML::Node>
 LoadDocument(std::string_view aYaml, fault_list& aFaults)
 {
--- a/src/currantshed/proxy/request.hpp
+++ b/src/currantshed/proxy/request.hpp
@@ -60,7 +60,7 @@
   /// Until when it may wait for a token or a connection.
   clock::time_point waitUntil;
   /// Its entry in the dispatch queue, once admitted.
-  std::optional<admit::waiting> queueEntry;
+  std::optional<admit::queued_request> queueEntry;
   /// Session setup answers still missing before the next step.
   unsigned awaitedAnswers = 0;
   /// Servers that rejected the request.
--- a/src/currantshed/route/read_route.cpp
+++ b/src/currantshed/route/read_route.cpp
@@ -10,9 +10,9 @@
 using confirm::timestamped_status;
 using outcome::reason;
 
-// A server that has said nothing for so long gets no reads.
+// Servers whose latest status is older than this get no reads.
 constexpr std::chrono::milliseconds kMaxStatusAge{ 300 };
-// Part of the staleness bound that is left for the read itself to run in.
+// Part of the staleness bound that is reserved for the execution of the read.
 constexpr std::chrono::milliseconds kExecutionAllowance{ 5 };
 
 bool
@@ -21,36 +21,36 @@
   return std::find(aValues.begin(), aValues.end(), aValue) != aValues.end();
 }
 
-// When the data of a server was current, by its last word and the lag that
-// it had then; none when nothing is known.
+// Estimates as of when a server's data is current, assuming that its lag has
+// not changed since its latest status; none without samples.
 std::optional<clock::time_point>
-ExpectedAsOf(const timestamped_status& aWord,
+ExpectedAsOf(const timestamped_status& aStatus,
              const confirm::status_tracker& aTracker,
              clock::time_point aNow)
 {
-  const auto asOf = aTracker.Samples().CurrentAsOf(aWord.status.applied);
+  const auto asOf = aTracker.Samples().CurrentAsOf(aStatus.status.applied);
   if (!asOf) {
     return std::nullopt;
   }
-  const auto lag = std::max(aWord.askedAt - *asOf, clock::duration{ 0 });
+  const auto lag = std::max(aStatus.askedAt - *asOf, clock::duration{ 0 });
   return std::max(*asOf, aNow - lag);
 }
 
 bool
-CoversFloor(const timestamped_status& aWord,
+CoversFloor(const timestamped_status& aStatus,
             const read_requirements& aRequirements,
             const confirm::status_tracker& aTracker,
             std::optional<clock::time_point> aExpectedAsOf)
 {
-  if (aWord.status.applied >= aRequirements.floor) {
+  if (aStatus.status.applied >= aRequirements.floor) {
     return true;
   }
-  const auto written = aTracker.Samples().WrittenBy(aRequirements.floor);
-  return written && aExpectedAsOf && *written <= *aExpectedAsOf;
+  const auto writtenBy = aTracker.Samples().WrittenBy(aRequirements.floor);
+  return writtenBy && aExpectedAsOf && *writtenBy <= *aExpectedAsOf;
 }
 
-// The part of the bound that the read may still use up, leaving some for it
-// to run in.
+// Maximum age of the data when the read is dispatched, such that part of the
+// bound remains for its execution.
 clock::duration
 UsableStaleness(std::chrono::milliseconds aBound)
 {
@@ -58,21 +58,22 @@
 }
 
 bool
-IsExpectedToServe(const timestamped_status& aWord,
+IsExpectedToServe(const timestamped_status& aStatus,
                   const read_requirements& aRequirements,
                   const confirm::status_tracker& aTracker,
                   clock::time_point aNow)
 {
-  if (aWord.askedAt + kMaxStatusAge < aNow) {
+  if (aStatus.askedAt + kMaxStatusAge < aNow) {
     return false;
   }
-  const auto asOf = ExpectedAsOf(aWord, aTracker, aNow);
-  return CoversFloor(aWord, aRequirements, aTracker, asOf) && asOf &&
+  const auto asOf = ExpectedAsOf(aStatus, aTracker, aNow);
+  return CoversFloor(aStatus, aRequirements, aTracker, asOf) && asOf &&
          aNow - *asOf <= UsableStaleness(aRequirements.maxStaleness);
 }
 
-// Whether one would run a read sooner than another: opening a connection
-// takes longer than most reads.
+// Whether the left candidate would start a read sooner. Opening a connection
+// takes longer than most reads, so an existing connection comes before a lower
+// load.
 bool
 IsBetter(const candidate& aLeft, const candidate& aRight)
 {
@@ -83,7 +84,8 @@
          static_cast<std::uint64_t>(aRight.inUse) * aLeft.slots;
 }
 
-// Whether one more read would leave a slot to what only the primary can do.
+// Whether a further read would leave a slot free for requests that only the
+// primary can serve.
 bool
 LeavesSlot(const candidate& aPrimary)
 {
@@ -98,7 +100,8 @@
          !Contains(aRequirements.tried, aCandidate.server);
 }
 
-// The best among the replicas, or among the primary alone.
+// Chooses the best of the replicas, or of the primary alone if aPrimaries is
+// set.
 choice
 ChooseAmong(bool aPrimaries,
             const std::vector<candidate>& aCandidates,
@@ -109,13 +112,14 @@
   choice best;
   for (std::size_t i = 0; i < aCandidates.size(); ++i) {
     const auto& candidate = aCandidates[i];
-    const auto* word = aTracker.Find(candidate.server);
-    if (word == nullptr || !MayServe(candidate, aRequirements)) {
+    const auto* latest = aTracker.Find(candidate.server);
+    if (latest == nullptr || !MayServe(candidate, aRequirements)) {
       continue;
     }
-    const auto isPrimary = word->status.role == upstream::server_role::kPrimary;
+    const auto isPrimary =
+      latest->status.role == upstream::server_role::kPrimary;
     if (isPrimary != aPrimaries ||
-        !IsExpectedToServe(*word, aRequirements, aTracker, aNow)) {
+        !IsExpectedToServe(*latest, aRequirements, aTracker, aNow)) {
       continue;
     }
     if (!candidate.hasCapacity) {
@@ -131,19 +135,19 @@
   return best;
 }
 
-// Why no server can take a read at present.
+// The reason for which no server can currently serve a read.
 reason
 ReasonForNone(const std::vector<candidate>& aCandidates,
               const read_requirements& aRequirements,
               const confirm::status_tracker& aTracker,
               clock::time_point aNow)
 {
-  const auto hasPlace = std::any_of(
+  const auto hasServer = std::any_of(
     aCandidates.begin(), aCandidates.end(), [&](const candidate& aCandidate) {
       return !aCandidate.leaving &&
              IsServedIn(aRequirements.servedIn, aCandidate.failureDomain);
     });
-  if (!hasPlace) {
+  if (!hasServer) {
     return reason::kNoEligibleServer;
   }
   return aTracker.Primary(aNow) ? reason::kTooStale : reason::kNoPrimary;
--- a/src/currantshed/session/key_ring.cpp
+++ b/src/currantshed/session/key_ring.cpp
@@ -23,7 +23,7 @@
 constexpr std::size_t kMinSecretBytes = 16;
 constexpr std::size_t kMaxSecretBytes = 64;
 constexpr std::size_t kMaxIdBytes = 32;
-/// Version, purpose and length of the key's id.
+/// Format version, purpose, and length of the key id.
 constexpr std::size_t kHeaderBytes = 3;
 constexpr std::size_t kMaxTextBytes = 4096;
 
@@ -66,14 +66,15 @@
          IsHexadecimal(aHexadecimal);
 }
 
-/// Abseil's packaged strings know a view type of their own.
+/// Abseil as packaged has its own string view type.
 absl::string_view
 AbslView(std::string_view aText)
 {
   return { aText.data(), aText.size() };
 }
 
-/// Takes the text up to the next separator, or the rest, off the front.
+/// Removes the text up to the next separator, or all of it, from the front of
+/// aRest and returns it.
 std::string_view
 TakePart(std::string_view& aRest, char aSeparator)
 {
@@ -83,8 +84,8 @@
   return part;
 }
 
-/// Decodes base64url and refuses every text but the one that encodes the
-/// same bytes, so that each sealed content has exactly one text.
+/// Decodes base64url. Rejects non-canonical encodings, so that each signed
+/// content has exactly one text.
 bool
 Decode(std::string_view aText, std::string& aBytes)
 {
@@ -103,11 +104,11 @@
   do {
     std::string_view secret = TakePart(rest, ',');
     const std::string_view id = TakePart(secret, ':');
-    const bool taken =
+    const bool isDuplicate =
       std::any_of(keys.begin(), keys.end(), [id](const key& aKey) {
         return aKey.id == id;
       });
-    if (id.empty() || id.size() > kMaxIdBytes || taken ||
+    if (id.empty() || id.size() > kMaxIdBytes || isDuplicate ||
         !IsValidSecret(secret)) {
       return session_error::kInvalidKeyRing;
     }
@@ -124,16 +125,16 @@
   if (mKeys.empty()) {
     return {};
   }
-  const key& first = mKeys.front();
+  const key& signingKey = mKeys.front();
   std::string message;
-  message.reserve(kHeaderBytes + first.id.size() + aContent.size() +
+  message.reserve(kHeaderBytes + signingKey.id.size() + aContent.size() +
                   kSignatureBytes);
   message.push_back(kVersion);
   message.push_back(static_cast<char>(aPurpose));
-  message.push_back(static_cast<char>(first.id.size()));
-  message.append(first.id);
+  message.push_back(static_cast<char>(signingKey.id.size()));
+  message.append(signingKey.id);
   message.append(aContent);
-  message.append(MakeSignature(first.secret, message));
+  message.append(MakeSignature(signingKey.secret, message));
   return absl::WebSafeBase64Escape(message);
 }
 
@@ -155,12 +156,12 @@
     return session_error::kMalformed;
   }
   const std::string_view all = bytes;
-  const key* used = Find(all.substr(kHeaderBytes, idLength));
-  if (used == nullptr) {
+  const key* verifyingKey = Find(all.substr(kHeaderBytes, idLength));
+  if (verifyingKey == nullptr) {
     return session_error::kUntrusted;
   }
   const std::size_t end = bytes.size() - kSignatureBytes;
-  if (!IsSameSignature(MakeSignature(used->secret, all.substr(0, end)),
+  if (!IsSameSignature(MakeSignature(verifyingKey->secret, all.substr(0, end)),
                        all.substr(end))) {
     return session_error::kBadSignature;
   }
--- a/test/currantshed/admit/deadline_queue.cpp
+++ b/test/currantshed/admit/deadline_queue.cpp
@@ -6,7 +6,7 @@
 #include <CppUTest/TestHarness.h>
 
 using currantshed::admit::deadline_queue;
-using currantshed::admit::waiting;
+using currantshed::admit::queued_request;
 using currantshed::clock::time_point;
 using namespace std::chrono_literals;
 
@@ -14,12 +14,12 @@
 
 constexpr time_point kStart{ 1h };
 
-// A queue that was seen to drain one request each 10 ms.
+// A queue with a measured drain rate of one request per 10 ms.
 deadline_queue
-Measured(std::size_t aLimit)
+MakeMeasuredQueue(std::size_t aLimit)
 {
   deadline_queue queue(aLimit);
-  const waiting other{ kStart + 1h, 99, 0.9 };
+  const queued_request other{ kStart + 1h, 99, 0.9 };
   queue.Requeue(other);
   for (int i = 0; i <= 200; ++i) {
     queue.Departed(kStart + i * 10ms - 2000ms);
@@ -28,13 +28,14 @@
   return queue;
 }
 
-// Requests that ask one after the other at the start; the last one's fate.
+// Requests offered one after the other at the start, and the result for the
+// last one.
 struct offer_row
 {
   const char* name;
   std::size_t limit;
-  std::vector<waiting> before;
-  waiting last;
+  std::vector<queued_request> before;
+  queued_request last;
   bool admitted;
   std::vector<std::uint64_t> displaced;
 };
@@ -53,14 +54,14 @@
     { kStart + 19ms, 3, 0.9 },
     false,
     {} },
-  { "too late behind two, of a stricter class: the one that it makes late "
-    "gives way",
+  { "too late behind two, of a stricter class: the request that would miss "
+    "its deadline is displaced",
     8,
     { { kStart + 10ms, 1, 0.9 }, { kStart + 15ms, 2, 0.9 } },
     { kStart + 19ms, 3, 0.999 },
     true,
     { 1 } },
-  { "ahead of one that would then be late",
+  { "ahead of one that would then miss its deadline",
     8,
     { { kStart + 9ms, 1, 0.9 } },
     { kStart + 5ms, 2, 0.9 },
@@ -78,7 +79,7 @@
     { kStart + 1s, 3, 0.9 },
     false,
     {} },
-  { "full, the last of a lower objective gives way",
+  { "full, the last one of a lower objective is displaced",
     2,
     { { kStart + 1s, 1, 0.9 }, { kStart + 2s, 2, 0.9 } },
     { kStart + 1s, 3, 0.999 },
@@ -93,14 +94,14 @@
 TEST(deadline_queue, admission)
 {
   for (const auto& row : kOfferRows) {
-    auto queue = Measured(row.limit);
+    auto queue = MakeMeasuredQueue(row.limit);
     for (const auto& request : row.before) {
       CHECK_TEXT(queue.TryAdmit(request, kStart).admitted, row.name);
     }
     const auto size = queue.Entries().size();
-    const auto made = queue.TryAdmit(row.last, kStart);
-    CHECK_TEXT(made.admitted == row.admitted, row.name);
-    CHECK_TEXT(made.displaced == row.displaced, row.name);
+    const auto result = queue.TryAdmit(row.last, kStart);
+    CHECK_TEXT(result.admitted == row.admitted, row.name);
+    CHECK_TEXT(result.displaced == row.displaced, row.name);
     const auto expected = size + (row.admitted ? 1 : 0) - row.displaced.size();
     LONGS_EQUAL_TEXT(expected, queue.Entries().size(), row.name);
   }
@@ -115,26 +116,27 @@
   CHECK_FALSE(queue.TryAdmit({ kStart + 1ms, 4, 0.9 }, kStart).admitted);
 }
 
-TEST(deadline_queue, times_to_come_back_follow_the_drain_rate)
+TEST(deadline_queue, retry_times_follow_the_drain_rate)
 {
-  auto queue = Measured(100);
+  auto queue = MakeMeasuredQueue(100);
   for (std::uint64_t i = 1; i <= 10; ++i) {
     CHECK(queue.TryAdmit({ kStart + 1s, i, 0.9 }, kStart).admitted);
   }
-  // Ten wait, so the first refused one finds room after 110 ms, the next
-  // after 120 ms, each lengthened by up to a half.
+  // Ten requests wait, so the first refused one is told to retry after 110 ms
+  // and each next one 10 ms later, plus jitter of up to a half.
   for (int i = 0; i < 20; ++i) {
     const auto earliest = 110ms + i * 10ms;
-    const auto told = queue.RetryAfter(static_cast<std::uint64_t>(i), kStart);
-    CHECK(told >= earliest);
-    CHECK(told <= earliest * 3 / 2 + 2ms);
+    const auto retryAfter =
+      queue.RetryAfter(static_cast<std::uint64_t>(i), kStart);
+    CHECK(retryAfter >= earliest);
+    CHECK(retryAfter <= earliest * 3 / 2 + 2ms);
   }
 }
 
-TEST(deadline_queue, a_single_stall_counts_for_little)
+TEST(deadline_queue, a_single_stall_has_little_effect)
 {
-  auto queue = Measured(100);
-  const waiting other{ kStart + 1h, 99, 0.9 };
+  auto queue = MakeMeasuredQueue(100);
+  const queued_request other{ kStart + 1h, 99, 0.9 };
   queue.Requeue(other);
   queue.Departed(kStart + 5s);
   queue.Remove(other);
--- a/test/currantshed/confirm/position_samples.cpp
+++ b/test/currantshed/confirm/position_samples.cpp
@@ -22,7 +22,7 @@
   samples.Add({ 1, 20 }, kStart + 10ms);
   samples.Add({ 1, 20 }, kStart + 20ms);
   samples.Add({ 2, 5 }, kStart + 30ms);
-  // Neither older dates nor lower positions count.
+  // Older dates and lower positions are ignored.
   samples.Add({ 2, 9 }, kStart + 25ms);
   samples.Add({ 1, 90 }, kStart + 40ms);
   return samples;
@@ -40,8 +40,8 @@
   { "before all samples", { 1, 9 }, std::nullopt, 0ms },
   { "at the first", { 1, 10 }, 0ms, 0ms },
   { "between", { 1, 15 }, 0ms, 10ms },
-  { "at one that was seen twice: written by the first date, current as of the "
-    "later",
+  { "at one sampled twice: written by the first date, current as of the later "
+    "one",
     { 1, 20 },
     20ms,
     10ms },
@@ -76,7 +76,7 @@
   CHECK_FALSE(samples.LowestSince(kStart + 31ms).has_value());
 }
 
-TEST(position_samples, thinned_out_ones_never_look_newer)
+TEST(position_samples, thinned_out_samples_never_look_newer)
 {
   position_samples samples;
   constexpr std::uint64_t kCount = 20000;
--- a/test/currantshed/confirm/status_tracker.cpp
+++ b/test/currantshed/confirm/status_tracker.cpp
@@ -20,9 +20,9 @@
 constexpr auto kReplica = server_role::kReplica;
 constexpr auto kFenced = server_role::kFenced;
 
-// One server's word: role, term and last stored record, and when it was
-// asked, counted from the start.
-struct word
+// One server's status: role, term, last stored record, and the time of the
+// request since the start.
+struct reported_status
 {
   const char* server;
   server_role role;
@@ -32,15 +32,16 @@
 };
 
 void
-Say(status_tracker& aTracker, const std::vector<word>& aWords)
+RecordAll(status_tracker& aTracker,
+          const std::vector<reported_status>& aStatuses)
 {
-  for (const auto& said : aWords) {
+  for (const auto& reported : aStatuses) {
     server_status status;
-    status.term = said.term;
-    status.role = said.role;
-    status.stored = said.stored;
-    status.applied = said.stored;
-    aTracker.Record(said.server, status, kStart + said.asked);
+    status.term = reported.term;
+    status.role = reported.role;
+    status.stored = reported.stored;
+    status.applied = reported.stored;
+    aTracker.Record(reported.server, status, kStart + reported.asked);
   }
 }
 
@@ -52,33 +53,34 @@
   return tracker;
 }
 
-// The position (2, 10) by the words given, at 100 ms.
+// What is derived from the statuses at 100 ms, in particular for the position
+// (2, 10).
 struct tracker_row
 {
   const char* name;
-  std::vector<word> words;
+  std::vector<reported_status> statuses;
   std::optional<std::uint64_t> term;
   const char* primary;
-  std::optional<std::chrono::milliseconds> heldSince;
+  std::optional<std::chrono::milliseconds> heldAsOf;
   bool wasConfirmed;
 };
 
 const tracker_row kTrackerRows[] = {
-  { "nothing heard", {}, std::nullopt, "", std::nullopt, false },
-  { "one word is no majority",
+  { "no status", {}, std::nullopt, "", std::nullopt, false },
+  { "one status is no majority",
     { { "s1", kPrimary, 2, { 2, 10 }, 50ms } },
     std::nullopt,
     "",
     std::nullopt,
     false },
-  { "two hold it: since the older question",
+  { "two store it: as of the older request",
     { { "s1", kPrimary, 2, { 2, 10 }, 50ms },
       { "s2", kReplica, 2, { 2, 12 }, 30ms } },
     2,
     "s1",
     30ms,
     true },
-  { "three hold it: the newer two count",
+  { "three store it: the two latest count",
     { { "s1", kPrimary, 2, { 2, 10 }, 50ms },
       { "s2", kReplica, 2, { 2, 10 }, 40ms },
       { "s3", kReplica, 2, { 2, 10 }, 10ms } },
@@ -86,7 +88,7 @@
     "s1",
     40ms,
     true },
-  { "only one holds it",
+  { "only one stores it",
     { { "s1", kPrimary, 2, { 2, 10 }, 50ms },
       { "s2", kReplica, 2, { 2, 9 }, 40ms },
       { "s3", kReplica, 2, { 2, 9 }, 40ms } },
@@ -108,7 +110,7 @@
     "s1",
     std::nullopt,
     false },
-  { "a majority is fenced: the primary is none",
+  { "a majority is fenced: no primary",
     { { "s1", kPrimary, 2, { 2, 10 }, 50ms },
       { "s2", kFenced, 3, { 2, 10 }, 40ms },
       { "s3", kFenced, 3, { 2, 10 }, 40ms } },
@@ -116,7 +118,7 @@
     "",
     std::nullopt,
     false },
-  { "held before, then a majority was fenced",
+  { "stored by a majority, which was fenced later",
     { { "s1", kPrimary, 2, { 2, 10 }, 10ms },
       { "s2", kReplica, 2, { 2, 10 }, 10ms },
       { "s2", kFenced, 3, { 2, 10 }, 40ms },
@@ -125,14 +127,14 @@
     "",
     std::nullopt,
     true },
-  { "the majority was asked too long ago",
+  { "the majority's statuses are too old",
     { { "s1", kPrimary, 2, { 2, 10 }, 50ms },
       { "s2", kReplica, 2, { 2, 10 }, -101ms } },
     2,
     "",
     -101ms,
     true },
-  { "the primary was asked too long ago",
+  { "the primary's status is too old",
     { { "s1", kPrimary, 2, { 2, 10 }, -101ms },
       { "s2", kReplica, 2, { 2, 10 }, 50ms },
       { "s3", kReplica, 2, { 2, 10 }, 50ms } },
@@ -140,7 +142,7 @@
     "",
     50ms,
     true },
-  { "an older word that comes late changes no latest word",
+  { "a delayed older status does not replace the latest one",
     { { "s1", kPrimary, 2, { 2, 10 }, 50ms },
       { "s2", kReplica, 2, { 2, 10 }, 40ms },
       { "s2", kReplica, 1, { 1, 10 }, 10ms } },
@@ -161,11 +163,11 @@
 
 TEST_GROUP(status_tracker){};
 
-TEST(status_tracker, what_follows_from_words)
+TEST(status_tracker, what_follows_from_statuses)
 {
   for (const auto& row : kTrackerRows) {
     auto tracker = MakeTrackerOfThree();
-    Say(tracker, row.words);
+    RecordAll(tracker, row.statuses);
     const auto now = kStart + 100ms;
     const auto term = tracker.Term();
     CHECK_TEXT(term.has_value() == row.term.has_value(), row.name);
@@ -173,8 +175,8 @@
     const auto primary = tracker.Primary(now);
     CHECK_TEXT((primary ? primary->server : "") == row.primary, row.name);
     const auto held = tracker.HeldByMajorityAsOf({ 2, 10 });
-    CHECK_TEXT(held.has_value() == row.heldSince.has_value(), row.name);
-    CHECK_TEXT(!held || *held == kStart + *row.heldSince, row.name);
+    CHECK_TEXT(held.has_value() == row.heldAsOf.has_value(), row.name);
+    CHECK_TEXT(!held || *held == kStart + *row.heldAsOf, row.name);
     CHECK_TEXT(tracker.WasConfirmed({ 2, 10 }) == row.wasConfirmed, row.name);
   }
 }
@@ -182,9 +184,9 @@
 TEST(status_tracker, a_position_holds_for_the_validity_from_the_question)
 {
   auto tracker = MakeTrackerOfThree();
-  Say(tracker,
-      { { "s1", kPrimary, 2, { 2, 10 }, 0ms },
-        { "s2", kReplica, 2, { 2, 10 }, 10ms } });
+  RecordAll(tracker,
+            { { "s1", kPrimary, 2, { 2, 10 }, 0ms },
+              { "s2", kReplica, 2, { 2, 10 }, 10ms } });
   CHECK(tracker.IsHeldByMajority({ 2, 10 }, kStart, kStart + 200ms));
   CHECK_FALSE(tracker.IsHeldByMajority({ 2, 10 }, kStart, kStart + 201ms));
   CHECK_FALSE(
@@ -192,12 +194,12 @@
   CHECK_FALSE(tracker.IsHeldByMajority({ 2, 11 }, kStart, kStart + 100ms));
 }
 
-TEST(status_tracker, samples_are_dated_by_the_older_question)
+TEST(status_tracker, samples_are_dated_by_the_older_request)
 {
   auto tracker = MakeTrackerOfThree();
-  Say(tracker,
-      { { "s1", kPrimary, 2, { 2, 10 }, 50ms },
-        { "s2", kReplica, 2, { 2, 5 }, 20ms } });
+  RecordAll(tracker,
+            { { "s1", kPrimary, 2, { 2, 10 }, 50ms },
+              { "s2", kReplica, 2, { 2, 5 }, 20ms } });
   CHECK(tracker.Samples().CurrentAsOf({ 2, 10 }) == kStart + 20ms);
   CHECK_FALSE(tracker.Samples().CurrentAsOf({ 2, 9 }).has_value());
 }
@@ -205,9 +207,9 @@
 TEST(status_tracker, a_lone_primary_gives_no_sample)
 {
   auto tracker = MakeTrackerOfThree();
-  Say(tracker,
-      { { "s1", kPrimary, 2, { 2, 10 }, 50ms },
-        { "s2", kFenced, 3, { 2, 5 }, 50ms },
-        { "s3", kFenced, 3, { 2, 5 }, 50ms } });
+  RecordAll(tracker,
+            { { "s1", kPrimary, 2, { 2, 10 }, 50ms },
+              { "s2", kFenced, 3, { 2, 5 }, 50ms },
+              { "s3", kFenced, 3, { 2, 5 }, 50ms } });
   CHECK_FALSE(tracker.Samples().CurrentAsOf({ 2, 10 }).has_value());
 }
--- a/test/currantshed/member/fleet.cpp
+++ b/test/currantshed/member/fleet.cpp
@@ -20,8 +20,8 @@
 using currantshed::clock::time_point;
 using std::chrono::milliseconds;
 
-// Rosters of a whole fleet that send to each other in virtual time. The list
-// never changes, as one that lags for long.
+// Memberships of a whole fleet that exchange heartbeats in virtual time. The
+// listing never changes, like one that lags for a long time.
 class fleet
 {
 public:
@@ -52,7 +52,7 @@
     while (mNow < end) {
       mNow += milliseconds{ 20 };
       for (std::size_t number = 0; number < mMemberships.size(); ++number) {
-        if (mDead != number) {
+        if (mFailed != number) {
           mMemberships[number]->Tick(mNow);
           Send(number);
         }
@@ -60,21 +60,21 @@
     }
   }
 
-  void Kill(std::size_t aNumber) { mDead = aNumber; }
+  void Fail(std::size_t aNumber) { mFailed = aNumber; }
 
-  // Live VMs that take the given one for live.
+  // Number of other live VMs that consider the given one live.
   [[nodiscard]] std::size_t CountConsideringLive(std::size_t aNumber) const
   {
-    std::size_t believers = 0;
+    std::size_t count = 0;
     for (std::size_t number = 0; number < mMemberships.size(); ++number) {
-      if (number == aNumber || mDead == number) {
+      if (number == aNumber || mFailed == number) {
         continue;
       }
       for (const auto& vm : mMemberships[number]->Live()) {
-        believers += vm.id == mVms[aNumber].id ? 1 : 0;
+        count += vm.id == mVms[aNumber].id ? 1 : 0;
       }
     }
-    return believers;
+    return count;
   }
 
   [[nodiscard]] std::uint64_t Sent() const { return mSent; }
@@ -87,9 +87,9 @@
     return versions;
   }
 
-  void Revive(std::size_t aNumber)
+  void Restart(std::size_t aNumber)
   {
-    mDead.reset();
+    mFailed.reset();
     member::membership_settings settings;
     settings.self = mVms[aNumber];
     settings.incarnation = "second";
@@ -106,14 +106,14 @@
     mMemberships.push_back(member::MakeMembership(settings, aNumber));
   }
 
-  // Messages arrive at once; answers go out at the receiver's next turn.
+  // Messages arrive at once. Replies are sent in the receiver's next step.
   void Send(std::size_t aNumber)
   {
-    constexpr unsigned kMille = 1000;
+    constexpr unsigned kPerMille = 1000;
     for (const auto& send : mMemberships[aNumber]->TakeHeartbeats()) {
       ++mSent;
       const auto to = mNumbers.at(send.to.id);
-      if (mDead != to && mGenerator() % kMille >= mLoss) {
+      if (mFailed != to && mGenerator() % kPerMille >= mLoss) {
         mMemberships[to]->HeartbeatArrived(send.message, mNow);
       }
     }
@@ -125,7 +125,7 @@
   std::vector<store::vm> mVms;
   absl::flat_hash_map<std::string, std::size_t> mNumbers;
   std::vector<std::unique_ptr<member::membership>> mMemberships;
-  std::optional<std::size_t> mDead;
+  std::optional<std::size_t> mFailed;
   std::uint64_t mSent = 0;
 };
 
@@ -138,10 +138,10 @@
 };
 
 const fleet_row kFleetRows[] = {
-  { "today's size", 8, 3, 0 },
-  { "today's size with losses", 8, 3, 100 },
+  { "current size", 8, 3, 0 },
+  { "current size with message loss", 8, 3, 100 },
   { "a hundred VMs", 100, 60, 0 },
-  { "a hundred VMs with losses", 100, 60, 10 },
+  { "a hundred VMs with message loss", 100, 60, 10 },
 };
 
 constexpr std::size_t kFailedVm = 5;
@@ -150,8 +150,8 @@
 
 TEST_GROUP(fleet){};
 
-// A loss is known everywhere soon, though the list never tells it, and so is
-// the return.
+// The failure and the return of a VM become known at every other VM within a
+// bounded time, although the listing shows neither.
 TEST(fleet, a_loss_and_a_return_reach_everyone)
 {
   for (const auto& row : kFleetRows) {
@@ -159,23 +159,23 @@
     subject.Run(milliseconds{ 4000 });
     UNSIGNED_LONGS_EQUAL_TEXT(
       row.vms - 1, subject.CountConsideringLive(kFailedVm), row.name);
-    subject.Kill(kFailedVm);
+    subject.Fail(kFailedVm);
     subject.Run(milliseconds{ 3000 });
     UNSIGNED_LONGS_EQUAL_TEXT(
       0, subject.CountConsideringLive(kFailedVm), row.name);
     subject.Run(milliseconds{ 12000 });
     UNSIGNED_LONGS_EQUAL_TEXT(
       0, subject.CountConsideringLive(kFailedVm), row.name);
-    subject.Revive(kFailedVm);
+    subject.Restart(kFailedVm);
     subject.Run(milliseconds{ 12000 });
     UNSIGNED_LONGS_EQUAL_TEXT(
       row.vms - 1, subject.CountConsideringLive(kFailedVm), row.name);
   }
 }
 
-// Nobody is taken for dead while nothing fails, and the messages of one VM
-// stay bounded.
-TEST(fleet, a_quiet_fleet_stays_as_it_is)
+// Without failures no VM is considered failed, and the number of messages per
+// VM is bounded.
+TEST(fleet, a_fleet_without_failures_does_not_change)
 {
   for (const auto& row : kFleetRows) {
     if (row.lossPerMille > 0) {
@@ -188,9 +188,9 @@
     subject.Run(milliseconds{ 10000 });
     UNSIGNED_LONGS_EQUAL_TEXT(versions, subject.Versions(), row.name);
     const auto perSecond = (subject.Sent() - sent) / row.vms / 10;
-    // Seven intervals a second, each with the fanout, the co-owners and the
-    // answers to neighbours.
-    constexpr std::uint64_t kMost = 119;
-    CHECK_TEXT(perSecond <= kMost, row.name);
+    // Seven intervals per second, each with the fanout, the co-owners and the
+    // replies to neighbours.
+    constexpr std::uint64_t kMaxMessages = 119;
+    CHECK_TEXT(perSecond <= kMaxMessages, row.name);
   }
 }
--- a/test/currantshed/member/owners.cpp
+++ b/test/currantshed/member/owners.cpp
@@ -28,9 +28,9 @@
 };
 
 const owners_row kOwnersRows[] = {
-  { "no VM, no owner", {}, 3, 0, 0 },
-  { "one VM owns alone", { { "a", "x", false } }, 3, 1, 1 },
-  { "domains first",
+  { "no VMs", {}, 3, 0, 0 },
+  { "one VM is the only owner", { { "a", "x", false } }, 3, 1, 1 },
+  { "one owner in each failure domain",
     { { "a", "x", false },
       { "b", "x", false },
       { "c", "x", false },
@@ -44,12 +44,16 @@
     3,
     3,
     2 },
-  { "a leaving VM owns nothing",
+  { "a leaving VM is no owner",
     { { "a", "x", false }, { "b", "y", true }, { "c", "z", false } },
     3,
     2,
     2 },
-  { "all are leaving", { { "a", "x", true }, { "b", "y", true } }, 3, 0, 0 },
+  { "all VMs are leaving",
+    { { "a", "x", true }, { "b", "y", true } },
+    3,
+    0,
+    0 },
 };
 
 std::vector<vm>
@@ -109,8 +113,8 @@
   CHECK(first == ChooseOwners("claimsbook-1", reversed, 3));
 }
 
-// The owner of a seat changes only if the VM that left or came is concerned.
-TEST(owners, a_vm_that_goes_moves_only_its_own_seats)
+// An owner of a group is replaced only if it is the VM that left.
+TEST(owners, a_removed_vm_moves_only_its_own_groups)
 {
   std::vector<vm> vms;
   vms.reserve(30);
@@ -120,17 +124,17 @@
     made.failureDomain = std::string(1, "xyz"[number % 3]);
     vms.push_back(made);
   }
-  const auto gone = vms[7];
-  auto left = vms;
-  left.erase(left.begin() + 7);
+  const auto removed = vms[7];
+  auto remaining = vms;
+  remaining.erase(remaining.begin() + 7);
   for (int group = 0; group < 50; ++group) {
     const auto name = "group-" + std::to_string(group);
     const auto before = ChooseOwners(name, vms, 3);
-    const auto after = ChooseOwners(name, left, 3);
+    const auto after = ChooseOwners(name, remaining, 3);
     for (const auto& owner : before) {
       const bool kept =
         std::find(after.begin(), after.end(), owner) != after.end();
-      CHECK_TEXT(kept || owner.id == gone.id, name.c_str());
+      CHECK_TEXT(kept || owner.id == removed.id, name.c_str());
     }
   }
 }
--- a/test/currantshed/policy/configuration_record.cpp
+++ b/test/currantshed/policy/configuration_record.cpp
@@ -30,11 +30,11 @@
     R"({"version":2,"change":"c","declaration":"d","earlier_changes":[1]})" },
   { "earlier changes are no list",
     R"({"version":2,"change":"c","declaration":"d","earlier_changes":"b"})" },
-  { "more changes than versions",
+  { "more earlier changes than versions",
     R"({"version":1,"change":"c","declaration":"d","earlier_changes":["b"]})" },
 };
 
-struct trace_row
+struct status_row
 {
   const char* name;
   const char* change;
@@ -42,22 +42,25 @@
   change_status expected;
 };
 
-/// Against a record of version 9, change "i", after "h" and "g".
-constexpr trace_row kTraceRows[] = {
+/// Checked against a record of version 9 with the change "i" after "h" and "g".
+constexpr status_row kStatusRows[] = {
   { "in force", "i", 9, change_status::kIncluded },
-  { "the one before", "h", 8, change_status::kIncluded },
-  { "the oldest that is named", "g", 7, change_status::kIncluded },
-  { "another took its version", "x", 9, change_status::kNotIncluded },
-  { "another took its version earlier", "x", 7, change_status::kNotIncluded },
-  { "the version isn't reached", "x", 10, change_status::kNotIncluded },
-  { "older than all that are named", "f", 6, change_status::kTooOld },
+  { "the change before", "h", 8, change_status::kIncluded },
+  { "the oldest one in the record", "g", 7, change_status::kIncluded },
+  { "another change has the version", "x", 9, change_status::kNotIncluded },
+  { "another change has an earlier version",
+    "x",
+    7,
+    change_status::kNotIncluded },
+  { "a version that does not exist yet", "x", 10, change_status::kNotIncluded },
+  { "older than all changes in the record", "f", 6, change_status::kTooOld },
 };
 
 } // namespace
 
 TEST_GROUP(configuration_record){};
 
-TEST(configuration_record, comes_back_whole)
+TEST(configuration_record, round_trip)
 {
   const configuration_record record{
     12, "a\"b", "classes:\n  - ü", "operator", "2026-12-02T16:00:00Z", { "x" }
@@ -67,7 +70,7 @@
   CHECK(*back == record);
 }
 
-TEST(configuration_record, what_is_only_for_people_may_be_missing)
+TEST(configuration_record, informational_fields_may_be_missing)
 {
   const auto read =
     ParseConfigurationRecord(R"({"version":3,"change":"c","declaration":"d"})");
@@ -94,10 +97,10 @@
   STRCMP_EQUAL("16", record.earlierChanges.back().c_str());
 }
 
-TEST(configuration_record, traces_a_change)
+TEST(configuration_record, finds_a_change)
 {
   const configuration_record record{ 9, "i", "d", "", "", { "h", "g" } };
-  for (const auto& row : kTraceRows) {
+  for (const auto& row : kStatusRows) {
     CHECK_TEXT(FindChange(record, row.change, row.version) == row.expected,
                row.name);
   }
--- a/test/currantshed/pool/connection_pool.cpp
+++ b/test/currantshed/pool/connection_pool.cpp
@@ -24,8 +24,10 @@
 };
 
 constexpr share_row kShareRows[] = {
-  { "claimsbook", 16, 2, 0.5, 4, 2 }, { "planner-db", 55, 5, 0.5, 23, 5 },
-  { "no reserve", 16, 2, 0, 12, 2 },  { "hardly any", 8, 2, 0.5, 1, 2 },
+  { "claimsbook", 16, 2, 0.5, 4, 2 },
+  { "planner-db", 55, 5, 0.5, 23, 5 },
+  { "no reserve", 16, 2, 0, 12, 2 },
+  { "no more than are reserved", 8, 2, 0.5, 1, 2 },
   { "one", 1, 0, 0.5, 1, 1 },
 };
 
@@ -61,7 +63,7 @@
   CHECK(pool.HasSlot());
   pool.BatchStarted(1);
   CHECK_FALSE(pool.HasSlot());
-  // The idle one of the other kind could make place.
+  // The idle connection of the other kind could be replaced.
   CHECK(pool.CanProvide(false, kStart));
   pool.BatchEnded(1);
   CHECK(pool.HasSlot());
@@ -69,7 +71,7 @@
   CHECK(pool.Idle(false) == 1);
 }
 
-TEST(connection_pool, a_removed_connection_gives_its_slot_back)
+TEST(connection_pool, a_removed_connection_releases_its_slot)
 {
   connection_pool pool;
   pool.SetLimits({ 2, 1 });
--- a/test/currantshed/route/read_route.cpp
+++ b/test/currantshed/route/read_route.cpp
@@ -25,32 +25,35 @@
 constexpr std::uint64_t kNewest = 1000;
 
 void
-Say(status_tracker& aTracker,
-    const std::string& aServer,
-    server_role aRole,
-    std::uint64_t aIndex,
-    time_point aAsked)
+RecordStatus(status_tracker& aTracker,
+             const std::string& aServer,
+             server_role aRole,
+             std::uint64_t aIndex,
+             time_point aRequestedAt)
 {
   server_status status;
   status.term = 1;
   status.role = aRole;
   status.stored = { 1, aIndex };
   status.applied = { 1, aIndex };
-  aTracker.Record(aServer, status, aAsked);
+  aTracker.Record(aServer, status, aRequestedAt);
 }
 
-// The primary writes one record a millisecond for a second; s2 is 10 ms and
-// s3 300 ms behind. All were last asked at the end of that second.
+// The primary writes one record per millisecond for a second. The replica s2
+// lags by 10 ms and s3 by 300 ms. All statuses were last requested at the end
+// of that second.
 status_tracker
 MakeTracker()
 {
   status_tracker tracker(200ms);
   tracker.SetMembers({ "s1", "s2", "s3" });
   for (std::uint64_t i = 1; i <= kNewest; ++i) {
-    const auto asked = kStart + std::chrono::milliseconds(i) - 1000ms;
-    Say(tracker, "s1", server_role::kPrimary, i, asked);
-    Say(tracker, "s2", server_role::kReplica, i > 10 ? i - 10 : 0, asked);
-    Say(tracker, "s3", server_role::kReplica, i > 300 ? i - 300 : 0, asked);
+    const auto requestedAt = kStart + std::chrono::milliseconds(i) - 1000ms;
+    RecordStatus(tracker, "s1", server_role::kPrimary, i, requestedAt);
+    RecordStatus(
+      tracker, "s2", server_role::kReplica, i > 10 ? i - 10 : 0, requestedAt);
+    RecordStatus(
+      tracker, "s3", server_role::kReplica, i > 300 ? i - 300 : 0, requestedAt);
   }
   return tracker;
 }
@@ -75,23 +78,23 @@
   void (*change)(std::vector<candidate>&);
   std::chrono::milliseconds after;
   availability state;
-  /// Server if ready.
+  /// Expected server if the state is kReady.
   const char* server;
   reason why;
 };
 
 const std::vector<std::string> kEverywhere{ "d1", "d2", "d3" };
-const auto kAsIs = [](std::vector<candidate>&) {};
+const auto kUnchanged = [](std::vector<candidate>&) {};
 
 const route_row kRouteRows[] = {
-  { "both replicas will do: the first of equals",
+  { "both replicas are equally suitable: the first one",
     10s,
     {},
     false,
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kReady,
     "s2",
@@ -103,37 +106,37 @@
     kEverywhere,
     {},
     false,
-    [](std::vector<candidate>& aAll) { aAll[1].inUse = 1; },
+    [](std::vector<candidate>& aCandidates) { aCandidates[1].inUse = 1; },
     0ms,
     availability::kReady,
     "s3",
     reason::kNone },
-  { "one with a connection at hand before a less loaded one",
+  { "an idle connection comes before a lower load",
     10s,
     {},
     false,
     kEverywhere,
     {},
     false,
-    [](std::vector<candidate>& aAll) {
-      aAll[1].inUse = 1;
-      aAll[2].connected = false;
+    [](std::vector<candidate>& aCandidates) {
+      aCandidates[1].inUse = 1;
+      aCandidates[2].connected = false;
     },
     0ms,
     availability::kReady,
     "s2",
     reason::kNone },
-  { "load is counted by slots",
+  { "load is relative to the slots",
     10s,
     {},
     false,
     kEverywhere,
     {},
     false,
-    [](std::vector<candidate>& aAll) {
-      aAll[1].inUse = 1;
-      aAll[2].inUse = 2;
-      aAll[2].slots = 5;
+    [](std::vector<candidate>& aCandidates) {
+      aCandidates[1].inUse = 1;
+      aCandidates[2].inUse = 2;
+      aCandidates[2].slots = 5;
     },
     0ms,
     availability::kReady,
@@ -146,7 +149,7 @@
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kReady,
     "s2",
@@ -158,55 +161,55 @@
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kReady,
     "s1",
     reason::kNone },
-  { "a position that a replica has by its last word",
+  { "a position that a replica has by its latest status",
     10s,
     { 1, 990 },
     false,
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kReady,
     "s2",
     reason::kNone },
-  { "a position that it doesn't have yet: the primary",
+  { "a position that no replica has yet: the primary",
     10s,
     { 1, 1000 },
     false,
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kReady,
     "s1",
     reason::kNone },
-  { "the same later, when by its lag it will have it",
+  { "the same later, when by its lag a replica has it",
     10s,
     { 1, 1000 },
     false,
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     20ms,
     availability::kReady,
     "s2",
     reason::kNone },
-  { "a position that nobody has",
+  { "a position that no server has",
     10s,
     { 1, 1001 },
     false,
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kNone,
     "",
@@ -218,19 +221,19 @@
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kReady,
     "s1",
     reason::kNone },
-  { "fresh, while no majority was heard of late",
+  { "fresh, without recent statuses of a majority",
     10s,
     {},
     true,
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     201ms,
     availability::kNone,
     "",
@@ -242,31 +245,31 @@
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     201ms,
     availability::kReady,
     "s2",
     reason::kNone },
-  { "all have been silent for long",
+  { "all statuses are too old",
     10s,
     {},
     false,
     kEverywhere,
     {},
     false,
-    kAsIs,
+    kUnchanged,
     1001ms,
     availability::kNone,
     "",
     reason::kNoPrimary },
-  { "replicas tried in vain: the primary",
+  { "replicas already tried: the primary",
     10s,
     {},
     false,
     kEverywhere,
     { "s2", "s3" },
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kReady,
     "s1",
@@ -278,9 +281,9 @@
     kEverywhere,
     {},
     false,
-    [](std::vector<candidate>& aAll) {
-      aAll[1].leaving = true;
-      aAll[2].leaving = true;
+    [](std::vector<candidate>& aCandidates) {
+      aCandidates[1].leaving = true;
+      aCandidates[2].leaving = true;
     },
     0ms,
     availability::kReady,
@@ -293,24 +296,24 @@
     kEverywhere,
     {},
     false,
-    [](std::vector<candidate>& aAll) {
-      aAll[1].hasCapacity = false;
-      aAll[2].hasCapacity = false;
+    [](std::vector<candidate>& aCandidates) {
+      aCandidates[1].hasCapacity = false;
+      aCandidates[2].hasCapacity = false;
     },
     0ms,
     availability::kBusy,
     "",
     reason::kNone },
-  { "replicas busy for long: the primary",
+  { "replicas busy and spillover allowed: the primary",
     10s,
     {},
     false,
     kEverywhere,
     {},
     true,
-    [](std::vector<candidate>& aAll) {
-      aAll[1].hasCapacity = false;
-      aAll[2].hasCapacity = false;
+    [](std::vector<candidate>& aCandidates) {
+      aCandidates[1].hasCapacity = false;
+      aCandidates[2].hasCapacity = false;
     },
     0ms,
     availability::kReady,
@@ -323,8 +326,8 @@
     kEverywhere,
     {},
     true,
-    [](std::vector<candidate>& aAll) {
-      for (auto& one : aAll) {
+    [](std::vector<candidate>& aCandidates) {
+      for (auto& one : aCandidates) {
         one.hasCapacity = false;
       }
     },
@@ -332,50 +335,50 @@
     availability::kBusy,
     "",
     reason::kNone },
-  { "a place without a server",
+  { "a failure domain without a server",
     10s,
     {},
     false,
     { "d9" },
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kNone,
     "",
     reason::kNoEligibleServer },
-  { "only the primary's place",
+  { "only the primary's failure domain",
     10s,
     {},
     false,
     { "d1" },
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kReady,
     "s1",
     reason::kNone },
-  { "only the place of one that is too far behind",
+  { "only the failure domain of a replica that lags too far",
     100ms,
     {},
     false,
     { "d3" },
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kNone,
     "",
     reason::kTooStale },
-  { "fresh, but not in the primary's place",
+  { "fresh, but not in the primary's failure domain",
     10s,
     {},
     true,
     { "d2" },
     {},
     false,
-    kAsIs,
+    kUnchanged,
     0ms,
     availability::kNone,
     "",
@@ -394,12 +397,12 @@
     row.change(candidates);
     const read_requirements need{ row.servedIn, row.floor, row.maxStaleness,
                                   row.fresh,    row.tried, row.allowSpillover };
-    const auto made =
+    const auto chosen =
       ChooseForRead(candidates, need, tracker, kStart + row.after);
-    CHECK_TEXT(made.state == row.state, row.name);
-    CHECK_TEXT(made.why == row.why, row.name);
-    if (made.state == availability::kReady) {
-      CHECK_TEXT(candidates[made.index].server == row.server, row.name);
+    CHECK_TEXT(chosen.state == row.state, row.name);
+    CHECK_TEXT(chosen.why == row.why, row.name);
+    if (chosen.state == availability::kReady) {
+      CHECK_TEXT(candidates[chosen.index].server == row.server, row.name);
     }
   }
 }
