--- a/src/currantshed/node/control.cpp
+++ b/src/currantshed/node/control.cpp
@@ -16,41 +16,43 @@
 
 using std::chrono::milliseconds;
 
-// Time between two words of a VM on its own way to the primaries, for each VM
-// that gives such words, and its bounds: whoever watches a group needs some
-// fresh words, not many.
+// Interval between two reachability reports of a VM, per VM that sends reports,
+// and its bounds: a VM that monitors a group needs some recent reports, not
+// many.
 constexpr milliseconds kReachByVm{ 25 };
 constexpr milliseconds kShortestReach{ 250 };
 constexpr milliseconds kLongestReach{ 2000 };
-// The same for a VM that the store lists no longer: whoever takes a duty over
-// learns of it only by that, and until then it has no proofs but its own. It
-// also speaks to a few others at a time, so that its links stay few.
+// The same for a VM that the store no longer lists: a new lock holder learns of
+// it only by its reports, and until then that VM has no proofs but its own. It
+// reports to a few other VMs at a time, which limits the number of its
+// connections.
 constexpr milliseconds kOffListReach{ 1000 };
-// After this time a VM takes callers though a group has no primary.
+// After this time a VM takes callers even if a group has no primary.
 constexpr milliseconds kReadyWithoutProof{ 1500 };
-// Pauses after a change, before the next ones are asked for: operators' changes
-// in quick succession, and what servers write while they start, cost each VM a
-// call for each pause. Both are far below the times in which changes count.
+// Pauses after a change before the next changes are read. Frequent changes by
+// operators, and the writes of servers that start, cost each VM one call per
+// pause. Both pauses are far shorter than the times within which changes must
+// take effect.
 constexpr milliseconds kConfigurationPause{ 300 };
 constexpr milliseconds kServersPause{ 400 };
 constexpr milliseconds kServersPauseByServer{ 40 };
-// However many there are: only a few VMs of a failure domain make these calls,
-// and what they learn must be soon enough for all.
+// Upper bound for any number of keys: only a few VMs of a failure domain make
+// these calls, and what they read must reach all others in time.
 constexpr milliseconds kLongestServersPause{ 800 };
 constexpr milliseconds kLongestOwnPause{ 300 };
-// How long the first reading of the other keys waits for that of the own ones,
-// which tells who may hand them over.
+// How long the first reading of the other keys waits for that of the cluster
+// state, which tells which VMs can provide those keys.
 constexpr milliseconds kOwnKeysFirst{ 500 };
-// Life of a VM's lease, and the time between renewals. VMs that hold a duty or
-// feed others have a short one. For all others the price counts: with the long
-// one a VM's renewals cost half as much.
+// Duration of a VM's lease and the interval between renewals. VMs that hold a
+// failover lock or feed others use a short lease. All others use the long one,
+// which halves the cost of their renewals.
 constexpr milliseconds kShortLease{ 2000 };
 constexpr milliseconds kShortRenewal{ 650 };
 constexpr milliseconds kLongLease{ 4000 };
 constexpr milliseconds kLongRenewal{ 1300 };
 
-// How long a byte of a document takes on the VM's link; the store sends three
-// bytes as four.
+// Transfer time of a byte of a document on the VM's link. The store's encoding
+// sends three bytes as four.
 std::chrono::nanoseconds
 ByteTime(const node_settings& aSettings)
 {
@@ -264,7 +266,7 @@
   UpdateReadiness(clock::Now());
 }
 
-// Entries of servers are read anew only where other services may be meant.
+// Server entries are parsed again only if the set of services has changed.
 void
 control::ServicesChanged(const proxy::configuration& aConfiguration)
 {
@@ -281,7 +283,7 @@
   }
 }
 
-// A VM that is gone must be known soon where others wait for what it did.
+// The expiry of this VM must be noticed early if others wait for its work.
 store::lease_times
 control::ShortLease() const
 {
@@ -309,7 +311,7 @@
   Tick();
 }
 
-// This VM stands on the list for the first time: it asks others what they know.
+// When this VM is listed for the first time, it asks other VMs for their state.
 void
 control::NoteListed(clock::time_point aNow)
 {
@@ -443,8 +445,8 @@
   mRegistration.Tick(aNow, absl::Uniform<double>(mRandom, 0, 1));
 }
 
-// While the store does not answer this VM, only the renewal of its lease goes
-// on asking, which costs a tenth of any other call.
+// While the store does not answer this VM, only the renewal of its lease is
+// tried, which costs a tenth of any other call.
 void
 control::HoldViews()
 {
--- a/src/currantshed/node/control_feed.cpp
+++ b/src/currantshed/node/control_feed.cpp
@@ -1,5 +1,5 @@
-// News of the store: a few VMs in each failure domain follow it, the others ask
-// those for what has changed.
+// Dissemination of the store's changes: a few VMs in each failure domain, the
+// feeders, follow the store. The others poll the feeders for changes.
 #include "currantshed/node/control.hpp"
 
 #include <algorithm>
@@ -19,9 +19,9 @@
 
 using std::chrono::milliseconds;
 
-// Time between two questions of a VM, to its feeders by turns.
+// Interval between two polls of a VM, which alternates between its feeders.
 constexpr milliseconds kPollInterval{ 400 };
-// Until when a VM that has found feeders waits for their first answer.
+// How long a VM that has found feeders waits for their first answer.
 constexpr milliseconds kFirstAnswer{ 600 };
 
 store::key_change
@@ -62,8 +62,9 @@
 
 } // namespace
 
-// A VM that starts first looks for feeders: most others may not be listed yet.
-// It need not where it is known that there are few VMs, or that it is a feeder.
+// A VM that starts looks for feeders first, because most others may not be
+// listed yet. It does not wait if the failure domain is known to have few VMs
+// or if this VM is a feeder.
 void
 control::EndFeederSearch(bool aIsFeeder, clock::time_point aNow)
 {
@@ -80,7 +81,7 @@
   }
 }
 
-// Who feeds this VM: nobody while it is a feeder itself.
+// Updates which VMs feed this one; none do while it is a feeder itself.
 void
 control::NoteFeeders(clock::time_point aNow)
 {
@@ -117,7 +118,7 @@
   }
 }
 
-// Asks a feeder, the next one each time, and others where those can't help.
+// Polls the next feeder, and other VMs if the feeders cannot help.
 void
 control::Poll(clock::time_point aNow)
 {
@@ -129,7 +130,7 @@
     AskUse(aNow);
     SendWanted(mFeeders[++mTurn % mFeeders.size()], aNow);
   }
-  // The feeders are cut off from the store as well: others may not be.
+  // The feeders are cut off from the store as well, but others may not be.
   const bool areCutOff =
     mRegistration.IsFailing() && aNow >= mOwnView.FedUntil();
   if (areCutOff || LacksProof(aNow)) {
@@ -139,7 +140,8 @@
   }
 }
 
-// Traffic knows which groups callers use; the next question names them.
+// Requests from the traffic thread which groups callers use. The next poll
+// names them.
 void
 control::AskUse(clock::time_point aNow)
 {
@@ -153,8 +155,8 @@
   });
 }
 
-// Callers need a proof. A VM that has no words on the group, since nobody used
-// it, asks one that passes words on, which has them.
+// Callers need a proof. A VM without announcements for the group, because the
+// group was not in use, requests them from a feeder.
 void
 control::Wanted(const std::string& aService, clock::time_point aNow)
 {
@@ -191,7 +193,8 @@
   mNews.Send(aVm, std::move(told), aNow);
 }
 
-// What a VM that asked lacks of the keys, and how old this VM's are.
+// Answers a poll with the changes that the VM lacks, and with the time as of
+// which this VM's keys are current.
 void
 control::AnswerWanted(const news::News& aNews, clock::time_point aNow)
 {
@@ -281,8 +284,8 @@
   view.FedUntil(std::max(view.FedUntil(), until));
 }
 
-// Says anything, so that the other VM can put its next times in terms of this
-// one's clock.
+// Sends an empty message, so that the other VM can convert its timestamps to
+// this VM's clock in later messages.
 void
 control::AnswerSender(const std::string& aVm, clock::time_point aNow)
 {
@@ -291,7 +294,7 @@
   mNews.Send(aVm, std::move(told), aNow);
 }
 
-// A feeder that has seen something new is asked at once.
+// Polls a feeder at once when it has seen newer changes.
 void
 control::HeardChanges(const news::News& aNews, clock::time_point aNow)
 {
@@ -306,14 +309,14 @@
   }
 }
 
-// Whether the VM is one of those that feed this one.
+// Whether the VM feeds this one.
 bool
 control::IsFeeder(const std::string& aVm) const
 {
   return std::find(mFeeders.begin(), mFeeders.end(), aVm) != mFeeders.end();
 }
 
-// Tells the VMs that ask this one that there is something new.
+// Notifies the VMs that poll this one of newer changes.
 void
 control::TellSubscribers(clock::time_point aNow)
 {
--- a/src/currantshed/node/control_fleet.cpp
+++ b/src/currantshed/node/control_fleet.cpp
@@ -14,14 +14,14 @@
 
 using std::chrono::milliseconds;
 
-// How long a VM that starts counts on others that are recorded but not listed:
-// VMs that lost power together are back within a second of each other. Also
-// how long the fleet must stay the same before it is recorded.
+// How long a VM that starts takes account of VMs that are recorded but not
+// listed: VMs that lost power together are back within a second of each other.
+// Also how long the fleet must be unchanged before it is recorded.
 constexpr milliseconds kFleetSettling{ 2000 };
 
 } // namespace
 
-// Takes over which VMs there are, listed or recorded.
+// Applies a change of the VMs that are listed or recorded.
 void
 control::FleetChanged(clock::time_point aNow)
 {
@@ -37,8 +37,8 @@
   SetPlaces(aNow);
 }
 
-// Traffic shares connections with the VMs that are listed, and for a while
-// after the start also with those that were.
+// The traffic thread divides the servers' connections among the listed VMs, and
+// for a while after the start also among the recorded ones.
 void
 control::TellFleet(clock::time_point aNow)
 {
@@ -76,8 +76,8 @@
   mTraffic.SetFleet(std::move(fleet));
 }
 
-// The VM that holds the first group's duty records the fleet once it has
-// stayed as it is for a while.
+// The holder of the first group's failover lock records the fleet once it has
+// been unchanged for a while.
 void
 control::KeepFleet(clock::time_point aNow)
 {
@@ -118,8 +118,9 @@
     });
 }
 
-// A store that has come back may list few VMs and an old record, though all
-// run: whoever shared by those alone would take more than its part.
+// A restored store may list few VMs and an old fleet record although all VMs
+// run. A VM that divided connections and rates by these alone would take more
+// than its share.
 void
 control::NoteEra(clock::time_point aNow)
 {
@@ -149,7 +150,7 @@
   NoteCollectors();
 }
 
-// Takes over who is listed, and whom that leaves to be sent to.
+// Updates which VMs are listed and which can be sent to.
 void
 control::NoteVms(clock::time_point aNow)
 {
@@ -183,7 +184,8 @@
   }
 }
 
-// In which order the VMs ask for proofs of a group that nobody watches.
+// Sets this VM's rank among the VMs that ask for proofs of a group that no VM
+// monitors.
 void
 control::SetPlaces(clock::time_point aNow)
 {
@@ -195,15 +197,15 @@
   }
 }
 
-// Whether the store has taken this VM off the list by now, as far as it can
-// tell: its way to the store is cut, or the store is away.
+// Whether the store has removed this VM from the list by now, as far as the VM
+// can tell: it is cut off from the store, or the store is unavailable.
 bool
 control::IsOffTheList(clock::time_point aNow) const
 {
   return mListedAt != clock::time_point{} && aNow >= mRegistration.ValidUntil();
 }
 
-// Whether it is so long that whoever holds a duty may soon forget this VM.
+// Whether that has lasted so long that lock holders may soon forget this VM.
 bool
 control::IsLongOffTheList(clock::time_point aNow) const
 {
--- a/src/currantshed/node/control_freshness.cpp
+++ b/src/currantshed/node/control_freshness.cpp
@@ -1,5 +1,5 @@
-// How old the configuration may be: who asks the store for proof that nothing
-// newer stands there, and how the proof spreads.
+// Age of the configuration: which VMs check with the store that it is still the
+// newest, and how they disseminate the result.
 #include "currantshed/node/control.hpp"
 
 #include <algorithm>
@@ -15,16 +15,16 @@
 
 using std::chrono::milliseconds;
 
-// A VM without a proof that is this young asks other VMs for one, whether the
-// store answers it or not.
+// A VM whose last proof of freshness is older than this asks other VMs for one,
+// whether or not the store answers.
 constexpr milliseconds kAskOthers{ 2000 };
-// Time between two tries to end the sessions of a VM that is cut off.
+// Interval between attempts to end the sessions of a VM that is cut off.
 constexpr milliseconds kEndPause{ 500 };
 
 } // namespace
 
-// The place among those that ask: the VMs that follow the store come first, by
-// name; all others ask late, and rarely need to.
+// Ranks the VMs for freshness checks: feeders come first, ordered by name. All
+// others have late turns and rarely make a check.
 void
 control::SetCheckPlace()
 {
@@ -41,7 +41,8 @@
   mCheckers = std::move(order);
 }
 
-// A proof counts once the configuration that it covers is in force.
+// A proof of freshness applies only once the configuration that it covers is in
+// force.
 void
 control::NoteProof(clock::time_point aNow)
 {
@@ -74,8 +75,8 @@
                { "proof_age_ms", age } });
 }
 
-// Whether keys can't be told to be in force, and no other VM speaks that might
-// know: callers are better served elsewhere.
+// Whether the configuration's freshness cannot be proved and no other VM that
+// might know it is reachable. Callers are then better served by other VMs.
 bool
 control::IsCutOff(clock::time_point aNow) const
 {
@@ -111,7 +112,7 @@
   });
 }
 
-// Tells the other VMs that would ask.
+// Sends the proof to the other VMs that would make the check.
 void
 control::SpreadProof(clock::time_point aNow)
 {
@@ -136,7 +137,7 @@
   return mFreshness.IsBounded() && aNow >= mFreshness.ProvedAt() + kAskOthers;
 }
 
-// When there is something to do about it.
+// Returns when the next freshness check is due.
 clock::time_point
 control::NextFreshness() const
 {
--- a/src/currantshed/node/control_lead.cpp
+++ b/src/currantshed/node/control_lead.cpp
@@ -13,22 +13,24 @@
 namespace {
 
 using std::chrono::milliseconds;
-// How long the first VMs wait for the others before one claims a duty, so
-// that the duties are spread.
+// How long a VM waits after it is listed before it claims a failover lock. When
+// all VMs start together, this spreads the locks over them.
 constexpr milliseconds kSettleTime{ 400 };
 constexpr milliseconds kClaimPause{ 500 };
-// An order to promote must go out this soon after the store has shown that
-// the duty is still held.
+// Maximum time between reading from the store that the lock is still held and
+// sending the promotion order.
 constexpr milliseconds kDutyCheckLife{ 300 };
-// Positions of a primary that are kept for VMs that begin to use its group: one
-// is told every 350 ms, so that these reach back as far as reads may, 2.5 s.
+// Number of a primary's positions kept for VMs that begin to use its group. One
+// is announced every 350 ms, so that they span the maximum staleness of reads,
+// 2.5 s.
 constexpr std::size_t kRecentSamples = 7;
-// What must be left of the lease for the duty to count as held.
+// Remaining lease time that is required for the failover lock to count as held.
 constexpr milliseconds kLeaseReserve{ 500 };
 
 } // namespace
 
-// Carries out what the groups' leads ask for, then sends the news of it.
+// Carries out the actions that the groups' leads have requested, then sends the
+// resulting messages.
 void
 control::Perform(clock::time_point aNow)
 {
@@ -82,8 +84,9 @@
     });
 }
 
-// The right to order is read from the store first: this VM may have lost it
-// without having noticed. The term that ends is recorded before the order.
+// Before a promotion the failover lock is read from the store, because this VM
+// may have lost it unnoticed. The term to be replaced is recorded before the
+// order is sent.
 void
 control::Do(const std::string& aService, const lead::order_promotion& aAction)
 {
@@ -109,7 +112,8 @@
              });
 }
 
-// Whether the record, asked for at the given time, lets this VM give orders.
+// Whether the lock's record, requested at the given time, allows this VM to
+// order a promotion.
 bool
 control::HoldsDutySince(const duty_record& aDuty,
                         clock::time_point aAsked) const
@@ -120,8 +124,8 @@
          clock::Now() + kLeaseReserve < mRegistration.ValidUntil();
 }
 
-// The record is written over the one that was read, so that it shows the duty
-// as well.
+// The write is conditional on the record that was read, so that its success
+// also proves that the lock is still held.
 void
 control::RecordReplaced(const std::string& aService,
                         const upstream::server_id& aServer,
@@ -240,7 +244,7 @@
   }
 }
 
-// Whoever changes a primary must know all that may rest on proofs of it.
+// A VM that changes a primary must know all VMs that may rely on proofs of it.
 void
 control::Do(const std::string& aService, const lead::list_vms& /*aAction*/)
 {
@@ -300,7 +304,8 @@
   }
 }
 
-// Others are told, or the one who asked for it, once traffic has let go.
+// Sends the acknowledgement once the traffic thread no longer relies on the
+// term.
 void
 control::Do(const std::string& aService,
             const lead::publish_revocation& aAction)
@@ -334,8 +339,9 @@
                { "detail", aAction.detail } });
 }
 
-// Only the groups whose duty this VM has or is to take depend on more than the
-// store's records, and so are looked at all the while.
+// Whether a lock is held depends on more than the store's records only for the
+// groups whose lock this VM holds or is to acquire. These are checked at every
+// tick.
 void
 control::KeepDuties(clock::time_point aNow)
 {
@@ -404,8 +410,9 @@
                        mRegistration.IsListed() && ReachesStore();
   const bool isNext = !isOwn && mayCall && mDuties.IsNext(aService);
   const bool isPast = isOwn && !IsOfEra(*duty, mOwnView.Seen().era);
-  // While the store is away the VM that had the duty goes on proving the
-  // primary for the others, who would else all ask the servers themselves.
+  // While the store is unavailable, the last lock holder goes on obtaining
+  // proofs for the others, who would otherwise all query the servers
+  // themselves.
   const bool isLast = isOwn && !holds && !mIsLeaving;
   aGroup.lead.SetStandsIn(isNext || isLast);
   const bool mayClaim = (isNext || (isPast && mayCall)) && !aGroup.isClaiming &&
--- a/src/currantshed/node/control_news.cpp
+++ b/src/currantshed/node/control_news.cpp
@@ -15,27 +15,29 @@
 
 namespace {
 
-// How many VMs are spoken to at a time where it does not matter which.
+// Number of VMs selected when any will do.
 constexpr std::size_t kFewVms = 6;
-// How lately a primary must have been heard for that to be told: longer than it
-// counts, 600 ms, by what two VMs take to pass it on.
+// Maximum age at which a primary counts as heard in a report: the 600 ms for
+// which it counts as reachable, plus the time that two VMs take to relay the
+// report.
 constexpr std::chrono::milliseconds kToldReach{ 1000 };
-// Pause between two words on the groups that this VM watches: a proof is asked
-// for every 350 ms and holds for a second, and feeders add a pause of theirs.
+// Minimum pause between two announcements of this VM. A proof is requested
+// every 350 ms and is valid for one second, and feeders add a pause of their
+// own.
 constexpr std::chrono::milliseconds kWatchPause{ 50 };
-// How many VMs are passed on what this one has proved by itself.
+// Maximum number of VMs that get a proof which this VM has obtained itself.
 constexpr std::size_t kMostPassedOn = 24;
-// Proofs of others that a VM which has just started is told at once, some 100
-// bytes each. It asks for the rest as its callers come to need them.
+// Maximum number of relayed proofs sent at once to a VM that has just started,
+// about 100 bytes each. It requests the others when its callers need them.
 constexpr std::size_t kMostRelayedProofs = 128;
-// Holders of duties that are spoken to at a time though they hold none of the
-// groups that this VM uses.
+// Number of lock holders that are sent a report at a time although this VM uses
+// none of their groups.
 constexpr std::size_t kFewHolders = 16;
 
 } // namespace
 
-// The word of the VM that watches a group, to all others, by way of feeders. A
-// VM that watches many gathers their words for a moment.
+// Sends the announcements of a VM that monitors groups to all others, by way of
+// the feeders. Announcements are batched.
 void
 control::SendWatch(clock::time_point aNow)
 {
@@ -55,9 +57,9 @@
   }
 }
 
-// Proofs that this VM has put together since nobody told it any, to those that
-// spoke lately: the list may be old, and a new link costs a VM that has just
-// started more time than a question of its own.
+// Sends proofs that this VM has obtained because none were announced to VMs
+// from which it heard recently. The list may be outdated, and a new connection
+// costs a VM that has just started more than a query of its own.
 void
 control::PassOn(const std::vector<std::string>& aTouched,
                 clock::time_point aNow)
@@ -79,7 +81,9 @@
   }
 }
 
-// What this VM has proved or been told, where its word counts or nobody's does.
+// Sends the announcements of groups that this VM monitors, and the valid proofs
+// that it knows of groups that no VM monitors. Subscribers also get relayed
+// proofs of other groups.
 void
 control::AnswerTo(const std::string& aVm, clock::time_point aNow)
 {
@@ -100,7 +104,8 @@
   mNews.Send(aVm, std::move(told), aNow);
 }
 
-// What this VM's traffic hears of the primaries, to those that watch them.
+// Sends reports on the primaries that the traffic thread hears to the VMs that
+// monitor them.
 void
 control::SendReach(clock::time_point aNow)
 {
@@ -127,8 +132,9 @@
   }
 }
 
-// The groups that this VM may have something to say on: those whose primary it
-// hears, and those that it asks about, watches, or was told to give up.
+// The groups that this VM may have a report on: those whose primary it hears,
+// and those with a scheduled action, because this VM queries or monitors them
+// or was asked to acknowledge a revocation.
 std::vector<std::string>
 control::ToldGroups() const
 {
@@ -167,7 +173,8 @@
     const auto heard = mHeard.find(service);
     const auto reach = one->lead.Reach(
       heard == mHeard.end() ? std::nullopt : std::optional(heard->second));
-    // A primary that was not heard lately is kept by no such word.
+    // The report of a primary that was not heard recently is of no use, unless
+    // it acknowledges a revocation.
     if (reach.obeyedTerm != 0 || aNow - reach.heardAt < kToldReach) {
       Fill(*told.add_reaches(), service, reach);
     }
@@ -211,14 +218,14 @@
   Perform(aNow);
 }
 
-// Some of the VMs that can be told something, others each time.
+// Selects a few of the reachable VMs, different ones each time.
 std::vector<std::string>
 control::NextFew(clock::time_point aNow)
 {
   return SomeOf(mKnownVms.Reachable(aNow), kFewVms, mTurn++);
 }
 
-// The other VMs that hold duties, as far as this one knows.
+// The other VMs that hold failover locks, as far as this one knows.
 std::vector<std::string>
 control::DutyHolders() const
 {
@@ -227,7 +234,7 @@
   return holders;
 }
 
-// A few of them, others each time.
+// Selects a few of them, different ones each time.
 std::vector<std::string>
 control::SomeDutyHolders()
 {
--- a/src/currantshed/node/control_parts.cpp
+++ b/src/currantshed/node/control_parts.cpp
@@ -1,6 +1,6 @@
-// Keys that are too long for one message: VMs that lack them get a copy in
-// parts from a VM that follows the store, so that what the store sends grows
-// with the failure domains, not with the VMs.
+// Keys that are too large for one message: VMs that lack them get a snapshot in
+// chunks from a VM that follows the store, so that the store's outgoing traffic
+// grows with the number of failure domains, not with the number of VMs.
 #include "currantshed/node/control.hpp"
 
 #include <algorithm>
@@ -39,8 +39,8 @@
 
 } // namespace
 
-// The VM has more than it may tell at once. Where a copy does not come in time,
-// the store is read.
+// The update is too large for one message. If the snapshot does not arrive in
+// time, this VM reads the store.
 void
 control::AskParts(const std::string& aVm,
                   std::size_t aPrefix,
@@ -120,16 +120,16 @@
                  { "revision", static_cast<std::int64_t>(update.up_to()) },
                  { "readable", isReadable } });
     if (isReadable) {
-      // How old the copy is, and what has changed since, the next question
-      // tells.
+      // The answer to this request tells how old the snapshot is and what has
+      // changed since.
       TakeUpdate(aNews.vm(), update, {}, aNow);
       SendWanted(aNews.vm(), aNow);
     }
   }
 }
 
-// A VM that starts learns who is there by the own keys, and the rest from those
-// that follow the store, if there are some.
+// A VM that starts learns from the cluster state which VMs exist, and gets the
+// other keys from the feeders, if there are any.
 void
 control::HoldFirstReadings(bool aHasFeeders, clock::time_point aNow)
 {
--- a/src/currantshed/node/control_quota.cpp
+++ b/src/currantshed/node/control_quota.cpp
@@ -1,5 +1,5 @@
-// Tokens of customers' quotas: who collects them, and how they come to the VMs
-// that need them.
+// Tokens of customers' quotas: which VMs coordinate them, and how tokens reach
+// the VMs that need them.
 #include "currantshed/node/control.hpp"
 
 #include <algorithm>
@@ -18,19 +18,19 @@
 
 using std::chrono::milliseconds;
 
-// Time between two shares where no other message takes them along.
+// Interval between two transfers of a share if no other message carries it.
 constexpr milliseconds kShareInterval{ 400 };
-// The least time between two: what asks for tokens takes a share along, so that
-// after a start of all VMs the first operations find some.
+// Minimum interval between two transfers. A request for tokens carries a share,
+// so that after a start of all VMs the first operations find tokens.
 constexpr milliseconds kShortestShare{ 50 };
-// A share that was under way for longer is lost: what a broken way has held up
-// must not come all at once.
+// A share that was in transit for longer is dropped, so that a network fault
+// does not deliver accumulated shares all at once.
 constexpr milliseconds kLongestWay{ 700 };
 
 } // namespace
 
-// The own failure domain's collectors, and those of each other one; nobody asks
-// them where no customer is told apart.
+// Sets the coordinators of this VM's failure domain and of each other one.
+// Without customers no coordinator is used.
 void
 control::NoteCollectors()
 {
@@ -55,8 +55,8 @@
   mTokens.SetCollectors(Collectors(keys, mSelf.failureDomain), others);
 }
 
-// The VMs that are listed and, for a while after the start, those that were:
-// VMs that start together find each other's tokens before the list has them.
+// The listed VMs and, for a while after the start, the recorded ones: VMs that
+// start together find each other's tokens before all are listed.
 own_keys
 control::WithRecorded() const
 {
@@ -69,8 +69,8 @@
   return keys;
 }
 
-// How many VMs share the customers' rates: those that are recorded count while
-// they are away, since they may be back at any time.
+// Number of VMs that share the customers' rates. Recorded VMs count while they
+// are absent, because they may return at any time.
 std::size_t
 control::FleetSize() const
 {
@@ -88,15 +88,16 @@
          (mIsSettled || !mOwnKeys.fleet.empty());
 }
 
-// Puts what this VM has earned of the parts that the VM collects on a message
-// to it.
+// Adds this VM's shares of the parts that the other VM coordinates to a
+// message.
 void
 control::FillShares(const std::string& aVm,
                     news::News& aOut,
                     clock::time_point aNow)
 {
   auto& sharedAt = mSharedAt[aVm];
-  // One that can't tell how old a share is would leave it out.
+  // A receiver that cannot convert this VM's timestamps cannot tell the share's
+  // age and would drop it.
   const bool isDue = aNow >= sharedAt + kShortestShare &&
                      (aVm == mSelf.where.vm || mNews.IsReadable(aVm, aNow));
   if (!isDue || !KeepsQuotas()) {
@@ -114,8 +115,8 @@
   }
 }
 
-// Hands this VM's shares on where no message took them along, to itself for the
-// parts that it collects.
+// Transfers this VM's shares that no other message has carried, to itself for
+// the parts that it coordinates.
 void
 control::KeepQuotas(clock::time_point aNow)
 {
@@ -191,8 +192,9 @@
   return mBank.Withdraw(aCustomer, *owner->limit, aCount);
 }
 
-// Sends what the desk asks, a message for each VM, and hands its outcomes to
-// the traffic. This VM's own answers lead to further ones.
+// Sends the token client's requests, one message per VM, and passes its results
+// to the traffic thread. Responses by this VM itself may lead to further
+// requests.
 void
 control::CarryTokens(clock::time_point aNow)
 {
--- a/src/currantshed/node/control_relay.cpp
+++ b/src/currantshed/node/control_relay.cpp
@@ -1,7 +1,7 @@
-// Words between those that watch groups and all others, by way of the VMs that
-// feed a failure domain. A VM speaks to its feeders, and whoever watches a
-// group to the feeders of each failure domain, so that the links of neither
-// grow with the VMs.
+// Dissemination of announcements and reports by way of the feeders. A VM
+// reports to its feeders, and a VM that monitors a group sends announcements to
+// the feeders of each failure domain, so that the number of connections of
+// neither grows with the number of VMs.
 #include "currantshed/node/control.hpp"
 
 #include <algorithm>
@@ -20,21 +20,23 @@
 
 using std::chrono::milliseconds;
 
-// Pause between two times that a feeder passes words on. A proof is asked for
-// every 350 ms and holds for a second, and a VM asks by itself once it has less
-// than 350 ms left: this much later it still is in time. The second feeder is
-// there for when the first one fails, and does with half as many.
+// Minimum pauses between two relayed batches of the first and of the other
+// feeders. A proof is requested every 350 ms and is valid for one second, and a
+// VM queries a server itself when less than 350 ms are left: a proof delayed by
+// the pause still arrives in time. The second feeder is a standby for the first
+// and relays half as often.
 constexpr milliseconds kFirstPause{ 150 };
 constexpr milliseconds kSecondPause{ 300 };
-// A VM that its feeders passed no words on for this long speaks to those that
-// watch groups by itself, and they answer.
+// A VM whose feeders have relayed nothing for this long sends its reports
+// directly to the VMs that monitor groups, which answer it.
 constexpr milliseconds kRelayLife{ 1200 };
-// Groups whose last positions one message tells, 600 bytes each: it must stay
-// far below the 256 KB that a VM takes, and not fill a slow link. For others
-// their newest one has to do.
+// Maximum number of groups for which one message contains all recent positions,
+// 600 bytes each: the message must stay far below the receiver's limit of 256
+// KB and must not saturate a slow link. For other groups only the newest
+// position is sent.
 constexpr std::size_t kMostLongWords = 32;
-// Pause between two questions about a primary that does not answer, and how
-// long each of them is answered.
+// Minimum pause between two queries about a primary that does not answer, and
+// how long VMs go on sending reports after a query.
 constexpr milliseconds kDoubtPause{ 500 };
 constexpr milliseconds kReachWanted{ 1200 };
 
@@ -48,9 +50,9 @@
 
 } // namespace
 
-// To whom a VM that watches groups speaks: the feeders of each failure domain,
-// all VMs of those without, and the VMs that speak to it since they have nobody
-// who passes words on.
+// The VMs that announcements are sent to: the feeders of each failure domain,
+// all VMs of failure domains without feeders, and the VMs that report directly
+// because no feeder relays for them.
 std::vector<std::string>
 control::Audience(clock::time_point aNow) const
 {
@@ -68,24 +70,23 @@
   return audience;
 }
 
-// Whether the VM has told this one of a primary by itself, though others could
-// pass its words on. Those that this VM feeds speak to it as a feeder. Any
-// other word asks for nothing: in a large fleet a holder of duties hears one
-// from most VMs.
+// Whether the VM reports directly to this one although it is not a subscriber
+// of it. Messages without a report on a group that this VM monitors do not
+// count: in a large fleet a lock holder gets messages from most VMs.
 bool
 control::IsAsking(const std::string& aVm, clock::time_point aNow) const
 {
   return mKnownVms.IsAsking(aVm, aNow) && !mSubscribers.Contains(aVm);
 }
 
-// Who feeds which failure domain.
+// Updates which VMs feed which failure domain.
 void
 control::NoteDomains()
 {
   mFedDomains.clear();
   mFeedersOfAll.clear();
   mOwnFeeders.clear();
-  // While all start, those that are recorded will be back in a moment.
+  // While all VMs start, the recorded ones are expected back shortly.
   std::optional<own_keys> withRecorded;
   if (!mIsSettled) {
     withRecorded = WithRecorded();
@@ -107,7 +108,8 @@
   }
 }
 
-// Whether this VM's feeders pass words on to it, and so take its own.
+// Whether this VM's feeders relay announcements to it, and so relay its reports
+// as well.
 bool
 control::IsRelayed(clock::time_point aNow) const
 {
@@ -115,12 +117,13 @@
          !IsOffTheList(aNow);
 }
 
-// Those that are told what this VM hears of the primaries. Whoever holds the
-// duties by now may not know of a VM that the store lists no longer, nor that
-// VM of a new holder: it speaks to others as well. To all at once would cost a
-// link to each: a third of 295 VMs cut off from the store opened some 30,000.
-// Those whose groups it does not use remember a VM for a while after it has
-// left the list, and need no word before that time is nearly over.
+// The VMs that get this VM's reports. After this VM has dropped off the store's
+// list, new lock holders may not know of it, nor it of them, so it also reports
+// to other VMs, a few at a time. Reporting to all at once would open a
+// connection to each: a third of 295 VMs cut off from the store opened about
+// 30,000 connections. Holders whose groups this VM does not use remember it for
+// a while after it has dropped off the list, and need no report until that time
+// is nearly over.
 std::vector<std::string>
 control::ReachAudience(clock::time_point aNow)
 {
@@ -145,7 +148,7 @@
   return told;
 }
 
-// Those that are told that this VM has given a term up.
+// The VMs that get this VM's acknowledgement of a revoked term.
 std::vector<std::string>
 control::ObedienceAudience(const std::string& aService,
                            clock::time_point aNow) const
@@ -160,7 +163,7 @@
   return { holder };
 }
 
-// What this VM says on a group to those that it feeds.
+// The announcement of a group for this VM's subscribers.
 lead::lead_news
 control::WordOn(const group& aGroup)
 {
@@ -168,8 +171,8 @@
   return lead.Speaks() ? lead.Watch() : lead.Relayed();
 }
 
-// The same as it was told over the last seconds, to one that has had no word on
-// the groups: the oldest position first.
+// Sends the recent announcements of groups that are new in a VM's subscription,
+// with the oldest position first.
 void
 control::SendRecent(const std::string& aVm,
                     const std::vector<std::string>& aServices,
@@ -198,9 +201,8 @@
   }
 }
 
-// Passes words of those that watch groups on to the VMs that this one feeds, to
-// each on the groups that it uses. That another primary leads, or a term is
-// revoked, all must know.
+// Relays announcements to this VM's subscribers, to each for the groups that it
+// uses. Changes of the primary and revoked terms are sent to all.
 void
 control::PassWords(clock::time_point aNow)
 {
@@ -242,8 +244,8 @@
   }
 }
 
-// Takes another VM's word on its way to a primary: for this VM if it watches
-// the group, else to be passed on.
+// Processes the report of another VM if this VM monitors the group, or else
+// queues it to be relayed.
 void
 control::TakeReach(const std::string& aFrom,
                    const std::string& aService,
@@ -262,9 +264,10 @@
   }
 }
 
-// A primary that this VM watches does not answer it: the VMs that pass words on
-// are asked what others hear of it. All the while, words that nobody needs
-// would cost them a message for each group and quarter of a second.
+// Queries the feeders for other VMs' reports on a primary that this VM monitors
+// and that does not answer it. Reports are sent only on query, because
+// otherwise they would cost the feeders a message per group every quarter of a
+// second.
 void
 control::SendDoubts(const std::vector<std::string>& aTouched,
                     clock::time_point aNow)
@@ -306,8 +309,8 @@
   }
 }
 
-// Words on primaries go to whoever watches the group where it asked for them,
-// and those that give a term up in any case.
+// Relays reports to the VM that monitors the group if it has queried them.
+// Acknowledgements of revoked terms are always relayed.
 void
 control::PassReaches(clock::time_point aNow)
 {
--- a/src/currantshed/node/control_servers.cpp
+++ b/src/currantshed/node/control_servers.cpp
@@ -1,4 +1,4 @@
-// Which servers there are, as the store lists them.
+// The servers that the store lists.
 #include "currantshed/node/control.hpp"
 
 #include <cmath>
@@ -15,7 +15,8 @@
 
 namespace {
 
-// A number from 0 to below 1 that differs by group and VM, the same everywhere.
+// A number from 0 to below 1, derived from the group and the VM, so that it is
+// the same on every VM.
 double
 PlaceOf(const std::string& aService, const std::string& aVm)
 {
@@ -24,7 +25,7 @@
   return std::ldexp(static_cast<double>(hash >> 11U), -53);
 }
 
-// The services some of whose servers are listed otherwise than before.
+// The services for which the list of servers differs.
 absl::flat_hash_set<std::string>
 ChangedServices(const std::vector<proxy::server>& aBefore,
                 const std::vector<proxy::server>& aNow)
@@ -77,11 +78,11 @@
   Perform(aNow);
 }
 
-// Entries of other writers name no server to use. One that was good before and
-// can't be read any longer is missing: what it said last holds for as long as a
-// missing server is kept, so that one that leaves is still leaving. Only
-// entries that have changed are read: those of a thousand groups come in many
-// turns.
+// Entries of unknown writers cannot be used. The server of an entry that was
+// valid before and cannot be parsed any longer counts as missing: its last
+// state holds for the grace period, so that a leaving server remains leaving.
+// Only entries that have changed are parsed, because those of a thousand groups
+// arrive in many updates.
 std::vector<proxy::server>
 control::ReadServers()
 {
@@ -131,7 +132,7 @@
   NoteUnusable(aKey, aItem.changed, whyNot);
 }
 
-// One line for each entry and change of it.
+// Logs once per entry and revision.
 void
 control::NoteUnusable(const std::string& aKey,
                       store::revision aChanged,
@@ -149,9 +150,9 @@
                { "changed", static_cast<std::int64_t>(aChanged.number) } });
 }
 
-// One line for each server whose standing has changed, so that it can be told
-// when this VM knew that a server leaves, and how it came to know. Those that
-// have come are many when all start, and told by their number alone.
+// Logs once per change of a server's state, which shows when and how this VM
+// learned that a server leaves. New servers are not logged one by one: when all
+// start they are many, and only their number is logged.
 void
 control::NoteServers(const std::vector<server_news>& aNews,
                      list_source aSource) const
--- a/src/currantshed/node/control_words.hpp
+++ b/src/currantshed/node/control_words.hpp
@@ -11,32 +11,32 @@
 
 namespace currantshed::node {
 
-/// Writes what a VM says of a group that it watches into a message.
+/// Writes the announcement of a group into a message.
 void
 Fill(news::Watch& aOut,
      const std::string& aService,
      const lead::lead_news& aNews);
 
-/// Writes what a VM says of its own way to a group's primary into a message.
+/// Writes this VM's reachability report on a group's primary into a message.
 void
 Fill(news::Reach& aOut,
      const std::string& aService,
      const lead::reach_news& aNews);
 
-/// Reads what a VM that watches a group said; times become those of this VM.
+/// Reads an announcement; timestamps are converted to this VM's clock.
 [[nodiscard]] lead::lead_news
 ReadWatch(const news::Watch& aWatch,
           const news::exchange::clock_reader& aClock);
 
-/// Reads what a VM said of its way to a primary, in a message sent at the given
-/// time of the sender's clock.
+/// Reads a reachability report from a message that was sent at the given time
+/// of the sender's clock.
 [[nodiscard]] lead::reach_news
 ReadReach(const news::Reach& aReach,
           std::int64_t aSentAt,
           const news::exchange::clock_reader& aClock);
 
-/// The newest changes that the sender has seen of each followed prefix, in the
-/// order of their numbers in messages.
+/// Reads the newest revisions that the sender has seen of each followed prefix,
+/// in the order of the prefixes' numbers.
 [[nodiscard]] std::array<store::revision, 3>
 ReadChanges(const news::News& aNews);
 
