--- a/bin/currantshed-node/main.cpp
+++ b/bin/currantshed-node/main.cpp
@@ -21,15 +21,15 @@
 
 using namespace currantshed;
 
-/// Exit code of a process that could not begin to listen.
+/// Exit code if a listening address could not be opened.
 constexpr int kStartFailed = 1;
-/// Into how many parts the time of a server that leaves is divided, of which
-/// the first is for use. The rest is for its word to get here, up to three
-/// seconds where a connection to the store has gone silent, and for work under
-/// way.
+/// Divisor of the time that a leaving server has: only the first part is used
+/// for new work. The rest is for its announcement to arrive, which takes up to
+/// three seconds if a connection to the store is silently broken, and for work
+/// in progress.
 constexpr int kLeavingUsePart = 2;
 
-/// What the status addresses tell.
+/// Readiness for the status servers.
 class node_status final : public http::status_source
 {
 public:
@@ -54,7 +54,7 @@
   const node::control& mControl;
 };
 
-/// The process: its two threads, its signals, and the order of its end.
+/// The process: its two threads, signal handling and the order of shutdown.
 class node_process
 {
 public:
@@ -156,8 +156,8 @@
     mTraffic.Drain(mSettings.stopTime);
   }
 
-  // Addresses can't change under open connections; what else there is, is
-  // read by those that use it.
+  // Listening addresses cannot change while connections are open. The stop time
+  // is the only setting that is applied on reload.
   void Reload()
   {
     std::string whyNot;
--- a/bin/currantshed-node/options.hpp
+++ b/bin/currantshed-node/options.hpp
@@ -9,7 +9,7 @@
 
 namespace currantshed::node {
 
-/// What flags and environment say; the platform's own settings come from the
+/// Flags and environment variables. The platform's own settings come from the
 /// file that they name.
 struct options
 {
@@ -18,7 +18,8 @@
   lead::lead_settings lead;
 };
 
-/// Reads flags and environment, and says whether to go on.
+/// Parses flags and environment variables. The result tells whether the program
+/// is to continue.
 [[nodiscard]] settings::parse_result
 ReadOptions(options& aOptions, int aCount, const char* const* aValues);
 
--- a/src/currantshed/node/audience.hpp
+++ b/src/currantshed/node/audience.hpp
@@ -9,14 +9,15 @@
 
 namespace currantshed::node {
 
-/// A few of the VMs, the next ones at each turn, so that all have been chosen
-/// once before one is chosen again.
+/// Selects aCount of the VMs in round-robin order, so that all are selected
+/// once before any is selected again. aTurn must increase by one with each
+/// call.
 [[nodiscard]] std::vector<std::string>
 SomeOf(const std::vector<news::peer>& aPeers,
        std::size_t aCount,
        std::size_t aTurn);
 
-/// Adds the names that are not there yet.
+/// Appends the names that aNames does not contain yet.
 void
 AddNew(std::vector<std::string>& aNames,
        const std::vector<std::string>& aOthers);
--- a/src/currantshed/node/caller_server.cpp
+++ b/src/currantshed/node/caller_server.cpp
@@ -17,22 +17,23 @@
 
 using tcp = boost::asio::ip::tcp;
 
-// Pause after a connection could not be taken, for want of descriptors.
+// Pause after a connection could not be accepted for lack of file descriptors.
 constexpr std::chrono::milliseconds kAcceptPause{ 100 };
-// How long callers that connect to a VM which has just started are kept until
-// the databases are known, usually for 20 ms. A refusal at once would cost each
-// one of its few tries; one that waits for longer is told.
+// How long connections to a VM that has just started wait until the
+// configuration is known, which usually takes 20 ms. An immediate refusal would
+// cost each caller one of its few retries. After this time sessions are refused
+// with an error.
 constexpr std::chrono::milliseconds kLongestHold{ 300 };
-// How long a caller whose key no customer has waits for word on whether a newer
-// configuration has it, and how many may: callers give up after two seconds.
+// How long a session with an unknown key waits for a newer configuration, and
+// how many sessions may wait. Callers time out after two seconds.
 constexpr std::chrono::milliseconds kLongestDoubt{ 1500 };
 constexpr std::size_t kMostDoubted = 256;
-// A caller that has this much unread is not served further.
+// A connection with more unsent bytes than this is closed.
 constexpr std::size_t kMostUnsent = std::size_t{ 4 } << 20U;
 
 } // namespace
 
-/// One caller's connection.
+/// The connection of one caller, or of another VM that relays statements.
 class caller_server::connection final
   : public proxy::caller
   , public std::enable_shared_from_this<connection>
@@ -65,7 +66,8 @@
 
   [[nodiscard]] bool HasUnread() const override { return mStream->HasUnread(); }
 
-  // The engine may be in the middle of this session's event.
+  // The engine may be in the middle of processing an event of this session, so
+  // it is removed from the engine later.
   void Close() override
   {
     mStream->CloseWhenSent();
@@ -76,7 +78,7 @@
   void Line(std::string_view aLine)
   {
     if (!mSession && !mStart.database.empty()) {
-      // Nothing may come before the answer to the opening.
+      // Nothing may be sent before the answer to the session start.
       Refuse(proxy::failure_code::kMalformed, "the session is not open yet");
       return;
     }
@@ -107,7 +109,8 @@
       mSession = mServer.mEngine.OpenRelay(start->server, *this);
     }
     if (!mSession) {
-      // The other VM tries another way, or finds the server gone itself.
+      // The other VM tries another path, or finds out itself that the server is
+      // gone.
       Close();
       return;
     }
@@ -136,8 +139,7 @@
     Enter();
   }
 
-  // Refuses the session, begins it, or leaves it to wait for the next word on
-  // the configuration.
+  // Refuses the session, opens it, or lets it wait for a newer configuration.
   void Enter()
   {
     const auto now = clock::Now();
@@ -182,7 +184,8 @@
     mStream->Send(out);
   }
 
-  // Answers what is no statement; the session goes on.
+  // Answers a line that is not a valid statement with an error. The session
+  // stays open.
   void Reject(proxy::failure_code aCode, std::string aText)
   {
     proxy::answer refused;
@@ -224,7 +227,7 @@
   std::uint64_t mNumber;
   std::shared_ptr<line_stream> mStream;
   std::optional<proxy::engine::session_id> mSession;
-  // What the caller asked for, and when.
+  // The session start and the time when it was received.
   session_start mStart;
   clock::time_point mAskedAt;
   bool mIsForgotten = false;
@@ -293,8 +296,8 @@
   Begin();
 }
 
-// Keeps a caller whose key may be in a newer configuration until there is word
-// of it. Returns false where too many wait.
+// Lets a session whose key may be in a newer configuration wait for it. Returns
+// false if too many are waiting.
 bool
 caller_server::Hold(const std::shared_ptr<connection>& aCaller)
 {
@@ -345,7 +348,8 @@
       if (aError == boost::asio::error::operation_aborted) {
         return;
       }
-      // One that was taken just before listening ended is served as well.
+      // A connection that was accepted just before listening ended is served as
+      // well.
       if (!aError) {
         Accepted(std::move(aSocket));
       }
--- a/src/currantshed/node/caller_server.hpp
+++ b/src/currantshed/node/caller_server.hpp
@@ -19,19 +19,20 @@
 
 namespace currantshed::node {
 
-/// Takes callers' connections, and carries their sessions to the engine.
+/// Accepts connections and passes their sessions to the engine.
 class caller_server
 {
 public:
-  /// Who connects: callers, or other VMs that reach servers through this one.
+  /// Which peers connect: callers, or other VMs that reach servers through this
+  /// one.
   enum class door
   {
     kCallers,
     kRelays,
   };
 
-  /// aIsConfigured tells whether databases are known yet; aAfter is called
-  /// after each event that the engine got.
+  /// aIsConfigured returns whether a configuration is known yet. aAfter is
+  /// called after each event that was passed to the engine.
   caller_server(boost::asio::io_context& aContext,
                 door aDoor,
                 const line_codec& aCodec,
@@ -43,15 +44,15 @@
   [[nodiscard]] std::error_code Listen(const std::string& aAddress,
                                        std::uint16_t aPort);
 
-  /// The databases are known now: callers that have connected meanwhile are
-  /// taken.
+  /// To be called once the configuration is known. Starts to accept the
+  /// connections that are waiting.
   void Configured();
 
-  /// There is word on which customers there are: callers whose key was not
-  /// known are looked at again.
+  /// To be called when the customers' configuration or its freshness has
+  /// changed. Checks again the sessions whose key was unknown.
   void LookAgain();
 
-  /// Takes no more connections.
+  /// Stops accepting connections.
   void StopListening();
 
   [[nodiscard]] std::size_t Connections() const noexcept
@@ -77,10 +78,10 @@
   std::function<void()> mAfter;
   boost::asio::ip::tcp::acceptor mAcceptor;
   boost::asio::steady_timer mRetry;
-  // Ends the wait for the first configuration.
+  // Limits the wait for the first configuration.
   boost::asio::steady_timer mHold;
-  // Callers whose key may be in a newer configuration, and the end of the wait
-  // of the first one.
+  // Sessions whose key may be in a newer configuration, and the time-out of the
+  // oldest one.
   std::vector<std::shared_ptr<connection>> mDoubted;
   boost::asio::steady_timer mDoubtEnd;
   bool mHasBegun = false;
--- a/src/currantshed/node/check_schedule.cpp
+++ b/src/currantshed/node/check_schedule.cpp
@@ -8,15 +8,17 @@
 
 using std::chrono::milliseconds;
 
-// The age of a proof at which the first VM asks for the next one. Requests with
-// keys go on for the rest of the bound when the store goes away.
+// Age of a proof at which the first VM requests the next one. If the store
+// becomes unavailable, requests with keys are served for the rest of the bound.
 constexpr milliseconds kAskAfter{ 600 };
-// How much longer each next one waits: as long as an answer of the store and
-// the word on it usually take, and time to spare.
+// How much longer each following VM waits: the usual time of a store call and
+// of the message that disseminates the result, plus a margin.
 constexpr milliseconds kStep{ 300 };
-// However many VMs there are, the last ones ask well within the bound.
+// Limits the wait, so that with any number of VMs the last ones ask well within
+// the bound.
 constexpr std::size_t kLastPlace = 6;
-// Pauses after a call that failed, each of which has its price.
+// Initial pause after a failed call, which doubles with further failures
+// because each call has a cost.
 constexpr milliseconds kFirstPause{ 150 };
 constexpr unsigned kDoublings = 3;
 
--- a/src/currantshed/node/check_schedule.hpp
+++ b/src/currantshed/node/check_schedule.hpp
@@ -8,17 +8,18 @@
 
 namespace currantshed::node {
 
-/// When this VM asks the store whether its configuration is still the newest.
-/// The VMs have an order: the first one asks often enough for all, and tells
-/// the others; a later one asks once no proof has come for longer, since those
-/// before it are gone or cut off. Asks for no time.
+/// Schedules this VM's requests to the store for proof that its configuration
+/// is still the newest. The VMs are ranked: the first one asks often enough for
+/// all and sends the result to the others. A VM of a later rank asks only if no
+/// proof has arrived for longer, since the VMs before it have failed or are cut
+/// off. Does not read the clock.
 class check_schedule
 {
 public:
-  /// The VM's place in the order; zero asks first.
+  /// Sets the VM's rank; rank zero asks first.
   void SetPlace(std::size_t aPlace) noexcept { mPlace = aPlace; }
 
-  /// When to ask, given the latest proof.
+  /// Returns when to ask next, given the time of the latest proof.
   [[nodiscard]] clock::time_point Due(
     clock::time_point aProvedAt) const noexcept;
 
--- a/src/currantshed/node/collectors.hpp
+++ b/src/currantshed/node/collectors.hpp
@@ -8,10 +8,10 @@
 
 namespace currantshed::node {
 
-/// The VMs of a failure domain that collect the tokens of customers' quotas for
-/// the others there: strong ones where there are, and no more than are worth a
-/// link from each of the others. All VMs come to the same answer from the same
-/// list.
+/// Selects the VMs of a failure domain that coordinate the tokens of customers'
+/// quotas for the other VMs there: strong VMs if there are any, and few,
+/// because each of the other VMs keeps a connection to each coordinator. The
+/// result is the same on all VMs that have the same list.
 [[nodiscard]] std::vector<std::string>
 Collectors(const own_keys& aKeys, const std::string& aFailureDomain);
 
--- a/src/currantshed/node/entry_error.hpp
+++ b/src/currantshed/node/entry_error.hpp
@@ -5,31 +5,32 @@
 
 namespace currantshed::node {
 
-/// Why an entry on the store's list of servers names no server to use.
+/// Why an entry of the store's list of servers cannot be used.
 enum class entry_errc
 {
-  /// The key has no id, or one that can't stand in a command.
+  /// The key has no server id, or one with characters that commands do not
+  /// allow.
   kNoId = 1,
   /// Longer than any entry that a server writes.
   kTooLong,
-  /// Not a document that can be read.
+  /// Not a valid document.
   kUnreadable,
   /// A field is missing.
   kFieldMissing,
-  /// A field is of another type, or out of its range.
+  /// A field has another type or is out of range.
   kFieldWrong,
-  /// The server is in no state that is known.
+  /// The state of the server is unknown.
   kUnknownState,
   /// The operators' configuration has no such service.
   kUnknownService,
 };
 
-/// The category of these errors; messages are single words, for logs and
-/// counters.
+/// The category of these errors. Messages are single words, for logs and metric
+/// labels.
 [[nodiscard]] const std::error_category&
 EntryCategory() noexcept;
 
-/// Makes std::error_code take the enumerators as they are.
+/// Enables the implicit conversion of entry_errc to std::error_code.
 [[nodiscard]] std::error_code
 make_error_code(entry_errc aError) noexcept;
 
--- a/src/currantshed/node/feeders.cpp
+++ b/src/currantshed/node/feeders.cpp
@@ -10,19 +10,20 @@
 
 namespace {
 
-// Two, so that one that dies, hangs or loses its way to the store leaves one.
-// Where only one VM is strong it is the only one: what each watcher of a group
-// sends, 290 messages a second before 140 groups, is more than a VM with 0.12
-// of a core can take, which then is late for its own callers as well. Without
-// the one, VMs ask the store and the watchers themselves.
+// Two, so that one remains if the other fails, hangs or loses its connection to
+// the store. If only one VM is strong there is only that feeder, because a weak
+// one cannot handle the announcements of each monitoring VM: with 140 groups
+// these are 290 messages per second, more than a VM with 0.12 of a core can
+// process without delaying its own callers. If the only feeder fails, VMs query
+// the store and the monitoring VMs directly.
 constexpr unsigned kFeeders = 2;
-// The part of a second for which one answer may keep the feeder's link busy:
-// some sixty VMs may ask at once, and callers' work goes by the same link.
+// Maximum time, in seconds, that one answer occupies the feeder's link: some
+// sixty VMs may poll at the same time, and callers use the same link.
 constexpr double kLinkPart = 0.01;
 constexpr double kBytesByMegabit = 1e6 / 8;
-// All answers of a message together stay below the 256 KB that a VM takes at
-// once: it drops the connection of one that sends more, asks again, and is sent
-// the same.
+// All updates of a message together must stay below the receiver's limit of 256
+// KB. The receiver drops the connection of a sender that exceeds it, polls
+// again and gets the same message.
 constexpr double kLongestAnswer = 64.0 * 1024;
 
 } // namespace
--- a/src/currantshed/node/feeders.hpp
+++ b/src/currantshed/node/feeders.hpp
@@ -9,19 +9,20 @@
 
 namespace currantshed::node {
 
-/// With fewer VMs in a failure domain, most of them would be feeders.
+/// Minimum number of VMs in a failure domain with feeders. With fewer VMs most
+/// of them would be feeders.
 constexpr std::size_t kFewestFed = 5;
 
-/// The VMs of a failure domain that follow the store for the others there,
-/// strong ones where there are, so that its calls grow with the domains, not
-/// with the VMs. All VMs come to the same answer from the same list. None where
-/// the VMs are so few that it would spare next to nothing: then each follows
-/// the store by itself.
+/// Selects the VMs of a failure domain that follow the store for the others
+/// there: strong VMs if there are any. The number of store calls then grows
+/// with the failure domains, not with the VMs. The result is the same on all
+/// VMs that have the same list. Returns none if there are so few VMs that this
+/// would save next to nothing; each then follows the store itself.
 [[nodiscard]] std::vector<std::string>
 Feeders(const own_keys& aKeys, const std::string& aFailureDomain);
 
-/// The longest answer that a feeder gives, in bytes of keys and values; what is
-/// longer is left to the store. The link's rate is in megabits a second.
+/// Maximum size, in bytes of keys and values, of an update that a feeder sends.
+/// The link's bandwidth is in megabits per second.
 [[nodiscard]] std::size_t
 LongestAnswer(double aLinkMegabits) noexcept;
 
--- a/src/currantshed/node/group_agenda.hpp
+++ b/src/currantshed/node/group_agenda.hpp
@@ -12,30 +12,31 @@
 
 namespace currantshed::node {
 
-/// Which groups an event has to do with, and when each of the others next has
-/// something to do, so that an event costs the groups that it concerns, not all
-/// that there are. Asks for no time.
+/// Tracks which groups an event concerns, and when each other group has its
+/// next scheduled action, so that the cost of an event depends on the groups
+/// that it concerns and not on the number of groups. Does not read the clock.
 class group_agenda
 {
 public:
-  /// Something was told to the group's lead; what it asks for is to be done.
+  /// Marks the group as pending: its group_lead may have actions to be carried
+  /// out.
   void Touch(const std::string& aService) { mTouched.insert(aService); }
 
-  /// The groups that were touched since this was last called, by name.
+  /// Returns the groups marked since the last call, ordered by name.
   [[nodiscard]] std::vector<std::string> TakeTouched();
 
-  /// When the group next has something to do by itself; the end of time where
-  /// it waits for others.
+  /// Sets the time of the group's next scheduled action; time_point::max() if
+  /// it only waits for events.
   void SetDue(const std::string& aService, clock::time_point aAt);
 
-  /// The groups whose time has come, by name. Each stays due until it is given
-  /// another time.
+  /// Returns the groups whose time has come, ordered by name. A group remains
+  /// due until it is given another time.
   [[nodiscard]] std::vector<std::string> Due(clock::time_point aNow) const;
 
-  /// When the next group has something to do.
+  /// The time of the earliest scheduled action.
   [[nodiscard]] clock::time_point Next() const noexcept;
 
-  /// The groups that have something to do by themselves at some time.
+  /// Returns the groups that have a scheduled action.
   [[nodiscard]] std::vector<std::string> Awake() const;
 
 private:
--- a/src/currantshed/node/internal/feed_times.hpp
+++ b/src/currantshed/node/internal/feed_times.hpp
@@ -9,11 +9,11 @@
 
 namespace currantshed::node::internal {
 
-/// The number of the configuration's keys in messages.
+/// The number that stands for the configuration's prefix in messages.
 constexpr std::size_t kConfigurationNumber = 0;
 
-/// How long what feeders pass on may count, by the time within which a
-/// configuration must be in force.
+/// Time-outs for keys that come from feeders, derived from the time within
+/// which a configuration must be in force.
 class feed_times
 {
 public:
@@ -22,9 +22,9 @@
   {
   }
 
-  /// How long after its start a VM looks for others that follow the store for
-  /// it, before it begins to follow what it has read by itself; and the same
-  /// for the system's own keys, which tell who does.
+  /// How long after its start a VM looks for feeders before it follows the
+  /// store itself. The time for the cluster state, which tells which VMs are
+  /// feeders, is shorter.
   [[nodiscard]] constexpr std::chrono::milliseconds Search() const noexcept
   {
     return mBound * 5 / 6;
@@ -34,10 +34,10 @@
     return mBound / 3;
   }
 
-  /// Until when keys count as current that came from a feeder now, and were
-  /// surely those of the store at the given time. A feeder that answers but is
-  /// behind is one to whom the store is slow: were all that it feeds to ask the
-  /// store instead, the store would stay slow.
+  /// Returns until when keys count as current that were received from a feeder
+  /// at aNow and are known to have matched the store at aCurrentAt. A feeder
+  /// that answers but is behind has a slow connection to the store. If all VMs
+  /// that it feeds turned to the store instead, the store would remain slow.
   [[nodiscard]] constexpr clock::time_point FedUntil(
     bool aIsConfiguration,
     clock::time_point aCurrentAt,
@@ -51,12 +51,12 @@
   }
 
 private:
-  // How long keys count after they were surely those of the store, whether any
-  // feeder answers or not. Shorter for the configuration, which must be in
-  // force in time wherever the VM itself reaches the store.
+  // How long keys count as current after they are known to have matched the
+  // store, whether or not a feeder answers. Shorter for the configuration,
+  // which must be in force in time wherever the VM itself reaches the store.
   static constexpr std::chrono::milliseconds kConfigurationLife{ 1800 };
   static constexpr std::chrono::milliseconds kOtherLife{ 2500 };
-  // Three questions.
+  // The time of three polls.
   static constexpr std::chrono::milliseconds kAnswerLife{ 1200 };
 
   std::chrono::milliseconds mBound;
--- a/src/currantshed/node/key_parts.cpp
+++ b/src/currantshed/node/key_parts.cpp
@@ -9,11 +9,11 @@
 
 using std::chrono::milliseconds;
 
-// How long a copy serves VMs that begin to ask.
+// How long a snapshot is used for VMs that begin to request one.
 constexpr milliseconds kCopyLife{ 300 };
-// VMs that began with the copy before the newest one end with it.
+// VMs that began with the snapshot before the newest one also finish with it.
 constexpr std::size_t kMostCopies = 2;
-// How long the next part is waited for, and all of them.
+// Time-outs for the next chunk and for the whole snapshot.
 constexpr milliseconds kPartPatience{ 400 };
 constexpr milliseconds kPatience{ 1200 };
 
--- a/src/currantshed/node/key_parts.hpp
+++ b/src/currantshed/node/key_parts.hpp
@@ -13,35 +13,37 @@
 
 namespace currantshed::node {
 
-/// A piece of a copy of all keys below one prefix, or the question for it.
+/// A chunk of a snapshot of all keys below one prefix, or the request for a
+/// chunk.
 struct key_part
 {
-  /// The state of the store that the copy is of; none in a first question.
+  /// The revision of the snapshot; zero in a first request.
   store::revision of;
   std::size_t from = 0;
-  /// Of the whole copy.
+  /// Size of the whole snapshot in bytes.
   std::size_t length = 0;
   std::string content;
 };
 
-/// Cuts copies of keys that are too long for one message into parts, for many
-/// VMs that ask at the same time. Asks for no time and does no I/O.
+/// Splits snapshots that are too large for one message into chunks, for many
+/// VMs that request them at the same time. Does not read the clock and does no
+/// I/O.
 class part_cutter
 {
 public:
   using copy_maker = std::function<std::string()>;
 
-  /// The part that was asked for, of at most so many bytes. One of a copy that
-  /// is not kept any longer is answered by the beginning of the newest. A copy
-  /// serves all that begin within a moment: what has changed since it was made
-  /// is asked for afterwards.
+  /// Returns the requested chunk, of at most aLongest bytes. If the requested
+  /// snapshot is no longer kept, returns the first chunk of the newest one. A
+  /// snapshot is shared by all requests that begin within a short time; later
+  /// changes are requested separately.
   [[nodiscard]] key_part Cut(const key_part& aAsked,
                              std::size_t aLongest,
                              store::revision aNewest,
                              clock::time_point aNow,
                              const copy_maker& aMake);
 
-  /// Copies that were made; counts work.
+  /// Number of snapshots made so far, as a measure of work.
   [[nodiscard]] std::size_t Made() const noexcept { return mMade; }
 
 private:
@@ -61,32 +63,32 @@
   std::size_t mMade = 0;
 };
 
-/// Puts the parts of a copy together, which come from one VM, one after the
-/// other. Asks for no time and does no I/O.
+/// Assembles a snapshot from chunks, which come from one VM, one after the
+/// other. Does not read the clock and does no I/O.
 class part_collector
 {
 public:
-  /// Begins to collect from the VM, unless a copy is on its way already.
-  /// Returns whether it has begun.
+  /// Begins a transfer from the VM, unless one is in progress. Returns whether
+  /// it has begun.
   bool Begin(const std::string& aVm, clock::time_point aNow);
 
-  /// What to ask for next.
+  /// The next chunk to request.
   [[nodiscard]] key_part Wanted() const;
 
-  /// Takes a part over. Returns the copy once it is whole.
+  /// Adds a chunk. Returns the snapshot once it is complete.
   std::optional<std::string> Take(const std::string& aVm,
                                   const key_part& aPart,
                                   clock::time_point aNow);
 
-  /// Whether parts are on their way from the VM; not any longer when they stay
-  /// away, or when all of them take too long.
+  /// Whether a transfer is in progress. It ends when a chunk does not arrive in
+  /// time or when the whole transfer takes too long.
   [[nodiscard]] bool IsUnderWay(clock::time_point aNow) const;
   [[nodiscard]] bool IsFrom(const std::string& aVm) const
   {
     return mFrom == aVm;
   }
 
-  /// Until when the next part is waited for.
+  /// Deadline of the next chunk.
   [[nodiscard]] clock::time_point Until() const noexcept { return mUntil; }
 
 private:
--- a/src/currantshed/node/known_vms.cpp
+++ b/src/currantshed/node/known_vms.cpp
@@ -10,9 +10,9 @@
 
 using std::chrono::milliseconds;
 
-// A VM off the list that spoke this lately is told the news: each VM speaks
-// every two seconds at the least, off the list every second, and a word may be
-// lost.
+// How long a VM that is not listed gets announcements after its last message. A
+// VM sends a message at least every two seconds, and every second while it is
+// not listed; this time allows for a lost message.
 constexpr milliseconds kSpeaking{ 4500 };
 
 } // namespace
--- a/src/currantshed/node/known_vms.hpp
+++ b/src/currantshed/node/known_vms.hpp
@@ -15,55 +15,58 @@
 
 namespace currantshed::node {
 
-/// The other VMs, as the store lists them and as they speak up themselves. A VM
-/// whose way to the store is cut loses its key while it goes on serving: it is
-/// still told who leads, and still asked to give up a term. Asks for no time.
+/// The other VMs, according to the store's list and to the messages that they
+/// send. A VM that is cut off from the store loses its registration but goes on
+/// serving callers: it still gets announcements and must still acknowledge
+/// revoked terms. Does not read the clock.
 class known_vms
 {
 public:
-  /// A VM that was listed or heard this lately may still rest on a proof,
-  /// whatever the store says of it: its key may have been taken away unseen.
+  /// How long a VM that was listed or heard may still rely on a proof, whatever
+  /// the store says of it: its key may have been removed unnoticed.
   static constexpr std::chrono::milliseconds kMemory{ 15000 };
 
   explicit known_vms(std::string aSelf);
 
-  /// The VMs that the store lists now.
+  /// Applies the list of the store.
   void Listed(const std::vector<news::peer>& aVms, clock::time_point aNow);
 
-  /// A VM stands in the store by a reading newer than the list.
+  /// Records that the store, read later than the list, lists the VM.
   void Seen(const std::string& aVm, clock::time_point aNow);
 
-  /// A VM has spoken, listed or not.
+  /// Records a message of the VM, listed or not.
   void Heard(const std::string& aVm, clock::time_point aNow);
 
-  /// A VM has told this one something that it expects words for.
+  /// Records a report that the VM has sent directly to this one, for which it
+  /// expects announcements.
   void Asked(const std::string& aVm, clock::time_point aNow);
 
-  /// The VMs that can be told something: those that are listed, and those that
-  /// spoke a moment ago and whose address is known.
+  /// The VMs that can be sent to: those that are listed, and those that were
+  /// heard recently and whose address is known.
   [[nodiscard]] std::vector<news::peer> Reachable(clock::time_point aNow) const;
 
-  /// The same one by one, without a copy of all.
+  /// Visits the reachable VMs without copying them.
   void ForEachReachable(
     clock::time_point aNow,
     absl::FunctionRef<void(const news::peer&)> aVisit) const;
 
-  /// How many they are.
+  /// Number of reachable VMs.
   [[nodiscard]] std::size_t CountReachable(clock::time_point aNow) const;
 
-  /// Those of them that spoke a moment ago.
+  /// The reachable VMs that were heard recently.
   [[nodiscard]] std::vector<news::peer> Speaking(clock::time_point aNow) const;
 
-  /// Whether the VM spoke a moment ago.
+  /// Whether the VM was heard recently.
   [[nodiscard]] bool IsSpeaking(const std::string& aVm,
                                 clock::time_point aNow) const;
 
-  /// Whether it told something a moment ago that it expects words for.
+  /// Whether the VM has recently sent a report directly to this one, for which
+  /// it expects announcements.
   [[nodiscard]] bool IsAsking(const std::string& aVm,
                               clock::time_point aNow) const;
 
-  /// The VMs that may rest on a proof of a primary: all that are listed, or
-  /// were listed or heard lately.
+  /// The VMs that may rely on a proof of a primary: all that are listed, or
+  /// were listed or heard within the retention time.
   [[nodiscard]] std::vector<std::string> MayRest(clock::time_point aNow) const;
 
 private:
@@ -71,7 +74,7 @@
   {
     std::optional<news::peer> where;
     bool isListed = false;
-    // When it was last listed or heard.
+    // When the VM was last listed or heard.
     clock::time_point seenAt;
     std::optional<clock::time_point> heardAt;
     std::optional<clock::time_point> askedAt;
--- a/src/currantshed/node/line_codec.hpp
+++ b/src/currantshed/node/line_codec.hpp
@@ -11,32 +11,33 @@
 
 namespace currantshed::node {
 
-/// How a caller opens its session.
+/// Opens a session of a caller.
 struct session_start
 {
   std::string database;
-  /// Tells whose requests the session sends, where the route needs it.
+  /// Identifies the customer, for routes that require it.
   std::string key;
 };
 
-/// What a caller sends in its session.
+/// A message of a caller within its session.
 struct caller_message
 {
-  /// The session's end; nothing else counts then.
+  /// The session ends; all other members are ignored.
   bool ends = false;
-  /// Whether the text is a statement; if not, only id and text count.
+  /// Whether the text is a valid statement. If not, only its id and text are
+  /// set.
   bool isKnown = false;
   proxy::session_statement asked;
 };
 
-/// How another VM opens its way to a server.
+/// Opens a path to a server for another VM.
 struct relay_start
 {
   std::string service;
   upstream::server_id server;
 };
 
-/// What a server sends.
+/// Messages of a server.
 struct server_row
 {
   std::string content;
@@ -52,7 +53,7 @@
   proxy::failure why;
 };
 
-/// Ends the answer to a command, and the opening of a connection.
+/// Ends the answer to a command, or the opening of a connection.
 struct server_ready
 {
   proxy::transaction_state state = proxy::transaction_state::kIdle;
@@ -62,9 +63,9 @@
 using server_message =
   std::variant<server_row, server_complete, server_error, server_ready>;
 
-/// Reads and writes the lines that callers, VMs and servers exchange. Lines
-/// come without their end and are written with it. What is no line of the
-/// protocol reads as none.
+/// Parses and formats the lines that callers, VMs and servers exchange. Lines
+/// are passed to the parser without the line end and are written with it. A
+/// line that violates the protocol yields nullopt.
 class line_codec
 {
 public:
@@ -80,25 +81,26 @@
   virtual void WriteAnswer(const proxy::answer& aAnswer,
                            std::string& aOut) const = 0;
 
-  /// The same as WriteServerStart and WriteRelayed write, read by the VM that
-  /// relays it.
+  /// Parse what another VM's WriteServerStart and WriteRelayed have written, on
+  /// the VM that relays it.
   [[nodiscard]] virtual std::optional<relay_start> ReadRelayStart(
     std::string_view aLine) const = 0;
   [[nodiscard]] virtual std::optional<caller_message> ReadRelayed(
     std::string_view aLine) const = 0;
 
-  /// The customer is empty for what the system asks itself.
+  /// The customer is empty for the system's own commands.
   virtual void WriteServerStart(const proxy::server& aServer,
                                 std::string_view aCustomer,
                                 std::string& aOut) const = 0;
   virtual void WriteCommand(const proxy::command& aCommand,
                             std::string& aOut) const = 0;
-  /// The same for another VM, which learns whose request it is.
+  /// The same for a command sent through another VM, which also learns the
+  /// customer.
   virtual void WriteRelayed(const proxy::command& aCommand,
                             std::string& aOut) const = 0;
   [[nodiscard]] virtual std::optional<server_message> ReadServer(
     std::string_view aLine) const = 0;
-  /// Reads the row that answers a question or order of the system itself.
+  /// Parses the row that answers one of the system's own commands.
   [[nodiscard]] virtual std::optional<proxy::server_report> ReadReport(
     std::string_view aRow) const = 0;
 };
--- a/src/currantshed/node/line_stream.cpp
+++ b/src/currantshed/node/line_stream.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t kReadBytes = std::size_t{ 64 } * 1024;
 
-// Parts and queues that grew beyond this are given back once they are empty.
+// Buffers with a larger capacity are freed once they are empty.
 constexpr std::size_t kKeptBytes = 4096;
 
 std::array<char, kReadBytes>&
@@ -75,7 +75,7 @@
   boost::system::error_code error;
   const auto sent =
     mSocket.send(boost::asio::buffer(aBytes.data(), aBytes.size()), 0, error);
-  // An error shows again, and is dealt with, when the stream is read.
+  // The next read reports the error and handles it.
   const auto taken = error ? 0 : sent;
   if (taken < aBytes.size() &&
       (!error || error == boost::asio::error::would_block)) {
@@ -147,7 +147,7 @@
 void
 line_stream::TakeLines(std::string_view aBytes)
 {
-  // The listener may close the stream, and with it drop itself.
+  // The listener may close the stream, which destroys the listener.
   const auto line = mListener.line;
   std::string owned;
   if (!mPart.empty()) {
--- a/src/currantshed/node/line_stream.hpp
+++ b/src/currantshed/node/line_stream.hpp
@@ -11,47 +11,47 @@
 
 namespace currantshed::node {
 
-/// Longest line that is taken, with its end: what the protocol allows for a
+/// Maximum length of a line, including its end: the protocol's limit for a
 /// message, in bytes.
 constexpr std::size_t kLongestLine = std::size_t{ 1 } << 20U;
 
-/// A TCP connection that carries lines. Reads only when there is something,
-/// into a buffer that all streams of a thread share, so that an idle stream
-/// costs little. Belongs to the thread that runs its io_context.
+/// A TCP connection that carries lines. Waits for readability and then reads
+/// into a buffer shared by all streams of a thread, so that idle streams need
+/// little memory. Must be used on the thread that runs its io_context.
 class line_stream : public std::enable_shared_from_this<line_stream>
 {
 public:
   struct listener
   {
     std::function<void(std::string_view)> line;
-    /// The connection is gone, by the far end or by an error; not called
+    /// Called when the peer closes the connection or an error occurs, but not
     /// after Close.
     std::function<void()> ended;
   };
 
   explicit line_stream(boost::asio::ip::tcp::socket aSocket);
 
-  /// Begins to hand lines over.
+  /// Begins to read and to pass lines to the listener.
   void Start(listener aListener);
 
-  /// Connects, then calls back with whether that worked.
+  /// Connects, then calls back with whether the connection was established.
   void Connect(const boost::asio::ip::tcp::endpoint& aTo,
                std::function<void(bool)> aDone);
 
-  /// Sends without waiting; what the connection does not take at once is
-  /// kept.
+  /// Sends without blocking. Bytes that the socket does not accept are
+  /// buffered.
   void Send(std::string_view aBytes);
 
-  /// Bytes that wait to be sent.
+  /// Number of buffered bytes.
   [[nodiscard]] std::size_t Unsent() const noexcept { return mOut.size(); }
 
-  /// Whether bytes have come that were not read yet, or part of a line.
+  /// Whether there is unread input, or part of a line.
   [[nodiscard]] bool HasUnread() const;
 
-  /// Closes at once.
+  /// Closes immediately.
   void Close();
 
-  /// Closes once all is sent. Lines that come meanwhile are not read.
+  /// Closes once all buffered bytes are sent. Input is discarded until then.
   void CloseWhenSent();
 
   [[nodiscard]] bool IsOpen() const { return mSocket.is_open(); }
@@ -66,7 +66,7 @@
 
   boost::asio::ip::tcp::socket mSocket;
   listener mListener;
-  // The beginning of a line whose end has not come yet.
+  // The beginning of an incomplete line.
   std::string mPart;
   std::string mOut;
   bool mIsWriting = false;
--- a/src/currantshed/node/metrics.cpp
+++ b/src/currantshed/node/metrics.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-// Seconds: from a read in the own failure domain to the longest time limits of
-// statements.
+// In seconds: from reads within the failure domain to the longest time limits
+// of statements.
 const prometheus::Histogram::BucketBoundaries&
 Boundaries()
 {
@@ -81,8 +81,8 @@
 metrics::Decided(const proxy::decision& aDecision)
 {
   const std::string outcome(aDecision.outcome);
-  // Texts of failures vary; only words are labels, and what begins one with a
-  // word of its own before a semicolon.
+  // Reasons may be free text, which must not become label values. Only single
+  // words are used, or the word before a semicolon.
   const auto reason = aDecision.reason.substr(0, aDecision.reason.find(';'));
   const bool isWord = reason.find(' ') == std::string_view::npos;
   mRequests
--- a/src/currantshed/node/metrics.hpp
+++ b/src/currantshed/node/metrics.hpp
@@ -15,27 +15,27 @@
 
 namespace currantshed::node {
 
-/// Counters and histograms of one process; safe for use by several threads.
+/// Metrics of one process. Thread-safe.
 class metrics
 {
 public:
   metrics();
 
-  /// Counts what became of a request, and how long that took.
+  /// Counts a request's outcome and records its duration.
   void Decided(const proxy::decision& aDecision);
 
-  /// Counts a call of the platform's store by its result.
+  /// Counts a call of the store by its result.
   void StoreCalled(std::string_view aResult);
 
   void ServerReached(bool aIsReached);
-  /// Counts what became of servers on the store's list.
+  /// Counts a change of a listed server's state.
   void ServerStands(std::string_view aStanding);
-  /// Counts an entry that names no server to use, by the reason.
+  /// Counts an entry that cannot be used, by the reason.
   void EntryUnusable(const std::string& aReason);
   void LeadChanged(std::string_view aStep);
   void SetSessions(std::size_t aCount);
   void SetConfiguration(std::uint64_t aVersion);
-  /// Shows how often the store has come back from an older copy.
+  /// Sets how often the store has been restored from an older snapshot.
   void SetStoreEra(std::uint64_t aEra);
 
   [[nodiscard]] std::shared_ptr<prometheus::Registry> Registry() const
--- a/src/currantshed/node/question_pace.hpp
+++ b/src/currantshed/node/question_pace.hpp
@@ -7,10 +7,10 @@
 
 namespace currantshed::node {
 
-/// When a VM that hears of news may ask for them. While many keys change, such
-/// words come far oftener than answers, and each answer tells all that has
-/// changed since the question: several questions under way would bring the same
-/// several times, behind a link that is busy with it.
+/// Limits how often a VM requests changes after notifications. While many keys
+/// change, notifications arrive far more often than responses, and each
+/// response contains all changes since its request: several requests in flight
+/// would transfer the same changes several times over an already busy link.
 class question_pace
 {
 public:
@@ -28,7 +28,7 @@
   }
 
 private:
-  // Pause after an answer, and after a question that is not answered.
+  // Pause after a response, and time-out of a request without one.
   static constexpr std::chrono::milliseconds kPause{ 20 };
   static constexpr std::chrono::milliseconds kPatience{ 250 };
 
--- a/src/currantshed/node/server_connector.cpp
+++ b/src/currantshed/node/server_connector.cpp
@@ -16,7 +16,7 @@
 
 using tcp = boost::asio::ip::tcp;
 
-/// The connection itself; lives on while its callbacks are under way.
+/// The connection itself. Shared with its pending callbacks.
 class wire_link : public std::enable_shared_from_this<wire_link>
 {
 public:
@@ -200,7 +200,7 @@
   bool mIsOpen = false;
 };
 
-/// What the engine owns of a connection.
+/// The engine's handle of a connection; closes it when destroyed.
 class owned_link final : public proxy::upstream_link
 {
 public:
--- a/src/currantshed/node/server_connector.hpp
+++ b/src/currantshed/node/server_connector.hpp
@@ -10,8 +10,7 @@
 
 namespace currantshed::node {
 
-/// Connects to servers, directly or through other VMs, and speaks the line
-/// protocol with them.
+/// Connects to servers, directly or through other VMs, by the line protocol.
 class server_connector final : public proxy::link_opener
 {
 public:
--- a/src/currantshed/node/traffic.cpp
+++ b/src/currantshed/node/traffic.cpp
@@ -14,13 +14,13 @@
 
 using std::chrono::milliseconds;
 
-// Descriptors kept for servers, peers, the store and files.
+// File descriptors reserved for servers, peers, the store and files.
 constexpr std::size_t kOtherDescriptors = 600;
 constexpr std::size_t kFewestCallers = 64;
-// How long callers are taken on after the order to stop: the platform needs
-// two questions, a second apart, to see that the VM is not ready.
+// How long callers are accepted after the signal to stop: the platform needs
+// two probes, one second apart, to see that the VM is not ready.
 constexpr milliseconds kHandOverTime{ 2500 };
-// What is left at the end for sending the last answers.
+// Time reserved at the end for sending the last answers.
 constexpr milliseconds kLastAnswers{ 400 };
 constexpr milliseconds kDrainCheck{ 50 };
 
@@ -233,8 +233,9 @@
   });
 }
 
-// The platform sends callers elsewhere within two seconds; until then all is
-// served as ever, and then sessions end as they become idle.
+// The platform routes callers to other VMs within two seconds. Until then
+// requests are served as usual, and afterwards sessions are closed as they
+// become idle.
 void
 traffic::Drain(milliseconds aAtMost)
 {
--- a/src/currantshed/node/traffic.hpp
+++ b/src/currantshed/node/traffic.hpp
@@ -21,8 +21,7 @@
 
 namespace currantshed::node {
 
-/// What the traffic thread tells the control thread; called on the traffic
-/// thread.
+/// Events for the control thread; called on the traffic thread.
 struct traffic_listener
 {
   std::function<void(const std::string&)> needsConfirmation;
@@ -30,12 +29,14 @@
   std::function<void(const std::string&, unsigned)> needsTokens;
 };
 
-/// The traffic thread's world: callers, servers, and the engine between them.
-/// All but the constructor and the functions marked so run on its thread.
+/// The traffic thread: callers, servers, and the engine between them. All
+/// functions except the constructor and those marked otherwise must be called
+/// on this thread.
 class traffic final : private proxy::engine_host
 {
 public:
-  /// The answer to an order, with when its server was last heard.
+  /// Receives the result of an order and the time when its server was last
+  /// heard.
   using order_callback =
     std::function<void(proxy::order_result, std::optional<clock::time_point>)>;
 
@@ -47,50 +48,53 @@
           metrics& aMetrics);
   ~traffic() override;
 
-  /// Before the thread runs.
+  /// Must be called before the thread runs.
   void SetListener(traffic_listener aListener);
 
   [[nodiscard]] std::error_code Listen();
 
-  /// Runs until Stop.
+  /// Runs until the traffic thread is stopped.
   void Run() { mContext.run(); }
 
-  /// The io_context, for work from other threads.
+  /// The io_context, to which other threads may post work.
   [[nodiscard]] boost::asio::io_context& Context() noexcept { return mContext; }
 
-  // These may be called on any thread.
+  // The following functions may be called on any thread.
 
   void SetConfiguration(
     std::shared_ptr<const proxy::configuration> aConfiguration);
   void SetFreshness(const customer::freshness& aFreshness);
   void TakeTokens(std::vector<token_outcome> aOutcomes);
-  /// Ends the sessions of customers that rest.
+  /// Closes the idle sessions of customers.
   void EndRestingOfCustomers();
   void SetServers(std::vector<proxy::server> aServers);
   void SetFleet(std::vector<proxy::fleet_vm> aFleet);
   void Confirm(const std::string& aService, const proxy::confirmation& aProof);
   void AddSample(const std::string& aService,
                  const proxy::position_sample& aSample);
-  /// Calls back, on the traffic thread, once nothing rests on the term.
+  /// Calls back on the traffic thread once nothing relies on the term any
+  /// longer.
   void Revoke(const std::string& aService,
               position::term_id aTerm,
               std::function<void()> aDone);
-  /// The callback runs on the traffic thread.
+  /// Sends a command of the system itself to the server. The callback runs on
+  /// the traffic thread.
   void Order(const upstream::server_id& aServer,
              const proxy::command& aCommand,
              bool aDirect,
              std::chrono::milliseconds aTimeout,
              order_callback aDone);
-  /// The servers that were heard since then; the callback runs on the traffic
-  /// thread.
+  /// Returns the servers that were heard since then. The callback runs on the
+  /// traffic thread.
   void AskHeard(clock::time_point aSince, heard_callback aDone);
 
-  /// The services that callers have used since then; the callback runs on the
-  /// traffic thread.
+  /// Returns the services that callers have used since then. The callback runs
+  /// on the traffic thread.
   void AskUsed(clock::time_point aSince,
                std::function<void(std::vector<std::string>)> aDone);
 
-  /// Lets sessions end and stops after the given time at the latest.
+  /// Lets sessions end, and stops the thread after the given time at the
+  /// latest.
   void Drain(std::chrono::milliseconds aAtMost);
 
 private:
