--- a/src/currantshed/node/duty.hpp
+++ b/src/currantshed/node/duty.hpp
@@ -43,7 +43,7 @@
   /// Fencing token: increases with each change of the holder.
   std::uint64_t epoch = 0;
   /// The newest term that a holder has had replaced or is about to. Proofs of
-  /// it or of earlier terms must be rejected.
+  /// it must be rejected.
   position::term_id replacedTerm = 0;
 };
 
