--- a/bench/currantshed/control/fleet.cpp
+++ b/bench/currantshed/control/fleet.cpp
@@ -109,7 +109,8 @@
   mRosters[aNumber]->SetGroups(mGroups);
 }
 
-// Messages arrive at once; answers go out at the receiver's next turn.
+// Messages arrive without delay. Responses are sent at the receiver's next
+// step.
 void
 fleet::Send(std::size_t aNumber)
 {
--- a/bench/currantshed/control/fleet.hpp
+++ b/bench/currantshed/control/fleet.hpp
@@ -14,14 +14,14 @@
 
 namespace currantshed::control_bench {
 
-/// VMs named and spread over failure domains as in a deployment.
+/// Makes VMs with names and failure domains as in a deployment.
 [[nodiscard]] std::vector<store::vm>
 MakeVms(std::size_t aCount, std::size_t aDomains);
 
 [[nodiscard]] std::vector<group::group_name>
 MakeGroups(std::size_t aCount);
 
-/// What all rosters of a fleet did.
+/// Totals over all rosters of a fleet.
 struct fleet_counts
 {
   std::uint64_t sent = 0;
@@ -29,8 +29,8 @@
   std::uint64_t views = 0;
 };
 
-/// The rosters of a whole fleet, which send to each other in virtual time and
-/// in one thread: their work, messages and bytes as in production, without
+/// The rosters of a whole fleet, which exchange messages in virtual time and in
+/// one thread: their work, messages and bytes are those of production, without
 /// sockets.
 class fleet
 {
@@ -39,10 +39,10 @@
 
   void Run(std::chrono::milliseconds aTime);
 
-  /// Stops every VM of one failure domain at once.
+  /// Stops all VMs of one failure domain at once.
   void LoseDomain(std::size_t aDomain);
 
-  /// Starts the stopped VMs anew, all at once.
+  /// Restarts all stopped VMs at once.
   void Restart();
 
   [[nodiscard]] fleet_counts Counts() const;
--- a/bench/currantshed/control/planned_size.cpp
+++ b/bench/currantshed/control/planned_size.cpp
@@ -18,15 +18,16 @@
 constexpr std::size_t kVms = 530;
 constexpr std::size_t kDomains = 5;
 constexpr std::size_t kGroups = 740;
-/// Groups where a fleet changes: the owners of all of them at each change of
-/// each roster would take hours in one thread.
+/// Number of groups in benchmarks in which the fleet changes. Computing the
+/// owners of all groups at each change of each roster would take hours in one
+/// thread.
 constexpr std::size_t kFewGroups = 40;
 constexpr std::size_t kMembers = 3;
 constexpr unsigned kOwners = 3;
 constexpr unsigned kServerPort = 5432;
 constexpr double kBytesPerKilobyte = 1024;
 
-/// The platform's answers, as the catalogue's interface words them.
+/// Responses in the format of the platform's catalogue API.
 store::http_answer
 Answer(const std::string& aList)
 {
@@ -82,7 +83,7 @@
   return Answer(list);
 }
 
-// Reading both lists once.
+// Parses both lists once.
 void
 ReadLists(benchmark::State& aState)
 {
@@ -93,7 +94,7 @@
     std::vector<group::description> readGroups;
     if (store::ReadVms(vms, readVms) ||
         store::ReadGroups(servers, readGroups)) {
-      aState.SkipWithError("the lists can't be read");
+      aState.SkipWithError("cannot parse the lists");
     }
     benchmark::DoNotOptimize(readGroups);
   }
@@ -102,7 +103,7 @@
 }
 BENCHMARK(ReadLists)->Unit(benchmark::kMillisecond);
 
-// Owners of every group once, as after each change of the view.
+// Computes the owners of every group once, as after each change of the view.
 void
 OwnersOfAll(benchmark::State& aState)
 {
@@ -116,7 +117,7 @@
 }
 BENCHMARK(OwnersOfAll)->Unit(benchmark::kMillisecond);
 
-// A view on its way to a gateway.
+// Encodes a view that is sent to a gateway.
 void
 EncodeView(benchmark::State& aState)
 {
@@ -132,7 +133,7 @@
 }
 BENCHMARK(EncodeView)->Unit(benchmark::kMillisecond);
 
-// Reports what one VM did in one second, on the mean.
+// Reports the mean work of one VM in one second.
 void
 Report(benchmark::State& aState,
        const control_bench::fleet_counts& aBefore,
@@ -160,8 +161,8 @@
   return resident * kPage / kBytesPerKilobyte;
 }
 
-// The whole fleet at rest. Real time over vm_seconds is the processor time of
-// one VM's roster and of encoding for one second.
+// The whole fleet without changes. Real time divided by vm_seconds is the CPU
+// time of one VM's roster and of encoding for one second.
 void
 FleetAtRest(benchmark::State& aState)
 {
@@ -177,7 +178,7 @@
 }
 BENCHMARK(FleetAtRest)->Iterations(1)->Unit(benchmark::kMillisecond);
 
-// The first seconds after a failure domain is gone.
+// The first seconds after the loss of a failure domain.
 void
 FleetLosesDomain(benchmark::State& aState)
 {
@@ -192,7 +193,7 @@
 }
 BENCHMARK(FleetLosesDomain)->Iterations(1)->Unit(benchmark::kMillisecond);
 
-// The first seconds after its VMs have come back together.
+// The first seconds after its VMs have restarted together.
 void
 FleetRegainsDomain(benchmark::State& aState)
 {
--- a/bench/currantshed/node/whole_fleet.cpp
+++ b/bench/currantshed/node/whole_fleet.cpp
@@ -1,4 +1,4 @@
-// What one change costs a VM of a fleet with as many groups as VMs.
+// Cost of one change for a VM of a fleet with as many groups as VMs.
 #include <cstddef>
 #include <cstdint>
 #include <string>
@@ -49,7 +49,7 @@
   return items;
 }
 
-/// The whole list is read.
+/// Parses all keys.
 void
 ReadAllKeys(benchmark::State& aState)
 {
@@ -59,7 +59,7 @@
   }
 }
 
-/// One VM says something else of itself.
+/// Parses the key of one VM after a change.
 void
 ReadOneKey(benchmark::State& aState)
 {
@@ -72,7 +72,8 @@
   }
 }
 
-/// A VM that had duties goes, and comes back: who takes them is worked out.
+/// A VM that holds a failover lock is removed and added again: the candidates
+/// for its locks are computed.
 void
 OneVmGoesAndComes(benchmark::State& aState)
 {
--- a/bin/currantshed-node/options.cpp
+++ b/bin/currantshed-node/options.cpp
@@ -11,26 +11,29 @@
 void
 DeclareLead(settings::parser& aParser, lead::lead_settings& aLead)
 {
-  aParser.Milliseconds(aLead.validity,
-                       "proof-validity-ms",
-                       "How long a proof of who leads a group holds",
-                       200ms,
-                       10s);
-  aParser.Milliseconds(aLead.askInterval,
-                       "proof-interval-ms",
-                       "Time between proofs of a group that this VM watches",
-                       50ms,
-                       5s);
+  aParser.Milliseconds(
+    aLead.validity,
+    "proof-validity-ms",
+    "Validity of a confirmation that a server is its group's primary",
+    200ms,
+    10s);
+  aParser.Milliseconds(
+    aLead.askInterval,
+    "proof-interval-ms",
+    "Interval between confirmations of a group that this VM monitors",
+    50ms,
+    5s);
   aParser.Milliseconds(aLead.askTimeout,
                        "ask-timeout-ms",
-                       "How long a server has for a question",
+                       "Time-out of a query to a server",
                        50ms,
                        5s);
-  aParser.Milliseconds(aLead.silentAfter,
-                       "silent-after-ms",
-                       "Silence after which a primary counts as lost",
-                       100ms,
-                       30s);
+  aParser.Milliseconds(
+    aLead.silentAfter,
+    "silent-after-ms",
+    "Time without contact after which a primary counts as lost",
+    100ms,
+    30s);
 }
 
 log::level
@@ -53,17 +56,18 @@
 settings::parse_result
 ReadOptions(options& aOptions, int aCount, const char* const* aValues)
 {
-  settings::parser parser("currantshed-node",
-                          "Serves callers' sessions before groups of database "
-                          "servers, one process a VM.");
+  settings::parser parser(
+    "currantshed-node",
+    "Serves callers' sessions on groups of database servers, "
+    "one process per VM.");
   std::string level = "info";
   parser.Text(aOptions.settingsPath,
               "config",
-              "File with the settings that the platform lays down",
+              "File with the settings that the platform provides",
               true);
   parser.Choice(level,
                 "log-level",
-                "Lowest level of lines that are written",
+                "Minimum level of log lines",
                 { "debug", "info", "warning", "error" });
   DeclareLead(parser, aOptions.lead);
   auto result = parser.Parse(aCount, aValues);
--- a/src/currantshed/node/metrics.cpp
+++ b/src/currantshed/node/metrics.cpp
@@ -41,39 +41,41 @@
   : mRegistry(std::make_shared<prometheus::Registry>())
   , mRequests(Counter(*mRegistry,
                       "currantshed_node_requests_total",
-                      "Decisions about requests, by outcome and reason"))
+                      "Number of decisions on requests, by outcome and reason"))
   , mTimes(prometheus::BuildHistogram()
              .Name("currantshed_node_request_seconds")
              .Help("Time from a request to its final answer, by outcome")
              .Register(*mRegistry))
   , mStoreCalls(Counter(*mRegistry,
                         "currantshed_node_store_calls_total",
-                        "Calls of the platform's store, by result"))
+                        "Number of calls of the store, by result"))
   , mServers(Counter(*mRegistry,
                      "currantshed_node_servers_total",
-                     "Servers reached and lost"))
-  , mStandings(Counter(*mRegistry,
-                       "currantshed_node_server_standings_total",
-                       "Servers that came to stand so on the store's list"))
+                     "Number of connections to servers established and lost"))
+  , mStandings(
+      Counter(*mRegistry,
+              "currantshed_node_server_standings_total",
+              "Number of state changes of listed servers, by new state"))
   , mAtLeaving(Counter(*mRegistry,
                        "currantshed_node_requests_at_leaving_servers_total",
-                       "Requests whose server had said that it leaves"))
-  , mUnusable(Counter(*mRegistry,
-                      "currantshed_node_unusable_entries_total",
-                      "Entries that name no server to use, by reason"))
+                       "Number of requests on a draining server, by outcome"))
+  , mUnusable(
+      Counter(*mRegistry,
+              "currantshed_node_unusable_entries_total",
+              "Number of server entries that cannot be used, by reason"))
   , mLeadSteps(Counter(*mRegistry,
                        "currantshed_node_lead_steps_total",
-                       "Steps in changes of primaries"))
-  , mSessions(Gauge(*mRegistry,
-                    "currantshed_node_sessions",
-                    "Sessions that stand open"))
+                       "Number of failover steps, by step"))
+  , mSessions(
+      Gauge(*mRegistry, "currantshed_node_sessions", "Number of open sessions"))
   , mConfiguration(Gauge(*mRegistry,
                          "currantshed_node_configuration_version",
                          "Version of the configuration in force"))
-  , mStoreEra(Gauge(*mRegistry,
-                    "currantshed_node_store_era",
-                    "How often the store has come back from an older copy, as "
-                    "it tells"))
+  , mStoreEra(
+      Gauge(*mRegistry,
+            "currantshed_node_store_era",
+            "Number of restores of the store from an older snapshot, as "
+            "reported by the store"))
 {
 }
 
--- a/test/currantshed/node/audience.cpp
+++ b/test/currantshed/node/audience.cpp
@@ -41,12 +41,12 @@
 };
 
 const some_row kRows[] = {
-  { "none there", 0, 3, 5, "" },
-  { "fewer than wanted", 2, 3, 0, "ab" },
-  { "fewer than wanted, later", 2, 3, 1, "ab" },
-  { "the first", 7, 3, 0, "abc" },
-  { "the next", 7, 3, 1, "def" },
-  { "past the end", 7, 3, 2, "gab" },
+  { "no VMs", 0, 3, 5, "" },
+  { "fewer than requested", 2, 3, 0, "ab" },
+  { "fewer than requested, next turn", 2, 3, 1, "ab" },
+  { "the first turn", 7, 3, 0, "abc" },
+  { "the next turn", 7, 3, 1, "def" },
+  { "wraps around", 7, 3, 2, "gab" },
 };
 
 } // namespace
--- a/test/currantshed/node/collectors.cpp
+++ b/test/currantshed/node/collectors.cpp
@@ -22,16 +22,22 @@
   const char* name;
   std::vector<group_of_vms> vms;
   std::size_t expect;
-  /// What those that are chosen have of a core.
+  /// CPU time, in thousandths of a core, of the expected coordinators.
   unsigned processorShare;
 };
 
 const collectors_row kRows[] = {
   { "nobody", {}, 0, 0 },
-  { "one alone", { { 1, 250, false } }, 1, 250 },
-  { "all alike", { { 9, 250, false } }, 4, 250 },
-  { "strong ones first", { { 20, 120, false }, { 2, 500, false } }, 2, 500 },
-  { "strong ones that leave", { { 3, 120, false }, { 2, 500, true } }, 3, 120 },
+  { "a single VM", { { 1, 250, false } }, 1, 250 },
+  { "equal capacities", { { 9, 250, false } }, 4, 250 },
+  { "high-capacity VMs first",
+    { { 20, 120, false }, { 2, 500, false } },
+    2,
+    500 },
+  { "draining high-capacity VMs",
+    { { 3, 120, false }, { 2, 500, true } },
+    3,
+    120 },
 };
 
 node::own_keys
--- a/test/currantshed/node/duty.cpp
+++ b/test/currantshed/node/duty.cpp
@@ -52,26 +52,29 @@
   const char* name;
   std::vector<vm_record> vms;
   std::optional<duty_record> duty;
-  /// Whether some VM claims the duty.
+  /// Whether some VM claims the lock.
   bool claims;
 };
 
 const claim_row kRows[] = {
-  { "nobody holds it", { Vm("a", 1), Vm("b", 2) }, std::nullopt, true },
-  { "one that is listed holds it",
+  { "no holder", { Vm("a", 1), Vm("b", 2) }, std::nullopt, true },
+  { "the holder is listed",
     { Vm("a", 1), Vm("b", 2) },
     duty_record{ "a", 1, 5 },
     false },
-  { "the holder is gone", { Vm("b", 2) }, duty_record{ "a", 1, 5 }, true },
-  { "the holder began anew",
+  { "the holder is not listed",
+    { Vm("b", 2) },
+    duty_record{ "a", 1, 5 },
+    true },
+  { "the holder has restarted",
     { Vm("a", 3), Vm("b", 2) },
     duty_record{ "a", 1, 5 },
     true },
-  { "the holder leaves",
+  { "the holder is draining",
     { Vm("a", 1, true), Vm("b", 2) },
     duty_record{ "a", 1, 5 },
     true },
-  { "all leave", { Vm("a", 1, true) }, std::nullopt, false },
+  { "all VMs are draining", { Vm("a", 1, true) }, std::nullopt, false },
 };
 
 } // namespace
@@ -107,7 +110,7 @@
   CHECK(claim.conditions[1].changed == items.at(node::VmKey("a")).changed);
   const auto made = node::ReadDuty(claim.puts.front());
   CHECK(made && made->holder == "b" && made->epoch == 51);
-  // A record that was lost still leaves a higher number.
+  // The epoch is higher even if the record of the earlier lock was lost.
   const auto fresh =
     node::ClaimOf(node::ReadOwnKeys({}), "group", Vm("b", 2), { 0, 90 }, 0);
   CHECK(node::ReadDuty(fresh.puts.front())->epoch == 90);
@@ -122,7 +125,7 @@
   const auto claim = node::ClaimOf(keys, "group", Vm("b", 2), { 0, 40 }, 0);
   const auto made = node::ReadDuty(claim.puts.front());
   CHECK(made && made->holder == "b" && made->replacedTerm == 6);
-  // A record of a version that did not have the term is still one.
+  // A record written by a version without the field is still valid.
   const auto old = node::ReadDuty(
     { "k", R"({"holder":"a","incarnation":1,"epoch":5})", {}, {} });
   CHECK(old && old->epoch == 5 && old->replacedTerm == 0);
@@ -163,22 +166,23 @@
 struct epoch_row
 {
   const char* name;
-  /// The duty's record as the store has it, and the store's state as it is
-  /// claimed, before it loses changes and after.
+  /// The lock's record in the store, and the store's revision at a claim before
+  /// and at a claim after the store lost changes.
   duty_record recorded;
   store::revision before;
   store::revision after;
 };
 
 const epoch_row kEpochRows[] = {
-  { "revisions are given out again", { "a", 1, 5 }, { 1, 40 }, { 2, 40 } },
-  { "the copy is far behind", { "a", 1, 5 }, { 1, 9000 }, { 2, 12 } },
+  { "revisions are assigned again", { "a", 1, 5 }, { 1, 40 }, { 2, 40 } },
+  { "the snapshot is far behind", { "a", 1, 5 }, { 1, 9000 }, { 2, 12 } },
   { "the record is lost as well", {}, { 1, 9000 }, { 2, 12 } },
-  { "the store comes back twice", { "a", 1, 5 }, { 1, 9000 }, { 3, 12 } },
+  { "the store is restored twice", { "a", 1, 5 }, { 1, 9000 }, { 3, 12 } },
 };
 
-// All VMs may have been killed in between, so that nobody knows of the claim
-// that was lost.
+// Guards against reuse of an epoch after a restore of the store. All VMs may
+// have been killed in between, so that none remembers the claim that the store
+// lost.
 TEST(duty, no_epoch_is_given_again_by_a_store_that_lost_it)
 {
   for (const auto& row : kEpochRows) {
@@ -203,7 +207,7 @@
   }
 }
 
-// The record of the copy lacks a term that this VM knows to be replaced.
+// The restored record lacks a term that this VM knows to be replaced.
 TEST(duty, a_claim_records_the_newest_replaced_term)
 {
   const auto keys =
@@ -215,7 +219,7 @@
   }
 }
 
-// The list and the record of the copy lack VMs that run on.
+// The restored list and fleet record lack VMs that are still running.
 TEST(duty, vms_that_were_known_count_beside_the_record)
 {
   own_keys keys;
@@ -254,7 +258,7 @@
          aLeft.fleetChanged == aRight.fleetChanged;
 }
 
-/// Random writes and removals of keys of all kinds, readable or not.
+/// Random writes and removals of keys of all kinds, valid or not.
 class key_changer
 {
 public:
@@ -263,7 +267,7 @@
   {
   }
 
-  /// Changes one key, and returns it.
+  /// Changes one key and returns it.
   std::string Change(store::prefix_view::items& aItems)
   {
     const auto [key, value] = Draw();
@@ -307,8 +311,8 @@
 
 } // namespace
 
-// Whatever changes, and however many changes are taken over at a time, the
-// outcome is that of reading all keys anew.
+// Any sequence of incremental updates of any size must give the same result as
+// reading all keys.
 TEST(duty, changes_lead_to_what_reading_all_does)
 {
   for (unsigned seed = 1; seed <= 20; ++seed) {
@@ -327,7 +331,7 @@
   }
 }
 
-// A key that is moved to another lease is written anew, and says the same.
+// Moving a key to another lease writes it again with the same value.
 TEST(duty, a_record_that_says_the_same_is_no_change_of_the_vm)
 {
   auto items = Items({ Vm("a", 1), Vm("b", 2) }, std::nullopt);
--- a/test/currantshed/node/duty_board.cpp
+++ b/test/currantshed/node/duty_board.cpp
@@ -25,7 +25,8 @@
   return "group-" + std::to_string(aNumber);
 }
 
-/// A fleet whose keys are changed one at a time, and one VM's board of it.
+/// A fleet whose keys are changed one at a time, and the lock assignments as
+/// seen by one VM.
 struct fleet
 {
   explicit fleet(std::size_t aGroups)
@@ -79,7 +80,7 @@
   duty_board board{ VmName(0) };
 };
 
-/// What a board made anew from the same keys says of a group.
+/// Whether assignments computed from scratch for the same keys are the same.
 bool
 IsSameAnew(const fleet& aFleet)
 {
@@ -99,7 +100,7 @@
          anew.Holders() == aFleet.board.Holders();
 }
 
-/// Sizes at which work is counted: VMs, and as many groups.
+/// Numbers of VMs, and of as many groups, for which work is counted.
 constexpr std::size_t kSizes[] = { 50, 100, 200 };
 
 } // namespace
@@ -138,10 +139,10 @@
   }
 }
 
-// All VMs of a fleet start together before groups that nobody holds. Each VM
-// that comes costs every other one a hash for each vacant group; looking at all
-// VMs for each group at every change cost the product, and a start of 985 VMs
-// took most of their processor time.
+// All VMs of a fleet start together while no lock is held. Each new VM must
+// cost every other one no more than a hash per vacant group. Comparing all VMs
+// for each group at every change cost the product of both, and used most of the
+// CPU time while 985 VMs started.
 TEST(duty_board, a_vm_that_comes_costs_the_vacant_groups)
 {
   for (const auto size : kSizes) {
@@ -168,7 +169,8 @@
     const auto atRest = one.board.Scored();
     one.Comes("another");
     CHECK_EQUAL(atRest, one.board.Scored());
-    // One that goes leaves a single group to be taken by one of the others.
+    // The lost VM held the lock of one group, which one of the others is to
+    // acquire.
     one.Goes(VmName(size / 2));
     CHECK_EQUAL(atRest + size, one.board.Scored());
     one.Takes("another", GroupName(size / 2));
@@ -180,7 +182,8 @@
   }
 }
 
-// Strong VMs that come take over what weak ones hold, and only then.
+// Locks held by low-capacity VMs are taken over once there are enough
+// high-capacity VMs, and not before.
 TEST(duty_board, strong_vms_have_the_duties)
 {
   fleet one(3);
--- a/test/currantshed/node/feed_times.cpp
+++ b/test/currantshed/node/feed_times.cpp
@@ -17,23 +17,23 @@
   const char* name;
   std::chrono::milliseconds bound;
   bool isConfiguration;
-  /// How long ago the keys were surely the store's, as an answer came.
+  /// Time since the keys are known to have matched the store.
   std::chrono::milliseconds age;
-  /// How long they count from the answer on.
+  /// How much longer the keys count as current.
   std::chrono::milliseconds expect;
 };
 
 constexpr row kRows[] = {
-  { "a configuration, fresh", 3000ms, true, 0ms, 1800ms },
-  { "a configuration, at the end of its time", 3000ms, true, 1800ms, 0ms },
-  { "others, fresh", 3000ms, false, 100ms, 2400ms },
-  { "others, at the end of their time", 3000ms, false, 2500ms, 0ms },
-  { "a wider bound, fresh", 8000ms, true, 0ms, 1800ms },
-  { "a wider bound, a feeder that is behind", 8000ms, true, 1700ms, 1200ms },
-  { "a wider bound, far behind", 8000ms, true, 4000ms, 800ms },
-  { "a wider bound, too far behind", 8000ms, true, 4800ms, 0ms },
-  { "others, a feeder that is behind", 8000ms, false, 5000ms, 1200ms },
-  { "a bound below all", 1000ms, true, 0ms, 1800ms },
+  { "configuration, current", 3000ms, true, 0ms, 1800ms },
+  { "configuration, at the end of its time", 3000ms, true, 1800ms, 0ms },
+  { "other keys, current", 3000ms, false, 100ms, 2400ms },
+  { "other keys, at the end of their time", 3000ms, false, 2500ms, 0ms },
+  { "a longer bound, current", 8000ms, true, 0ms, 1800ms },
+  { "a longer bound, the forwarder is behind", 8000ms, true, 1700ms, 1200ms },
+  { "a longer bound, far behind", 8000ms, true, 4000ms, 800ms },
+  { "a longer bound, too far behind", 8000ms, true, 4800ms, 0ms },
+  { "other keys, the forwarder is behind", 8000ms, false, 5000ms, 1200ms },
+  { "a bound shorter than the defaults", 1000ms, true, 0ms, 1800ms },
 };
 
 } // namespace
--- a/test/currantshed/node/feeders.cpp
+++ b/test/currantshed/node/feeders.cpp
@@ -57,13 +57,13 @@
 
 const feeder_row kRows[] = {
   { "no VM", {}, 0 },
-  { "too few to be worth it", Domain("marka", 4), 0 },
-  { "a few", Domain("marka", 5), 2 },
+  { "too few VMs", Domain("marka", 4), 0 },
+  { "the minimum", Domain("marka", 5), 2 },
   { "many", Domain("marka", 60), 2 },
-  { "those of other failure domains don't count",
+  { "VMs of other failure domains don't count",
     Join(Domain("marka", 4), Domain("khalda", 60)),
     0 },
-  { "those that leave don't count",
+  { "draining VMs don't count",
     Join(Domain("marka", 4), { { "going", "marka", true } }),
     0 },
 };
@@ -119,28 +119,30 @@
   }
 }
 
-// In a play of 100 VMs a failure domain had one VM with half a core and
-// nineteen with 0.12 of one. Weak ones passed words on to the others: one
-// used 95.8 % of its processor time, and handled requests by a configuration
-// that was 6 s old. With the strong one first, the weak second one was that VM
-// (126 ms late, all others 0 to 50).
+// Guards against overloaded forwarders. In a simulation of 100 VMs, one failure
+// domain had one VM with half a core and nineteen with 0.12 of a core, and
+// low-capacity VMs were forwarders. One of them used 95.8 % of its CPU time and
+// handled requests with a configuration that was 6 s old. With the
+// high-capacity VM as the first forwarder, the low-capacity second one was
+// overloaded instead: it was 126 ms late, all other VMs 0 to 50 ms.
 TEST(feeders, are_strong_vms)
 {
   struct row
   {
     const char* name;
     std::vector<unsigned> shares;
-    /// How many feed, all of them strong.
+    /// Expected number of forwarders, all of high capacity.
     std::size_t feeders;
   };
   const row rows[] = {
     { "one", { 120, 120, 500, 120, 120, 120 }, 1 },
     { "two", { 120, 120, 500, 120, 400, 120 }, 2 },
     { "three", { 120, 500, 500, 120, 400, 120 }, 2 },
-    { "all alike", { 120, 120, 120, 120, 120, 120 }, 2 },
+    { "equal capacities", { 120, 120, 120, 120, 120, 120 }, 2 },
   };
   for (const auto& row : rows) {
-    // Other names each time, so that none is strong by luck.
+    // Other VM names in each round, so that the hash does not select a
+    // high-capacity VM by chance.
     for (int turn = 0; turn < 20; ++turn) {
       const auto domain = "marka" + std::to_string(turn);
       auto vms = Domain(domain, static_cast<int>(row.shares.size()));
@@ -160,7 +162,7 @@
   }
 }
 
-// Three answers at most, one for each followed prefix, make one message.
+// A message contains up to three updates, one for each followed prefix.
 TEST(feeders, answers_fit_into_what_a_vm_takes_at_once)
 {
   constexpr std::size_t kLongestMessage = std::size_t{ 256 } * 1024;
--- a/test/currantshed/node/key_parts.cpp
+++ b/test/currantshed/node/key_parts.cpp
@@ -19,7 +19,7 @@
 const clock::time_point kStart{ 1h };
 constexpr std::size_t kLongest = 10;
 
-/// Keys whose copies tell which state they are of.
+/// Contents that identify the revision of the snapshot.
 std::string
 CopyOf(std::uint64_t aRevision, std::size_t aLength)
 {
@@ -30,13 +30,13 @@
 {
   enum class kind
   {
-    /// The next part is asked for and comes.
+    /// The next chunk is requested and arrives.
     kPart,
-    /// It is asked for and does not come.
+    /// The next chunk is requested and lost.
     kLost,
-    /// It comes from another VM.
+    /// A chunk arrives from another VM.
     kStray,
-    /// The keys have changed.
+    /// The keys change.
     kChange,
   };
 
@@ -51,25 +51,25 @@
   const char* name;
   std::size_t length;
   std::vector<event> given;
-  /// The revision of the copy that comes whole, if one does.
+  /// The revision of the snapshot that is completed, if any.
   std::optional<std::uint64_t> taken;
 };
 
 const row kRows[] = {
-  { "one part", 10, { { 0ms, kind::kPart } }, 1 },
-  { "three parts",
+  { "one chunk", 10, { { 0ms, kind::kPart } }, 1 },
+  { "three chunks",
     25,
     { { 0ms, kind::kPart }, { 1ms, kind::kPart }, { 2ms, kind::kPart } },
     1 },
-  { "not all of them", 25, { { 0ms, kind::kPart }, { 1ms, kind::kPart } }, {} },
-  { "the keys change meanwhile",
+  { "incomplete", 25, { { 0ms, kind::kPart }, { 1ms, kind::kPart } }, {} },
+  { "the keys change during the transfer",
     25,
     { { 0ms, kind::kPart },
       { 1ms, kind::kChange },
       { 2ms, kind::kPart },
       { 3ms, kind::kPart } },
     1 },
-  { "the copy is given up meanwhile, and the newest one sent",
+  { "the snapshot is dropped during the transfer, and the newest one sent",
     25,
     { { 0ms, kind::kPart },
       { 350ms, kind::kChange },
@@ -78,18 +78,18 @@
       { 380ms, kind::kPart },
       { 390ms, kind::kPart } },
     1 },
-  { "a part that is lost",
+  { "a lost chunk",
     25,
     { { 0ms, kind::kPart }, { 1ms, kind::kLost }, { 500ms, kind::kPart } },
     {} },
-  { "another VM's part",
+  { "a chunk of another VM",
     25,
     { { 0ms, kind::kPart },
       { 1ms, kind::kStray },
       { 2ms, kind::kPart },
       { 3ms, kind::kPart } },
     1 },
-  { "parts that take too long together",
+  { "the whole transfer takes too long",
     45,
     { { 0ms, kind::kPart },
       { 350ms, kind::kPart },
@@ -143,8 +143,9 @@
   }
 }
 
-// A configuration of 262 KB that each of a hundred VMs read from the store by
-// itself took its link for seconds. One copy serves all that ask for it.
+// Guards against a high load on the store: when each of a hundred VMs read a
+// configuration of 262 KB from the store, the store's link was saturated for
+// seconds. One snapshot must serve all VMs that request it.
 TEST(key_parts, one_copy_serves_all_that_ask)
 {
   for (const std::size_t vms : { 50, 100, 200 }) {
--- a/test/currantshed/node/known_vms.cpp
+++ b/test/currantshed/node/known_vms.cpp
@@ -39,43 +39,43 @@
   const char* name;
   std::vector<step> given;
   std::chrono::milliseconds when;
-  /// Which VMs are told news, and which may rest on a proof.
+  /// Expected result of Reachable and of MayUseConfirmation.
   std::vector<std::string> told;
   std::vector<std::string> mayRest;
 };
 
 const row kRows[] = {
-  { "all that are listed, but not itself",
+  { "all listed VMs except itself",
     { { 0ms, step_kind::kListed, { "a", "b", "self" } } },
     60000ms,
     { "a", "b" },
     { "a", "b" } },
-  { "one that lost its key but speaks is told on",
+  { "a VM that is no longer listed but sends messages remains reachable",
     { { 0ms, step_kind::kListed, { "a", "b" } },
       { 2000ms, step_kind::kListed, { "a" } },
       { 20000ms, step_kind::kHeard, { "b" } } },
     22000ms,
     { "a", "b" },
     { "a", "b" } },
-  { "one that lost its key and is silent is told no more, but counts on",
+  { "a silent VM that is no longer listed may still use a confirmation",
     { { 0ms, step_kind::kListed, { "a", "b" } },
       { 2000ms, step_kind::kListed, { "a" } } },
     8000ms,
     { "a" },
     { "a", "b" } },
-  { "one that was silent for long is forgotten",
+  { "a VM that was silent for long is removed",
     { { 0ms, step_kind::kListed, { "a", "b" } },
       { 2000ms, step_kind::kListed, { "a" } } },
     17001ms,
     { "a" },
     { "a" } },
-  { "one that was never listed here counts, though it can't be told",
+  { "a VM that was never listed may use a confirmation without being reachable",
     { { 0ms, step_kind::kListed, { "a" } },
       { 1000ms, step_kind::kHeard, { "c" } } },
     2000ms,
     { "a" },
     { "a", "c" } },
-  { "how long it was listed counts, not when the list was last read",
+  { "retention begins when a VM is dropped from the list",
     { { 0ms, step_kind::kListed, { "a", "b" } },
       { 60000ms, step_kind::kListed, { "a" } } },
     61000ms,
@@ -120,8 +120,8 @@
   }
 }
 
-// A holder of duties hears some word from most VMs of a large fleet, and
-// answers those alone that told of a primary.
+// In a large fleet the holder of a failover lock gets messages from most VMs.
+// It must answer only those that sent a reach update.
 TEST(known_vms, only_vms_that_told_something_ask)
 {
   known_vms known("self");
--- a/test/currantshed/node/question_pace.cpp
+++ b/test/currantshed/node/question_pace.cpp
@@ -16,19 +16,22 @@
 struct row
 {
   const char* name;
-  /// Time between two words that there is news, and from a question to its
-  /// answer; none for answers that never come.
+  /// Interval between notifications, and time from a request to its response;
+  /// nullopt if no response arrives.
   std::chrono::milliseconds hints;
   std::optional<std::chrono::milliseconds> answer;
-  /// Questions in a second.
+  /// Expected number of requests in one second.
   int questions;
 };
 
 constexpr row kRows[] = {
-  { "rare words, each asked for", 100ms, 5ms, 10 },
-  { "many words, quick answers", 1ms, 5ms, 50 },
-  { "many words, answers that take long: one at a time", 1ms, 200ms, 5 },
-  { "lost answers", 1ms, std::nullopt, 4 },
+  { "rare notifications, a request for each", 100ms, 5ms, 10 },
+  { "many notifications, fast responses", 1ms, 5ms, 50 },
+  { "many notifications, slow responses: one request at a time",
+    1ms,
+    200ms,
+    5 },
+  { "lost responses", 1ms, std::nullopt, 4 },
 };
 
 int
--- a/test/currantshed/node/relay_box.cpp
+++ b/test/currantshed/node/relay_box.cpp
@@ -27,23 +27,23 @@
 {
   const char* name;
   std::vector<word> given;
-  /// What is passed on, a line each time, if it is looked at every 10 ms.
+  /// What is forwarded if the batch is polled every 10 ms: time and groups.
   std::string expected;
 };
 
 const word_row kWords[] = {
   { "nothing", {}, "" },
-  { "the first word at once", { { 0ms, "a" } }, "0:a " },
-  { "words of several groups together",
+  { "the first update at once", { { 0ms, "a" } }, "0:a " },
+  { "updates of several groups together",
     { { 0ms, "a" }, { 20ms, "b" }, { 50ms, "c" }, { 140ms, "b" } },
     "0:a 150:bc " },
-  { "a word after a long pause at once",
+  { "an update after a long pause at once",
     { { 0ms, "a" }, { 400ms, "b" } },
     "0:a 400:b " },
-  { "an urgent word takes the others along",
+  { "an urgent update is sent with the others",
     { { 0ms, "a" }, { 20ms, "b" }, { 40ms, "c", true } },
     "0:a 40:bc " },
-  { "after an urgent word the others wait again",
+  { "after an urgent update the others wait again",
     { { 0ms, "a" }, { 40ms, "c", true }, { 50ms, "b" } },
     "0:a 40:c 190:b " },
 };
@@ -91,21 +91,21 @@
 const reach_row kReaches[] = {
   { "nothing", {}, "" },
   { "one", { { 0ms, "a", "v", 0ms } }, "250:av " },
-  { "the freshest of each group",
+  { "the most recent of each group",
     { { 0ms, "a", "v", 0ms },
       { 10ms, "a", "w", 5ms },
       { 20ms, "a", "x", 3ms },
       { 20ms, "b", "x", 1ms } },
     "250:awbx " },
-  { "the newest term before the freshest",
+  { "the newest term takes precedence over the most recent contact",
     { { 0ms, "a", "v", 0ms, 2 }, { 10ms, "a", "w", 5ms, 1 } },
     "250:av " },
-  { "all that gave a term up, soon",
+  { "all acknowledgements, soon",
     { { 0ms, "a", "v", 0ms },
       { 10ms, "a", "w", 5ms, 1, 1 },
       { 20ms, "a", "x", 3ms, 1, 1 } },
     "30:awax " },
-  { "a VM's last word",
+  { "the last update of a VM",
     { { 0ms, "a", "w", 1ms, 1, 1 }, { 10ms, "a", "w", 5ms, 1, 1 } },
     "20:aw " },
 };
--- a/test/currantshed/node/server_list.cpp
+++ b/test/currantshed/node/server_list.cpp
@@ -17,14 +17,15 @@
 
 const clock::time_point kStart{ 1h };
 
-/// What the store lists at one time: names, those that leave in capitals.
+/// The servers that the store lists at a time. Draining servers are in
+/// capitals.
 struct listing
 {
   std::chrono::milliseconds at;
   std::vector<std::string> names;
 };
 
-/// What is told of one server.
+/// A change of one server's state.
 struct told
 {
   std::string name;
@@ -37,38 +38,38 @@
 {
   const char* name;
   std::vector<listing> given;
-  /// What the last listing brings.
+  /// Changes that the last listing causes.
   std::vector<told> expect;
-  /// Who is known after it.
+  /// Servers that are known after the last listing.
   std::vector<std::string> known;
 };
 
 const row kRows[] = {
-  { "servers that are new",
+  { "new servers",
     { { 0ms, { "a", "b" } } },
     { { "a", server_standing::kReady }, { "b", server_standing::kReady } },
     { "a", "b" } },
-  { "what is the same is no news",
+  { "an unchanged list",
     { { 0ms, { "a", "b" } }, { 50ms, { "a", "b" } } },
     {},
     { "a", "b" } },
-  { "one that leaves",
+  { "a server drains",
     { { 0ms, { "a", "b" } }, { 50ms, { "A", "b" } } },
     { { "a", server_standing::kLeaving } },
     { "A", "b" } },
-  { "one that leaves is missing, and leaves all the same",
+  { "a draining server is missing and remains draining",
     { { 0ms, { "A", "b" } }, { 50ms, { "b" } } },
     { { "a", server_standing::kMissing } },
     { "A", "b" } },
-  { "one that is missing for long is gone",
+  { "a server is removed after the grace period",
     { { 0ms, { "a", "b" } }, { 50ms, { "b" } }, { 3050ms, { "b" } } },
     { { "a", server_standing::kGone } },
     { "b" } },
-  { "one that is missing for a short time is back",
+  { "a missing server is listed again within the grace period",
     { { 0ms, { "a", "b" } }, { 50ms, { "b" } }, { 2050ms, { "a", "b" } } },
     { { "a", server_standing::kReady } },
     { "a", "b" } },
-  { "one that was gone is back",
+  { "a removed server is listed again",
     { { 0ms, { "a", "b" } },
       { 50ms, { "b" } },
       { 4000ms, { "b" } },
@@ -128,8 +129,8 @@
   }
 }
 
-// What an earlier life of a server had said is not carried over to the next,
-// and the next one's word is not taken back with it.
+// A restarted server must not inherit the draining state of its earlier
+// incarnation, nor lose its own because of it.
 TEST(server_list, a_server_that_starts_again_begins_anew)
 {
   const auto listed = [](std::chrono::milliseconds aStart, bool aLeaves) {
@@ -146,7 +147,7 @@
     list.Take(listed(9000ms, false), list_source::kWatch, kStart + 1s);
   CHECK(news.size() == 1 && news[0].standing == server_standing::kReady);
   CHECK(!list.Servers()[0].leavingSince);
-  // The clock of the next start was set back.
+  // The clock was set back before this restart.
   news = list.Take(listed(7000ms, true), list_source::kWatch, kStart + 2s);
   CHECK(news.size() == 1 && news[0].standing == server_standing::kLeaving);
   CHECK(*list.Servers()[0].leavingSince == kStart + 2s);
@@ -179,41 +180,39 @@
 {
   const char* name;
   std::vector<source_step> given;
-  /// How long "a" may have been leaving at the time of the last step, at the
-  /// most; none if it is not.
+  /// The maximum time for which "a" may have been draining at the last step;
+  /// nullopt if it is not draining.
   std::optional<std::chrono::milliseconds> expect;
 };
 
 constexpr std::chrono::milliseconds kUnknownAge = 1h;
 
 const age_row kAgeRows[] = {
-  { "one that stays",
-    { { 0ms, list_source::kCatchUp, { "a" } } },
-    std::nullopt },
-  { "its word came by the watch",
+  { "not draining", { { 0ms, list_source::kCatchUp, { "a" } } }, std::nullopt },
+  { "draining was learned through the watch",
     { { 0ms, list_source::kCatchUp, { "a" } },
       { 900ms, list_source::kWatch, { "A" } },
       { 1500ms, list_source::kWatch, { "A", "b" } } },
     600ms },
-  { "its word came while this VM was out of touch",
+  { "draining began while this VM was disconnected",
     { { 0ms, list_source::kCatchUp, { "a" } },
       { 900ms, list_source::kCatchUp, { "A" } } },
     kUnknownAge },
-  { "it was leaving when this VM started",
+  { "draining when this VM started",
     { { 0ms, list_source::kCatchUp, { "A" } } },
     kUnknownAge },
-  { "what was known before this VM was out of touch is kept",
+  { "the time learned before a disconnection is kept",
     { { 0ms, list_source::kCatchUp, { "a" } },
       { 900ms, list_source::kWatch, { "A" } },
       { 2900ms, list_source::kCatchUp, { "A" } } },
     2000ms },
-  { "its entry lapses and is back",
+  { "the entry expires and is listed again",
     { { 0ms, list_source::kCatchUp, { "a" } },
       { 900ms, list_source::kWatch, { "A" } },
       { 1900ms, list_source::kWatch, {} },
       { 2900ms, list_source::kCatchUp, { "A" } } },
     2000ms },
-  { "it stays after all, and leaves later",
+  { "draining is cancelled and begins again later",
     { { 0ms, list_source::kCatchUp, { "A" } },
       { 900ms, list_source::kWatch, { "a" } },
       { 1900ms, list_source::kWatch, { "A" } },
@@ -251,31 +250,32 @@
 {
   const char* name;
   std::vector<std::string> before;
-  /// What the older copy lists, and what servers write again later.
+  /// The list in the restored snapshot, and what the servers write again later.
   std::vector<std::string> copy;
   std::vector<std::string> again;
-  /// Who is known with the copy, 100 ms before the time is up, and after it.
+  /// Servers known with the restored list, 100 ms before the end of the grace
+  /// period, and after it.
   std::vector<std::string> withCopy;
   std::vector<std::string> within;
   std::vector<std::string> after;
 };
 
 const copy_row kCopyRows[] = {
-  { "one that leaves, which says so again",
+  { "a draining server writes its state again",
     { "A", "b" },
     { "a", "b" },
     { "A", "b" },
     { "A", "b" },
     { "A", "b" },
     { "A", "b" } },
-  { "one that stays after all",
+  { "a server that is no longer draining",
     { "A", "b" },
     { "a", "b" },
     { "a", "b" },
     { "A", "b" },
     { "A", "b" },
     { "a", "b" } },
-  { "one that the copy does not have",
+  { "a server that the snapshot lacks",
     { "a", "b" },
     { "b" },
     { "b" },
@@ -286,8 +286,8 @@
 
 } // namespace
 
-// A copy of the list may be older than what servers have said since. They write
-// it again within two seconds.
+// A restored list may lack recent writes of servers, which they repeat within
+// two seconds.
 TEST(server_list, an_older_copy_takes_back_no_word_of_a_server)
 {
   for (const auto& row : kCopyRows) {
--- a/test/currantshed/node/subscribers.cpp
+++ b/test/currantshed/node/subscribers.cpp
@@ -27,7 +27,7 @@
 {
   std::chrono::milliseconds at;
   std::vector<std::string> groups;
-  /// Groups that it has had no words on.
+  /// Groups that are new in the subscription.
   std::string added;
 };
 
@@ -35,8 +35,8 @@
 {
   const char* name;
   std::vector<question> questions;
-  /// When the box is looked at, who is left, and whether "a" and "b" are
-  /// wanted.
+  /// Time of the check, and whether the VM is subscribed then at all, to "a"
+  /// and to "b".
   std::chrono::milliseconds lookAt;
   bool isLeft;
   bool wantsA;
@@ -44,15 +44,15 @@
 };
 
 const question_row kQuestions[] = {
-  { "asks for nothing", { { 0ms, {}, "" } }, 10ms, true, false, false },
-  { "asks for one", { { 0ms, { "a" }, "a " } }, 10ms, true, true, false },
-  { "asks for another one as well",
+  { "no groups", { { 0ms, {}, "" } }, 10ms, true, false, false },
+  { "one group", { { 0ms, { "a" }, "a " } }, 10ms, true, true, false },
+  { "an additional group",
     { { 0ms, { "a" }, "a " }, { 400ms, { "a", "b" }, "b " } },
     410ms,
     true,
     true,
     true },
-  { "wants one no longer, then again",
+  { "unsubscribes from a group, then subscribes again",
     { { 0ms, { "a", "b" }, "a b " },
       { 400ms, { "b" }, "" },
       { 800ms, { "a", "b" }, "a " } },
@@ -60,13 +60,13 @@
     true,
     true,
     true },
-  { "wants one no longer",
+  { "unsubscribes from a group",
     { { 0ms, { "a", "b" }, "a b " }, { 400ms, { "b" }, "" } },
     410ms,
     true,
     false,
     true },
-  { "asks no more", { { 0ms, { "a" }, "a " } }, 2001ms, false, false, false },
+  { "stops polling", { { 0ms, { "a" }, "a " } }, 2001ms, false, false, false },
 };
 
 } // namespace
--- a/test/currantshed/node/token_desk.cpp
+++ b/test/currantshed/node/token_desk.cpp
@@ -24,8 +24,9 @@
 
 const std::size_t kBakers = customer::PartOf("baker");
 
-/// The own collectors are "own-1" and "own-2" in the order in which they are
-/// asked for the baker's tokens, which their names don't tell.
+/// Maps the roles "own-1" and "own-2" to the names of the coordinators in the
+/// order in which they are asked for the baker's tokens. The order depends on
+/// hashes of the names.
 std::string
 Named(const std::string& aRole)
 {
@@ -34,7 +35,7 @@
   return aRole == "own-1" ? first : aRole == "own-2" ? second : aRole;
 }
 
-/// One collector's answer; none where it is silent.
+/// The response of one coordinator, or none.
 struct reply
 {
   const char* vm;
@@ -54,14 +55,19 @@
 };
 
 const desk_row kRows[] = {
-  { "the own collector has some", 1, { { "own-1", false, 1 } }, 1, 0, 0ms },
-  { "another failure domain helps out",
+  { "the coordinator of the own failure domain has tokens",
+    1,
+    { { "own-1", false, 1 } },
+    1,
+    0,
+    0ms },
+  { "the rest comes from another failure domain",
     3,
     { { "own-1", false, 1, 300ms }, { "far-1", false, 2 } },
     3,
     0,
     0ms },
-  { "all asked are short: the soonest counts",
+  { "no coordinator has enough: the earliest retry time counts",
     1,
     { { "own-1", false, 0, 300ms },
       { "far-1", false, 0, 200ms },
@@ -69,13 +75,13 @@
     0,
     1,
     200ms },
-  { "a silent one is passed over",
+  { "an unresponsive coordinator is skipped",
     1,
     { { "own-1", true }, { "own-2", false, 1 } },
     1,
     0,
     0ms },
-  { "nobody says anything",
+  { "no coordinator responds",
     1,
     { { "own-1", true }, { "own-2", true }, { "far-1", true } },
     0,
@@ -130,7 +136,7 @@
   LONGS_EQUAL(1, desk.TakeOutcomes().size());
 }
 
-// One that answers late has counted the tokens as given.
+// The coordinator has deducted the tokens before its late response.
 TEST(token_desk, A_late_answer_counts_for_a_moment)
 {
   for (const bool isLost : { false, true }) {
@@ -162,7 +168,8 @@
   STRCMP_EQUAL("", desk.Current(kBakers, kStart).c_str());
 }
 
-// Each VM finds the same collector for a part, and the parts spread.
+// Every VM must find the same coordinator for a partition, and all coordinators
+// must get partitions.
 TEST(token_desk, Parts_are_spread_over_the_collectors)
 {
   node::token_desk one;
@@ -176,14 +183,15 @@
     STRCMP_EQUAL("near", other.Current(part, kStart).c_str());
   }
   LONGS_EQUAL(3, parts.size());
-  // Who has none at home asks the one that collects there.
+  // A VM without coordinators in its own failure domain asks the one that
+  // coordinates the partition elsewhere.
   other.Want("baker", 1, kStart);
   other.Answered(other.TakeAsks().front().number, 0, 100ms, kStart);
   STRCMP_EQUAL(one.Current(kBakers, kStart).c_str(),
                other.TakeAsks().front().vm.c_str());
 }
 
-// A VM that has just started knows nobody yet: its operations wait.
+// A VM that has just started knows no coordinator yet: its operations wait.
 TEST(token_desk, Operations_wait_until_a_collector_is_known)
 {
   node::token_desk desk;
@@ -191,7 +199,7 @@
   desk.Want("smith", 1, kStart + 400ms);
   CHECK(desk.TakeAsks().empty());
   CHECK(desk.TakeOutcomes().empty());
-  // The first has been turned away by now.
+  // The first operation has timed out by now.
   desk.Tick(kStart + 500ms);
   desk.SetCollectors({ "own-1" }, {});
   const auto asks = desk.TakeAsks();
@@ -199,7 +207,8 @@
   STRCMP_EQUAL("smith", asks.front().customer.c_str());
 }
 
-// While a customer's tokens are used up everywhere nobody is asked again.
+// While the tokens of a customer are used up at all coordinators, none is asked
+// again.
 TEST(token_desk, A_customer_without_tokens_is_refused_at_once)
 {
   auto desk = Desk();
