--- a/bin/currantshed-node/main.cpp
+++ b/bin/currantshed-node/main.cpp
@@ -23,7 +23,7 @@
 
 /// Exit code if a listening address could not be opened.
 constexpr int kStartFailed = 1;
-/// Divisor of the time that a leaving server has: only the first part is used
+/// Divisor of the time that a draining server has: only the first part is used
 /// for new work. The rest is for its announcement to arrive, which takes up to
 /// three seconds if a connection to the store is silently broken, and for work
 /// in progress.
--- a/src/currantshed/node/check_schedule.cpp
+++ b/src/currantshed/node/check_schedule.cpp
@@ -8,8 +8,9 @@
 
 using std::chrono::milliseconds;
 
-// Age of a proof at which the first VM requests the next one. If the store
-// becomes unavailable, requests with keys are served for the rest of the bound.
+// Age of a verification at which the first VM requests the next one. If the
+// store becomes unavailable, requests with keys are served for the rest of the
+// bound.
 constexpr milliseconds kAskAfter{ 600 };
 // How much longer each following VM waits: the usual time of a store call and
 // of the message that disseminates the result, plus a margin.
--- a/src/currantshed/node/check_schedule.hpp
+++ b/src/currantshed/node/check_schedule.hpp
@@ -8,18 +8,18 @@
 
 namespace currantshed::node {
 
-/// Schedules this VM's requests to the store for proof that its configuration
+/// Schedules this VM's requests to the store that verify that its configuration
 /// is still the newest. The VMs are ranked: the first one asks often enough for
 /// all and sends the result to the others. A VM of a later rank asks only if no
-/// proof has arrived for longer, since the VMs before it have failed or are cut
-/// off. Does not read the clock.
+/// verification has arrived for longer, since the VMs before it have failed or
+/// are cut off. Does not read the clock.
 class check_schedule
 {
 public:
   /// Sets the VM's rank; rank zero asks first.
   void SetPlace(std::size_t aPlace) noexcept { mPlace = aPlace; }
 
-  /// Returns when to ask next, given the time of the latest proof.
+  /// Returns when to ask next, given the time of the latest verification.
   [[nodiscard]] clock::time_point Due(
     clock::time_point aProvedAt) const noexcept;
 
--- a/src/currantshed/node/collectors.hpp
+++ b/src/currantshed/node/collectors.hpp
@@ -9,7 +9,7 @@
 namespace currantshed::node {
 
 /// Selects the VMs of a failure domain that coordinate the tokens of customers'
-/// quotas for the other VMs there: strong VMs if there are any, and few,
+/// quotas for the other VMs there: high-capacity VMs if there are any, and few,
 /// because each of the other VMs keeps a connection to each coordinator. The
 /// result is the same on all VMs that have the same list.
 [[nodiscard]] std::vector<std::string>
--- a/src/currantshed/node/control.cpp
+++ b/src/currantshed/node/control.cpp
@@ -16,16 +16,15 @@
 
 using std::chrono::milliseconds;
 
-// Interval between two reachability reports of a VM, per VM that sends reports,
-// and its bounds: a VM that monitors a group needs some recent reports, not
-// many.
+// Interval between two reach updates of a VM, per VM that sends them, and its
+// bounds: a VM that monitors a group needs some recent updates, not many.
 constexpr milliseconds kReachByVm{ 25 };
 constexpr milliseconds kShortestReach{ 250 };
 constexpr milliseconds kLongestReach{ 2000 };
 // The same for a VM that the store no longer lists: a new lock holder learns of
-// it only by its reports, and until then that VM has no proofs but its own. It
-// reports to a few other VMs at a time, which limits the number of its
-// connections.
+// it only by its reach updates, and until then that VM has no confirmations but
+// its own. It sends them to a few other VMs at a time, which limits the number
+// of its connections.
 constexpr milliseconds kOffListReach{ 1000 };
 // After this time a VM takes callers even if a group has no primary.
 constexpr milliseconds kReadyWithoutProof{ 1500 };
@@ -43,9 +42,9 @@
 // How long the first reading of the other keys waits for that of the cluster
 // state, which tells which VMs can provide those keys.
 constexpr milliseconds kOwnKeysFirst{ 500 };
-// Duration of a VM's lease and the interval between renewals. VMs that hold a
-// failover lock or feed others use a short lease. All others use the long one,
-// which halves the cost of their renewals.
+// Duration of a VM's lease and the interval between renewals. Lock holders and
+// forwarders use a short lease. All others use the long one, which halves the
+// cost of their renewals.
 constexpr milliseconds kShortLease{ 2000 };
 constexpr milliseconds kShortRenewal{ 650 };
 constexpr milliseconds kLongLease{ 4000 };
--- a/src/currantshed/node/control.hpp
+++ b/src/currantshed/node/control.hpp
@@ -102,22 +102,22 @@
     }
 
     lead::group_lead lead;
-    /// This VM's rank, from 0 to below 1, among those that ask for proofs of a
-    /// group that no VM monitors.
+    /// This VM's rank, from 0 to below 1, among those that ask for
+    /// confirmations of a group that no VM monitors.
     double place = 0;
     bool isClaiming = false;
     clock::time_point claimFrom{};
-    /// This VM has obtained a proof itself and sends it to others, although it
-    /// does not monitor the group.
+    /// This VM has obtained a confirmation itself and sends it to others,
+    /// although it does not monitor the group.
     bool passesOn = false;
-    /// The next announcement must go to all subscribers, because the primary
+    /// The next watch update must go to all subscribers, because the primary
     /// has changed or a term was revoked.
     bool isForAll = false;
     /// When this VM, which monitors the group, last asked other VMs whether
     /// they reach the primary.
     clock::time_point doubtedAt{};
-    /// Until when the VM that monitors the group wants reachability reports,
-    /// and the most recent report of this VM's subscribers.
+    /// Until when the VM that monitors the group wants reach updates, and the
+    /// most recent reach update of this VM's subscribers.
     clock::time_point reachWantedUntil{};
     relayed_reach freshest;
     position::term_id toldTerm = 0;
@@ -338,17 +338,19 @@
   own_keys mOwnKeys;
   // Counts round-robin selections.
   std::size_t mTurn;
-  // The VMs that feed this one; empty if this VM follows the store itself.
+  // The forwarders that this VM polls; empty if this VM follows the store
+  // itself.
   std::vector<std::string> mFeeders;
-  // The feeders of this VM's failure domain, possibly including itself; the
-  // failure domains that have feeders; and the feeders of all failure domains.
+  // The forwarders of this VM's failure domain, possibly including itself; the
+  // failure domains that have forwarders; and the forwarders of all failure
+  // domains.
   std::vector<std::string> mOwnFeeders;
   absl::flat_hash_set<std::string> mFedDomains;
   absl::flat_hash_set<std::string> mFeedersOfAll;
   relay_box mRelays;
-  // Groups that this VM monitors and has a newer announcement for.
+  // Groups that this VM monitors and has a newer watch update for.
   relay_box mWatches;
-  // When a feeder last relayed announcements to this VM.
+  // When a forwarder last forwarded watch updates to this VM.
   clock::time_point mRelayedAt{};
   question_pace mPace;
   clock::time_point mNextPoll{};
@@ -374,7 +376,7 @@
   std::vector<std::string> mCheckers;
   bool mWasFresh = false;
   // The customers in force; the tokens that this VM coordinates; its own share
-  // of the rates, by part; and the client that requests tokens.
+  // of the rates, by partition; and the client that requests tokens.
   std::shared_ptr<const customer::directory> mCustomers;
   customer::token_bank mBank;
   std::array<customer::time_share, customer::kParts> mShares;
--- a/src/currantshed/node/control_feed.cpp
+++ b/src/currantshed/node/control_feed.cpp
@@ -1,5 +1,5 @@
 // Dissemination of the store's changes: a few VMs in each failure domain, the
-// feeders, follow the store. The others poll the feeders for changes.
+// forwarders, follow the store. The others poll the forwarders for changes.
 #include "currantshed/node/control.hpp"
 
 #include <algorithm>
@@ -19,9 +19,9 @@
 
 using std::chrono::milliseconds;
 
-// Interval between two polls of a VM, which alternates between its feeders.
+// Interval between two polls of a VM, which alternates between its forwarders.
 constexpr milliseconds kPollInterval{ 400 };
-// How long a VM that has found feeders waits for their first answer.
+// How long a VM that has found forwarders waits for their first answer.
 constexpr milliseconds kFirstAnswer{ 600 };
 
 store::key_change
@@ -62,9 +62,9 @@
 
 } // namespace
 
-// A VM that starts looks for feeders first, because most others may not be
+// A VM that starts looks for forwarders first, because most others may not be
 // listed yet. It does not wait if the failure domain is known to have few VMs
-// or if this VM is a feeder.
+// or if this VM is a forwarder.
 void
 control::EndFeederSearch(bool aIsFeeder, clock::time_point aNow)
 {
@@ -81,7 +81,8 @@
   }
 }
 
-// Updates which VMs feed this one; none do while it is a feeder itself.
+// Updates which VMs forward changes to this one; none do while it is a
+// forwarder itself.
 void
 control::NoteFeeders(clock::time_point aNow)
 {
@@ -118,7 +119,7 @@
   }
 }
 
-// Polls the next feeder, and other VMs if the feeders cannot help.
+// Polls the next forwarder, and other VMs if the forwarders cannot help.
 void
 control::Poll(clock::time_point aNow)
 {
@@ -130,7 +131,7 @@
     AskUse(aNow);
     SendWanted(mFeeders[++mTurn % mFeeders.size()], aNow);
   }
-  // The feeders are cut off from the store as well, but others may not be.
+  // The forwarders are cut off from the store as well, but others may not be.
   const bool areCutOff =
     mRegistration.IsFailing() && aNow >= mOwnView.FedUntil();
   if (areCutOff || LacksProof(aNow)) {
@@ -155,8 +156,8 @@
   });
 }
 
-// Callers need a proof. A VM without announcements for the group, because the
-// group was not in use, requests them from a feeder.
+// Callers need a confirmation. A VM without watch updates for the group,
+// because the group was not in use, requests them from a forwarder.
 void
 control::Wanted(const std::string& aService, clock::time_point aNow)
 {
@@ -294,7 +295,7 @@
   mNews.Send(aVm, std::move(told), aNow);
 }
 
-// Polls a feeder at once when it has seen newer changes.
+// Polls a forwarder at once when it has seen newer changes.
 void
 control::HeardChanges(const news::News& aNews, clock::time_point aNow)
 {
@@ -309,7 +310,7 @@
   }
 }
 
-// Whether the VM feeds this one.
+// Whether the VM forwards changes to this one.
 bool
 control::IsFeeder(const std::string& aVm) const
 {
--- a/src/currantshed/node/control_fleet.cpp
+++ b/src/currantshed/node/control_fleet.cpp
@@ -184,8 +184,8 @@
   }
 }
 
-// Sets this VM's rank among the VMs that ask for proofs of a group that no VM
-// monitors.
+// Sets this VM's rank among the VMs that ask for confirmations of a group that
+// no VM monitors.
 void
 control::SetPlaces(clock::time_point aNow)
 {
--- a/src/currantshed/node/control_freshness.cpp
+++ b/src/currantshed/node/control_freshness.cpp
@@ -15,7 +15,7 @@
 
 using std::chrono::milliseconds;
 
-// A VM whose last proof of freshness is older than this asks other VMs for one,
+// A VM whose last verification is older than this asks other VMs for one,
 // whether or not the store answers.
 constexpr milliseconds kAskOthers{ 2000 };
 // Interval between attempts to end the sessions of a VM that is cut off.
@@ -23,8 +23,8 @@
 
 } // namespace
 
-// Ranks the VMs for freshness checks: feeders come first, ordered by name. All
-// others have late turns and rarely make a check.
+// Ranks the VMs for freshness checks: forwarders come first, ordered by name.
+// All others have late turns and rarely make a check.
 void
 control::SetCheckPlace()
 {
@@ -41,7 +41,7 @@
   mCheckers = std::move(order);
 }
 
-// A proof of freshness applies only once the configuration that it covers is in
+// A verification applies only once the configuration that it covers is in
 // force.
 void
 control::NoteProof(clock::time_point aNow)
@@ -75,7 +75,7 @@
                { "proof_age_ms", age } });
 }
 
-// Whether the configuration's freshness cannot be proved and no other VM that
+// Whether the configuration's freshness cannot be verified and no other VM that
 // might know it is reachable. Callers are then better served by other VMs.
 bool
 control::IsCutOff(clock::time_point aNow) const
@@ -112,7 +112,7 @@
   });
 }
 
-// Sends the proof to the other VMs that would make the check.
+// Sends the verification to the other VMs that would make the check.
 void
 control::SpreadProof(clock::time_point aNow)
 {
--- a/src/currantshed/node/control_lead.cpp
+++ b/src/currantshed/node/control_lead.cpp
@@ -125,7 +125,7 @@
 }
 
 // The write is conditional on the record that was read, so that its success
-// also proves that the lock is still held.
+// also shows that the lock is still held.
 void
 control::RecordReplaced(const std::string& aService,
                         const upstream::server_id& aServer,
@@ -244,7 +244,8 @@
   }
 }
 
-// A VM that changes a primary must know all VMs that may rely on proofs of it.
+// A VM that changes a primary must know all VMs that may use confirmations of
+// it.
 void
 control::Do(const std::string& aService, const lead::list_vms& /*aAction*/)
 {
@@ -411,7 +412,7 @@
   const bool isNext = !isOwn && mayCall && mDuties.IsNext(aService);
   const bool isPast = isOwn && !IsOfEra(*duty, mOwnView.Seen().era);
   // While the store is unavailable, the last lock holder goes on obtaining
-  // proofs for the others, who would otherwise all query the servers
+  // confirmations for the others, who would otherwise all query the servers
   // themselves.
   const bool isLast = isOwn && !holds && !mIsLeaving;
   aGroup.lead.SetStandsIn(isNext || isLast);
--- a/src/currantshed/node/control_news.cpp
+++ b/src/currantshed/node/control_news.cpp
@@ -17,27 +17,29 @@
 
 // Number of VMs selected when any will do.
 constexpr std::size_t kFewVms = 6;
-// Maximum age at which a primary counts as heard in a report: the 600 ms for
-// which it counts as reachable, plus the time that two VMs take to relay the
-// report.
+// Maximum age at which a primary counts as heard in a reach update: the 600 ms
+// for which it counts as reachable, plus the time that two VMs take to forward
+// the update.
 constexpr std::chrono::milliseconds kToldReach{ 1000 };
-// Minimum pause between two announcements of this VM. A proof is requested
-// every 350 ms and is valid for one second, and feeders add a pause of their
-// own.
+// Minimum pause between two watch updates of this VM. A confirmation is
+// requested every 350 ms and is valid for one second, and forwarders add a
+// pause of their own.
 constexpr std::chrono::milliseconds kWatchPause{ 50 };
-// Maximum number of VMs that get a proof which this VM has obtained itself.
+// Maximum number of VMs that get a confirmation which this VM has obtained
+// itself.
 constexpr std::size_t kMostPassedOn = 24;
-// Maximum number of relayed proofs sent at once to a VM that has just started,
-// about 100 bytes each. It requests the others when its callers need them.
+// Maximum number of forwarded confirmations sent at once to a VM that has just
+// started, about 100 bytes each. It requests the others when its callers need
+// them.
 constexpr std::size_t kMostRelayedProofs = 128;
-// Number of lock holders that are sent a report at a time although this VM uses
-// none of their groups.
+// Number of lock holders that are sent a reach update at a time although this
+// VM uses none of their groups.
 constexpr std::size_t kFewHolders = 16;
 
 } // namespace
 
-// Sends the announcements of a VM that monitors groups to all others, by way of
-// the feeders. Announcements are batched.
+// Sends the watch updates of a VM that monitors groups to all others, by way of
+// the forwarders. Watch updates are batched.
 void
 control::SendWatch(clock::time_point aNow)
 {
@@ -57,9 +59,10 @@
   }
 }
 
-// Sends proofs that this VM has obtained because none were announced to VMs
-// from which it heard recently. The list may be outdated, and a new connection
-// costs a VM that has just started more than a query of its own.
+// Sends confirmations that this VM has obtained itself, because no VM had
+// announced any, to the VMs from which it heard recently. The list may be
+// outdated, and a new connection costs a VM that has just started more than a
+// query of its own.
 void
 control::PassOn(const std::vector<std::string>& aTouched,
                 clock::time_point aNow)
@@ -81,9 +84,9 @@
   }
 }
 
-// Sends the announcements of groups that this VM monitors, and the valid proofs
-// that it knows of groups that no VM monitors. Subscribers also get relayed
-// proofs of other groups.
+// Sends the watch updates of groups that this VM monitors, and the valid
+// confirmations that it knows of groups that no VM monitors. Subscribers also
+// get forwarded confirmations of other groups.
 void
 control::AnswerTo(const std::string& aVm, clock::time_point aNow)
 {
@@ -104,8 +107,8 @@
   mNews.Send(aVm, std::move(told), aNow);
 }
 
-// Sends reports on the primaries that the traffic thread hears to the VMs that
-// monitor them.
+// Sends reach updates on the primaries that the traffic thread hears to the VMs
+// that monitor them.
 void
 control::SendReach(clock::time_point aNow)
 {
@@ -132,9 +135,9 @@
   }
 }
 
-// The groups that this VM may have a report on: those whose primary it hears,
-// and those with a scheduled action, because this VM queries or monitors them
-// or was asked to acknowledge a revocation.
+// The groups that this VM may have a reach update on: those whose primary it
+// hears, and those with a scheduled action, because this VM queries or monitors
+// them or was asked to acknowledge a revocation.
 std::vector<std::string>
 control::ToldGroups() const
 {
@@ -173,8 +176,8 @@
     const auto heard = mHeard.find(service);
     const auto reach = one->lead.Reach(
       heard == mHeard.end() ? std::nullopt : std::optional(heard->second));
-    // The report of a primary that was not heard recently is of no use, unless
-    // it acknowledges a revocation.
+    // A reach update on a primary that was not heard recently is of no use,
+    // unless it acknowledges a revocation.
     if (reach.obeyedTerm != 0 || aNow - reach.heardAt < kToldReach) {
       Fill(*told.add_reaches(), service, reach);
     }
--- a/src/currantshed/node/control_parts.cpp
+++ b/src/currantshed/node/control_parts.cpp
@@ -129,7 +129,7 @@
 }
 
 // A VM that starts learns from the cluster state which VMs exist, and gets the
-// other keys from the feeders, if there are any.
+// other keys from the forwarders, if there are any.
 void
 control::HoldFirstReadings(bool aHasFeeders, clock::time_point aNow)
 {
--- a/src/currantshed/node/control_quota.cpp
+++ b/src/currantshed/node/control_quota.cpp
@@ -88,7 +88,7 @@
          (mIsSettled || !mOwnKeys.fleet.empty());
 }
 
-// Adds this VM's shares of the parts that the other VM coordinates to a
+// Adds this VM's shares of the partitions that the other VM coordinates to a
 // message.
 void
 control::FillShares(const std::string& aVm,
@@ -116,7 +116,7 @@
 }
 
 // Transfers this VM's shares that no other message has carried, to itself for
-// the parts that it coordinates.
+// the partitions that it coordinates.
 void
 control::KeepQuotas(clock::time_point aNow)
 {
--- a/src/currantshed/node/control_relay.cpp
+++ b/src/currantshed/node/control_relay.cpp
@@ -1,7 +1,7 @@
-// Dissemination of announcements and reports by way of the feeders. A VM
-// reports to its feeders, and a VM that monitors a group sends announcements to
-// the feeders of each failure domain, so that the number of connections of
-// neither grows with the number of VMs.
+// Dissemination of watch updates and reach updates by way of the forwarders. A
+// VM sends reach updates to its forwarders, and a VM that monitors a group
+// sends watch updates to the forwarders of each failure domain, so that the
+// number of connections of neither grows with the number of VMs.
 #include "currantshed/node/control.hpp"
 
 #include <algorithm>
@@ -20,15 +20,15 @@
 
 using std::chrono::milliseconds;
 
-// Minimum pauses between two relayed batches of the first and of the other
-// feeders. A proof is requested every 350 ms and is valid for one second, and a
-// VM queries a server itself when less than 350 ms are left: a proof delayed by
-// the pause still arrives in time. The second feeder is a standby for the first
-// and relays half as often.
+// Minimum pauses between two forwarded batches of the first and of the other
+// forwarders. A confirmation is requested every 350 ms and is valid for one
+// second, and a VM queries a server itself when less than 350 ms are left: a
+// confirmation delayed by the pause still arrives in time. The second forwarder
+// is a standby for the first and forwards half as often.
 constexpr milliseconds kFirstPause{ 150 };
 constexpr milliseconds kSecondPause{ 300 };
-// A VM whose feeders have relayed nothing for this long sends its reports
-// directly to the VMs that monitor groups, which answer it.
+// A VM whose forwarders have forwarded nothing for this long sends its reach
+// updates directly to the VMs that monitor groups, which answer it.
 constexpr milliseconds kRelayLife{ 1200 };
 // Maximum number of groups for which one message contains all recent positions,
 // 600 bytes each: the message must stay far below the receiver's limit of 256
@@ -36,7 +36,7 @@
 // position is sent.
 constexpr std::size_t kMostLongWords = 32;
 // Minimum pause between two queries about a primary that does not answer, and
-// how long VMs go on sending reports after a query.
+// how long VMs go on sending reach updates after a query.
 constexpr milliseconds kDoubtPause{ 500 };
 constexpr milliseconds kReachWanted{ 1200 };
 
@@ -50,9 +50,9 @@
 
 } // namespace
 
-// The VMs that announcements are sent to: the feeders of each failure domain,
-// all VMs of failure domains without feeders, and the VMs that report directly
-// because no feeder relays for them.
+// The VMs that watch updates are sent to: the forwarders of each failure
+// domain, all VMs of failure domains without forwarders, and the VMs that send
+// reach updates directly because they have no active forwarder.
 std::vector<std::string>
 control::Audience(clock::time_point aNow) const
 {
@@ -70,16 +70,17 @@
   return audience;
 }
 
-// Whether the VM reports directly to this one although it is not a subscriber
-// of it. Messages without a report on a group that this VM monitors do not
-// count: in a large fleet a lock holder gets messages from most VMs.
+// Whether the VM sends reach updates directly to this one although it is not a
+// subscriber of it. Messages without a reach update on a group that this VM
+// monitors do not count: in a large fleet a lock holder gets messages from most
+// VMs.
 bool
 control::IsAsking(const std::string& aVm, clock::time_point aNow) const
 {
   return mKnownVms.IsAsking(aVm, aNow) && !mSubscribers.Contains(aVm);
 }
 
-// Updates which VMs feed which failure domain.
+// Updates the forwarders of each failure domain.
 void
 control::NoteDomains()
 {
@@ -108,8 +109,8 @@
   }
 }
 
-// Whether this VM's feeders relay announcements to it, and so relay its reports
-// as well.
+// Whether this VM's forwarders forward watch updates to it, and so forward its
+// reach updates as well.
 bool
 control::IsRelayed(clock::time_point aNow) const
 {
@@ -117,13 +118,13 @@
          !IsOffTheList(aNow);
 }
 
-// The VMs that get this VM's reports. After this VM has dropped off the store's
-// list, new lock holders may not know of it, nor it of them, so it also reports
-// to other VMs, a few at a time. Reporting to all at once would open a
-// connection to each: a third of 295 VMs cut off from the store opened about
-// 30,000 connections. Holders whose groups this VM does not use remember it for
-// a while after it has dropped off the list, and need no report until that time
-// is nearly over.
+// The VMs that get this VM's reach updates. After this VM has dropped off the
+// store's list, new lock holders may not know of it, nor it of them, so it also
+// sends them to other VMs, a few at a time. Sending them to all at once would
+// open a connection to each: a third of 295 VMs cut off from the store opened
+// about 30,000 connections. Holders whose groups this VM does not use remember
+// it for a while after it has dropped off the list, and need no reach update
+// until that time is nearly over.
 std::vector<std::string>
 control::ReachAudience(clock::time_point aNow)
 {
@@ -163,7 +164,7 @@
   return { holder };
 }
 
-// The announcement of a group for this VM's subscribers.
+// The watch update of a group for this VM's subscribers.
 lead::lead_news
 control::WordOn(const group& aGroup)
 {
@@ -171,7 +172,7 @@
   return lead.Speaks() ? lead.Watch() : lead.Relayed();
 }
 
-// Sends the recent announcements of groups that are new in a VM's subscription,
+// Sends the recent watch updates of groups that are new in a VM's subscription,
 // with the oldest position first.
 void
 control::SendRecent(const std::string& aVm,
@@ -201,8 +202,8 @@
   }
 }
 
-// Relays announcements to this VM's subscribers, to each for the groups that it
-// uses. Changes of the primary and revoked terms are sent to all.
+// Forwards watch updates to this VM's subscribers, to each for the groups that
+// it uses. Changes of the primary and revoked terms are sent to all.
 void
 control::PassWords(clock::time_point aNow)
 {
@@ -244,8 +245,8 @@
   }
 }
 
-// Processes the report of another VM if this VM monitors the group, or else
-// queues it to be relayed.
+// Processes the reach update of another VM if this VM monitors the group, or
+// else queues it to be forwarded.
 void
 control::TakeReach(const std::string& aFrom,
                    const std::string& aService,
@@ -264,10 +265,10 @@
   }
 }
 
-// Queries the feeders for other VMs' reports on a primary that this VM monitors
-// and that does not answer it. Reports are sent only on query, because
-// otherwise they would cost the feeders a message per group every quarter of a
-// second.
+// Queries the forwarders for other VMs' reach updates on a primary that this VM
+// monitors and that does not answer it. They are sent only on query, because
+// otherwise they would cost the forwarders a message per group every quarter of
+// a second.
 void
 control::SendDoubts(const std::vector<std::string>& aTouched,
                     clock::time_point aNow)
@@ -309,8 +310,8 @@
   }
 }
 
-// Relays reports to the VM that monitors the group if it has queried them.
-// Acknowledgements of revoked terms are always relayed.
+// Forwards reach updates to the VM that monitors the group if it has queried
+// them. Acknowledgements of revoked terms are always forwarded.
 void
 control::PassReaches(clock::time_point aNow)
 {
--- a/src/currantshed/node/control_servers.cpp
+++ b/src/currantshed/node/control_servers.cpp
@@ -80,7 +80,7 @@
 
 // Entries of unknown writers cannot be used. The server of an entry that was
 // valid before and cannot be parsed any longer counts as missing: its last
-// state holds for the grace period, so that a leaving server remains leaving.
+// state holds for the grace period, so that a draining server remains draining.
 // Only entries that have changed are parsed, because those of a thousand groups
 // arrive in many updates.
 std::vector<proxy::server>
@@ -151,8 +151,8 @@
 }
 
 // Logs once per change of a server's state, which shows when and how this VM
-// learned that a server leaves. New servers are not logged one by one: when all
-// start they are many, and only their number is logged.
+// learned that a server is draining. New servers are not logged one by one:
+// when all start they are many, and only their number is logged.
 void
 control::NoteServers(const std::vector<server_news>& aNews,
                      list_source aSource) const
--- a/src/currantshed/node/control_words.hpp
+++ b/src/currantshed/node/control_words.hpp
@@ -11,25 +11,25 @@
 
 namespace currantshed::node {
 
-/// Writes the announcement of a group into a message.
+/// Writes the watch update of a group into a message.
 void
 Fill(news::Watch& aOut,
      const std::string& aService,
      const lead::lead_news& aNews);
 
-/// Writes this VM's reachability report on a group's primary into a message.
+/// Writes this VM's reach update on a group's primary into a message.
 void
 Fill(news::Reach& aOut,
      const std::string& aService,
      const lead::reach_news& aNews);
 
-/// Reads an announcement; timestamps are converted to this VM's clock.
+/// Reads a watch update; timestamps are converted to this VM's clock.
 [[nodiscard]] lead::lead_news
 ReadWatch(const news::Watch& aWatch,
           const news::exchange::clock_reader& aClock);
 
-/// Reads a reachability report from a message that was sent at the given time
-/// of the sender's clock.
+/// Reads a reach update from a message that was sent at the given time of the
+/// sender's clock.
 [[nodiscard]] lead::reach_news
 ReadReach(const news::Reach& aReach,
           std::int64_t aSentAt,
--- a/src/currantshed/node/document_codec.hpp
+++ b/src/currantshed/node/document_codec.hpp
@@ -48,7 +48,7 @@
   kUnknown,
 };
 
-/// Proof of a VM's right to change the primary of a group.
+/// A VM's right to change the primary of a group.
 struct promotion_right
 {
   /// The VM that holds the failover lock.
--- a/src/currantshed/node/duty.cpp
+++ b/src/currantshed/node/duty.cpp
@@ -91,7 +91,7 @@
 }
 
 // Whether the holder is listed in the incarnation that acquired the lock and is
-// not shutting down.
+// not draining.
 bool
 IsHeld(const own_keys& aKeys, const duty_record& aDuty)
 {
--- a/src/currantshed/node/duty.hpp
+++ b/src/currantshed/node/duty.hpp
@@ -28,7 +28,7 @@
   std::uint64_t incarnation = 0;
   /// CPU time available to the VM, in thousandths of a core.
   unsigned processorShare = 0;
-  /// The VM is shutting down and takes no failover locks.
+  /// The VM is draining and takes no failover locks.
   bool leaving = false;
 
   [[nodiscard]] friend bool operator==(const vm_record&,
@@ -42,8 +42,8 @@
   std::uint64_t incarnation = 0;
   /// Fencing token: increases with each change of the holder.
   std::uint64_t epoch = 0;
-  /// The newest term that a holder has had replaced or is about to. Proofs of
-  /// it must be rejected.
+  /// The newest term that a holder has had replaced or is about to.
+  /// Confirmations of it must be rejected.
   position::term_id replacedTerm = 0;
 };
 
@@ -139,7 +139,7 @@
 AddRecorded(own_keys& aKeys, const std::vector<vm_record>& aVms);
 
 /// Whether the lock's holder is listed in the same incarnation and is not
-/// shutting down.
+/// draining.
 [[nodiscard]] bool
 HasHolder(const own_keys& aKeys, const std::string& aService);
 
--- a/src/currantshed/node/duty_board.hpp
+++ b/src/currantshed/node/duty_board.hpp
@@ -14,9 +14,9 @@
 namespace currantshed::node {
 
 /// The VMs that are eligible for failover locks: those that are listed, are not
-/// shutting down and work for others. Concentrating the locks of many groups on
-/// few VMs keeps announcements batched and connections to servers few, and lets
-/// all other VMs use leases that cost half as much to renew.
+/// draining and are delegates. Concentrating the locks of many groups on few
+/// VMs keeps watch updates batched and connections to servers few, and lets all
+/// other VMs use leases that cost half as much to renew.
 [[nodiscard]] absl::btree_set<std::string>
 Candidates(const own_keys& aKeys);
 
@@ -49,7 +49,7 @@
   /// Whether this VM is to acquire the group's lock, which no candidate holds.
   [[nodiscard]] bool IsNext(const std::string& aService) const;
 
-  /// Whether a candidate that is listed and not shutting down holds the lock.
+  /// Whether a candidate that is listed and not draining holds the lock.
   [[nodiscard]] bool IsHeld(const std::string& aService) const;
 
   /// The groups whose lock this VM holds according to the record, or is to
--- a/src/currantshed/node/feeders.cpp
+++ b/src/currantshed/node/feeders.cpp
@@ -11,13 +11,13 @@
 namespace {
 
 // Two, so that one remains if the other fails, hangs or loses its connection to
-// the store. If only one VM is strong there is only that feeder, because a weak
-// one cannot handle the announcements of each monitoring VM: with 140 groups
-// these are 290 messages per second, more than a VM with 0.12 of a core can
-// process without delaying its own callers. If the only feeder fails, VMs query
-// the store and the monitoring VMs directly.
+// the store. If only one VM has high capacity there is only that forwarder,
+// because a low-capacity one cannot handle the watch updates of each monitoring
+// VM: with 140 groups these are 290 messages per second, more than a VM with
+// 0.12 of a core can process without delaying its own callers. If the only
+// forwarder fails, VMs query the store and the monitoring VMs directly.
 constexpr unsigned kFeeders = 2;
-// Maximum time, in seconds, that one answer occupies the feeder's link: some
+// Maximum time, in seconds, that one answer occupies the forwarder's link: some
 // sixty VMs may poll at the same time, and callers use the same link.
 constexpr double kLinkPart = 0.01;
 constexpr double kBytesByMegabit = 1e6 / 8;
--- a/src/currantshed/node/internal/feed_times.hpp
+++ b/src/currantshed/node/internal/feed_times.hpp
@@ -12,7 +12,7 @@
 /// The number that stands for the configuration's prefix in messages.
 constexpr std::size_t kConfigurationNumber = 0;
 
-/// Time-outs for keys that come from feeders, derived from the time within
+/// Time-outs for keys that come from forwarders, derived from the time within
 /// which a configuration must be in force.
 class feed_times
 {
@@ -22,9 +22,9 @@
   {
   }
 
-  /// How long after its start a VM looks for feeders before it follows the
+  /// How long after its start a VM looks for forwarders before it follows the
   /// store itself. The time for the cluster state, which tells which VMs are
-  /// feeders, is shorter.
+  /// forwarders, is shorter.
   [[nodiscard]] constexpr std::chrono::milliseconds Search() const noexcept
   {
     return mBound * 5 / 6;
@@ -34,10 +34,11 @@
     return mBound / 3;
   }
 
-  /// Returns until when keys count as current that were received from a feeder
-  /// at aNow and are known to have matched the store at aCurrentAt. A feeder
-  /// that answers but is behind has a slow connection to the store. If all VMs
-  /// that it feeds turned to the store instead, the store would remain slow.
+  /// Returns until when keys count as current that were received from a
+  /// forwarder at aNow and are known to have matched the store at aCurrentAt. A
+  /// forwarder that answers but is behind has a slow connection to the store.
+  /// If all its subscribers turned to the store instead, the store would remain
+  /// slow.
   [[nodiscard]] constexpr clock::time_point FedUntil(
     bool aIsConfiguration,
     clock::time_point aCurrentAt,
@@ -52,7 +53,7 @@
 
 private:
   // How long keys count as current after they are known to have matched the
-  // store, whether or not a feeder answers. Shorter for the configuration,
+  // store, whether or not a forwarder answers. Shorter for the configuration,
   // which must be in force in time wherever the VM itself reaches the store.
   static constexpr std::chrono::milliseconds kConfigurationLife{ 1800 };
   static constexpr std::chrono::milliseconds kOtherLife{ 2500 };
--- a/src/currantshed/node/known_vms.cpp
+++ b/src/currantshed/node/known_vms.cpp
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-// How long a VM that is not listed gets announcements after its last message. A
+// How long a VM that is not listed gets watch updates after its last message. A
 // VM sends a message at least every two seconds, and every second while it is
 // not listed; this time allows for a lost message.
 constexpr milliseconds kSpeaking{ 4500 };
--- a/src/currantshed/node/known_vms.hpp
+++ b/src/currantshed/node/known_vms.hpp
@@ -17,13 +17,13 @@
 
 /// The other VMs, according to the store's list and to the messages that they
 /// send. A VM that is cut off from the store loses its registration but goes on
-/// serving callers: it still gets announcements and must still acknowledge
+/// serving callers: it still gets watch updates and must still acknowledge
 /// revoked terms. Does not read the clock.
 class known_vms
 {
 public:
-  /// How long a VM that was listed or heard may still rely on a proof, whatever
-  /// the store says of it: its key may have been removed unnoticed.
+  /// How long a VM that was listed or heard may still use a confirmation,
+  /// whatever the store says of it: its key may have been removed unnoticed.
   static constexpr std::chrono::milliseconds kMemory{ 15000 };
 
   explicit known_vms(std::string aSelf);
@@ -37,8 +37,8 @@
   /// Records a message of the VM, listed or not.
   void Heard(const std::string& aVm, clock::time_point aNow);
 
-  /// Records a report that the VM has sent directly to this one, for which it
-  /// expects announcements.
+  /// Records a reach update that the VM has sent directly to this one, for
+  /// which it expects watch updates.
   void Asked(const std::string& aVm, clock::time_point aNow);
 
   /// The VMs that can be sent to: those that are listed, and those that were
@@ -60,12 +60,12 @@
   [[nodiscard]] bool IsSpeaking(const std::string& aVm,
                                 clock::time_point aNow) const;
 
-  /// Whether the VM has recently sent a report directly to this one, for which
-  /// it expects announcements.
+  /// Whether the VM has recently sent a reach update directly to this one, for
+  /// which it expects watch updates.
   [[nodiscard]] bool IsAsking(const std::string& aVm,
                               clock::time_point aNow) const;
 
-  /// The VMs that may rely on a proof of a primary: all that are listed, or
+  /// The VMs that may use a confirmation of a primary: all that are listed, or
   /// were listed or heard within the retention time.
   [[nodiscard]] std::vector<std::string> MayRest(clock::time_point aNow) const;
 
--- a/src/currantshed/node/metrics.cpp
+++ b/src/currantshed/node/metrics.cpp
@@ -51,7 +51,7 @@
                         "Number of calls of the store, by result"))
   , mServers(Counter(*mRegistry,
                      "currantshed_node_servers_total",
-                     "Number of connections to servers established and lost"))
+                     "Number of times a server was reached or lost"))
   , mStandings(
       Counter(*mRegistry,
               "currantshed_node_server_standings_total",
--- a/src/currantshed/node/relay_box.cpp
+++ b/src/currantshed/node/relay_box.cpp
@@ -9,8 +9,8 @@
 
 using std::chrono::milliseconds;
 
-// How long reports of several VMs are batched: less than half of the 600 ms for
-// which a primary counts as reachable after it was heard.
+// How long reach updates of several VMs are batched: less than half of the 600
+// ms for which a primary counts as reachable after it was heard.
 constexpr milliseconds kReachPause{ 250 };
 // The same for acknowledgements, which a change of the primary waits for.
 constexpr milliseconds kObeyedPause{ 15 };
@@ -30,7 +30,7 @@
                    clock::time_point aNow)
 {
   mWords.insert(aService);
-  // Announcements that are not urgent wait for the pause that is passed to
+  // Watch updates that are not urgent wait for the pause that is passed to
   // TakeGroups.
   mWordsAt = std::min(mWordsAt, aIsUrgent ? clock::time_point{} : aNow);
 }
--- a/src/currantshed/node/relay_box.hpp
+++ b/src/currantshed/node/relay_box.hpp
@@ -14,7 +14,7 @@
 
 namespace currantshed::node {
 
-/// Another VM's reachability report on a group's primary.
+/// Another VM's reach update on a group's primary.
 struct relayed_reach
 {
   std::string service;
@@ -22,31 +22,31 @@
   lead::reach_news news;
 };
 
-/// Batches what a feeder relays between the VMs that monitor groups and the
-/// other VMs of its failure domain: one message about several groups costs a VM
-/// much less than one message per group. Does not read the clock and does no
-/// I/O.
+/// Batches the updates that a forwarder passes between the VMs that monitor
+/// groups and the other VMs of its failure domain: one message about several
+/// groups costs a VM much less than one message per group. Does not read the
+/// clock and does no I/O.
 class relay_box
 {
 public:
-  /// Records that there is a newer announcement for the group. One that a
+  /// Records that there is a newer watch update for the group. One that a
   /// change of the primary waits for is urgent.
   void HasWord(const std::string& aService,
                bool aIsUrgent,
                clock::time_point aNow);
 
-  /// Returns the groups whose announcements are due, or none before that time.
+  /// Returns the groups whose watch updates are due, or none before that time.
   /// aPause is the minimum time between two batches.
   [[nodiscard]] std::vector<std::string> TakeWords(
     std::chrono::milliseconds aPause,
     clock::time_point aNow);
 
-  /// Adds the report of another VM. The VM that monitors a group needs only the
-  /// most recent report of reachability, but every acknowledgement of a revoked
-  /// term.
+  /// Adds the reach update of another VM. The VM that monitors a group needs
+  /// only the most recent state of reachability, but every acknowledgement of a
+  /// revoked term.
   void Heard(relayed_reach aReach, clock::time_point aNow);
 
-  /// Returns the reports that are due, or none before that time.
+  /// Returns the reach updates that are due, or none before that time.
   [[nodiscard]] std::vector<relayed_reach> TakeReaches(clock::time_point aNow);
 
   [[nodiscard]] clock::time_point NextTick() const noexcept;
@@ -55,7 +55,7 @@
   absl::btree_set<std::string> mWords;
   clock::time_point mWordsAt = clock::time_point::max();
   clock::time_point mLastWords{};
-  /// The most recent report, by group.
+  /// The most recent reach update, by group.
   absl::btree_map<std::string, relayed_reach> mFreshest;
   /// Acknowledgements, by group and VM.
   absl::btree_map<std::pair<std::string, std::string>, relayed_reach> mObeyed;
--- a/src/currantshed/node/server_list.cpp
+++ b/src/currantshed/node/server_list.cpp
@@ -15,7 +15,7 @@
 // servers come back within two seconds after an outage of the store.
 constexpr milliseconds kMissingGrace{ 3000 };
 
-// Longer than any server takes to leave.
+// Longer than any server takes to drain.
 constexpr std::chrono::hours kLongAgo{ 1 };
 
 server_standing
@@ -79,9 +79,9 @@
   aListed.draining = aListed.draining || (livesOn && before->draining);
 }
 
-// Sets the time since when the server may have been leaving. A VM that was
+// Sets the time since when the server may have been draining. A VM that was
 // disconnected from the store does not know when the server announced it, and
-// assumes that the server's time to leave is over.
+// assumes that the server's draining time is over.
 void
 server_list::NoteLeaving(proxy::server& aListed,
                          list_source aSource,
--- a/src/currantshed/node/server_list.hpp
+++ b/src/currantshed/node/server_list.hpp
@@ -17,9 +17,9 @@
 /// What this VM assumes about a server, based on the store's list.
 enum class server_standing
 {
-  /// Listed and not leaving.
+  /// Listed and not draining.
   kReady,
-  /// Listed, and has announced that it leaves.
+  /// Listed, and has announced that it is draining.
   kLeaving,
   /// No longer listed, but kept for a grace period: entries of running servers
   /// may expire while the store is unavailable, and are back soon after.
@@ -60,7 +60,7 @@
 
   /// To be called when the store was restored from an older snapshot, which may
   /// lack recent writes of servers. Until the servers have written again, those
-  /// that were leaving are assumed to be leaving still.
+  /// that were draining are assumed to be draining still.
   void StoreReturned(clock::time_point aNow) noexcept;
 
   /// Whether the grace period of a missing server, or of a restored store, has
--- a/src/currantshed/node/settings.hpp
+++ b/src/currantshed/node/settings.hpp
@@ -43,8 +43,8 @@
   std::size_t descriptors = 1024;
   /// Time from the signal to stop until the process is killed.
   std::chrono::milliseconds stopTime{ 6000 };
-  /// How long a server may still get work after it has announced that it
-  /// leaves.
+  /// How long a server may still get work after it has announced that it is
+  /// draining.
   std::chrono::milliseconds leavingTime{ 7000 };
   /// Time within which an acknowledged configuration must be in force.
   std::chrono::milliseconds configurationBound{ 3000 };
--- a/src/currantshed/node/subscribers.cpp
+++ b/src/currantshed/node/subscribers.cpp
@@ -10,11 +10,11 @@
 using std::chrono::milliseconds;
 
 // How long a VM stays subscribed after a poll. A VM polls every 400 ms,
-// alternating between two feeders.
+// alternating between two forwarders.
 constexpr milliseconds kSubscriberLife{ 2000 };
 // How long a group counts as used after its last request. A VM with nine
 // requests per second uses about 25 of 140 groups in this time. A group that is
-// used again later costs one request to a feeder.
+// used again later costs one request to a forwarder.
 constexpr milliseconds kUseLife{ 3000 };
 
 } // namespace
--- a/src/currantshed/node/subscribers.hpp
+++ b/src/currantshed/node/subscribers.hpp
@@ -12,15 +12,15 @@
 namespace currantshed::node {
 
 /// The VMs that poll this one for updates, each with the groups whose requests
-/// it recently served. Announcements are sent only for these groups: with 140
-/// groups and 100 VMs, sending all announcements to all VMs used 112 KB/s of
+/// it recently served. Watch updates are sent only for these groups: with 140
+/// groups and 100 VMs, sending all watch updates to all VMs used 112 KB/s of
 /// each VM's link. Does not read the clock.
 class subscribers
 {
 public:
   /// Records a poll of a VM and the groups that it subscribes to. Returns the
-  /// groups that are new in its subscription, for which it has had no
-  /// announcements yet.
+  /// groups that are new in its subscription, for which it has had no watch
+  /// updates yet.
   std::vector<std::string> Asked(const std::string& aVm,
                                  std::vector<std::string> aGroups,
                                  clock::time_point aNow);
--- a/src/currantshed/node/token_desk.cpp
+++ b/src/currantshed/node/token_desk.cpp
@@ -26,8 +26,8 @@
 // accepted.
 constexpr milliseconds kUnknownRetry{ 500 };
 
-// Sorts the VMs by a hash of their name and the part. The order is the same on
-// every VM.
+// Sorts the VMs by a hash of their name and the partition. The order is the
+// same on every VM.
 std::vector<std::string>
 InOrder(std::size_t aPart, std::vector<std::string> aVms)
 {
--- a/src/currantshed/node/token_desk.hpp
+++ b/src/currantshed/node/token_desk.hpp
@@ -45,13 +45,14 @@
 {
 public:
   /// Sets the coordinators of this VM's failure domain and of each other one.
-  /// Each part of the customers belongs to the first by hashing. Within this
-  /// VM's failure domain the next one stands in while that is unresponsive.
+  /// Each partition of the customers belongs to the first by hashing. Within
+  /// this VM's failure domain the next one stands in while that is
+  /// unresponsive.
   void SetCollectors(const std::vector<std::string>& aOwn,
                      const std::vector<std::vector<std::string>>& aOthers);
 
-  /// The coordinator that gets this VM's share of a part; empty while none is
-  /// known.
+  /// The coordinator that gets this VM's share of a partition; empty while none
+  /// is known.
   [[nodiscard]] std::string Current(std::size_t aPart,
                                     clock::time_point aNow) const;
 
@@ -95,7 +96,7 @@
     return mOwn.front().empty() && mOthers.front().empty();
   }
 
-  /// By part, in the order of requests.
+  /// By partition, in the order of requests.
   std::array<std::vector<std::string>, customer::kParts> mOwn;
   std::array<std::vector<std::string>, customer::kParts> mOthers;
   absl::btree_map<std::string, clock::time_point> mSilentUntil;
