--- a/src/currantshed/node/caller_server.hpp
+++ b/src/currantshed/node/caller_server.hpp
@@ -25,7 +25,7 @@
 public:
   /// Which peers connect: callers, or other VMs that reach servers through this
   /// one.
-  enum class door
+  enum class endpoint_kind
   {
     kCallers,
     kRelays,
@@ -34,7 +34,7 @@
   /// aIsConfigured returns whether a configuration is known yet. aAfter is
   /// called after each event that was passed to the engine.
   caller_server(boost::asio::io_context& aContext,
-                door aDoor,
+                endpoint_kind aKind,
                 const line_codec& aCodec,
                 proxy::engine& aEngine,
                 std::size_t aMostConnections,
@@ -46,11 +46,11 @@
 
   /// To be called once the configuration is known. Starts to accept the
   /// connections that are waiting.
-  void Configured();
+  void OnConfigured();
 
   /// To be called when the customers' configuration or its freshness has
   /// changed. Checks again the sessions whose key was unknown.
-  void LookAgain();
+  void RetryPendingKeys();
 
   /// Stops accepting connections.
   void StopListening();
@@ -70,7 +70,7 @@
   void Ended(std::uint64_t aNumber);
 
   boost::asio::io_context& mContext;
-  door mDoor;
+  endpoint_kind mKind;
   const line_codec& mCodec;
   proxy::engine& mEngine;
   std::size_t mMostConnections;
--- a/src/currantshed/node/document_codec.hpp
+++ b/src/currantshed/node/document_codec.hpp
@@ -39,11 +39,11 @@
 enum class promotion_outcome
 {
   /// The server becomes the primary.
-  kTaken,
+  kAccepted,
   /// The platform cannot promote this server.
   kRejected,
   /// Rate limited: nothing was done, and the order may be retried.
-  kLater,
+  kRetryLater,
   /// No answer arrived. The order may have been accepted.
   kUnknown,
 };
--- a/src/currantshed/node/feeders.cpp
+++ b/src/currantshed/node/forwarders.cpp
@@ -1,10 +1,10 @@
-#include "currantshed/node/feeders.hpp"
+#include "currantshed/node/forwarders.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "currantshed/member/roster.hpp"
-#include "currantshed/proxy/strength.hpp"
+#include "currantshed/member/membership.hpp"
+#include "currantshed/proxy/delegate_selection.hpp"
 
 namespace currantshed::node {
 
@@ -16,7 +16,7 @@
 // VM: with 140 groups these are 290 messages per second, more than a VM with
 // 0.12 of a core can process without delaying its own callers. If the only
 // forwarder fails, VMs query the store and the monitoring VMs directly.
-constexpr unsigned kFeeders = 2;
+constexpr unsigned kForwarders = 2;
 // Maximum time, in seconds, that one answer occupies the forwarder's link: some
 // sixty VMs may poll at the same time, and callers use the same link.
 constexpr double kLinkPart = 0.01;
@@ -29,7 +29,7 @@
 } // namespace
 
 std::vector<std::string>
-Feeders(const own_keys& aKeys, const std::string& aFailureDomain)
+SelectForwarders(const cluster_state& aKeys, const std::string& aFailureDomain)
 {
   std::vector<store::vm> staying;
   std::vector<unsigned> shares;
@@ -40,29 +40,29 @@
       vm.id = name;
       vm.failureDomain = aFailureDomain;
       staying.push_back(std::move(vm));
-      shares.push_back(record.processorShare);
+      shares.push_back(record.cpuMillicores);
     }
   }
-  std::vector<std::string> feeders;
-  if (staying.size() < kFewestFed) {
-    return feeders;
+  std::vector<std::string> forwarders;
+  if (staying.size() < kMinVmsForForwarders) {
+    return forwarders;
   }
   const auto strongest = *std::max_element(shares.begin(), shares.end());
   std::vector<store::vm> strong;
   for (std::size_t i = 0; i < staying.size(); ++i) {
-    if (proxy::IsStrong(shares[i], strongest)) {
+    if (proxy::HasHighCapacity(shares[i], strongest)) {
       strong.push_back(std::move(staying[i]));
     }
   }
-  for (const auto& one :
-       member::ChooseOwners("feeders of " + aFailureDomain, strong, kFeeders)) {
-    feeders.push_back(one.id);
+  for (const auto& one : member::ChooseOwners(
+         "feeders of " + aFailureDomain, strong, kForwarders)) {
+    forwarders.push_back(one.id);
   }
-  return feeders;
+  return forwarders;
 }
 
 std::size_t
-LongestAnswer(double aLinkMegabits) noexcept
+MaxUpdateBytes(double aLinkMegabits) noexcept
 {
   const auto byLink = aLinkMegabits * kBytesByMegabit * kLinkPart;
   return static_cast<std::size_t>(std::min(byLink, kLongestAnswer));
--- a/src/currantshed/node/relay_box.cpp
+++ b/src/currantshed/node/forwarding_batch.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/relay_box.hpp"
+#include "currantshed/node/forwarding_batch.hpp"
 
 #include <algorithm>
 #include <tuple>
@@ -16,7 +16,7 @@
 constexpr milliseconds kObeyedPause{ 15 };
 
 bool
-IsFresher(const lead::reach_news& aLeft, const lead::reach_news& aRight)
+IsFresher(const lead::reach_update& aLeft, const lead::reach_update& aRight)
 {
   return std::tie(aLeft.term, aLeft.heardAt) >
          std::tie(aRight.term, aRight.heardAt);
@@ -25,9 +25,9 @@
 } // namespace
 
 void
-relay_box::HasWord(const std::string& aService,
-                   bool aIsUrgent,
-                   clock::time_point aNow)
+forwarding_batch::AddGroup(const std::string& aService,
+                           bool aIsUrgent,
+                           clock::time_point aNow)
 {
   mWords.insert(aService);
   // Watch updates that are not urgent wait for the pause that is passed to
@@ -36,7 +36,7 @@
 }
 
 std::vector<std::string>
-relay_box::TakeWords(milliseconds aPause, clock::time_point aNow)
+forwarding_batch::TakeGroups(milliseconds aPause, clock::time_point aNow)
 {
   if (mWords.empty()) {
     return {};
@@ -54,9 +54,10 @@
 }
 
 void
-relay_box::Heard(relayed_reach aReach, clock::time_point aNow)
+forwarding_batch::AddReachUpdate(forwarded_reach_update aReach,
+                                 clock::time_point aNow)
 {
-  const bool obeys = aReach.news.obeyedTerm != 0;
+  const bool obeys = aReach.news.acknowledgedTerm != 0;
   mReachesAt =
     std::min(mReachesAt, aNow + (obeys ? kObeyedPause : kReachPause));
   if (obeys) {
@@ -68,10 +69,10 @@
   }
 }
 
-std::vector<relayed_reach>
-relay_box::TakeReaches(clock::time_point aNow)
+std::vector<forwarded_reach_update>
+forwarding_batch::TakeReachUpdates(clock::time_point aNow)
 {
-  std::vector<relayed_reach> taken;
+  std::vector<forwarded_reach_update> taken;
   if (aNow < mReachesAt) {
     return taken;
   }
@@ -90,7 +91,7 @@
 }
 
 clock::time_point
-relay_box::NextTick() const noexcept
+forwarding_batch::NextTick() const noexcept
 {
   return std::min(mWordsAt, mReachesAt);
 }
--- a/src/currantshed/node/check_schedule.hpp
+++ b/src/currantshed/node/freshness_check_schedule.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_NODE_CHECK_SCHEDULE_HPP
-#define CURRANTSHED_NODE_CHECK_SCHEDULE_HPP
+#ifndef CURRANTSHED_NODE_FRESHNESS_CHECK_SCHEDULE_HPP
+#define CURRANTSHED_NODE_FRESHNESS_CHECK_SCHEDULE_HPP
 
 #include <chrono>
 #include <cstddef>
@@ -13,18 +13,18 @@
 /// all and sends the result to the others. A VM of a later rank asks only if no
 /// verification has arrived for longer, since the VMs before it have failed or
 /// are cut off. Does not read the clock.
-class check_schedule
+class freshness_check_schedule
 {
 public:
   /// Sets the VM's rank; rank zero asks first.
-  void SetPlace(std::size_t aPlace) noexcept { mPlace = aPlace; }
+  void SetRank(std::size_t aPlace) noexcept { mPlace = aPlace; }
 
   /// Returns when to ask next, given the time of the latest verification.
-  [[nodiscard]] clock::time_point Due(
+  [[nodiscard]] clock::time_point NextCheck(
     clock::time_point aProvedAt) const noexcept;
 
-  void Asked() noexcept { mIsAsking = true; }
-  void Answered(bool aIsProof, clock::time_point aNow) noexcept;
+  void OnRequestSent() noexcept { mIsAsking = true; }
+  void OnResponse(bool aIsProof, clock::time_point aNow) noexcept;
 
 private:
   std::size_t mPlace = 0;
--- a/src/currantshed/node/group_agenda.hpp
+++ b/src/currantshed/node/group_scheduler.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_NODE_GROUP_AGENDA_HPP
-#define CURRANTSHED_NODE_GROUP_AGENDA_HPP
+#ifndef CURRANTSHED_NODE_GROUP_SCHEDULER_HPP
+#define CURRANTSHED_NODE_GROUP_SCHEDULER_HPP
 
 #include <string>
 #include <utility>
@@ -15,15 +15,15 @@
 /// Tracks which groups an event concerns, and when each other group has its
 /// next scheduled action, so that the cost of an event depends on the groups
 /// that it concerns and not on the number of groups. Does not read the clock.
-class group_agenda
+class group_scheduler
 {
 public:
-  /// Marks the group as pending: its group_lead may have actions to be carried
-  /// out.
+  /// Marks the group as pending: its group_monitor may have actions to be
+  /// carried out.
   void Touch(const std::string& aService) { mTouched.insert(aService); }
 
   /// Returns the groups marked since the last call, ordered by name.
-  [[nodiscard]] std::vector<std::string> TakeTouched();
+  [[nodiscard]] std::vector<std::string> TakePending();
 
   /// Sets the time of the group's next scheduled action; time_point::max() if
   /// it only waits for events.
@@ -37,7 +37,7 @@
   [[nodiscard]] clock::time_point Next() const noexcept;
 
   /// Returns the groups that have a scheduled action.
-  [[nodiscard]] std::vector<std::string> Awake() const;
+  [[nodiscard]] std::vector<std::string> Scheduled() const;
 
 private:
   absl::btree_set<std::string> mTouched;
--- a/src/currantshed/node/internal/feed_times.hpp
+++ b/src/currantshed/node/internal/forwarding_timeouts.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_NODE_INTERNAL_FEED_TIMES_HPP
-#define CURRANTSHED_NODE_INTERNAL_FEED_TIMES_HPP
+#ifndef CURRANTSHED_NODE_INTERNAL_FORWARDING_TIMEOUTS_HPP
+#define CURRANTSHED_NODE_INTERNAL_FORWARDING_TIMEOUTS_HPP
 
 #include <algorithm>
 #include <chrono>
@@ -10,14 +10,15 @@
 namespace currantshed::node::internal {
 
 /// The number that stands for the configuration's prefix in messages.
-constexpr std::size_t kConfigurationNumber = 0;
+constexpr std::size_t kConfigurationPrefix = 0;
 
 /// Time-outs for keys that come from forwarders, derived from the time within
 /// which a configuration must be in force.
-class feed_times
+class forwarding_timeouts
 {
 public:
-  explicit constexpr feed_times(std::chrono::milliseconds aBound) noexcept
+  explicit constexpr forwarding_timeouts(
+    std::chrono::milliseconds aBound) noexcept
     : mBound(aBound)
   {
   }
@@ -25,11 +26,13 @@
   /// How long after its start a VM looks for forwarders before it follows the
   /// store itself. The time for the cluster state, which tells which VMs are
   /// forwarders, is shorter.
-  [[nodiscard]] constexpr std::chrono::milliseconds Search() const noexcept
+  [[nodiscard]] constexpr std::chrono::milliseconds DiscoveryTimeout()
+    const noexcept
   {
     return mBound * 5 / 6;
   }
-  [[nodiscard]] constexpr std::chrono::milliseconds OwnSearch() const noexcept
+  [[nodiscard]] constexpr std::chrono::milliseconds ClusterDiscoveryTimeout()
+    const noexcept
   {
     return mBound / 3;
   }
@@ -39,7 +42,7 @@
   /// forwarder that answers but is behind has a slow connection to the store.
   /// If all its subscribers turned to the store instead, the store would remain
   /// slow.
-  [[nodiscard]] constexpr clock::time_point FedUntil(
+  [[nodiscard]] constexpr clock::time_point ForwardedUntil(
     bool aIsConfiguration,
     clock::time_point aCurrentAt,
     clock::time_point aNow) const noexcept
--- a/src/currantshed/node/line_stream.hpp
+++ b/src/currantshed/node/line_stream.hpp
@@ -13,7 +13,7 @@
 
 /// Maximum length of a line, including its end: the protocol's limit for a
 /// message, in bytes.
-constexpr std::size_t kLongestLine = std::size_t{ 1 } << 20U;
+constexpr std::size_t kMaxLineBytes = std::size_t{ 1 } << 20U;
 
 /// A TCP connection that carries lines. Waits for readability and then reads
 /// into a buffer shared by all streams of a thread, so that idle streams need
--- a/src/currantshed/node/duty_board.hpp
+++ b/src/currantshed/node/lock_assignments.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_NODE_DUTY_BOARD_HPP
-#define CURRANTSHED_NODE_DUTY_BOARD_HPP
+#ifndef CURRANTSHED_NODE_LOCK_ASSIGNMENTS_HPP
+#define CURRANTSHED_NODE_LOCK_ASSIGNMENTS_HPP
 
 #include <cstdint>
 #include <optional>
@@ -9,7 +9,7 @@
 #include <absl/container/btree_map.h>
 #include <absl/container/btree_set.h>
 
-#include "currantshed/node/duty.hpp"
+#include "currantshed/node/cluster_state.hpp"
 
 namespace currantshed::node {
 
@@ -18,43 +18,43 @@
 /// VMs keeps watch updates batched and connections to servers few, and lets all
 /// other VMs use leases that cost half as much to renew.
 [[nodiscard]] absl::btree_set<std::string>
-Candidates(const own_keys& aKeys);
+LockCandidates(const cluster_state& aKeys);
 
 /// Tracks the holder of each group's failover lock and, for each lock that no
 /// candidate holds, the candidate that is to acquire it. All VMs agree on it by
 /// rendezvous hashing. Updates are incremental: a new VM costs one hash per
 /// vacant group, and a lost VM costs a check of the groups that it held or was
 /// to take. Does no I/O.
-class duty_board
+class lock_assignments
 {
 public:
-  explicit duty_board(std::string aSelf);
+  explicit lock_assignments(std::string aSelf);
 
   /// Starts to track the group. Has no effect if the group is known.
-  void AddService(const own_keys& aKeys, const std::string& aService);
+  void AddService(const cluster_state& aKeys, const std::string& aService);
 
   /// Replaces the set of eligible VMs. Locks held by VMs outside the set are
   /// taken over.
-  void SetCandidates(const own_keys& aKeys,
+  void SetCandidates(const cluster_state& aKeys,
                      absl::btree_set<std::string> aCandidates);
 
   /// To be called after the record of the VM or of the lock was changed or
   /// removed.
-  void VmChanged(const own_keys& aKeys, const std::string& aVm);
-  void DutyChanged(const own_keys& aKeys, const std::string& aService);
+  void OnVmChanged(const cluster_state& aKeys, const std::string& aVm);
+  void OnLockChanged(const cluster_state& aKeys, const std::string& aService);
 
   /// To be called after any record may have changed.
-  void AllChanged(const own_keys& aKeys);
+  void OnAllChanged(const cluster_state& aKeys);
 
   /// Whether this VM is to acquire the group's lock, which no candidate holds.
-  [[nodiscard]] bool IsNext(const std::string& aService) const;
+  [[nodiscard]] bool IsNextHolder(const std::string& aService) const;
 
   /// Whether a candidate that is listed and not draining holds the lock.
   [[nodiscard]] bool IsHeld(const std::string& aService) const;
 
   /// The groups whose lock this VM holds according to the record, or is to
   /// acquire.
-  [[nodiscard]] const absl::btree_set<std::string>& Own() const noexcept
+  [[nodiscard]] const absl::btree_set<std::string>& OwnGroups() const noexcept
   {
     return mOwn;
   }
@@ -65,10 +65,13 @@
 
   /// Returns the groups whose record, or whose result of OwnGroups or IsHeld,
   /// may have changed since the last call.
-  [[nodiscard]] absl::btree_set<std::string> TakeChanged();
+  [[nodiscard]] absl::btree_set<std::string> TakeChangedGroups();
 
   /// Number of hash scores computed so far, as a measure of work.
-  [[nodiscard]] std::uint64_t Scored() const noexcept { return mScored; }
+  [[nodiscard]] std::uint64_t ScoresComputed() const noexcept
+  {
+    return mScored;
+  }
 
 private:
   struct candidate
@@ -94,7 +97,7 @@
                group& aGroup,
                const std::string& aVm);
   void Choose(const std::string& aService, group& aGroup);
-  void Recheck(const own_keys& aKeys,
+  void Recheck(const cluster_state& aKeys,
                const std::string& aService,
                group& aGroup);
   void SetHolder(const std::string& aService,
--- a/src/currantshed/node/metrics.hpp
+++ b/src/currantshed/node/metrics.hpp
@@ -25,14 +25,14 @@
   void Decided(const proxy::decision& aDecision);
 
   /// Counts a call of the store by its result.
-  void StoreCalled(std::string_view aResult);
+  void CountStoreCall(std::string_view aResult);
 
-  void ServerReached(bool aIsReached);
+  void CountServerReached(bool aIsReached);
   /// Counts a change of a listed server's state.
-  void ServerStands(std::string_view aStanding);
+  void CountListingState(std::string_view aStanding);
   /// Counts an entry that cannot be used, by the reason.
-  void EntryUnusable(const std::string& aReason);
-  void LeadChanged(std::string_view aStep);
+  void CountUnusableEntry(const std::string& aReason);
+  void CountLeadStep(std::string_view aStep);
   void SetSessions(std::size_t aCount);
   void SetConfiguration(std::uint64_t aVersion);
   /// Sets how often the store has been restored from an older snapshot.
--- a/src/currantshed/node/audience.hpp
+++ b/src/currantshed/node/peer_selection.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_NODE_AUDIENCE_HPP
-#define CURRANTSHED_NODE_AUDIENCE_HPP
+#ifndef CURRANTSHED_NODE_PEER_SELECTION_HPP
+#define CURRANTSHED_NODE_PEER_SELECTION_HPP
 
 #include <cstddef>
 #include <string>
@@ -13,14 +13,14 @@
 /// once before any is selected again. aTurn must increase by one with each
 /// call.
 [[nodiscard]] std::vector<std::string>
-SomeOf(const std::vector<news::peer>& aPeers,
-       std::size_t aCount,
-       std::size_t aTurn);
+SelectRoundRobin(const std::vector<news::peer>& aPeers,
+                 std::size_t aCount,
+                 std::size_t aTurn);
 
 /// Appends the names that aNames does not contain yet.
 void
-AddNew(std::vector<std::string>& aNames,
-       const std::vector<std::string>& aOthers);
+AppendMissing(std::vector<std::string>& aNames,
+              const std::vector<std::string>& aOthers);
 
 } // namespace currantshed::node
 
--- a/src/currantshed/node/server_list.hpp
+++ b/src/currantshed/node/server_list.hpp
@@ -15,7 +15,7 @@
 namespace currantshed::node {
 
 /// What this VM assumes about a server, based on the store's list.
-enum class server_standing
+enum class listing_state
 {
   /// Listed and not draining.
   kReady,
@@ -35,14 +35,14 @@
   kWatch,
   /// The list was read as a whole after a gap. Which changes were made in
   /// between, and when, is unknown.
-  kCatchUp,
+  kResync,
 };
 
 /// A change of one server's state, for logging.
-struct server_news
+struct server_change
 {
   proxy::server server;
-  server_standing standing = server_standing::kReady;
+  listing_state standing = listing_state::kReady;
   /// The server was not known before.
   bool isNew = false;
 };
@@ -54,14 +54,14 @@
 public:
   /// Replaces the list by what the store lists now. Returns the servers whose
   /// state has changed.
-  std::vector<server_news> Take(std::vector<proxy::server> aListed,
-                                list_source aSource,
-                                clock::time_point aNow);
+  std::vector<server_change> Take(std::vector<proxy::server> aListed,
+                                  list_source aSource,
+                                  clock::time_point aNow);
 
   /// To be called when the store was restored from an older snapshot, which may
   /// lack recent writes of servers. Until the servers have written again, those
   /// that were draining are assumed to be draining still.
-  void StoreReturned(clock::time_point aNow) noexcept;
+  void OnStoreRestored(clock::time_point aNow) noexcept;
 
   /// Whether the grace period of a missing server, or of a restored store, has
   /// ended, so that Take must be called again.
@@ -78,7 +78,7 @@
                    clock::time_point aNow) const;
   void KeepLeaving(proxy::server& aListed) const;
   void KeepMissing(std::vector<proxy::server>& aListed,
-                   std::vector<server_news>& aNews,
+                   std::vector<server_change>& aNews,
                    clock::time_point aNow);
 
   [[nodiscard]] const proxy::server* Find(const upstream::server_id& aId) const;
@@ -94,11 +94,11 @@
 
 /// Name of the state for logs and metrics.
 [[nodiscard]] std::string_view
-NameOf(server_standing aStanding);
+ToString(listing_state aStanding);
 
 /// Name of the source for logs.
 [[nodiscard]] std::string_view
-NameOf(list_source aSource);
+ToString(list_source aSource);
 
 } // namespace currantshed::node
 
--- a/src/currantshed/node/settings.hpp
+++ b/src/currantshed/node/settings.hpp
@@ -57,7 +57,7 @@
   /// Bandwidth of the VM's own link.
   double linkMegabits = 1000;
   /// CPU time available to the VM, in thousandths of a core.
-  unsigned processorShare = 1000;
+  unsigned cpuMillicores = 1000;
   /// Shortest lease that the store grants.
   std::chrono::milliseconds shortestLease{ 1000 };
 
--- a/src/currantshed/node/key_parts.hpp
+++ b/src/currantshed/node/snapshot_chunks.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_NODE_KEY_PARTS_HPP
-#define CURRANTSHED_NODE_KEY_PARTS_HPP
+#ifndef CURRANTSHED_NODE_SNAPSHOT_CHUNKS_HPP
+#define CURRANTSHED_NODE_SNAPSHOT_CHUNKS_HPP
 
 #include <cstddef>
 #include <deque>
@@ -15,7 +15,7 @@
 
 /// A chunk of a snapshot of all keys below one prefix, or the request for a
 /// chunk.
-struct key_part
+struct snapshot_chunk
 {
   /// The revision of the snapshot; zero in a first request.
   store::revision of;
@@ -28,23 +28,23 @@
 /// Splits snapshots that are too large for one message into chunks, for many
 /// VMs that request them at the same time. Does not read the clock and does no
 /// I/O.
-class part_cutter
+class snapshot_splitter
 {
 public:
-  using copy_maker = std::function<std::string()>;
+  using snapshot_factory = std::function<std::string()>;
 
   /// Returns the requested chunk, of at most aLongest bytes. If the requested
   /// snapshot is no longer kept, returns the first chunk of the newest one. A
   /// snapshot is shared by all requests that begin within a short time; later
   /// changes are requested separately.
-  [[nodiscard]] key_part Cut(const key_part& aAsked,
-                             std::size_t aLongest,
-                             store::revision aNewest,
-                             clock::time_point aNow,
-                             const copy_maker& aMake);
+  [[nodiscard]] snapshot_chunk GetChunk(const snapshot_chunk& aAsked,
+                                        std::size_t aLongest,
+                                        store::revision aNewest,
+                                        clock::time_point aNow,
+                                        const snapshot_factory& aMake);
 
   /// Number of snapshots made so far, as a measure of work.
-  [[nodiscard]] std::size_t Made() const noexcept { return mMade; }
+  [[nodiscard]] std::size_t SnapshotsMade() const noexcept { return mMade; }
 
 private:
   struct copy
@@ -57,7 +57,7 @@
   [[nodiscard]] const copy* Find(store::revision aOf) const;
   const copy& Newest(store::revision aNewest,
                      clock::time_point aNow,
-                     const copy_maker& aMake);
+                     const snapshot_factory& aMake);
 
   std::deque<copy> mCopies;
   std::size_t mMade = 0;
@@ -65,7 +65,7 @@
 
 /// Assembles a snapshot from chunks, which come from one VM, one after the
 /// other. Does not read the clock and does no I/O.
-class part_collector
+class snapshot_assembler
 {
 public:
   /// Begins a transfer from the VM, unless one is in progress. Returns whether
@@ -73,16 +73,16 @@
   bool Begin(const std::string& aVm, clock::time_point aNow);
 
   /// The next chunk to request.
-  [[nodiscard]] key_part Wanted() const;
+  [[nodiscard]] snapshot_chunk Wanted() const;
 
   /// Adds a chunk. Returns the snapshot once it is complete.
   std::optional<std::string> Take(const std::string& aVm,
-                                  const key_part& aPart,
+                                  const snapshot_chunk& aPart,
                                   clock::time_point aNow);
 
   /// Whether a transfer is in progress. It ends when a chunk does not arrive in
   /// time or when the whole transfer takes too long.
-  [[nodiscard]] bool IsUnderWay(clock::time_point aNow) const;
+  [[nodiscard]] bool IsInProgress(clock::time_point aNow) const;
   [[nodiscard]] bool IsFrom(const std::string& aVm) const
   {
     return mFrom == aVm;
--- a/src/currantshed/node/subscribers.hpp
+++ b/src/currantshed/node/subscribers.hpp
@@ -26,7 +26,7 @@
                                  clock::time_point aNow);
 
   /// Removes the VMs that have not polled for a while.
-  void Forget(clock::time_point aNow);
+  void RemoveExpired(clock::time_point aNow);
 
   [[nodiscard]] bool Contains(const std::string& aVm) const;
   [[nodiscard]] bool Empty() const noexcept { return mVms.empty(); }
@@ -52,7 +52,7 @@
 class groups_in_use
 {
 public:
-  void Used(const std::string& aGroup, clock::time_point aAt);
+  void MarkUsed(const std::string& aGroup, clock::time_point aAt);
 
   /// Whether the group was used recently.
   [[nodiscard]] bool Contains(const std::string& aGroup,
--- a/src/currantshed/node/token_desk.hpp
+++ b/src/currantshed/node/token_client.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_NODE_TOKEN_DESK_HPP
-#define CURRANTSHED_NODE_TOKEN_DESK_HPP
+#ifndef CURRANTSHED_NODE_TOKEN_CLIENT_HPP
+#define CURRANTSHED_NODE_TOKEN_CLIENT_HPP
 
 #include <array>
 #include <chrono>
@@ -12,12 +12,12 @@
 #include <absl/container/btree_map.h>
 
 #include "currantshed/clock/time.hpp"
-#include "currantshed/customer/part.hpp"
+#include "currantshed/customer/partition.hpp"
 
 namespace currantshed::node {
 
 /// A request for tokens to a quota coordinator.
-struct token_ask
+struct token_request
 {
   std::string vm;
   std::uint64_t number = 0;
@@ -26,7 +26,7 @@
 };
 
 /// The result for operations that waited for tokens.
-struct token_outcome
+struct token_result
 {
   std::string customer;
   unsigned granted = 0;
@@ -41,33 +41,33 @@
 /// applies timeouts: the coordinator of its own failure domain comes first, and
 /// those of other failure domains follow if it has no tokens or does not
 /// answer. Does not read the clock and does no I/O.
-class token_desk
+class token_client
 {
 public:
   /// Sets the coordinators of this VM's failure domain and of each other one.
   /// Each partition of the customers belongs to the first by hashing. Within
   /// this VM's failure domain the next one stands in while that is
   /// unresponsive.
-  void SetCollectors(const std::vector<std::string>& aOwn,
-                     const std::vector<std::vector<std::string>>& aOthers);
+  void SetCoordinators(const std::vector<std::string>& aOwn,
+                       const std::vector<std::vector<std::string>>& aOthers);
 
   /// The coordinator that gets this VM's share of a partition; empty while none
   /// is known.
-  [[nodiscard]] std::string Current(std::size_t aPart,
-                                    clock::time_point aNow) const;
-
-  void Want(const std::string& aCustomer,
-            unsigned aCount,
-            clock::time_point aNow);
-  void Answered(std::uint64_t aNumber,
-                unsigned aCount,
-                std::chrono::milliseconds aRetryAfter,
-                clock::time_point aNow);
+  [[nodiscard]] std::string CoordinatorOf(std::size_t aPart,
+                                          clock::time_point aNow) const;
+
+  void Request(const std::string& aCustomer,
+               unsigned aCount,
+               clock::time_point aNow);
+  void OnResponse(std::uint64_t aNumber,
+                  unsigned aCount,
+                  std::chrono::milliseconds aRetryAfter,
+                  clock::time_point aNow);
   void Tick(clock::time_point aNow);
   [[nodiscard]] clock::time_point NextTick() const;
 
-  [[nodiscard]] std::vector<token_ask> TakeAsks();
-  [[nodiscard]] std::vector<token_outcome> TakeOutcomes();
+  [[nodiscard]] std::vector<token_request> TakeRequests();
+  [[nodiscard]] std::vector<token_result> TakeResults();
 
 private:
   struct pending
@@ -97,8 +97,8 @@
   }
 
   /// By partition, in the order of requests.
-  std::array<std::vector<std::string>, customer::kParts> mOwn;
-  std::array<std::vector<std::string>, customer::kParts> mOthers;
+  std::array<std::vector<std::string>, customer::kPartitions> mOwn;
+  std::array<std::vector<std::string>, customer::kPartitions> mOthers;
   absl::btree_map<std::string, clock::time_point> mSilentUntil;
   absl::btree_map<std::string, exhausted> mExhausted;
   std::map<std::uint64_t, pending> mPending;
@@ -108,8 +108,8 @@
   /// Requests that wait until a coordinator is known.
   std::vector<pending> mUnasked;
   std::uint64_t mLastNumber = 0;
-  std::vector<token_ask> mAsks;
-  std::vector<token_outcome> mOutcomes;
+  std::vector<token_request> mAsks;
+  std::vector<token_result> mOutcomes;
 };
 
 } // namespace currantshed::node
--- a/src/currantshed/node/known_vms.hpp
+++ b/src/currantshed/node/vm_membership.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_NODE_KNOWN_VMS_HPP
-#define CURRANTSHED_NODE_KNOWN_VMS_HPP
+#ifndef CURRANTSHED_NODE_VM_MEMBERSHIP_HPP
+#define CURRANTSHED_NODE_VM_MEMBERSHIP_HPP
 
 #include <chrono>
 #include <cstddef>
@@ -19,14 +19,14 @@
 /// send. A VM that is cut off from the store loses its registration but goes on
 /// serving callers: it still gets watch updates and must still acknowledge
 /// revoked terms. Does not read the clock.
-class known_vms
+class vm_membership
 {
 public:
   /// How long a VM that was listed or heard may still use a confirmation,
   /// whatever the store says of it: its key may have been removed unnoticed.
-  static constexpr std::chrono::milliseconds kMemory{ 15000 };
+  static constexpr std::chrono::milliseconds kRetention{ 15000 };
 
-  explicit known_vms(std::string aSelf);
+  explicit vm_membership(std::string aSelf);
 
   /// Applies the list of the store.
   void Listed(const std::vector<news::peer>& aVms, clock::time_point aNow);
@@ -35,11 +35,11 @@
   void Seen(const std::string& aVm, clock::time_point aNow);
 
   /// Records a message of the VM, listed or not.
-  void Heard(const std::string& aVm, clock::time_point aNow);
+  void OnMessage(const std::string& aVm, clock::time_point aNow);
 
   /// Records a reach update that the VM has sent directly to this one, for
   /// which it expects watch updates.
-  void Asked(const std::string& aVm, clock::time_point aNow);
+  void OnDirectReachUpdate(const std::string& aVm, clock::time_point aNow);
 
   /// The VMs that can be sent to: those that are listed, and those that were
   /// heard recently and whose address is known.
@@ -54,20 +54,22 @@
   [[nodiscard]] std::size_t CountReachable(clock::time_point aNow) const;
 
   /// The reachable VMs that were heard recently.
-  [[nodiscard]] std::vector<news::peer> Speaking(clock::time_point aNow) const;
+  [[nodiscard]] std::vector<news::peer> RecentlyHeard(
+    clock::time_point aNow) const;
 
   /// Whether the VM was heard recently.
-  [[nodiscard]] bool IsSpeaking(const std::string& aVm,
-                                clock::time_point aNow) const;
+  [[nodiscard]] bool IsRecentlyHeard(const std::string& aVm,
+                                     clock::time_point aNow) const;
 
   /// Whether the VM has recently sent a reach update directly to this one, for
   /// which it expects watch updates.
-  [[nodiscard]] bool IsAsking(const std::string& aVm,
-                              clock::time_point aNow) const;
+  [[nodiscard]] bool SendsDirectReachUpdates(const std::string& aVm,
+                                             clock::time_point aNow) const;
 
   /// The VMs that may use a confirmation of a primary: all that are listed, or
   /// were listed or heard within the retention time.
-  [[nodiscard]] std::vector<std::string> MayRest(clock::time_point aNow) const;
+  [[nodiscard]] std::vector<std::string> MayUseConfirmation(
+    clock::time_point aNow) const;
 
 private:
   struct known_vm
@@ -79,7 +81,7 @@
     std::optional<clock::time_point> heardAt;
     std::optional<clock::time_point> askedAt;
 
-    [[nodiscard]] bool IsSpeaking(clock::time_point aNow) const;
+    [[nodiscard]] bool IsRecentlyHeard(clock::time_point aNow) const;
   };
 
   std::string mSelf;
--- a/src/currantshed/store/apply.hpp
+++ b/src/currantshed/store/apply.hpp
@@ -75,7 +75,7 @@
 using apply_action = std::variant<read_configuration, swap_configuration>;
 
 /// Largest value that the platform takes.
-constexpr std::size_t kLargestValueBytes = 1U << 20U;
+constexpr std::size_t kMaxValueBytes = 1U << 20U;
 
 /// Puts one change in force by compare-and-swap against the version that the
 /// operator saw, and tells truthfully what became of it. A lost answer is
--- a/src/currantshed/store/backoff.hpp
+++ b/src/currantshed/store/backoff.hpp
@@ -11,10 +11,10 @@
 struct backoff_settings
 {
   /// The shortest wait; the first one may be up to twice as long.
-  std::chrono::milliseconds shortest{ 200 };
+  std::chrono::milliseconds minDelay{ 200 };
   /// The bound after many failures. Also what callers are spread over when
   /// the platform comes back, so it follows the fleet's size.
-  std::chrono::milliseconds longest{ 5000 };
+  std::chrono::milliseconds maxDelay{ 5000 };
 };
 
 /// Waits that grow with each failure, each drawn evenly between the shortest
--- a/src/currantshed/store/patience.hpp
+++ b/src/currantshed/store/call_timeout.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_STORE_PATIENCE_HPP
-#define CURRANTSHED_STORE_PATIENCE_HPP
+#ifndef CURRANTSHED_STORE_CALL_TIMEOUT_HPP
+#define CURRANTSHED_STORE_CALL_TIMEOUT_HPP
 
 #include <chrono>
 
@@ -14,7 +14,7 @@
 /// more, so that a slow store, or a large document on a slow link, gets
 /// through.
 [[nodiscard]] std::chrono::milliseconds
-Patience(clock::duration aSinceStart, bool aHasRead) noexcept;
+CallTimeout(clock::duration aSinceStart, bool aHasRead) noexcept;
 
 } // namespace currantshed::store
 
--- a/src/currantshed/store/client.hpp
+++ b/src/currantshed/store/client.hpp
@@ -78,7 +78,7 @@
   /// the given time, then reads it. Counts as one call of the platform.
   virtual void Watch(std::string aKey,
                      index aKnown,
-                     std::chrono::milliseconds aAtMost,
+                     std::chrono::milliseconds aMaxWait,
                      entry_callback aDone) = 0;
 
   /// Writes a key if its version is still the expected one; zero expects
--- a/src/currantshed/store/era_guard.hpp
+++ b/src/currantshed/store/era_guard.hpp
@@ -21,10 +21,10 @@
   struct listener
   {
     /// Calls the function later, on the same thread.
-    std::function<void(std::function<void()>)> later;
+    std::function<void(std::function<void()>)> post;
     /// The store has come back, or told its era for the first time: the era
     /// before, if any, and the present one.
-    std::function<void(std::optional<era_id>, era_id)> began;
+    std::function<void(std::optional<era_id>, era_id)> eraChanged;
   };
 
   era_guard(key_value& aStore, listener aListener);
@@ -32,14 +32,14 @@
   /// The newest era that an answer has told.
   [[nodiscard]] std::optional<era_id> Era() const noexcept { return mEra; }
 
-  void SetPatience(std::chrono::milliseconds aPatience) override;
+  void SetCallTimeout(std::chrono::milliseconds aTimeout) override;
   void Get(std::string aKey, item_callback aDone) override;
   void Range(std::string aPrefix, range_callback aDone) override;
 
-  /// Ends with errc::kEraEnded where the revision is of an earlier era.
+  /// Ends with errc::kStaleEra where the revision is of an earlier era.
   void Watch(std::string aPrefix,
              revision aAfter,
-             std::chrono::milliseconds aAtMost,
+             std::chrono::milliseconds aMaxWait,
              watch_callback aDone) override;
   void ChangesSince(std::string aPrefix,
                     revision aAfter,
@@ -56,12 +56,12 @@
   void Grant(std::chrono::milliseconds aTtl, grant_callback aDone) override;
 
   /// A lease of an earlier era has ended, whatever its number names now.
-  void Keep(lease_id aLease, keep_callback aDone) override;
-  void End(lease_id aLease) override;
+  void KeepAlive(lease_id aLease, keep_alive_callback aDone) override;
+  void Revoke(lease_id aLease) override;
 
 private:
   [[nodiscard]] std::error_code Heard(std::error_code aError,
-                                      const call_answer& aAnswer);
+                                      const response_info& aAnswer);
   [[nodiscard]] bool IsPast(era_id aEra) const noexcept;
   [[nodiscard]] bool IsPast(
     const std::vector<condition>& aConditions) const noexcept;
--- a/src/currantshed/store/errors.hpp
+++ b/src/currantshed/store/errors.hpp
@@ -25,12 +25,12 @@
   /// The answer isn't what the interface lays down.
   kMalformed,
   /// The lease has ended.
-  kNoLease,
+  kLeaseNotFound,
   /// The changes that a watch asks for are no longer kept.
-  kHistoryGone,
+  kHistoryCompacted,
   /// The store has come back from an older copy since: the answer, or what the
   /// call refers to, is of an earlier era.
-  kEraEnded,
+  kStaleEra,
 };
 
 /// The category of the platform's errors.
--- a/src/currantshed/store/key_value.hpp
+++ b/src/currantshed/store/key_value.hpp
@@ -40,7 +40,7 @@
 };
 
 /// What goes with the end of each call.
-struct call_answer
+struct response_info
 {
   /// When the answer came, or the lack of one was noticed.
   clock::time_point at;
@@ -91,9 +91,9 @@
   /// A condition did not hold; nothing was changed.
   kConflict,
   /// The lease does not exist; nothing was changed.
-  kNoLease,
+  kLeaseNotFound,
   /// Nothing was done.
-  kNotDone,
+  kNotApplied,
   /// No answer came: it may have been applied, or may yet be.
   kUnknown,
 };
@@ -105,22 +105,23 @@
 {
 public:
   using item_callback =
-    std::function<void(std::error_code, std::optional<item>, call_answer)>;
+    std::function<void(std::error_code, std::optional<item>, response_info)>;
   using range_callback = std::function<
-    void(std::error_code, std::vector<item>, revision, call_answer)>;
+    void(std::error_code, std::vector<item>, revision, response_info)>;
   using watch_callback = std::function<
-    void(std::error_code, std::vector<key_change>, revision, call_answer)>;
+    void(std::error_code, std::vector<key_change>, revision, response_info)>;
   using commit_callback =
-    std::function<void(commit_outcome, revision, call_answer)>;
+    std::function<void(commit_outcome, revision, response_info)>;
   using grant_callback =
-    std::function<void(std::error_code, lease_id, call_answer)>;
-  using keep_callback = std::function<void(std::error_code, call_answer)>;
+    std::function<void(std::error_code, lease_id, response_info)>;
+  using keep_alive_callback =
+    std::function<void(std::error_code, response_info)>;
 
   virtual ~key_value() = default;
 
   /// How long calls that begin from now on wait for their answers, but for
   /// watches.
-  virtual void SetPatience(std::chrono::milliseconds aPatience) = 0;
+  virtual void SetCallTimeout(std::chrono::milliseconds aTimeout) = 0;
 
   virtual void Get(std::string aKey, item_callback aDone) = 0;
 
@@ -131,7 +132,7 @@
   /// watch of a prefix uses a connection of its own.
   virtual void Watch(std::string aPrefix,
                      revision aAfter,
-                     std::chrono::milliseconds aAtMost,
+                     std::chrono::milliseconds aMaxWait,
                      watch_callback aDone) = 0;
 
   /// The changes after the revision, at once; beside a watch of the prefix.
@@ -146,11 +147,11 @@
 
   virtual void Grant(std::chrono::milliseconds aTtl, grant_callback aDone) = 0;
 
-  /// Renews a lease; errc::kNoLease when it has ended.
-  virtual void Keep(lease_id aLease, keep_callback aDone) = 0;
+  /// Renews a lease; errc::kLeaseNotFound when it has ended.
+  virtual void KeepAlive(lease_id aLease, keep_alive_callback aDone) = 0;
 
   /// Ends a lease and removes its keys.
-  virtual void End(lease_id aLease) = 0;
+  virtual void Revoke(lease_id aLease) = 0;
 };
 
 } // namespace currantshed::store
--- a/src/currantshed/store/prefix_view.hpp
+++ b/src/currantshed/store/prefix_view.hpp
@@ -29,17 +29,17 @@
   /// Pause after a change, and more of it for each key that is followed, so
   /// that many changes in a row cost few calls: keys of VMs change together
   /// when a fleet starts.
-  std::chrono::milliseconds afterChange{ 100 };
-  std::chrono::milliseconds afterChangeByKey{ 15 };
+  std::chrono::milliseconds pauseAfterChange{ 100 };
+  std::chrono::milliseconds pausePerKey{ 15 };
   /// The longest that this gets, however many keys there are.
-  std::chrono::milliseconds longestByKeys{ std::chrono::milliseconds::max() };
+  std::chrono::milliseconds maxPauseByKeys{ std::chrono::milliseconds::max() };
   /// How long one byte of the keys takes on the VM's link. After a change the
   /// pause is so many times the way of all keys, up to the longest: changes in
   /// quick succession of what is large must leave the link to the callers.
-  std::chrono::nanoseconds byteTime{ 0 };
-  std::chrono::milliseconds longestPause{ 1500 };
+  std::chrono::nanoseconds timePerByte{ 0 };
+  std::chrono::milliseconds maxPause{ 1500 };
   /// How long another VM's word that there is more may precede the own watch.
-  std::chrono::milliseconds patience{ 400 };
+  std::chrono::milliseconds maxWatchLag{ 400 };
   /// Waits after failures, each of which has its price as well; short enough
   /// that a configuration made during an outage is in force in time after it.
   backoff_settings afterFailure{ std::chrono::milliseconds{ 100 },
@@ -50,15 +50,15 @@
 struct key_update
 {
   /// Whether these are all keys, not changes alone.
-  bool isWhole = false;
+  bool isSnapshot = false;
   /// The changes are those after this revision, up to the other.
   revision after;
   revision upTo;
   /// Whether the changes may have been made long before the sender saw them.
-  bool mayBeOld = false;
+  bool mayBeStale = false;
   std::vector<key_change> changes;
   /// The changes are more than may be told at once, and left out.
-  bool isTooLong = false;
+  bool isTooLarge = false;
 };
 
 /// Which keys are others than when this was last asked.
@@ -85,10 +85,10 @@
     /// The keys are others now.
     std::function<void(clock::time_point)> changed;
     /// The store answers again, or no longer does.
-    std::function<void(bool, std::error_code)> reached;
+    std::function<void(bool, std::error_code)> reachabilityChanged;
     /// A reading was left out, since its revision, the first one, is below the
     /// other, which was seen before.
-    std::function<void(revision, revision)> ignored = {};
+    std::function<void(revision, revision)> staleReadIgnored = {};
   };
 
   prefix_view(key_value& aStore,
@@ -104,29 +104,32 @@
 
   /// Another VM has seen a change of that revision. A watch may hang without
   /// any sign of it; then it is given up, and the keys are read again.
-  void HeardOf(revision aChange, clock::time_point aNow);
+  void NotifyRevision(revision aChange, clock::time_point aNow);
 
   /// The store was away, and is back: a watch made meanwhile may never be
   /// answered, so the keys are read again, at once.
-  void Renew(clock::time_point aNow);
+  void Refresh(clock::time_point aNow);
 
   /// The store has come back from an older copy. A view that is fed learns what
   /// stands there from those that feed it. Nothing is evidence until all has
   /// been written again.
-  void EraEnded(clock::time_point aNow);
+  void OnEraChanged(clock::time_point aNow);
 
   /// Until then other VMs pass the changes on, so that no watch is begun.
-  void FedUntil(clock::time_point aUntil) noexcept { mFedUntil = aUntil; }
-  [[nodiscard]] clock::time_point FedUntil() const noexcept
+  void ForwardedUntil(clock::time_point aUntil) noexcept
   {
-    return mFedUntil;
+    mForwardedUntil = aUntil;
+  }
+  [[nodiscard]] clock::time_point ForwardedUntil() const noexcept
+  {
+    return mForwardedUntil;
   }
 
   /// Not before then are the keys read for the first time: other VMs may hand
   /// all of them over.
-  void FirstReadFrom(clock::time_point aFrom) noexcept
+  void DelayFirstReadUntil(clock::time_point aFrom) noexcept
   {
-    mFirstReadFrom = aFrom;
+    mFirstReadNotBefore = aFrom;
   }
 
   /// Asks the store whether there is anything newer, whatever is under way.
@@ -138,11 +141,11 @@
   /// at that time. A store that has just come back from an older copy shows
   /// nothing: it may have lost what was acknowledged and is yet to be written
   /// again.
-  void Prove(clock::time_point aAt) noexcept;
+  void MarkVerified(clock::time_point aAt) noexcept;
 
   /// The latest time at which nothing newer than these keys is known to have
   /// stood in the store.
-  [[nodiscard]] clock::time_point ProvedAt() const noexcept
+  [[nodiscard]] clock::time_point VerifiedAt() const noexcept
   {
     return mProvedAt;
   }
@@ -150,12 +153,12 @@
   /// Another VM passes changes on. What does not follow on what is known here,
   /// or is no newer, is left out. Returns whether all up to its end is known
   /// here, so that these keys are as new as the other VM's.
-  bool Take(const key_update& aUpdate, clock::time_point aNow);
+  bool ApplyUpdate(const key_update& aUpdate, clock::time_point aNow);
 
   /// What another VM lacks that knows all up to that revision. Costs what is
   /// told for a VM that is a few changes behind; keys and values of more bytes
   /// than the longest are left out, and the update says so.
-  [[nodiscard]] key_update After(
+  [[nodiscard]] key_update UpdateSince(
     revision aKnown,
     std::size_t aLongest = std::numeric_limits<std::size_t>::max()) const;
 
@@ -164,11 +167,14 @@
   [[nodiscard]] changed_keys TakeChangedKeys();
 
   /// Keys that were looked at to tell other VMs what they lack; counts work.
-  [[nodiscard]] std::uint64_t LookedAt() const noexcept { return mLookedAt; }
+  [[nodiscard]] std::uint64_t KeysExamined() const noexcept
+  {
+    return mLookedAt;
+  }
 
   /// Whether nothing is asked of the store for now, since calls of this VM
   /// fail: one kind of call finds out when it answers again.
-  void SetHeld(bool aIsHeld) noexcept { mIsHeld = aIsHeld; }
+  void SetPaused(bool aIsHeld) noexcept { mIsHeld = aIsHeld; }
 
   /// When the keys were known to be as the store had them: a watch that waits
   /// tells nothing, so its time is that of the last answer to any call.
@@ -183,7 +189,7 @@
   [[nodiscard]] bool IsReached() const noexcept { return mIsReached; }
   /// Whether the last changes may have been made long before they were seen:
   /// they came with a reading of all keys, or after a watch had failed.
-  [[nodiscard]] bool MayBeOld() const noexcept { return mMayBeOld; }
+  [[nodiscard]] bool MayBeStale() const noexcept { return mMayBeOld; }
   /// The revision up to which changes are known.
   [[nodiscard]] revision Seen() const noexcept { return mSeen; }
   [[nodiscard]] const items& Items() const noexcept { return mItems; }
@@ -231,8 +237,8 @@
   clock::time_point mProvedAt{};
   // From when on the store of the present era counts as evidence.
   clock::time_point mProvesFrom{};
-  clock::time_point mFedUntil{};
-  clock::time_point mFirstReadFrom{};
+  clock::time_point mForwardedUntil{};
+  clock::time_point mFirstReadNotBefore{};
   // When the last answer came of a call for these keys.
   clock::time_point mAnsweredAt{};
   // The removals after a revision, oldest first, for others that lack them.
--- a/src/currantshed/store/registration.hpp
+++ b/src/currantshed/store/registration.hpp
@@ -63,20 +63,20 @@
   [[nodiscard]] bool IsFailing() const noexcept { return mIsFailing; }
 
   /// When the last call that was answered was sent.
-  [[nodiscard]] clock::time_point AnsweredFor() const noexcept
+  [[nodiscard]] clock::time_point LastAnsweredSentAt() const noexcept
   {
     return mAnsweredFor;
   }
 
   /// Has the callback called whenever the store answers again after calls
   /// that failed.
-  void OnRegained(std::function<void()> aRegained);
+  void OnRecovered(std::function<void()> aRegained);
 
   /// Has the callback called whenever the store has taken the key.
   void OnWritten(std::function<void()> aWritten);
 
   /// Ends the lease, and with it the key.
-  void End();
+  void Revoke();
 
   void Tick(clock::time_point aNow, double aRandom);
   [[nodiscard]] clock::time_point NextTick() const noexcept;
--- a/src/currantshed/store/transport.hpp
+++ b/src/currantshed/store/transport.hpp
@@ -34,7 +34,7 @@
 };
 
 /// The answer to one call.
-struct http_answer
+struct http_response
 {
   /// Set when no whole answer came; all else is empty then. Of the
   /// platform's category.
@@ -47,14 +47,14 @@
 
 /// Largest answer that is taken: a value of a megabyte in base64, with room
 /// for what surrounds it.
-constexpr std::size_t kAnswerLimitBytes = 4U << 20U;
+constexpr std::size_t kMaxResponseBytes = 4U << 20U;
 
 /// Carries calls to the platform. A call is sent at most once: nothing below
 /// this interface repeats one whose answer is missing.
 class transport
 {
 public:
-  using callback = std::function<void(http_answer)>;
+  using callback = std::function<void(http_response)>;
 
   virtual ~transport() = default;
 
--- a/src/currantshed/store/watcher.hpp
+++ b/src/currantshed/store/watcher.hpp
@@ -28,7 +28,7 @@
 struct start_watch
 {
   index known = 0;
-  std::chrono::milliseconds atMost{ 0 };
+  std::chrono::milliseconds maxWait{ 0 };
 };
 
 /// Hands over what the key holds now: the first time in any case, and later
--- a/test/currantshed/store/era_model.hpp
+++ b/test/currantshed/store/era_model.hpp
@@ -14,12 +14,12 @@
 #include <vector>
 
 #include "currantshed/store/key_value.hpp"
-#include "test/currantshed/proxy/world.hpp"
+#include "test/currantshed/proxy/simulated_cluster.hpp"
 
 namespace currantshed::test {
 
 /// A mistake that the model must find.
-enum class era_mistake
+enum class seeded_bug
 {
   kNone,
   /// All answers count as of one era.
@@ -30,7 +30,7 @@
   /// An epoch is the store's revision.
   kEpochFromRevision,
   /// A reading proves that nothing newer was written, whatever the store lost.
-  kEvidenceCarriedOver,
+  kVerificationCarriedOver,
 };
 
 /// VMs with the real views, leases and claims before one store that loses its
@@ -41,7 +41,7 @@
 class era_model
 {
 public:
-  era_model(std::uint32_t aSeed, era_mistake aMistake);
+  era_model(std::uint32_t aSeed, seeded_bug aMistake);
   ~era_model();
   era_model(const era_model&) = delete;
   era_model& operator=(const era_model&) = delete;
@@ -93,7 +93,7 @@
   void Step();
   void Trouble();
   void Lose();
-  void Return(clock::time_point aTo);
+  void RestoreSnapshot(clock::time_point aTo);
   void Configure();
   void Put(const std::string& aKey,
            const std::string& aValue,
@@ -116,7 +116,7 @@
 
   timeline mTime;
   std::mt19937 mRandom;
-  era_mistake mMistake;
+  seeded_bug mMistake;
   content mStore;
   store::era_id mEra = 0;
   std::deque<copy> mCopies;
--- a/test/currantshed/store/fake_key_value.hpp
+++ b/test/currantshed/store/fake_key_value.hpp
@@ -39,7 +39,7 @@
   /// Whether commits are done, but their answers lost.
   bool losesAnswers = false;
   std::vector<watch> watches;
-  std::chrono::milliseconds patience{ 0 };
+  std::chrono::milliseconds callTimeout{ 0 };
   /// The era that answers tell, if they tell one.
   std::optional<store::era_id> era;
   /// Leases that were renewed or ended by a call.
@@ -49,11 +49,14 @@
   int commits = 0;
 
   /// Makes the copy that Return goes back to.
-  void Copy() { mCopy = { items, history, revision, leases, lastLease }; }
+  void TakeSnapshot()
+  {
+    mCopy = { items, history, revision, leases, lastLease };
+  }
 
   /// Comes back from the copy: what was written since is gone, revisions and
   /// leases are given out again, and watches are cut.
-  void Return()
+  void RestoreSnapshot()
   {
     CutWatches(store::errc::kTimeout);
     items = mCopy.items;
@@ -133,9 +136,9 @@
     }
   }
 
-  void SetPatience(std::chrono::milliseconds aPatience) override
+  void SetCallTimeout(std::chrono::milliseconds aTimeout) override
   {
-    patience = aPatience;
+    callTimeout = aTimeout;
   }
 
   void Get(std::string aKey, item_callback aDone) override
@@ -226,19 +229,19 @@
     });
   }
 
-  void Keep(store::lease_id aLease, keep_callback aDone) override
+  void KeepAlive(store::lease_id aLease, keep_alive_callback aDone) override
   {
     mCalls.push_back([this, aLease, aDone] {
       touched.insert(aLease.number);
       const bool lives = leases.contains(aLease.number);
       aDone(failing ? failing
             : lives ? std::error_code{}
-                    : make_error_code(store::errc::kNoLease),
+                    : make_error_code(store::errc::kLeaseNotFound),
             Reply());
     });
   }
 
-  void End(store::lease_id aLease) override
+  void Revoke(store::lease_id aLease) override
   {
     touched.insert(aLease.number);
     EndLease(aLease.number);
@@ -263,17 +266,17 @@
   [[nodiscard]] std::error_code ErrorAt(store::revision aAfter) const
   {
     return !failing && aAfter.number > revision
-             ? make_error_code(store::errc::kHistoryGone)
+             ? make_error_code(store::errc::kHistoryCompacted)
              : failing;
   }
 
-  [[nodiscard]] store::call_answer Reply() const { return { now, era }; }
+  [[nodiscard]] store::response_info Reply() const { return { now, era }; }
 
   void AnswerWatches()
   {
     for (auto& one : std::exchange(watches, {})) {
       if (one.after.number > revision) {
-        one.done(store::errc::kHistoryGone, {}, {}, Reply());
+        one.done(store::errc::kHistoryCompacted, {}, {}, Reply());
         continue;
       }
       const auto changes = Changes(one.prefix, one.after);
