--- a/bench/currantshed/node/whole_fleet.cpp
+++ b/bench/currantshed/node/whole_fleet.cpp
@@ -15,9 +15,9 @@
 
 constexpr std::size_t kDomains = 5;
 // One VM in twenty has a whole core.
-constexpr std::size_t kStrongEach = 20;
-constexpr unsigned kStrongShare = 1000;
-constexpr unsigned kWeakShare = 120;
+constexpr std::size_t kHighCapacityEach = 20;
+constexpr unsigned kHighCapacity = 1000;
+constexpr unsigned kLowCapacity = 120;
 
 node::vm_record
 MakeVm(std::size_t aNumber)
@@ -28,7 +28,7 @@
                    7440 };
   record.failureDomain = "domain-" + std::to_string(aNumber % kDomains);
   record.cpuMillicores =
-    aNumber / kDomains % kStrongEach == 0 ? kStrongShare : kWeakShare;
+    aNumber / kDomains % kHighCapacityEach == 0 ? kHighCapacity : kLowCapacity;
   return record;
 }
 
@@ -41,8 +41,8 @@
     const auto vm = MakeVm(i);
     const auto key = node::VmKey(vm.where.vm);
     items[key] = { key, node::SerializeVm(vm), { 0, ++revision }, {} };
-    const auto duty = node::FailoverLockKey("group-" + std::to_string(i));
-    items[duty] = { duty,
+    const auto lock = node::FailoverLockKey("group-" + std::to_string(i));
+    items[lock] = { lock,
                     node::SerializeFailoverLock({ vm.where.vm, 0, revision }),
                     { 0, ++revision },
                     {} };
@@ -80,17 +80,17 @@
 {
   const auto size = static_cast<std::size_t>(aState.range(0));
   auto keys = node::ReadClusterState(MakeKeys(size));
-  node::lock_assignments board(MakeVm(0).where.vm);
-  board.SetCandidates(keys, node::LockCandidates(keys));
+  node::lock_assignments assignments(MakeVm(0).where.vm);
+  assignments.SetCandidates(keys, node::LockCandidates(keys));
   for (std::size_t i = 0; i < size; ++i) {
-    board.AddService(keys, "group-" + std::to_string(i));
+    assignments.AddService(keys, "group-" + std::to_string(i));
   }
   const auto gone = keys.vms.find(MakeVm(0).where.vm)->second;
   for (auto _ : aState) {
     keys.vms.erase(gone.record.where.vm);
-    board.SetCandidates(keys, node::LockCandidates(keys));
+    assignments.SetCandidates(keys, node::LockCandidates(keys));
     keys.vms[gone.record.where.vm] = gone;
-    board.SetCandidates(keys, node::LockCandidates(keys));
+    assignments.SetCandidates(keys, node::LockCandidates(keys));
   }
 }
 
--- a/bin/currantshed-node/main.cpp
+++ b/bin/currantshed-node/main.cpp
@@ -27,7 +27,7 @@
 /// for new work. The rest is for its announcement to arrive, which takes up to
 /// three seconds if a connection to the store is silently broken, and for work
 /// in progress.
-constexpr int kLeavingUsePart = 2;
+constexpr int kDrainingUseDivisor = 2;
 
 /// Readiness for the status servers.
 class node_status final : public http::status_source
@@ -66,8 +66,8 @@
                { mSettings.vm,
                  mSettings.failureDomain,
                  aOptions.lead.validity,
-                 mSettings.leavingTime / kLeavingUsePart },
-               mLines,
+                 mSettings.leavingTime / kDrainingUseDivisor },
+               mLineCodec,
                mMetrics)
     , mControl(
         mSettings,
@@ -98,10 +98,10 @@
 
   int Run()
   {
-    if (Failed("callers", mTraffic.Listen()) ||
-        Failed("readiness", mReadiness.Start()) ||
-        Failed("metrics", mMetricsServer.Start()) ||
-        Failed("peers", mControl.Start())) {
+    if (ReportFailure("callers", mTraffic.Listen()) ||
+        ReportFailure("readiness", mReadiness.Start()) ||
+        ReportFailure("metrics", mMetricsServer.Start()) ||
+        ReportFailure("peers", mControl.Start())) {
       return kStartFailed;
     }
     log::Write(log::level::kInfo,
@@ -116,7 +116,7 @@
   }
 
 private:
-  static bool Failed(const std::string& aWhat, std::error_code aError)
+  static bool ReportFailure(const std::string& aWhat, std::error_code aError)
   {
     if (!aError) {
       return false;
@@ -137,22 +137,22 @@
         if (aSignal == SIGHUP) {
           Reload();
         } else {
-          Leave(aSignal);
+          BeginShutdown(aSignal);
         }
         AwaitSignal();
       });
   }
 
-  void Leave(int aSignal)
+  void BeginShutdown(int aSignal)
   {
-    if (mIsLeaving) {
+    if (mIsStopping) {
       return;
     }
-    mIsLeaving = true;
+    mIsStopping = true;
     log::Write(log::level::kInfo,
                "stopping",
                { { "signal", static_cast<std::int64_t>(aSignal) } });
-    mControl.Leave();
+    mControl.BeginShutdown();
     mTraffic.Drain(mSettings.stopTime);
   }
 
@@ -175,7 +175,7 @@
 
   const node::options& mOptions;
   node::node_settings mSettings;
-  platform::statement_line_codec mLines;
+  platform::statement_line_codec mLineCodec;
   platform::json_documents mDocuments;
   node::metrics mMetrics;
   node::traffic mTraffic;
@@ -184,7 +184,7 @@
   http::status_server mReadiness;
   http::status_server mMetricsServer;
   boost::asio::signal_set mSignals;
-  bool mIsLeaving = false;
+  bool mIsStopping = false;
 };
 
 } // namespace
@@ -198,17 +198,18 @@
     return parsed.exitCode;
   }
   std::string whyNot;
-  const auto laidDown =
+  const auto nodeSettings =
     platform::ReadSettingsFile(options.settingsPath, whyNot);
-  if (!laidDown) {
+  if (!nodeSettings) {
     std::cerr << "currantshed-node: " << options.settingsPath << ": " << whyNot
               << '\n';
     return settings::kUsageExitCode;
   }
-  log::Start({ "currantshed-node", laidDown->vm, laidDown->failureDomain },
-             options.logLevel);
+  log::Start(
+    { "currantshed-node", nodeSettings->vm, nodeSettings->failureDomain },
+    options.logLevel);
   try {
-    node_process process(options, *laidDown);
+    node_process process(options, *nodeSettings);
     return process.Run();
   } catch (const std::exception& error) {
     log::Write(log::level::kError,
--- a/bin/currantshed-node/options.cpp
+++ b/bin/currantshed-node/options.cpp
@@ -37,15 +37,15 @@
 }
 
 log::level
-LevelOf(const std::string& aWord)
+LevelOf(const std::string& aName)
 {
-  if (aWord == "debug") {
+  if (aName == "debug") {
     return log::level::kDebug;
   }
-  if (aWord == "warning") {
+  if (aName == "warning") {
     return log::level::kWarning;
   }
-  if (aWord == "error") {
+  if (aName == "error") {
     return log::level::kError;
   }
   return log::level::kInfo;
--- a/src/currantshed/node/caller_server.cpp
+++ b/src/currantshed/node/caller_server.cpp
@@ -23,13 +23,13 @@
 // configuration is known, which usually takes 20 ms. An immediate refusal would
 // cost each caller one of its few retries. After this time sessions are refused
 // with an error.
-constexpr std::chrono::milliseconds kLongestHold{ 300 };
+constexpr std::chrono::milliseconds kMaxStartWait{ 300 };
 // How long a session with an unknown key waits for a newer configuration, and
 // how many sessions may wait. Callers time out after two seconds.
-constexpr std::chrono::milliseconds kLongestDoubt{ 1500 };
-constexpr std::size_t kMostDoubted = 256;
+constexpr std::chrono::milliseconds kMaxKeyWait{ 1500 };
+constexpr std::size_t kMaxPendingKeys = 256;
 // A connection with more unsent bytes than this is closed.
-constexpr std::size_t kMostUnsent = std::size_t{ 4 } << 20U;
+constexpr std::size_t kMaxUnsentBytes = std::size_t{ 4 } << 20U;
 
 } // namespace
 
@@ -49,7 +49,7 @@
   void Start()
   {
     mStream->Start({ [self = shared_from_this()](std::string_view aLine) {
-                      self->Line(aLine);
+                      self->OnLine(aLine);
                     },
                      [self = shared_from_this()] { self->End(); } });
   }
@@ -59,7 +59,7 @@
     std::string out;
     mServer.mCodec.WriteAnswer(aAnswer, out);
     mStream->Send(out);
-    if (mStream->Unsent() > kMostUnsent) {
+    if (mStream->Unsent() > kMaxUnsentBytes) {
       Close();
     }
   }
@@ -72,10 +72,10 @@
   {
     mStream->CloseWhenSent();
     boost::asio::post(mServer.mContext,
-                      [self = shared_from_this()] { self->Forget(); });
+                      [self = shared_from_this()] { self->Detach(); });
   }
 
-  void Line(std::string_view aLine)
+  void OnLine(std::string_view aLine)
   {
     if (!mSession && !mStart.database.empty()) {
       // Nothing may be sent before the answer to the session start.
@@ -97,7 +97,7 @@
       return;
     }
     mServer.mEngine.Submit(*mSession, std::move(message->asked), clock::Now());
-    mServer.mAfter();
+    mServer.mOnEngineEvent();
   }
 
   [[nodiscard]] bool IsRelay() const
@@ -139,17 +139,17 @@
     }
     mStart = *start;
     mAskedAt = clock::Now();
-    Enter();
+    Admit();
   }
 
   // Refuses the session, opens it, or lets it wait for a newer configuration.
-  void Enter()
+  void Admit()
   {
     const auto now = clock::Now();
     switch (
       mServer.mEngine.Admits(mStart.database, mStart.key, mAskedAt, now)) {
       case proxy::session_admission::kGranted:
-        Begin();
+        OpenSession();
         return;
       case proxy::session_admission::kNoDatabase:
         Refuse(proxy::failure_code::kNoDatabase, mStart.database);
@@ -165,7 +165,8 @@
       case proxy::session_admission::kKeyNotYetKnown:
         break;
     }
-    if (now >= mAskedAt + kLongestDoubt || !mServer.Hold(shared_from_this())) {
+    if (now >= mAskedAt + kMaxKeyWait ||
+        !mServer.HoldSession(shared_from_this())) {
       Refuse(proxy::failure_code::kBusy,
              "the key may be new: " + customer::KeyFingerprint(mStart.key) +
                "; retry");
@@ -173,10 +174,10 @@
   }
 
   [[nodiscard]] clock::time_point AskedAt() const noexcept { return mAskedAt; }
-  [[nodiscard]] bool IsForgotten() const noexcept { return mIsForgotten; }
+  [[nodiscard]] bool IsDetached() const noexcept { return mIsDetached; }
 
 private:
-  void Begin()
+  void OpenSession()
   {
     mSession =
       mServer.mEngine.Open(mStart.database, *this, std::move(mStart.key));
@@ -211,21 +212,21 @@
   void End()
   {
     mStream->Close();
-    Forget();
+    Detach();
   }
 
-  void Forget()
+  void Detach()
   {
-    if (mIsForgotten) {
+    if (mIsDetached) {
       return;
     }
-    mIsForgotten = true;
+    mIsDetached = true;
     const auto self = shared_from_this();
     if (mSession) {
       mServer.mEngine.Close(*mSession, clock::Now());
-      mServer.mAfter();
+      mServer.mOnEngineEvent();
     }
-    mServer.Ended(mNumber);
+    mServer.OnConnectionClosed(mNumber);
   }
 
   caller_server& mServer;
@@ -235,27 +236,27 @@
   // The session start and the time when it was received.
   session_start mStart;
   clock::time_point mAskedAt;
-  bool mIsForgotten = false;
+  bool mIsDetached = false;
 };
 
 caller_server::caller_server(boost::asio::io_context& aContext,
                              endpoint_kind aKind,
                              const line_codec& aCodec,
                              proxy::engine& aEngine,
-                             std::size_t aMostConnections,
+                             std::size_t aMaxConnections,
                              std::function<bool()> aIsConfigured,
-                             std::function<void()> aAfter)
+                             std::function<void()> aOnEngineEvent)
   : mContext(aContext)
   , mKind(aKind)
   , mCodec(aCodec)
   , mEngine(aEngine)
-  , mMostConnections(aMostConnections)
+  , mMaxConnections(aMaxConnections)
   , mIsConfigured(std::move(aIsConfigured))
-  , mAfter(std::move(aAfter))
+  , mOnEngineEvent(std::move(aOnEngineEvent))
   , mAcceptor(aContext)
   , mRetry(aContext)
-  , mHold(aContext)
-  , mDoubtEnd(aContext)
+  , mStartTimer(aContext)
+  , mKeyTimer(aContext)
 {
 }
 
@@ -282,13 +283,13 @@
     return error;
   }
   if (mKind == endpoint_kind::kRelays || mIsConfigured()) {
-    Begin();
+    StartAccepting();
     return error;
   }
-  mHold.expires_after(kLongestHold);
-  mHold.async_wait([this](boost::system::error_code aStopped) {
+  mStartTimer.expires_after(kMaxStartWait);
+  mStartTimer.async_wait([this](boost::system::error_code aStopped) {
     if (!aStopped) {
-      Begin();
+      StartAccepting();
     }
   });
   return error;
@@ -297,21 +298,21 @@
 void
 caller_server::OnConfigured()
 {
-  mHold.cancel();
-  Begin();
+  mStartTimer.cancel();
+  StartAccepting();
 }
 
 // Lets a session whose key may be in a newer configuration wait for it. Returns
 // false if too many are waiting.
 bool
-caller_server::Hold(const std::shared_ptr<connection>& aCaller)
+caller_server::HoldSession(const std::shared_ptr<connection>& aCaller)
 {
-  if (mDoubted.size() >= kMostDoubted) {
+  if (mPendingKeys.size() >= kMaxPendingKeys) {
     return false;
   }
-  mDoubted.push_back(aCaller);
-  mDoubtEnd.expires_at(mDoubted.front()->AskedAt() + kLongestDoubt);
-  mDoubtEnd.async_wait([this](boost::system::error_code aStopped) {
+  mPendingKeys.push_back(aCaller);
+  mKeyTimer.expires_at(mPendingKeys.front()->AskedAt() + kMaxKeyWait);
+  mKeyTimer.async_wait([this](boost::system::error_code aStopped) {
     if (!aStopped) {
       RetryPendingKeys();
     }
@@ -322,18 +323,18 @@
 void
 caller_server::RetryPendingKeys()
 {
-  for (const auto& one : std::exchange(mDoubted, {})) {
-    if (!one->IsForgotten()) {
-      one->Enter();
+  for (const auto& one : std::exchange(mPendingKeys, {})) {
+    if (!one->IsDetached()) {
+      one->Admit();
     }
   }
 }
 
 void
-caller_server::Begin()
+caller_server::StartAccepting()
 {
-  if (!mHasBegun && mAcceptor.is_open()) {
-    mHasBegun = true;
+  if (!mIsAccepting && mAcceptor.is_open()) {
+    mIsAccepting = true;
     Accept();
   }
 }
@@ -342,7 +343,7 @@
 caller_server::StopListening()
 {
   net::CloseListener(
-    mAcceptor, [this](tcp::socket aSocket) { Accepted(std::move(aSocket)); });
+    mAcceptor, [this](tcp::socket aSocket) { OnAccepted(std::move(aSocket)); });
 }
 
 void
@@ -356,7 +357,7 @@
       // A connection that was accepted just before listening ended is served as
       // well.
       if (!aError) {
-        Accepted(std::move(aSocket));
+        OnAccepted(std::move(aSocket));
       }
       if (!mAcceptor.is_open()) {
         return;
@@ -378,9 +379,9 @@
 }
 
 void
-caller_server::Accepted(tcp::socket aSocket)
+caller_server::OnAccepted(tcp::socket aSocket)
 {
-  if (mConnections.size() >= mMostConnections) {
+  if (mConnections.size() >= mMaxConnections) {
     log::Write(log::level::kWarning,
                "session_refused",
                { { "reason", "as many connections as descriptors allow" } });
@@ -393,7 +394,7 @@
 }
 
 void
-caller_server::Ended(std::uint64_t aNumber)
+caller_server::OnConnectionClosed(std::uint64_t aNumber)
 {
   mConnections.erase(aNumber);
 }
--- a/src/currantshed/node/caller_server.hpp
+++ b/src/currantshed/node/caller_server.hpp
@@ -31,15 +31,15 @@
     kRelays,
   };
 
-  /// aIsConfigured returns whether a configuration is known yet. aAfter is
-  /// called after each event that was passed to the engine.
+  /// aIsConfigured returns whether a configuration is known yet. aOnEngineEvent
+  /// is called after each event that was passed to the engine.
   caller_server(boost::asio::io_context& aContext,
                 endpoint_kind aKind,
                 const line_codec& aCodec,
                 proxy::engine& aEngine,
-                std::size_t aMostConnections,
+                std::size_t aMaxConnections,
                 std::function<bool()> aIsConfigured,
-                std::function<void()> aAfter);
+                std::function<void()> aOnEngineEvent);
 
   [[nodiscard]] std::error_code Listen(const std::string& aAddress,
                                        std::uint16_t aPort);
@@ -63,28 +63,28 @@
 private:
   class connection;
 
-  [[nodiscard]] bool Hold(const std::shared_ptr<connection>& aCaller);
-  void Begin();
+  [[nodiscard]] bool HoldSession(const std::shared_ptr<connection>& aCaller);
+  void StartAccepting();
   void Accept();
-  void Accepted(boost::asio::ip::tcp::socket aSocket);
-  void Ended(std::uint64_t aNumber);
+  void OnAccepted(boost::asio::ip::tcp::socket aSocket);
+  void OnConnectionClosed(std::uint64_t aNumber);
 
   boost::asio::io_context& mContext;
   endpoint_kind mKind;
   const line_codec& mCodec;
   proxy::engine& mEngine;
-  std::size_t mMostConnections;
+  std::size_t mMaxConnections;
   std::function<bool()> mIsConfigured;
-  std::function<void()> mAfter;
+  std::function<void()> mOnEngineEvent;
   boost::asio::ip::tcp::acceptor mAcceptor;
   boost::asio::steady_timer mRetry;
   // Limits the wait for the first configuration.
-  boost::asio::steady_timer mHold;
+  boost::asio::steady_timer mStartTimer;
   // Sessions whose key may be in a newer configuration, and the time-out of the
   // oldest one.
-  std::vector<std::shared_ptr<connection>> mDoubted;
-  boost::asio::steady_timer mDoubtEnd;
-  bool mHasBegun = false;
+  std::vector<std::shared_ptr<connection>> mPendingKeys;
+  boost::asio::steady_timer mKeyTimer;
+  bool mIsAccepting = false;
   absl::flat_hash_map<std::uint64_t, std::shared_ptr<connection>> mConnections;
   std::uint64_t mLastNumber = 0;
 };
--- a/src/currantshed/node/cluster_state.cpp
+++ b/src/currantshed/node/cluster_state.cpp
@@ -11,9 +11,9 @@
 
 namespace json = boost::json;
 
-constexpr std::string_view kVms = "currantshed/vm/";
-constexpr std::string_view kDuties = "currantshed/duty/";
-constexpr std::string_view kFleet = "currantshed/fleet";
+constexpr std::string_view kVmPrefix = "currantshed/vm/";
+constexpr std::string_view kLockPrefix = "currantshed/duty/";
+constexpr std::string_view kFleetKey = "currantshed/fleet";
 
 // An epoch combines the era and the revision of the store in one number. It
 // stays below 2^53, which a double represents exactly, because the platform may
@@ -45,7 +45,7 @@
 }
 
 json::object
-ToObject(const vm_record& aRecord)
+SerializeVmRecord(const vm_record& aRecord)
 {
   return { { "vm", aRecord.where.vm },
            { "address", aRecord.where.address },
@@ -54,13 +54,13 @@
            { "failure_domain", aRecord.failureDomain },
            { "incarnation", aRecord.incarnation },
            { "share", aRecord.cpuMillicores },
-           { "leaving", aRecord.leaving } };
+           { "leaving", aRecord.draining } };
 }
 
 // Throws the exceptions of Boost.JSON if a member is missing or has another
 // type.
 vm_record
-FromObject(const json::object& aObject)
+ParseVmRecord(const json::object& aObject)
 {
   vm_record record;
   record.where = { Text(aObject, "vm"),
@@ -70,7 +70,7 @@
   record.failureDomain = Text(aObject, "failure_domain");
   record.incarnation = Number(aObject, "incarnation");
   record.cpuMillicores = aObject.at("share").to_number<unsigned>();
-  record.leaving = aObject.at("leaving").as_bool();
+  record.draining = aObject.at("leaving").as_bool();
   return record;
 }
 
@@ -78,7 +78,7 @@
 // reads the whole record and it grows with the fleet. Incarnations are not
 // recorded.
 vm_record
-FromRow(const json::array& aRow)
+ParseFleetRow(const json::array& aRow)
 {
   vm_record record;
   record.where = { json::value_to<std::string>(aRow.at(0)),
@@ -93,21 +93,21 @@
 // Whether the holder is listed in the incarnation that acquired the lock and is
 // not draining.
 bool
-IsHeld(const cluster_state& aKeys, const failover_lock& aDuty)
+IsHeld(const cluster_state& aKeys, const failover_lock& aLock)
 {
-  const auto holder = aKeys.vms.find(aDuty.holder);
+  const auto holder = aKeys.vms.find(aLock.holder);
   return holder != aKeys.vms.end() &&
-         holder->second.record.incarnation == aDuty.incarnation &&
-         !holder->second.record.leaving;
+         holder->second.record.incarnation == aLock.incarnation &&
+         !holder->second.record.draining;
 }
 
 // The following functions apply one key. Null stands for a removed key, and a
 // value that cannot be parsed counts as removed.
 void
-ReadVmKey(cluster_state& aKeys,
-          const std::string& aName,
-          const store::item* aItem,
-          cluster_changes& aChanges)
+ApplyVmKey(cluster_state& aKeys,
+           const std::string& aName,
+           const store::item* aItem,
+           cluster_changes& aChanges)
 {
   auto record = aItem == nullptr ? std::nullopt : ParseVm(*aItem);
   const auto before = aKeys.vms.find(aName);
@@ -127,10 +127,10 @@
 }
 
 void
-ReadDutyKey(cluster_state& aKeys,
-            const std::string& aService,
-            const store::item* aItem,
-            cluster_changes& aChanges)
+ApplyLockKey(cluster_state& aKeys,
+             const std::string& aService,
+             const store::item* aItem,
+             cluster_changes& aChanges)
 {
   auto record = aItem == nullptr ? std::nullopt : ParseFailoverLock(*aItem);
   aChanges.locks.push_back(aService);
@@ -142,9 +142,9 @@
 }
 
 void
-ReadFleetKey(cluster_state& aKeys,
-             const store::item* aItem,
-             cluster_changes& aChanges)
+ApplyFleetKey(cluster_state& aKeys,
+              const store::item* aItem,
+              cluster_changes& aChanges)
 {
   auto fleet = aItem == nullptr ? std::nullopt : ParseFleet(*aItem);
   aKeys.fleet = fleet ? std::move(*fleet) : std::vector<vm_record>{};
@@ -153,17 +153,17 @@
 }
 
 void
-ReadKey(cluster_state& aKeys,
-        const std::string& aKey,
-        const store::item* aItem,
-        cluster_changes& aChanges)
+ApplyKey(cluster_state& aKeys,
+         const std::string& aKey,
+         const store::item* aItem,
+         cluster_changes& aChanges)
 {
-  if (StartsWith(aKey, kVms)) {
-    ReadVmKey(aKeys, aKey.substr(kVms.size()), aItem, aChanges);
-  } else if (StartsWith(aKey, kDuties)) {
-    ReadDutyKey(aKeys, aKey.substr(kDuties.size()), aItem, aChanges);
-  } else if (aKey == kFleet) {
-    ReadFleetKey(aKeys, aItem, aChanges);
+  if (StartsWith(aKey, kVmPrefix)) {
+    ApplyVmKey(aKeys, aKey.substr(kVmPrefix.size()), aItem, aChanges);
+  } else if (StartsWith(aKey, kLockPrefix)) {
+    ApplyLockKey(aKeys, aKey.substr(kLockPrefix.size()), aItem, aChanges);
+  } else if (aKey == kFleetKey) {
+    ApplyFleetKey(aKeys, aItem, aChanges);
   }
 }
 
@@ -172,19 +172,19 @@
 std::string
 VmKey(const std::string& aVm)
 {
-  return std::string(kVms) + aVm;
+  return std::string(kVmPrefix) + aVm;
 }
 
 std::string
 FailoverLockKey(const std::string& aService)
 {
-  return std::string(kDuties) + aService;
+  return std::string(kLockPrefix) + aService;
 }
 
 std::string
 FleetKey()
 {
-  return std::string(kFleet);
+  return std::string(kFleetKey);
 }
 
 std::string
@@ -209,7 +209,7 @@
     std::vector<vm_record> fleet;
     const auto parsed = json::parse(aItem.value);
     for (const auto& one : parsed.as_array()) {
-      fleet.push_back(FromRow(one.as_array()));
+      fleet.push_back(ParseFleetRow(one.as_array()));
     }
     return fleet;
   } catch (const std::exception&) {
@@ -236,14 +236,14 @@
 std::string
 SerializeVm(const vm_record& aRecord)
 {
-  return json::serialize(ToObject(aRecord));
+  return json::serialize(SerializeVmRecord(aRecord));
 }
 
 std::optional<vm_record>
 ParseVm(const store::item& aItem)
 {
   try {
-    return FromObject(json::parse(aItem.value).as_object());
+    return ParseVmRecord(json::parse(aItem.value).as_object());
   } catch (const std::exception&) {
     return std::nullopt;
   }
@@ -292,8 +292,8 @@
 {
   cluster_state keys;
   for (const auto& [key, item] : aItems) {
-    cluster_changes ignored;
-    ReadKey(keys, key, &item, ignored);
+    cluster_changes ignoredChanges;
+    ApplyKey(keys, key, &item, ignoredChanges);
   }
   return keys;
 }
@@ -311,7 +311,7 @@
   }
   for (const auto& key : aChanged.keys) {
     const auto found = aItems.find(key);
-    ReadKey(
+    ApplyKey(
       aKeys, key, found == aItems.end() ? nullptr : &found->second, changes);
   }
   return changes;
@@ -321,11 +321,11 @@
 ReloadFleet(cluster_state& aKeys, const store::prefix_view::items& aItems)
 {
   const auto found = aItems.find(FleetKey());
-  cluster_changes ignored;
-  ReadKey(aKeys,
-          FleetKey(),
-          found == aItems.end() ? nullptr : &found->second,
-          ignored);
+  cluster_changes ignoredChanges;
+  ApplyKey(aKeys,
+           FleetKey(),
+           found == aItems.end() ? nullptr : &found->second,
+           ignoredChanges);
 }
 
 void
@@ -346,8 +346,8 @@
 bool
 IsLockHeld(const cluster_state& aKeys, const std::string& aService)
 {
-  const auto duty = aKeys.locks.find(aService);
-  return duty != aKeys.locks.end() && IsHeld(aKeys, duty->second.record);
+  const auto lock = aKeys.locks.find(aService);
+  return lock != aKeys.locks.end() && IsHeld(aKeys, lock->second.record);
 }
 
 store::transaction
@@ -360,7 +360,7 @@
   const auto key = FailoverLockKey(aService);
   const auto before = aKeys.locks.find(aService);
   const store::revision none{ aSeen.era };
-  failover_lock made{
+  failover_lock claimed{
     aSelf.where.vm, aSelf.incarnation, EpochOf(aSeen), aReplaced
   };
   store::transaction claim;
@@ -369,21 +369,21 @@
   } else {
     const auto& old = before->second.record;
     const auto holder = aKeys.vms.find(old.holder);
-    made.epoch = std::max(made.epoch, old.epoch + 1);
-    made.replacedTerm = std::max(aReplaced, old.replacedTerm);
+    claimed.epoch = std::max(claimed.epoch, old.epoch + 1);
+    claimed.replacedTerm = std::max(aReplaced, old.replacedTerm);
     claim.conditions.push_back({ key, before->second.changed });
     claim.conditions.push_back(
       { VmKey(old.holder),
         holder == aKeys.vms.end() ? none : holder->second.changed });
   }
-  claim.puts.push_back({ key, SerializeFailoverLock(made), {}, {} });
+  claim.puts.push_back({ key, SerializeFailoverLock(claimed), {}, {} });
   return claim;
 }
 
 bool
-IsFromEra(const failover_lock& aDuty, store::era_id aEra)
+IsFromEra(const failover_lock& aLock, store::era_id aEra)
 {
-  return aDuty.epoch >> kNumberBits == aEra;
+  return aLock.epoch >> kNumberBits == aEra;
 }
 
 } // namespace currantshed::node
--- a/src/currantshed/node/cluster_state.hpp
+++ b/src/currantshed/node/cluster_state.hpp
@@ -29,7 +29,7 @@
   /// CPU time available to the VM, in thousandths of a core.
   unsigned cpuMillicores = 0;
   /// The VM is draining and takes no failover locks.
-  bool leaving = false;
+  bool draining = false;
 
   [[nodiscard]] friend bool operator==(const vm_record&,
                                        const vm_record&) = default;
@@ -160,7 +160,7 @@
 /// of an earlier era orders no promotions and announces no terms until it has
 /// acquired the lock again.
 [[nodiscard]] bool
-IsFromEra(const failover_lock& aDuty, store::era_id aEra);
+IsFromEra(const failover_lock& aLock, store::era_id aEra);
 
 } // namespace currantshed::node
 
--- a/src/currantshed/node/control.cpp
+++ b/src/currantshed/node/control.cpp
@@ -18,30 +18,30 @@
 
 // Interval between two reach updates of a VM, per VM that sends them, and its
 // bounds: a VM that monitors a group needs some recent updates, not many.
-constexpr milliseconds kReachByVm{ 25 };
-constexpr milliseconds kShortestReach{ 250 };
-constexpr milliseconds kLongestReach{ 2000 };
+constexpr milliseconds kReachIntervalPerVm{ 25 };
+constexpr milliseconds kMinReachInterval{ 250 };
+constexpr milliseconds kMaxReachInterval{ 2000 };
 // The same for a VM that the store no longer lists: a new lock holder learns of
 // it only by its reach updates, and until then that VM has no confirmations but
 // its own. It sends them to a few other VMs at a time, which limits the number
 // of its connections.
-constexpr milliseconds kOffListReach{ 1000 };
+constexpr milliseconds kUnlistedReachInterval{ 1000 };
 // After this time a VM takes callers even if a group has no primary.
-constexpr milliseconds kReadyWithoutProof{ 1500 };
+constexpr milliseconds kReadyWithoutConfirmation{ 1500 };
 // Pauses after a change before the next changes are read. Frequent changes by
 // operators, and the writes of servers that start, cost each VM one call per
 // pause. Both pauses are far shorter than the times within which changes must
 // take effect.
 constexpr milliseconds kConfigurationPause{ 300 };
 constexpr milliseconds kServersPause{ 400 };
-constexpr milliseconds kServersPauseByServer{ 40 };
+constexpr milliseconds kPausePerServer{ 40 };
 // Upper bound for any number of keys: only a few VMs of a failure domain make
 // these calls, and what they read must reach all others in time.
-constexpr milliseconds kLongestServersPause{ 800 };
-constexpr milliseconds kLongestOwnPause{ 300 };
+constexpr milliseconds kMaxServersPause{ 800 };
+constexpr milliseconds kMaxClusterPause{ 300 };
 // How long the first reading of the other keys waits for that of the cluster
 // state, which tells which VMs can provide those keys.
-constexpr milliseconds kOwnKeysFirst{ 500 };
+constexpr milliseconds kClusterStateFirst{ 500 };
 // Duration of a VM's lease and the interval between renewals. Lock holders and
 // forwarders use a short lease. All others use the long one, which halves the
 // cost of their renewals.
@@ -53,7 +53,7 @@
 // Transfer time of a byte of a document on the VM's link. The store's encoding
 // sends three bytes as four.
 std::chrono::nanoseconds
-ByteTime(const node_settings& aSettings)
+TimePerByte(const node_settings& aSettings)
 {
   constexpr double kBitsSent = 8.0 * 4 / 3;
   const double seconds =
@@ -71,7 +71,7 @@
                  traffic& aTraffic,
                  metrics& aMetrics)
   : mSettings(aSettings)
-  , mLeadSettings(aLead)
+  , mMonitorSettings(aLead)
   , mDocuments(aDocuments)
   , mTraffic(aTraffic)
   , mMetrics(aMetrics)
@@ -87,57 +87,61 @@
               boost::asio::post(mContext, std::move(aCall));
             },
              [this](std::optional<store::era_id> aBefore, store::era_id aNow) {
-               EraBegan(aBefore, aNow);
+               OnEraBegan(aBefore, aNow);
              } })
   , mConfigurationView(
       mStore,
       aDocuments.ConfigurationKey(),
       { .pauseAfterChange = kConfigurationPause,
-        .timePerByte = ByteTime(aSettings) },
-      Listener("configuration",
-               [this](clock::time_point) { ConfigurationChanged(); }))
-  , mServersView(
-      mStore,
-      aDocuments.ServersPrefix(),
-      { .pauseAfterChange = kServersPause,
-        .pausePerKey = kServersPauseByServer,
-        .maxPauseByKeys = kLongestServersPause },
-      Listener("servers",
-               [this](clock::time_point aNow) { ServersChanged(aNow); }))
-  , mOwnView(mStore,
-             std::string(kClusterPrefix),
-             { .maxPauseByKeys = kLongestOwnPause },
-             Listener("own_keys",
-                      [this](clock::time_point aNow) { OwnKeysChanged(aNow); }))
-  , mRegistration(mStore, mOwnView, VmKey(aSettings.vm), { LongLease() })
-  , mNews(mContext,
-          mZmq,
-          mSelf.where,
-          mSelf.incarnation,
-          [this](const news::News& aNews,
-                 const news::exchange::clock_converter& aClock,
-                 clock::time_point aNow) { Received(aNews, aClock, aNow); })
-  , mTurn(absl::Uniform<std::size_t>(mRandom, 0, 4096))
+        .timePerByte = TimePerByte(aSettings) },
+      MakeViewListener("configuration",
+                       [this](clock::time_point) { ConfigurationChanged(); }))
+  , mServersView(mStore,
+                 aDocuments.ServersPrefix(),
+                 { .pauseAfterChange = kServersPause,
+                   .pausePerKey = kPausePerServer,
+                   .maxPauseByKeys = kMaxServersPause },
+                 MakeViewListener(
+                   "servers",
+                   [this](clock::time_point aNow) { ServersChanged(aNow); }))
+  , mClusterView(mStore,
+                 std::string(kClusterPrefix),
+                 { .maxPauseByKeys = kMaxClusterPause },
+                 MakeViewListener("own_keys",
+                                  [this](clock::time_point aNow) {
+                                    ClusterStateChanged(aNow);
+                                  }))
+  , mRegistration(mStore, mClusterView, VmKey(aSettings.vm), { LongLease() })
+  , mExchange(mContext,
+              mZmq,
+              mSelf.where,
+              mSelf.incarnation,
+              [this](const news::News& aMessage,
+                     const news::exchange::clock_converter& aClock,
+                     clock::time_point aNow) {
+                OnAnnouncement(aMessage, aClock, aNow);
+              })
+  , mRound(absl::Uniform<std::size_t>(mRandom, 0, 4096))
   , mForwardingTimeouts(aSettings.configurationBound)
-  , mKnownVms(aSettings.vm)
+  , mMembership(aSettings.vm)
   , mFreshness(aSettings.keyBound)
-  , mBank(aSettings.quotaWindow)
-  , mDuties(aSettings.vm)
+  , mTokenBuckets(aSettings.quotaWindow)
+  , mLocks(aSettings.vm)
   , mStartedAt(clock::Now())
   , mTicker(mContext, [this] { Tick(); })
 {
-  mUseKnownAt = mStartedAt;
+  mGroupsInUseAt = mStartedAt;
   for (auto* view : { &mConfigurationView, &mServersView }) {
     view->ForwardedUntil(mStartedAt + mForwardingTimeouts.DiscoveryTimeout());
-    view->DelayFirstReadUntil(mStartedAt + kOwnKeysFirst);
+    view->DelayFirstReadUntil(mStartedAt + kClusterStateFirst);
   }
-  mOwnView.ForwardedUntil(mStartedAt +
-                          mForwardingTimeouts.ClusterDiscoveryTimeout());
+  mClusterView.ForwardedUntil(mStartedAt +
+                              mForwardingTimeouts.ClusterDiscoveryTimeout());
   mRegistration.SetValue(SerializeVm(mSelf));
   mRegistration.OnWritten([this] { Tick(); });
   mRegistration.OnRecovered([this] {
     const auto now = clock::Now();
-    HoldViews();
+    PauseViews();
     for (auto* view : Views()) {
       if (now >= view->ForwardedUntil()) {
         view->Refresh(now);
@@ -161,7 +165,7 @@
 std::error_code
 control::Start()
 {
-  if (const auto error = mNews.Listen()) {
+  if (const auto error = mExchange.Listen()) {
     return error;
   }
   mTraffic.SetListener(
@@ -172,15 +176,15 @@
      },
       [this](const std::string& aService, position::term_id aTerm) {
         boost::asio::post(mContext, [this, aService, aTerm] {
-          if (auto* found = Touch(aService)) {
-            found->lead.LeadershipDenied(aTerm, clock::Now());
-            Perform(clock::Now());
+          if (auto* found = MarkPending(aService)) {
+            found->monitor.LeadershipDenied(aTerm, clock::Now());
+            PerformActions(clock::Now());
           }
         });
       },
       [this](const std::string& aCustomer, unsigned aCount) {
         boost::asio::post(mContext, [this, aCustomer, aCount] {
-          WantTokens(aCustomer, aCount, clock::Now());
+          RequestTokens(aCustomer, aCount, clock::Now());
         });
       } });
   boost::asio::post(mContext, [this] { Tick(); });
@@ -189,13 +193,13 @@
 }
 
 void
-control::Leave()
+control::BeginShutdown()
 {
   mIsReady = false;
   boost::asio::post(mContext, [this] {
-    mIsLeaving = true;
+    mIsDraining = true;
     mIsReady = false;
-    mSelf.leaving = true;
+    mSelf.draining = true;
     mRegistration.SetValue(SerializeVm(mSelf));
     Tick();
   });
@@ -209,7 +213,7 @@
   }
   boost::asio::post(mContext, [this] {
     mRegistration.Revoke();
-    mNews.Close();
+    mExchange.Close();
     mWork.reset();
     mContext.stop();
   });
@@ -224,15 +228,15 @@
   if (found == items.end()) {
     return;
   }
-  std::string whyNot;
-  auto read = mDocuments.ReadConfiguration(found->second.value, whyNot);
+  std::string error;
+  auto read = mDocuments.ReadConfiguration(found->second.value, error);
   if (read == nullptr) {
     log::Write(
-      log::level::kError, "configuration_unreadable", { { "reason", whyNot } });
+      log::level::kError, "configuration_unreadable", { { "reason", error } });
     return;
   }
   if (read->version == mVersion) {
-    mInForce = found->second.changed;
+    mConfigurationRevision = found->second.changed;
   }
   if (read->version <= mVersion) {
     log::Write(log::level::kWarning,
@@ -242,7 +246,7 @@
     return;
   }
   mVersion = read->version;
-  mInForce = found->second.changed;
+  mConfigurationRevision = found->second.changed;
   mMetrics.SetConfiguration(mVersion);
   log::Write(
     log::level::kInfo,
@@ -258,12 +262,12 @@
     log::Write(
       log::level::kError, "customer_unreadable", { { "reason", reason } });
   }
-  const bool toldApart = mCustomers != nullptr;
+  const bool hadCustomers = mCustomers != nullptr;
   mCustomers = read->customers;
   ServicesChanged(*read);
   mTraffic.SetConfiguration(std::move(read));
-  if (!toldApart && mCustomers != nullptr) {
-    NoteCollectors();
+  if (!hadCustomers && mCustomers != nullptr) {
+    UpdateCoordinators();
   }
   UpdateReadiness(clock::Now());
 }
@@ -299,59 +303,59 @@
 }
 
 void
-control::OwnKeysChanged(clock::time_point aNow)
+control::ClusterStateChanged(clock::time_point aNow)
 {
-  NoteEra(aNow);
-  const auto changes =
-    UpdateClusterState(mOwnKeys, mOwnView.Items(), mOwnView.TakeChangedKeys());
-  NoteDuties(changes);
+  UpdateEra(aNow);
+  const auto changes = UpdateClusterState(
+    mClusterState, mClusterView.Items(), mClusterView.TakeChangedKeys());
+  UpdateLockAssignments(changes);
   if (changes.isAll || changes.isFleetRecorded || !changes.vms.empty()) {
     FleetChanged(aNow);
   }
-  NoteListed(aNow);
+  OnFirstListed(aNow);
   UpdateReadiness(aNow);
   Tick();
 }
 
 // When this VM is listed for the first time, it asks other VMs for their state.
 void
-control::NoteListed(clock::time_point aNow)
+control::OnFirstListed(clock::time_point aNow)
 {
   if (mListedAt != clock::time_point{} || !mRegistration.IsListed()) {
     return;
   }
   mListedAt = aNow;
-  auto asked = mForwarders.empty() ? SomeDutyHolders() : mForwarders;
-  AppendMissing(asked, NextFew(aNow));
+  auto asked = mForwarders.empty() ? SelectLockHolders() : mForwarders;
+  AppendMissing(asked, SelectFewVms(aNow));
   for (const auto& vm : asked) {
-    SendReachTo(vm, true, aNow);
+    SendReachUpdateTo(vm, true, aNow);
   }
 }
 
 store::prefix_view::listener
-control::Listener(const std::string& aWhat,
-                  std::function<void(clock::time_point)> aChanged)
+control::MakeViewListener(const std::string& aWhat,
+                          std::function<void(clock::time_point)> aChanged)
 {
   return { [this, changed = std::move(aChanged)](clock::time_point aNow) {
             changed(aNow);
-            TellSubscribers(aNow);
+            NotifySubscribers(aNow);
           },
            [this, aWhat](bool aIsReached, std::error_code aWhy) {
-             NoteStore(aWhat, aIsReached, aWhy);
+             LogStoreReachability(aWhat, aIsReached, aWhy);
            },
            [this, aWhat](store::revision aRead, store::revision aSeen) {
-             NoteIgnored(aWhat, aRead, aSeen);
+             LogStaleRead(aWhat, aRead, aSeen);
            } };
 }
 
 void
-control::EraBegan(std::optional<store::era_id> aBefore, store::era_id aNow)
+control::OnEraBegan(std::optional<store::era_id> aBefore, store::era_id aNow)
 {
   mMetrics.SetStoreEra(aNow);
   if (!aBefore) {
     return;
   }
-  mHasReturned = true;
+  mWasRestored = true;
   log::Write(
     log::level::kWarning,
     "store_returned",
@@ -360,7 +364,7 @@
       { "configuration",
         static_cast<std::int64_t>(mConfigurationView.Seen().number) },
       { "servers", static_cast<std::int64_t>(mServersView.Seen().number) },
-      { "own_keys", static_cast<std::int64_t>(mOwnView.Seen().number) } });
+      { "own_keys", static_cast<std::int64_t>(mClusterView.Seen().number) } });
   for (auto* view : Views()) {
     view->OnEraChanged(clock::Now());
   }
@@ -368,9 +372,9 @@
 }
 
 void
-control::NoteIgnored(const std::string& aWhat,
-                     store::revision aRead,
-                     store::revision aSeen)
+control::LogStaleRead(const std::string& aWhat,
+                      store::revision aRead,
+                      store::revision aSeen)
 {
   mMetrics.CountStoreCall("ignored");
   log::Write(log::level::kWarning,
@@ -383,9 +387,9 @@
 }
 
 void
-control::NoteStore(const std::string& aWhat,
-                   bool aIsReached,
-                   std::error_code aWhy)
+control::LogStoreReachability(const std::string& aWhat,
+                              bool aIsReached,
+                              std::error_code aWhy)
 {
   mMetrics.CountStoreCall(aIsReached ? "regained" : "lost");
   log::Write(
@@ -399,58 +403,58 @@
 {
   const auto now = clock::Now();
   TickStore(now);
-  KeepFresh(now);
-  KeepQuotas(now);
-  Poll(now);
+  TickFreshness(now);
+  TickQuotas(now);
+  PollForwarders(now);
   if (mServers.IsDue(now)) {
     ServersChanged(now);
   }
-  KeepDuties(now);
+  UpdateLocks(now);
   SetMayConfirm();
-  for (const auto& service : mAgenda.Due(now)) {
-    if (auto* due = Touch(service)) {
-      due->lead.Tick(now);
+  for (const auto& service : mScheduler.Due(now)) {
+    if (auto* due = MarkPending(service)) {
+      due->monitor.Tick(now);
     }
   }
-  if (now >= mNextReach) {
-    mNextReach = now + ReachInterval(now);
-    NoteVms(now);
-    SetPlaces(now);
-    SendReach(now);
-    mNews.CloseIdle(now);
+  if (now >= mNextReachUpdate) {
+    mNextReachUpdate = now + ReachInterval(now);
+    UpdateMembership(now);
+    UpdateQueryStagger(now);
+    SendReachUpdates(now);
+    mExchange.CloseIdle(now);
   }
   EndSettling(now);
-  KeepFleet(now);
+  RecordFleet(now);
   UpdateReadiness(now);
-  Perform(now);
+  PerformActions(now);
 }
 
 std::chrono::milliseconds
 control::ReachInterval(clock::time_point aNow) const
 {
-  const auto vms = static_cast<int>(mOwnKeys.vms.size());
+  const auto vms = static_cast<int>(mClusterState.vms.size());
   const auto usual =
-    std::clamp(kReachByVm * vms, kShortestReach, kLongestReach);
-  return IsOffTheList(aNow) ? std::min(usual, kOffListReach) : usual;
+    std::clamp(kReachIntervalPerVm * vms, kMinReachInterval, kMaxReachInterval);
+  return IsUnlisted(aNow) ? std::min(usual, kUnlistedReachInterval) : usual;
 }
 
 void
 control::TickStore(clock::time_point aNow)
 {
   const bool hasRead = mConfigurationView.IsKnown() && mServersView.IsKnown() &&
-                       mOwnView.IsKnown();
+                       mClusterView.IsKnown();
   mStore.SetCallTimeout(store::CallTimeout(aNow - mStartedAt, hasRead));
-  HoldViews();
+  PauseViews();
   mConfigurationView.Tick(aNow, absl::Uniform<double>(mRandom, 0, 1));
   mServersView.Tick(aNow, absl::Uniform<double>(mRandom, 0, 1));
-  mOwnView.Tick(aNow, absl::Uniform<double>(mRandom, 0, 1));
+  mClusterView.Tick(aNow, absl::Uniform<double>(mRandom, 0, 1));
   mRegistration.Tick(aNow, absl::Uniform<double>(mRandom, 0, 1));
 }
 
 // While the store does not answer this VM, only the renewal of its lease is
 // tried, which costs a tenth of any other call.
 void
-control::HoldViews()
+control::PauseViews()
 {
   for (auto* view : Views()) {
     view->SetPaused(view->IsKnown() && mRegistration.IsFailing());
@@ -460,19 +464,20 @@
 bool
 control::ReachesStore() const
 {
-  return mOwnView.IsReached() && !mRegistration.IsFailing();
+  return mClusterView.IsReached() && !mRegistration.IsFailing();
 }
 
 void
 control::UpdateReadiness(clock::time_point aNow)
 {
-  const bool known = mVersion != 0 && !mServers.Servers().empty() &&
-                     mListedAt != clock::time_point{};
-  const bool enough =
-    mIsReady || aNow >= mListedAt + kReadyWithoutProof || AreAllProved(aNow);
-  const bool hasKeys = mFreshness.Holds(aNow) || mIsReady;
+  const bool isConfigured = mVersion != 0 && !mServers.Servers().empty() &&
+                            mListedAt != clock::time_point{};
+  const bool isServable = mIsReady ||
+                          aNow >= mListedAt + kReadyWithoutConfirmation ||
+                          AreAllConfirmed(aNow);
+  const bool isVerified = mFreshness.Holds(aNow) || mIsReady;
   const bool ready =
-    known && enough && hasKeys && !mIsLeaving && !IsCutOff(aNow);
+    isConfigured && isServable && isVerified && !mIsDraining && !IsCutOff(aNow);
   if (ready != mIsReady) {
     mIsReady = ready;
     log::Write(
@@ -480,17 +485,17 @@
       ready ? "ready" : "not_ready",
       { { "version", static_cast<std::int64_t>(mVersion) },
         { "servers", static_cast<std::int64_t>(mServers.Servers().size()) },
-        { "proven", AreAllProved(aNow) } });
+        { "proven", AreAllConfirmed(aNow) } });
   }
 }
 
 bool
-control::AreAllProved(clock::time_point aNow) const
+control::AreAllConfirmed(clock::time_point aNow) const
 {
   return !mGroups.empty() &&
          std::all_of(mGroups.begin(), mGroups.end(), [&](const auto& aEntry) {
-           const auto& confirmation = aEntry.second->lead.Confirmation();
-           return aNow < confirmation.askedAt + mLeadSettings.validity;
+           const auto& confirmation = aEntry.second->monitor.Confirmation();
+           return aNow < confirmation.askedAt + mMonitorSettings.validity;
          });
 }
 
@@ -499,31 +504,31 @@
 {
   auto next = std::min({ mConfigurationView.NextTick(),
                          mServersView.NextTick(),
-                         mOwnView.NextTick(),
+                         mClusterView.NextTick(),
                          mRegistration.NextTick(),
-                         NextFreshness(),
-                         mTokens.NextTick(),
-                         mAgenda.Next(),
-                         mWatches.NextTick(),
-                         mNextReach });
+                         NextFreshnessCheck(),
+                         mTokenClient.NextTick(),
+                         mScheduler.Next(),
+                         mWatchBatch.NextTick(),
+                         mNextReachUpdate });
   if (!mForwarders.empty()) {
     next = std::min(next, mNextPoll);
   }
-  if (KeepsQuotas()) {
+  if (EnforcesQuotas()) {
     next = std::min(next, mNextShare);
   }
   if (!mSubscribers.Empty()) {
-    next = std::min(next, mRelays.NextTick());
+    next = std::min(next, mForwardingBatch.NextTick());
   }
   mTicker.At(next);
 }
 
 control::group*
-control::Touch(const std::string& aService)
+control::MarkPending(const std::string& aService)
 {
   auto* found = Find(aService);
   if (found != nullptr) {
-    mAgenda.Touch(aService);
+    mScheduler.MarkPending(aService);
   }
   return found;
 }
--- a/src/currantshed/node/control.hpp
+++ b/src/currantshed/node/control.hpp
@@ -84,7 +84,7 @@
 
   /// Announces to the other VMs that this one is shutting down, and stops
   /// taking callers. May be called on any thread.
-  void Leave();
+  void BeginShutdown();
 
   /// Removes this VM's registration from the store and ends the thread.
   void Stop();
@@ -98,34 +98,34 @@
   struct group
   {
     explicit group(const lead::monitor_settings& aSettings)
-      : lead(aSettings)
+      : monitor(aSettings)
     {
     }
 
-    lead::group_monitor lead;
+    lead::group_monitor monitor;
     /// This VM's rank, from 0 to below 1, among those that ask for
     /// confirmations of a group that no VM monitors.
-    double place = 0;
-    bool isClaiming = false;
-    clock::time_point claimFrom{};
+    double queryRank = 0;
+    bool isClaimPending = false;
+    clock::time_point nextClaimAt{};
     /// This VM has obtained a confirmation itself and sends it to others,
     /// although it does not monitor the group.
-    bool passesOn = false;
+    bool hasOwnConfirmation = false;
     /// The next watch update must go to all subscribers, because the primary
     /// has changed or a term was revoked.
-    bool isForAll = false;
+    bool isForAllSubscribers = false;
     /// When this VM, which monitors the group, last asked other VMs whether
     /// they reach the primary.
-    clock::time_point doubtedAt{};
+    clock::time_point reachQueriedAt{};
     /// Until when the VM that monitors the group wants reach updates, and the
     /// most recent reach update of this VM's subscribers.
     clock::time_point reachWantedUntil{};
-    forwarded_reach_update freshest;
-    position::term_id toldTerm = 0;
+    forwarded_reach_update latestReach;
+    position::term_id announcedTerm = 0;
     /// Positions of the primary that were announced most recently, oldest
     /// first. They are sent to VMs that begin to use the group, whose reads may
     /// be as stale as these positions.
-    std::deque<proxy::position_sample> recent;
+    std::deque<proxy::position_sample> recentSamples;
   };
 
   using groups = absl::btree_map<std::string, std::unique_ptr<group>>;
@@ -133,194 +133,203 @@
   void ConfigurationChanged();
   void ServersChanged(clock::time_point aNow);
   [[nodiscard]] std::vector<proxy::server> ReadServers();
-  void NoteUnusable(const std::string& aKey,
-                    store::revision aChanged,
-                    std::error_code aWhyNot);
+  void LogUnusableEntry(const std::string& aKey,
+                        store::revision aChanged,
+                        std::error_code aError);
   void ReadEntry(const std::string& aKey, const store::item& aItem);
-  void NoteServers(const std::vector<server_change>& aNews,
-                   list_source aSource) const;
+  void LogServerChanges(const std::vector<server_change>& aMessage,
+                        list_source aSource) const;
   void ConfigureGroups(const absl::flat_hash_set<std::string>& aServices,
                        clock::time_point aNow);
   void ServicesChanged(const proxy::configuration& aConfiguration);
-  void OwnKeysChanged(clock::time_point aNow);
+  void ClusterStateChanged(clock::time_point aNow);
   void FleetChanged(clock::time_point aNow);
-  void NoteDuties(const cluster_changes& aChanges);
-  void NoteListed(clock::time_point aNow);
-  void NoteStore(const std::string& aWhat,
-                 bool aIsReached,
-                 std::error_code aWhy);
-  [[nodiscard]] store::prefix_view::listener Listener(
+  void UpdateLockAssignments(const cluster_changes& aChanges);
+  void OnFirstListed(clock::time_point aNow);
+  void LogStoreReachability(const std::string& aWhat,
+                            bool aIsReached,
+                            std::error_code aWhy);
+  [[nodiscard]] store::prefix_view::listener MakeViewListener(
     const std::string& aWhat,
     std::function<void(clock::time_point)> aChanged);
-  void EraBegan(std::optional<store::era_id> aBefore, store::era_id aNow);
-  void NoteIgnored(const std::string& aWhat,
-                   store::revision aRead,
-                   store::revision aSeen);
+  void OnEraBegan(std::optional<store::era_id> aBefore, store::era_id aNow);
+  void LogStaleRead(const std::string& aWhat,
+                    store::revision aRead,
+                    store::revision aSeen);
   void Tick();
   void TickStore(clock::time_point aNow);
-  void Perform(clock::time_point aNow);
-  void PerformOne(const std::string& aService, group& aGroup);
-  void Do(const std::string& aService, const lead::send_command& aAction);
-  void Do(const std::string& aService, const lead::request_promotion& aAction);
-  void Do(const std::string& aService, const lead::read_replaced_term& aAction);
-  void Do(const std::string& aService, const lead::list_vms& aAction);
-  void Do(const std::string& aService,
-          const lead::publish_confirmation& aAction);
-  void Do(const std::string& aService, const lead::publish_sample& aAction);
-  void Do(const std::string& aService, const lead::publish_revocation& aAction);
-  void Do(const std::string& aService, const lead::log_step& aAction);
+  void PerformActions(clock::time_point aNow);
+  void PerformActionsOf(const std::string& aService, group& aGroup);
+  void Execute(const std::string& aService, const lead::send_command& aAction);
+  void Execute(const std::string& aService,
+               const lead::request_promotion& aAction);
+  void Execute(const std::string& aService,
+               const lead::read_replaced_term& aAction);
+  void Execute(const std::string& aService, const lead::list_vms& aAction);
+  void Execute(const std::string& aService,
+               const lead::publish_confirmation& aAction);
+  void Execute(const std::string& aService,
+               const lead::publish_sample& aAction);
+  void Execute(const std::string& aService,
+               const lead::publish_revocation& aAction);
+  void Execute(const std::string& aService, const lead::log_step& aAction);
   void RecordReplaced(const std::string& aService,
                       const upstream::server_id& aServer,
-                      failover_lock aDuty,
+                      failover_lock aLock,
                       store::revision aChanged);
   void Promote(const std::string& aService,
                const upstream::server_id& aServer,
                std::uint64_t aEpoch);
-  void NotOrdered(const std::string& aService,
-                  const upstream::server_id& aServer,
-                  std::string aReason,
+  void PromotionNotOrdered(const std::string& aService,
+                           const upstream::server_id& aServer,
+                           std::string aReason,
+                           clock::time_point aNow);
+  [[nodiscard]] bool StillHoldsLock(const failover_lock& aLock,
+                                    clock::time_point aAskedAt) const;
+  void OnPromotionResult(const std::string& aService,
+                         promotion_outcome aOutcome,
+                         clock::time_point aNow);
+  void UpdateLock(const std::string& aService,
+                  group& aGroup,
                   clock::time_point aNow);
-  [[nodiscard]] bool HoldsDutySince(const failover_lock& aDuty,
-                                    clock::time_point aAsked) const;
-  void PromotionEnded(const std::string& aService,
-                      promotion_outcome aOutcome,
-                      clock::time_point aNow);
-  void KeepDuty(const std::string& aService,
-                group& aGroup,
-                clock::time_point aNow);
-  void Claim(const std::string& aService,
-             group& aGroup,
-             clock::time_point aNow);
-  void KeepDuties(clock::time_point aNow);
+  void ClaimLock(const std::string& aService,
+                 group& aGroup,
+                 clock::time_point aNow);
+  void UpdateLocks(clock::time_point aNow);
   void SetMayConfirm();
-  void SendWatch(clock::time_point aNow);
-  void FillChanges(news::News& aOut) const;
-  void PassOn(const std::vector<std::string>& aTouched, clock::time_point aNow);
-  void AnswerTo(const std::string& aVm, clock::time_point aNow);
-  void SendReach(clock::time_point aNow);
-  void SendReachTo(const std::string& aVm, bool aAsks, clock::time_point aNow);
-  void HeardServers(const std::vector<proxy::server_contact>& aHeard);
-  [[nodiscard]] std::vector<std::string> ToldGroups() const;
-  void Received(const news::News& aNews,
-                const news::exchange::clock_converter& aClock,
-                clock::time_point aNow);
+  void SendWatchUpdates(clock::time_point aNow);
+  void FillRevisions(news::News& aOut) const;
+  void SendOwnConfirmations(const std::vector<std::string>& aPending,
+                            clock::time_point aNow);
+  void SendKnownConfirmations(const std::string& aVm, clock::time_point aNow);
+  void SendReachUpdates(clock::time_point aNow);
+  void SendReachUpdateTo(const std::string& aVm,
+                         bool aAsks,
+                         clock::time_point aNow);
+  void OnHeardServers(const std::vector<proxy::server_contact>& aHeard);
+  [[nodiscard]] std::vector<std::string> ReachUpdateGroups() const;
+  void OnAnnouncement(const news::News& aMessage,
+                      const news::exchange::clock_converter& aClock,
+                      clock::time_point aNow);
   void UpdateReadiness(clock::time_point aNow);
-  void NoteCollectors();
-  [[nodiscard]] cluster_state WithRecorded() const;
+  void UpdateCoordinators();
+  [[nodiscard]] cluster_state StateWithRecordedVms() const;
   [[nodiscard]] std::size_t FleetSize() const;
-  [[nodiscard]] bool KeepsQuotas() const;
+  [[nodiscard]] bool EnforcesQuotas() const;
   void FillShares(const std::string& aVm,
                   news::News& aOut,
                   clock::time_point aNow);
-  void ShareAll(clock::time_point aNow);
-  void TakeShares(const news::News& aNews);
-  void KeepQuotas(clock::time_point aNow);
-  void WantTokens(const std::string& aCustomer,
-                  unsigned aCount,
-                  clock::time_point aNow);
+  void SendShares(clock::time_point aNow);
+  void ApplyShares(const news::News& aMessage);
+  void TickQuotas(clock::time_point aNow);
+  void RequestTokens(const std::string& aCustomer,
+                     unsigned aCount,
+                     clock::time_point aNow);
   [[nodiscard]] customer::token_grant GrantTokens(const std::string& aCustomer,
                                                   unsigned aCount);
-  void CarryTokens(clock::time_point aNow);
-  void HeardOfTokens(const news::News& aNews,
-                     const news::exchange::clock_converter& aClock,
-                     clock::time_point aNow);
-  void SetCheckPlace();
-  void KeepFresh(clock::time_point aNow);
-  void NoteProof(clock::time_point aNow);
-  void NoteFreshness(bool aHolds, clock::time_point aNow);
-  void SpreadProof(clock::time_point aNow);
+  void ExchangeTokens(clock::time_point aNow);
+  void HandleTokenMessages(const news::News& aMessage,
+                           const news::exchange::clock_converter& aClock,
+                           clock::time_point aNow);
+  void SetCheckRank();
+  void TickFreshness(clock::time_point aNow);
+  void ApplyVerification(clock::time_point aNow);
+  void LogFreshness(bool aHolds, clock::time_point aNow);
+  void SendVerification(clock::time_point aNow);
   [[nodiscard]] bool IsCutOff(clock::time_point aNow) const;
-  [[nodiscard]] bool LacksProof(clock::time_point aNow) const;
-  [[nodiscard]] clock::time_point NextFreshness() const;
+  [[nodiscard]] bool LacksVerification(clock::time_point aNow) const;
+  [[nodiscard]] clock::time_point NextFreshnessCheck() const;
   void Schedule();
-  [[nodiscard]] bool AreAllProved(clock::time_point aNow) const;
-  /// Finds the group and marks it, so that Perform carries out the actions that
-  /// result from what its group_monitor is told.
-  [[nodiscard]] group* Touch(const std::string& aService);
+  [[nodiscard]] bool AreAllConfirmed(clock::time_point aNow) const;
+  /// Finds the group and marks it, so that PerformActions carries out the
+  /// actions that result from what its group_monitor is told.
+  [[nodiscard]] group* MarkPending(const std::string& aService);
   [[nodiscard]] group* Find(const std::string& aService);
   [[nodiscard]] const group* Find(const std::string& aService) const;
-  void NoteVms(clock::time_point aNow);
+  void UpdateMembership(clock::time_point aNow);
   void AddRecordedPeers(std::vector<news::peer>& aTo) const;
-  void SetPlaces(clock::time_point aNow);
-  void TellFleet(clock::time_point aNow);
-  void KeepFleet(clock::time_point aNow);
-  void NoteEra(clock::time_point aNow);
+  void UpdateQueryStagger(clock::time_point aNow);
+  void PublishFleet(clock::time_point aNow);
+  void RecordFleet(clock::time_point aNow);
+  void UpdateEra(clock::time_point aNow);
   void EndSettling(clock::time_point aNow);
-  [[nodiscard]] bool IsOffTheList(clock::time_point aNow) const;
-  [[nodiscard]] bool IsLongOffTheList(clock::time_point aNow) const;
+  [[nodiscard]] bool IsUnlisted(clock::time_point aNow) const;
+  [[nodiscard]] bool IsLongUnlisted(clock::time_point aNow) const;
   [[nodiscard]] std::chrono::milliseconds ReachInterval(
     clock::time_point aNow) const;
   [[nodiscard]] store::lease_times ShortLease() const;
   [[nodiscard]] store::lease_times LongLease() const;
-  void NoteDomains();
-  [[nodiscard]] std::vector<std::string> Audience(clock::time_point aNow) const;
+  void UpdateForwardersOfAll();
+  [[nodiscard]] std::vector<std::string> WatchUpdateRecipients(
+    clock::time_point aNow) const;
   [[nodiscard]] bool SendsDirectReachUpdates(const std::string& aVm,
                                              clock::time_point aNow) const;
-  [[nodiscard]] bool IsRelayed(clock::time_point aNow) const;
-  [[nodiscard]] std::vector<std::string> ReachAudience(clock::time_point aNow);
-  [[nodiscard]] std::vector<std::string> ObedienceAudience(
+  [[nodiscard]] bool IsForwardedTo(clock::time_point aNow) const;
+  [[nodiscard]] std::vector<std::string> ReachUpdateRecipients(
+    clock::time_point aNow);
+  [[nodiscard]] std::vector<std::string> AcknowledgementRecipients(
     const std::string& aService,
     clock::time_point aNow) const;
-  [[nodiscard]] static lead::watch_update WordOn(const group& aGroup);
-  void PassWords(clock::time_point aNow);
-  void TakeWatches(const news::News& aNews,
-                   const news::exchange::clock_converter& aClock,
-                   clock::time_point aNow);
-  void TakeReach(const std::string& aFrom,
-                 const std::string& aService,
-                 const lead::reach_update& aReach,
-                 clock::time_point aNow);
-  void SendDoubts(const std::vector<std::string>& aTouched,
-                  clock::time_point aNow);
-  void HeardDoubts(const news::News& aNews, clock::time_point aNow);
-  void PassReaches(clock::time_point aNow);
+  [[nodiscard]] static lead::watch_update WatchUpdateOf(const group& aGroup);
+  void ForwardWatchUpdates(clock::time_point aNow);
+  void ApplyWatchUpdates(const news::News& aMessage,
+                         const news::exchange::clock_converter& aClock,
+                         clock::time_point aNow);
+  void ApplyReachUpdate(const std::string& aFrom,
+                        const std::string& aService,
+                        const lead::reach_update& aReach,
+                        clock::time_point aNow);
+  void SendReachQueries(const std::vector<std::string>& aPending,
+                        clock::time_point aNow);
+  void AnswerReachQueries(const news::News& aMessage, clock::time_point aNow);
+  void ForwardReachUpdates(clock::time_point aNow);
   [[nodiscard]] bool IsForwarder(const std::string& aVm) const;
   void EndForwarderDiscovery(bool aIsForwarder, clock::time_point aNow);
   void UpdateForwarders(clock::time_point aNow);
-  void Poll(clock::time_point aNow);
-  void AskUse(clock::time_point aNow);
+  void PollForwarders(clock::time_point aNow);
+  void UpdateGroupsInUse(clock::time_point aNow);
   void ConfirmationNeeded(const std::string& aService, clock::time_point aNow);
-  void SendWanted(const std::string& aVm, clock::time_point aNow);
-  void SendRecent(const std::string& aVm,
-                  const std::vector<std::string>& aServices,
-                  clock::time_point aNow);
-  void AnswerWanted(const news::News& aNews, clock::time_point aNow);
-  void TakeUpdates(const news::News& aNews,
-                   const news::exchange::clock_converter& aClock,
-                   clock::time_point aNow);
-  void TakeUpdate(const std::string& aVm,
-                  const news::KeysUpdate& aUpdate,
-                  const news::exchange::clock_converter& aClock,
-                  clock::time_point aNow);
+  void SendPoll(const std::string& aVm, clock::time_point aNow);
+  void SendRecentUpdates(const std::string& aVm,
+                         const std::vector<std::string>& aServices,
+                         clock::time_point aNow);
+  void AnswerPoll(const news::News& aMessage, clock::time_point aNow);
+  void ApplyKeysUpdates(const news::News& aMessage,
+                        const news::exchange::clock_converter& aClock,
+                        clock::time_point aNow);
+  void ApplyKeysUpdate(const std::string& aVm,
+                       const news::KeysUpdate& aUpdate,
+                       const news::exchange::clock_converter& aClock,
+                       clock::time_point aNow);
   void FillUpdate(news::KeysUpdate& aOut,
                   std::size_t aPrefix,
                   const store::key_update& aUpdate);
-  void AskParts(const std::string& aVm,
-                std::size_t aPrefix,
-                clock::time_point aNow);
-  void SendWantedPart(std::size_t aPrefix,
-                      const std::string& aVm,
-                      clock::time_point aNow);
-  void AnswerParts(const news::News& aNews, clock::time_point aNow);
-  void TakeParts(const news::News& aNews, clock::time_point aNow);
-  void HoldFirstReadings(bool aHasForwarders, clock::time_point aNow);
-  void AnswerSender(const std::string& aVm, clock::time_point aNow);
-  void HeardChanges(const news::News& aNews, clock::time_point aNow);
-  void TellSubscribers(clock::time_point aNow);
+  void BeginSnapshotTransfer(const std::string& aVm,
+                             std::size_t aPrefix,
+                             clock::time_point aNow);
+  void RequestNextChunk(std::size_t aPrefix,
+                        const std::string& aVm,
+                        clock::time_point aNow);
+  void AnswerChunkRequests(const news::News& aMessage, clock::time_point aNow);
+  void ApplyChunks(const news::News& aMessage, clock::time_point aNow);
+  void DelayFirstReads(bool aHasForwarders, clock::time_point aNow);
+  void SendEmptyAnnouncement(const std::string& aVm, clock::time_point aNow);
+  void PollIfNewer(const news::News& aMessage, clock::time_point aNow);
+  void NotifySubscribers(clock::time_point aNow);
   /// The followed prefixes, in the order of their numbers in messages.
   [[nodiscard]] std::array<store::prefix_view*, 3> Views();
-  void HoldViews();
+  void PauseViews();
   /// Whether the store answers this VM's calls, as far as is known.
   [[nodiscard]] bool ReachesStore() const;
-  [[nodiscard]] std::vector<std::string> NextFew(clock::time_point aNow);
-  [[nodiscard]] std::vector<std::string> DutyHolders() const;
-  [[nodiscard]] std::vector<std::string> SomeDutyHolders();
-  [[nodiscard]] std::string HolderOf(const std::string& aService) const;
+  [[nodiscard]] std::vector<std::string> SelectFewVms(clock::time_point aNow);
+  [[nodiscard]] std::vector<std::string> LockHolders() const;
+  [[nodiscard]] std::vector<std::string> SelectLockHolders();
+  [[nodiscard]] std::string LockHolderOf(const std::string& aService) const;
   /// The record of the group's failover lock, or null.
-  [[nodiscard]] const failover_lock* DutyOf(const std::string& aService) const;
+  [[nodiscard]] const failover_lock* LockOf(const std::string& aService) const;
 
   const node_settings& mSettings;
-  lead::monitor_settings mLeadSettings;
+  lead::monitor_settings mMonitorSettings;
   const document_codec& mDocuments;
   traffic& mTraffic;
   metrics& mMetrics;
@@ -334,12 +343,12 @@
   store::era_guard mStore;
   store::prefix_view mConfigurationView;
   store::prefix_view mServersView;
-  store::prefix_view mOwnView;
+  store::prefix_view mClusterView;
   store::registration mRegistration;
-  news::exchange mNews;
-  cluster_state mOwnKeys;
+  news::exchange mExchange;
+  cluster_state mClusterState;
   // Counts round-robin selections.
-  std::size_t mTurn;
+  std::size_t mRound;
   // The forwarders that this VM polls; empty if this VM follows the store
   // itself.
   std::vector<std::string> mForwarders;
@@ -349,43 +358,43 @@
   std::vector<std::string> mDomainForwarders;
   absl::flat_hash_set<std::string> mForwardedDomains;
   absl::flat_hash_set<std::string> mAllForwarders;
-  forwarding_batch mRelays;
+  forwarding_batch mForwardingBatch;
   // Groups that this VM monitors and has a newer watch update for.
-  forwarding_batch mWatches;
+  forwarding_batch mWatchBatch;
   // When a forwarder last forwarded watch updates to this VM.
-  clock::time_point mRelayedAt{};
-  request_throttle mPace;
+  clock::time_point mForwardedAt{};
+  request_throttle mPollThrottle;
   clock::time_point mNextPoll{};
   internal::forwarding_timeouts mForwardingTimeouts;
   // Splitters that send snapshots of the followed prefixes to other VMs, and
   // assemblers that receive them, in the order of the prefixes' numbers.
-  std::array<snapshot_splitter, 3> mCutters;
-  std::array<snapshot_assembler, 3> mCollectors;
+  std::array<snapshot_splitter, 3> mSplitters;
+  std::array<snapshot_assembler, 3> mAssemblers;
   // The VMs that poll this one.
   subscribers mSubscribers;
   // The groups that callers of this VM use, and the time up to which the
   // traffic thread has reported them.
-  groups_in_use mInUse;
-  clock::time_point mUseKnownAt{};
-  vm_membership mKnownVms;
+  groups_in_use mGroupsInUse;
+  clock::time_point mGroupsInUseAt{};
+  vm_membership mMembership;
   std::uint64_t mVersion = 0;
   // Revision of the configuration in force.
-  store::revision mInForce;
+  store::revision mConfigurationRevision;
   // Age limit of the configuration, the schedule of this VM's freshness checks,
   // and the VMs that make such checks.
   customer::freshness mFreshness;
-  freshness_check_schedule mChecks;
+  freshness_check_schedule mCheckSchedule;
   std::vector<std::string> mCheckers;
   bool mWasFresh = false;
   // The customers in force; the tokens that this VM coordinates; its own share
   // of the rates, by partition; and the client that requests tokens.
   std::shared_ptr<const customer::directory> mCustomers;
-  customer::token_buckets mBank;
+  customer::token_buckets mTokenBuckets;
   std::array<customer::token_accrual, customer::kPartitions> mShares;
-  token_client mTokens;
+  token_client mTokenClient;
   clock::time_point mNextShare{};
   absl::btree_map<std::string, clock::time_point> mSharedAt;
-  clock::time_point mNextEnd{};
+  clock::time_point mNextSessionEnd{};
   server_list mServers;
   // Era of the list that was applied last.
   store::era_id mServersEra = 0;
@@ -394,31 +403,31 @@
   // The valid entries, by key.
   absl::btree_map<std::string, proxy::server> mEntries;
   // Entries that cannot be used, and the revision of each.
-  absl::btree_map<std::string, store::revision> mUnusable;
+  absl::btree_map<std::string, store::revision> mUnusableEntries;
   groups mGroups;
-  group_scheduler mAgenda;
-  lock_assignments mDuties;
-  bool mMayAsk = false;
+  group_scheduler mScheduler;
+  lock_assignments mLocks;
+  bool mMayConfirm = false;
   // By service, when the traffic thread last heard the primary.
-  absl::btree_map<std::string, clock::time_point> mHeard;
+  absl::btree_map<std::string, clock::time_point> mPrimaryHeardAt;
   clock::time_point mStartedAt;
   clock::time_point mListedAt{};
-  clock::time_point mNextReach{};
+  clock::time_point mNextReachUpdate{};
   // Until that time, which is set at the first reading of the list, recorded
   // VMs count although they are not listed.
-  std::optional<clock::time_point> mSettledAt;
+  std::optional<clock::time_point> mSettlesAt;
   bool mIsSettled = false;
   // Era of the cluster state, and the VMs that were known in the previous era,
   // until they have had time to register again.
-  store::era_id mOwnEra = 0;
-  std::vector<vm_record> mFormer;
+  store::era_id mClusterEra = 0;
+  std::vector<vm_record> mFormerVms;
   // The store was restored from an older snapshot since this process started.
-  bool mHasReturned = false;
+  bool mWasRestored = false;
   // Whether the fleet record differs from the list; empty if either has changed
   // since the last comparison. And since when it has differed.
   std::optional<bool> mIsFleetStale;
   std::optional<clock::time_point> mFleetStaleSince;
-  bool mIsLeaving = false;
+  bool mIsDraining = false;
   std::atomic<bool> mIsReady{ false };
   net::tick_timer mTicker;
   std::thread mThread;
--- a/src/currantshed/node/control_dissemination.cpp
+++ b/src/currantshed/node/control_dissemination.cpp
@@ -25,27 +25,27 @@
 // second, and a VM queries a server itself when less than 350 ms are left: a
 // confirmation delayed by the pause still arrives in time. The second forwarder
 // is a standby for the first and forwards half as often.
-constexpr milliseconds kFirstPause{ 150 };
-constexpr milliseconds kSecondPause{ 300 };
+constexpr milliseconds kPrimaryPause{ 150 };
+constexpr milliseconds kStandbyPause{ 300 };
 // A VM whose forwarders have forwarded nothing for this long sends its reach
 // updates directly to the VMs that monitor groups, which answer it.
-constexpr milliseconds kRelayLife{ 1200 };
+constexpr milliseconds kForwardingTimeout{ 1200 };
 // Maximum number of groups for which one message contains all recent positions,
 // 600 bytes each: the message must stay far below the receiver's limit of 256
 // KB and must not saturate a slow link. For other groups only the newest
 // position is sent.
-constexpr std::size_t kMostLongWords = 32;
+constexpr std::size_t kMaxGroupsWithSamples = 32;
 // Minimum pause between two queries about a primary that does not answer, and
 // how long VMs go on sending reach updates after a query.
-constexpr milliseconds kDoubtPause{ 500 };
-constexpr milliseconds kReachWanted{ 1200 };
+constexpr milliseconds kReachQueryInterval{ 500 };
+constexpr milliseconds kReachQueryLifetime{ 1200 };
 
 void
-FillRelayed(news::Reach& aOut, const forwarded_reach_update& aReach)
+FillForwarded(news::Reach& aOut, const forwarded_reach_update& aReach)
 {
-  Fill(aOut, aReach.service, aReach.news);
+  Fill(aOut, aReach.service, aReach.update);
   aOut.set_vm(aReach.vm);
-  aOut.set_said_at_us(lead::ToWire(aReach.news.sentAt).count());
+  aOut.set_said_at_us(lead::ToWire(aReach.update.sentAt).count());
 }
 
 } // namespace
@@ -54,21 +54,21 @@
 // domain, all VMs of failure domains without forwarders, and the VMs that send
 // reach updates directly because they have no active forwarder.
 std::vector<std::string>
-control::Audience(clock::time_point aNow) const
+control::WatchUpdateRecipients(clock::time_point aNow) const
 {
-  std::vector<std::string> audience;
-  mKnownVms.ForEachReachable(aNow, [&](const news::peer& aPeer) {
-    const auto found = mOwnKeys.vms.find(aPeer.vm);
-    const bool isListed = found != mOwnKeys.vms.end();
+  std::vector<std::string> recipients;
+  mMembership.ForEachReachable(aNow, [&](const news::peer& aPeer) {
+    const auto found = mClusterState.vms.find(aPeer.vm);
+    const bool isListed = found != mClusterState.vms.end();
     const bool hasForwarders =
       isListed &&
       mForwardedDomains.contains(found->second.record.failureDomain);
     if (!hasForwarders || mAllForwarders.contains(aPeer.vm) ||
         SendsDirectReachUpdates(aPeer.vm, aNow)) {
-      audience.push_back(aPeer.vm);
+      recipients.push_back(aPeer.vm);
     }
   });
-  return audience;
+  return recipients;
 }
 
 // Whether the VM sends reach updates directly to this one although it is not a
@@ -79,13 +79,13 @@
 control::SendsDirectReachUpdates(const std::string& aVm,
                                  clock::time_point aNow) const
 {
-  return mKnownVms.SendsDirectReachUpdates(aVm, aNow) &&
+  return mMembership.SendsDirectReachUpdates(aVm, aNow) &&
          !mSubscribers.Contains(aVm);
 }
 
 // Updates the forwarders of each failure domain.
 void
-control::NoteDomains()
+control::UpdateForwardersOfAll()
 {
   mForwardedDomains.clear();
   mAllForwarders.clear();
@@ -93,9 +93,9 @@
   // While all VMs start, the recorded ones are expected back shortly.
   std::optional<cluster_state> withRecorded;
   if (!mIsSettled) {
-    withRecorded = WithRecorded();
+    withRecorded = StateWithRecordedVms();
   }
-  const auto& keys = withRecorded ? *withRecorded : mOwnKeys;
+  const auto& keys = withRecorded ? *withRecorded : mClusterState;
   absl::flat_hash_set<std::string> domains;
   for (const auto& [name, one] : keys.vms) {
     domains.insert(one.record.failureDomain);
@@ -115,10 +115,10 @@
 // Whether this VM's forwarders forward watch updates to it, and so forward its
 // reach updates as well.
 bool
-control::IsRelayed(clock::time_point aNow) const
+control::IsForwardedTo(clock::time_point aNow) const
 {
-  return !mForwarders.empty() && aNow < mRelayedAt + kRelayLife &&
-         !IsOffTheList(aNow);
+  return !mForwarders.empty() && aNow < mForwardedAt + kForwardingTimeout &&
+         !IsUnlisted(aNow);
 }
 
 // The VMs that get this VM's reach updates. After this VM has dropped off the
@@ -129,38 +129,38 @@
 // it for a while after it has dropped off the list, and need no reach update
 // until that time is nearly over.
 std::vector<std::string>
-control::ReachAudience(clock::time_point aNow)
+control::ReachUpdateRecipients(clock::time_point aNow)
 {
-  if (IsRelayed(aNow)) {
+  if (IsForwardedTo(aNow)) {
     return mForwarders;
   }
-  if (IsLongOffTheList(aNow)) {
-    auto told = DutyHolders();
-    AppendMissing(told, NextFew(aNow));
-    return told;
+  if (IsLongUnlisted(aNow)) {
+    auto recipients = LockHolders();
+    AppendMissing(recipients, SelectFewVms(aNow));
+    return recipients;
   }
-  auto told = SomeDutyHolders();
-  for (const auto& service : ToldGroups()) {
-    auto holder = HolderOf(service);
+  auto recipients = SelectLockHolders();
+  for (const auto& service : ReachUpdateGroups()) {
+    auto holder = LockHolderOf(service);
     if (!holder.empty() && holder != mSelf.where.vm) {
-      AppendMissing(told, { std::move(holder) });
+      AppendMissing(recipients, { std::move(holder) });
     }
   }
-  if (IsOffTheList(aNow)) {
-    AppendMissing(told, NextFew(aNow));
+  if (IsUnlisted(aNow)) {
+    AppendMissing(recipients, SelectFewVms(aNow));
   }
-  return told;
+  return recipients;
 }
 
 // The VMs that get this VM's acknowledgement of a revoked term.
 std::vector<std::string>
-control::ObedienceAudience(const std::string& aService,
-                           clock::time_point aNow) const
+control::AcknowledgementRecipients(const std::string& aService,
+                                   clock::time_point aNow) const
 {
-  if (IsRelayed(aNow)) {
+  if (IsForwardedTo(aNow)) {
     return mForwarders;
   }
-  const auto holder = HolderOf(aService);
+  const auto holder = LockHolderOf(aService);
   if (holder.empty() || holder == mSelf.where.vm) {
     return {};
   }
@@ -169,102 +169,104 @@
 
 // The watch update of a group for this VM's subscribers.
 lead::watch_update
-control::WordOn(const group& aGroup)
+control::WatchUpdateOf(const group& aGroup)
 {
-  const auto& lead = aGroup.lead;
-  return lead.AnnouncesStatus() ? lead.WatchUpdate() : lead.ForwardedUpdate();
+  const auto& monitor = aGroup.monitor;
+  return monitor.AnnouncesStatus() ? monitor.WatchUpdate()
+                                   : monitor.ForwardedUpdate();
 }
 
 // Sends the recent watch updates of groups that are new in a VM's subscription,
 // with the oldest position first.
 void
-control::SendRecent(const std::string& aVm,
-                    const std::vector<std::string>& aServices,
-                    clock::time_point aNow)
+control::SendRecentUpdates(const std::string& aVm,
+                           const std::vector<std::string>& aServices,
+                           clock::time_point aNow)
 {
-  news::News told;
-  std::size_t longWords = 0;
+  news::News message;
+  std::size_t groupsWithSamples = 0;
   for (const auto& service : aServices) {
     const auto* found = Find(service);
     if (found == nullptr) {
       continue;
     }
-    const auto newest = WordOn(*found);
-    if (++longWords <= kMostLongWords) {
-      for (const auto& sample : found->recent) {
-        auto word = newest;
-        word.sample = sample;
-        Fill(*told.add_watches(), service, word);
+    const auto newest = WatchUpdateOf(*found);
+    if (++groupsWithSamples <= kMaxGroupsWithSamples) {
+      for (const auto& sample : found->recentSamples) {
+        auto update = newest;
+        update.sample = sample;
+        Fill(*message.add_watches(), service, update);
       }
     }
-    Fill(*told.add_watches(), service, newest);
+    Fill(*message.add_watches(), service, newest);
   }
-  if (told.watches_size() > 0) {
-    FillChanges(told);
-    mNews.Send(aVm, std::move(told), aNow);
+  if (message.watches_size() > 0) {
+    FillRevisions(message);
+    mExchange.Send(aVm, std::move(message), aNow);
   }
 }
 
 // Forwards watch updates to this VM's subscribers, to each for the groups that
 // it uses. Changes of the primary and revoked terms are sent to all.
 void
-control::PassWords(clock::time_point aNow)
+control::ForwardWatchUpdates(clock::time_point aNow)
 {
   if (mSubscribers.Empty()) {
     return;
   }
   const bool isFirst =
     !mDomainForwarders.empty() && mDomainForwarders.front() == mSelf.where.vm;
-  absl::flat_hash_map<std::string, lead::watch_update> words;
-  absl::flat_hash_set<std::string> forAll;
-  for (auto& service :
-       mRelays.TakeGroups(isFirst ? kFirstPause : kSecondPause, aNow)) {
+  absl::flat_hash_map<std::string, lead::watch_update> updates;
+  absl::flat_hash_set<std::string> forAllSubscribers;
+  for (auto& service : mForwardingBatch.TakeGroups(
+         isFirst ? kPrimaryPause : kStandbyPause, aNow)) {
     auto* found = Find(service);
     if (found == nullptr) {
       continue;
     }
-    auto word = WordOn(*found);
-    if (std::exchange(found->isForAll, false) || word.revokedTerm != 0) {
-      forAll.insert(service);
+    auto update = WatchUpdateOf(*found);
+    if (std::exchange(found->isForAllSubscribers, false) ||
+        update.revokedTerm != 0) {
+      forAllSubscribers.insert(service);
     }
-    words.emplace(std::move(service), std::move(word));
+    updates.emplace(std::move(service), std::move(update));
   }
-  if (words.empty()) {
+  if (updates.empty()) {
     return;
   }
   for (const auto& vm : mSubscribers.All()) {
-    news::News told;
+    news::News message;
     auto wanted = mSubscribers.GroupsOf(vm);
-    wanted.insert(forAll.begin(), forAll.end());
+    wanted.insert(forAllSubscribers.begin(), forAllSubscribers.end());
     for (const auto& service : wanted) {
-      const auto found = words.find(service);
-      if (found != words.end()) {
-        Fill(*told.add_watches(), service, found->second);
+      const auto found = updates.find(service);
+      if (found != updates.end()) {
+        Fill(*message.add_watches(), service, found->second);
       }
     }
-    told.set_passes_on(true);
-    FillChanges(told);
-    mNews.Send(vm, std::move(told), aNow);
+    message.set_passes_on(true);
+    FillRevisions(message);
+    mExchange.Send(vm, std::move(message), aNow);
   }
 }
 
 // Processes the reach update of another VM if this VM monitors the group, or
 // else queues it to be forwarded.
 void
-control::TakeReach(const std::string& aFrom,
-                   const std::string& aService,
-                   const lead::reach_update& aReach,
-                   clock::time_point aNow)
+control::ApplyReachUpdate(const std::string& aFrom,
+                          const std::string& aService,
+                          const lead::reach_update& aReach,
+                          clock::time_point aNow)
 {
-  const auto holder = HolderOf(aService);
+  const auto holder = LockHolderOf(aService);
   const bool isSubscriber = mSubscribers.Contains(aFrom);
   if (isSubscriber && !holder.empty() && holder != mSelf.where.vm) {
-    mRelays.AddReachUpdate({ aService, aFrom, aReach }, aNow);
+    mForwardingBatch.AddReachUpdate({ aService, aFrom, aReach }, aNow);
     return;
   }
-  mKnownVms.Seen(aFrom, aNow);
-  if (auto* found = Touch(aService)) {
-    found->lead.ReachUpdateReceived(aFrom, aReach, aNow);
+  mMembership.MarkSeen(aFrom, aNow);
+  if (auto* found = MarkPending(aService)) {
+    found->monitor.ReachUpdateReceived(aFrom, aReach, aNow);
   }
 }
 
@@ -273,66 +275,67 @@
 // otherwise they would cost the forwarders a message per group every quarter of
 // a second.
 void
-control::SendDoubts(const std::vector<std::string>& aTouched,
-                    clock::time_point aNow)
+control::SendReachQueries(const std::vector<std::string>& aPending,
+                          clock::time_point aNow)
 {
-  news::News told;
-  for (const auto& service : aTouched) {
+  news::News message;
+  for (const auto& service : aPending) {
     auto& one = *Find(service);
-    if (one.lead.SuspectsPrimary(aNow) && aNow >= one.doubtedAt + kDoubtPause) {
-      one.doubtedAt = aNow;
-      told.add_doubted(service);
+    if (one.monitor.SuspectsPrimary(aNow) &&
+        aNow >= one.reachQueriedAt + kReachQueryInterval) {
+      one.reachQueriedAt = aNow;
+      message.add_doubted(service);
     }
   }
-  if (told.doubted_size() == 0) {
+  if (message.doubted_size() == 0) {
     return;
   }
-  FillChanges(told);
+  FillRevisions(message);
   for (const auto& vm : mAllForwarders) {
-    mNews.Send(vm, told, aNow);
+    mExchange.Send(vm, message, aNow);
   }
 }
 
 void
-control::HeardDoubts(const news::News& aNews, clock::time_point aNow)
+control::AnswerReachQueries(const news::News& aMessage, clock::time_point aNow)
 {
-  news::News told;
-  for (const auto& service : aNews.doubted()) {
+  news::News message;
+  for (const auto& service : aMessage.doubted()) {
     auto* found = Find(service);
     if (found == nullptr) {
       continue;
     }
-    found->reachWantedUntil = aNow + kReachWanted;
-    if (!found->freshest.vm.empty()) {
-      FillRelayed(*told.add_reaches(), found->freshest);
+    found->reachWantedUntil = aNow + kReachQueryLifetime;
+    if (!found->latestReach.vm.empty()) {
+      FillForwarded(*message.add_reaches(), found->latestReach);
     }
   }
-  if (told.reaches_size() > 0) {
-    FillChanges(told);
-    mNews.Send(aNews.vm(), std::move(told), aNow);
+  if (message.reaches_size() > 0) {
+    FillRevisions(message);
+    mExchange.Send(aMessage.vm(), std::move(message), aNow);
   }
 }
 
 // Forwards reach updates to the VM that monitors the group if it has queried
 // them. Acknowledgements of revoked terms are always forwarded.
 void
-control::PassReaches(clock::time_point aNow)
+control::ForwardReachUpdates(clock::time_point aNow)
 {
-  absl::btree_map<std::string, news::News> told;
-  for (auto& one : mRelays.TakeReachUpdates(aNow)) {
-    const auto holder = HolderOf(one.service);
+  absl::btree_map<std::string, news::News> messages;
+  for (auto& one : mForwardingBatch.TakeReachUpdates(aNow)) {
+    const auto holder = LockHolderOf(one.service);
     auto* found = Find(one.service);
     if (holder.empty() || holder == mSelf.where.vm || found == nullptr) {
       continue;
     }
-    if (one.news.acknowledgedTerm != 0 || aNow < found->reachWantedUntil) {
-      FillRelayed(*told[holder].add_reaches(), one);
+    if (one.update.acknowledgedTerm != 0 || aNow < found->reachWantedUntil) {
+      FillForwarded(*messages[holder].add_reaches(), one);
     }
-    found->freshest = std::move(one);
+    found->latestReach = std::move(one);
   }
-  for (auto& [holder, news] : told) {
-    FillChanges(news);
-    mNews.Send(holder, std::move(news), aNow);
+  for (auto& [holder, news] : messages) {
+    FillRevisions(news);
+    mExchange.Send(holder, std::move(news), aNow);
   }
 }
 
--- a/src/currantshed/node/control_failover.cpp
+++ b/src/currantshed/node/control_failover.cpp
@@ -15,72 +15,73 @@
 using std::chrono::milliseconds;
 // How long a VM waits after it is listed before it claims a failover lock. When
 // all VMs start together, this spreads the locks over them.
-constexpr milliseconds kSettleTime{ 400 };
+constexpr milliseconds kClaimDelay{ 400 };
 constexpr milliseconds kClaimPause{ 500 };
 // Maximum time between reading from the store that the lock is still held and
 // sending the promotion order.
-constexpr milliseconds kDutyCheckLife{ 300 };
+constexpr milliseconds kMaxLockCheckAge{ 300 };
 // Number of a primary's positions kept for VMs that begin to use its group. One
 // is announced every 350 ms, so that they span the maximum staleness of reads,
 // 2.5 s.
 constexpr std::size_t kRecentSamples = 7;
 // Remaining lease time that is required for the failover lock to count as held.
-constexpr milliseconds kLeaseReserve{ 500 };
+constexpr milliseconds kMinLeaseRemaining{ 500 };
 
 } // namespace
 
 // Carries out the actions that the groups' leads have requested, then sends the
 // resulting messages.
 void
-control::Perform(clock::time_point aNow)
+control::PerformActions(clock::time_point aNow)
 {
-  const auto touched = mAgenda.TakePending();
-  for (const auto& service : touched) {
-    PerformOne(service, *Find(service));
+  const auto pendingGroups = mScheduler.TakePending();
+  for (const auto& service : pendingGroups) {
+    PerformActionsOf(service, *Find(service));
   }
-  SendWatch(aNow);
-  PassOn(touched, aNow);
-  PassWords(aNow);
-  SendDoubts(touched, aNow);
-  PassReaches(aNow);
-  for (const auto& service : touched) {
-    mAgenda.SetDue(service, Find(service)->lead.NextTick());
+  SendWatchUpdates(aNow);
+  SendOwnConfirmations(pendingGroups, aNow);
+  ForwardWatchUpdates(aNow);
+  SendReachQueries(pendingGroups, aNow);
+  ForwardReachUpdates(aNow);
+  for (const auto& service : pendingGroups) {
+    mScheduler.SetDue(service, Find(service)->monitor.NextTick());
   }
   Schedule();
 }
 
 void
-control::PerformOne(const std::string& aService, group& aGroup)
+control::PerformActionsOf(const std::string& aService, group& aGroup)
 {
-  for (const auto& action : aGroup.lead.TakeActions()) {
-    std::visit([&](const auto& aAction) { Do(aService, aAction); }, action);
+  for (const auto& action : aGroup.monitor.TakeActions()) {
+    std::visit([&](const auto& aAction) { Execute(aService, aAction); },
+               action);
   }
 }
 
 void
-control::Do(const std::string& aService, const lead::send_command& aAction)
+control::Execute(const std::string& aService, const lead::send_command& aAction)
 {
   mTraffic.SendControl(
     aAction.server,
     aAction.command,
     aAction.direct,
-    mLeadSettings.askTimeout,
+    mMonitorSettings.askTimeout,
     [this, aService, server = aAction.server](
       proxy::control_result aResult,
       std::optional<clock::time_point> aHeardAt) {
       boost::asio::post(mContext, [this, aService, server, aResult, aHeardAt] {
-        auto* found = Touch(aService);
+        auto* found = MarkPending(aService);
         if (found == nullptr) {
           return;
         }
         const auto now = clock::Now();
         if (aResult.answered) {
-          found->lead.ServerAnswered(
+          found->monitor.ServerAnswered(
             server, aResult.report, aResult.askedAt, now);
         } else {
-          found->lead.ServerFailed(server, aHeardAt, now);
+          found->monitor.ServerFailed(server, aHeardAt, now);
         }
-        Perform(now);
+        PerformActions(now);
       });
     });
 }
@@ -89,40 +90,41 @@
 // may have lost it unnoticed. The term to be replaced is recorded before the
 // order is sent.
 void
-control::Do(const std::string& aService, const lead::request_promotion& aAction)
+control::Execute(const std::string& aService,
+                 const lead::request_promotion& aAction)
 {
   const auto asked = clock::Now();
-  mStore.Get(FailoverLockKey(aService),
-             [this, aService, asked, aAction](std::error_code aError,
-                                              std::optional<store::item> aItem,
-                                              store::response_info aAnswer) {
-               auto duty = aItem ? ParseFailoverLock(*aItem) : std::nullopt;
-               if (aError || !duty || !HoldsDutySince(*duty, asked) ||
-                   !IsFromEra(*duty, aItem->changed.era)) {
-                 NotOrdered(aService,
+  mStore.Get(
+    FailoverLockKey(aService),
+    [this, aService, asked, aAction](std::error_code aError,
+                                     std::optional<store::item> aItem,
+                                     store::response_info aAnswer) {
+      auto lock = aItem ? ParseFailoverLock(*aItem) : std::nullopt;
+      if (aError || !lock || !StillHoldsLock(*lock, asked) ||
+          !IsFromEra(*lock, aItem->changed.era)) {
+        PromotionNotOrdered(aService,
                             aAction.server,
                             aError ? aError.message() : "the duty is not held",
                             aAnswer.at);
-               } else if (duty->replacedTerm < aAction.replacedTerm) {
-                 duty->replacedTerm = aAction.replacedTerm;
-                 RecordReplaced(
-                   aService, aAction.server, *duty, aItem->changed);
-               } else {
-                 Promote(aService, aAction.server, duty->epoch);
-               }
-             });
+      } else if (lock->replacedTerm < aAction.replacedTerm) {
+        lock->replacedTerm = aAction.replacedTerm;
+        RecordReplaced(aService, aAction.server, *lock, aItem->changed);
+      } else {
+        Promote(aService, aAction.server, lock->epoch);
+      }
+    });
 }
 
 // Whether the lock's record, requested at the given time, allows this VM to
 // order a promotion.
 bool
-control::HoldsDutySince(const failover_lock& aDuty,
-                        clock::time_point aAsked) const
+control::StillHoldsLock(const failover_lock& aLock,
+                        clock::time_point aAskedAt) const
 {
-  return aDuty.holder == mSelf.where.vm &&
-         aDuty.incarnation == mSelf.incarnation &&
-         clock::Now() < aAsked + kDutyCheckLife &&
-         clock::Now() + kLeaseReserve < mRegistration.ValidUntil();
+  return aLock.holder == mSelf.where.vm &&
+         aLock.incarnation == mSelf.incarnation &&
+         clock::Now() < aAskedAt + kMaxLockCheckAge &&
+         clock::Now() + kMinLeaseRemaining < mRegistration.ValidUntil();
 }
 
 // The write is conditional on the record that was read, so that its success
@@ -130,54 +132,54 @@
 void
 control::RecordReplaced(const std::string& aService,
                         const upstream::server_id& aServer,
-                        failover_lock aDuty,
+                        failover_lock aLock,
                         store::revision aChanged)
 {
   const auto asked = clock::Now();
   const auto key = FailoverLockKey(aService);
   store::transaction made;
   made.conditions.push_back({ key, aChanged });
-  made.puts.push_back({ key, SerializeFailoverLock(aDuty), {}, {} });
+  made.puts.push_back({ key, SerializeFailoverLock(aLock), {}, {} });
   mStore.Commit(std::move(made),
-                [this, aService, aServer, duty = std::move(aDuty), asked](
+                [this, aService, aServer, lock = std::move(aLock), asked](
                   store::commit_outcome aOutcome,
                   store::revision,
                   store::response_info aAnswer) {
                   if (aOutcome == store::commit_outcome::kApplied &&
-                      HoldsDutySince(duty, asked)) {
-                    Promote(aService, aServer, duty.epoch);
+                      StillHoldsLock(lock, asked)) {
+                    Promote(aService, aServer, lock.epoch);
                   } else {
-                    NotOrdered(aService,
-                               aServer,
-                               "the replaced term is not recorded",
-                               aAnswer.at);
+                    PromotionNotOrdered(aService,
+                                        aServer,
+                                        "the replaced term is not recorded",
+                                        aAnswer.at);
                   }
                 });
 }
 
 void
-control::NotOrdered(const std::string& aService,
-                    const upstream::server_id& aServer,
-                    std::string aReason,
-                    clock::time_point aNow)
+control::PromotionNotOrdered(const std::string& aService,
+                             const upstream::server_id& aServer,
+                             std::string aReason,
+                             clock::time_point aNow)
 {
   log::Write(log::level::kWarning,
              "promotion_not_ordered",
              { { "service", aService },
                { "server", aServer },
                { "reason", std::move(aReason) } });
-  PromotionEnded(aService, promotion_outcome::kRetryLater, aNow);
+  OnPromotionResult(aService, promotion_outcome::kRetryLater, aNow);
 }
 
 void
-control::Do(const std::string& aService,
-            const lead::read_replaced_term& /*aAction*/)
+control::Execute(const std::string& aService,
+                 const lead::read_replaced_term& /*aAction*/)
 {
   if (!ReachesStore()) {
     boost::asio::post(mContext, [this, aService] {
-      if (auto* found = Touch(aService)) {
-        found->lead.ReplacedTermRead(std::nullopt, clock::Now());
-        Perform(clock::Now());
+      if (auto* found = MarkPending(aService)) {
+        found->monitor.ReplacedTermRead(std::nullopt, clock::Now());
+        PerformActions(clock::Now());
       }
     });
     return;
@@ -187,15 +189,15 @@
     [this, aService](std::error_code aError,
                      std::optional<store::item> aItem,
                      store::response_info aAnswer) {
-      auto* found = Touch(aService);
+      auto* found = MarkPending(aService);
       if (found == nullptr) {
         return;
       }
-      const auto duty = aItem ? ParseFailoverLock(*aItem) : std::nullopt;
+      const auto lock = aItem ? ParseFailoverLock(*aItem) : std::nullopt;
       std::optional<position::term_id> replaced;
-      if (!aError && duty && IsFromEra(*duty, aItem->changed.era)) {
-        replaced = duty->replacedTerm;
-      } else if (!aError && !duty && !mHasReturned) {
+      if (!aError && lock && IsFromEra(*lock, aItem->changed.era)) {
+        replaced = lock->replacedTerm;
+      } else if (!aError && !lock && !mWasRestored) {
         replaced = 0;
       }
       log::Write(log::level::kInfo,
@@ -205,8 +207,8 @@
                      replaced ? log::value(static_cast<std::int64_t>(*replaced))
                               : log::value(log::unknown{}) },
                    { "reason", aError ? aError.message() : std::string() } });
-      found->lead.ReplacedTermRead(replaced, aAnswer.at);
-      Perform(aAnswer.at);
+      found->monitor.ReplacedTermRead(replaced, aAnswer.at);
+      PerformActions(aAnswer.at);
     });
 }
 
@@ -225,31 +227,31 @@
     aServer,
     { mSelf.where.vm, aEpoch },
     [this, aService](promotion_outcome aOutcome, clock::time_point aNow) {
-      PromotionEnded(aService, aOutcome, aNow);
+      OnPromotionResult(aService, aOutcome, aNow);
     });
 }
 
 void
-control::PromotionEnded(const std::string& aService,
-                        promotion_outcome aOutcome,
-                        clock::time_point aNow)
+control::OnPromotionResult(const std::string& aService,
+                           promotion_outcome aOutcome,
+                           clock::time_point aNow)
 {
   log::Write(log::level::kInfo,
              "promotion_answered",
              { { "service", aService },
                { "outcome", static_cast<std::int64_t>(aOutcome) } });
-  if (auto* found = Touch(aService)) {
-    found->lead.PromotionAnswered(aOutcome == promotion_outcome::kAccepted,
-                                  aOutcome == promotion_outcome::kRejected,
-                                  aNow);
-    Perform(aNow);
+  if (auto* found = MarkPending(aService)) {
+    found->monitor.PromotionAnswered(aOutcome == promotion_outcome::kAccepted,
+                                     aOutcome == promotion_outcome::kRejected,
+                                     aNow);
+    PerformActions(aNow);
   }
 }
 
 // A VM that changes a primary must know all VMs that may use confirmations of
 // it.
 void
-control::Do(const std::string& aService, const lead::list_vms& /*aAction*/)
+control::Execute(const std::string& aService, const lead::list_vms& /*aAction*/)
 {
   const auto asked = clock::Now();
   mStore.Range(VmKey(""),
@@ -258,83 +260,85 @@
                                        store::revision,
                                        store::response_info aAnswer) {
                  const auto now = aAnswer.at;
-                 auto* found = Touch(aService);
+                 auto* found = MarkPending(aService);
                  if (aError || found == nullptr) {
                    return;
                  }
                  for (const auto& item : aItems) {
                    if (const auto record = ParseVm(item)) {
-                     mKnownVms.Seen(record->where.vm, now);
+                     mMembership.MarkSeen(record->where.vm, now);
                    }
                  }
-                 found->lead.VmsListed(
-                   mKnownVms.MayUseConfirmation(now), asked, now);
-                 Perform(now);
+                 found->monitor.VmsListed(
+                   mMembership.MayUseConfirmation(now), asked, now);
+                 PerformActions(now);
                });
 }
 
 void
-control::Do(const std::string& aService,
-            const lead::publish_confirmation& aAction)
+control::Execute(const std::string& aService,
+                 const lead::publish_confirmation& aAction)
 {
   mTraffic.Confirm(aService, aAction.confirmation);
   const auto now = clock::Now();
   if (auto* found = Find(aService)) {
-    found->passesOn = found->passesOn || aAction.isOwn;
-    const bool isNewTerm = found->toldTerm != aAction.confirmation.term;
-    found->isForAll = found->isForAll || isNewTerm;
-    found->toldTerm = aAction.confirmation.term;
-    if (found->lead.AnnouncesStatus()) {
-      mWatches.AddGroup(aService, isNewTerm, now);
+    found->hasOwnConfirmation = found->hasOwnConfirmation || aAction.isOwn;
+    const bool isNewTerm = found->announcedTerm != aAction.confirmation.term;
+    found->isForAllSubscribers = found->isForAllSubscribers || isNewTerm;
+    found->announcedTerm = aAction.confirmation.term;
+    if (found->monitor.AnnouncesStatus()) {
+      mWatchBatch.AddGroup(aService, isNewTerm, now);
     }
   }
-  mRelays.AddGroup(aService, false, now);
+  mForwardingBatch.AddGroup(aService, false, now);
 }
 
 void
-control::Do(const std::string& aService, const lead::publish_sample& aAction)
+control::Execute(const std::string& aService,
+                 const lead::publish_sample& aAction)
 {
   mTraffic.AddSample(aService, aAction.sample);
   auto* found = Find(aService);
   if (found == nullptr) {
     return;
   }
-  auto& recent = found->recent;
-  if (!recent.empty() && recent.back().term != aAction.sample.term) {
-    recent.clear();
+  auto& recentSamples = found->recentSamples;
+  if (!recentSamples.empty() &&
+      recentSamples.back().term != aAction.sample.term) {
+    recentSamples.clear();
   }
-  recent.push_back(aAction.sample);
-  if (recent.size() > kRecentSamples) {
-    recent.pop_front();
+  recentSamples.push_back(aAction.sample);
+  if (recentSamples.size() > kRecentSamples) {
+    recentSamples.pop_front();
   }
 }
 
 // Sends the acknowledgement once the traffic thread no longer relies on the
 // term.
 void
-control::Do(const std::string& aService,
-            const lead::publish_revocation& aAction)
+control::Execute(const std::string& aService,
+                 const lead::publish_revocation& aAction)
 {
   mTraffic.Revoke(aService, aAction.term, [this, aService] {
     boost::asio::post(mContext, [this, aService] {
       const auto now = clock::Now();
-      for (const auto& vm : ObedienceAudience(aService, now)) {
-        SendReachTo(vm, false, now);
+      for (const auto& vm : AcknowledgementRecipients(aService, now)) {
+        SendReachUpdateTo(vm, false, now);
       }
     });
   });
   const auto now = clock::Now();
   if (auto* found = Find(aService)) {
-    found->isForAll = true;
-    if (found->lead.AnnouncesStatus()) {
-      mWatches.AddGroup(aService, true, now);
+    found->isForAllSubscribers = true;
+    if (found->monitor.AnnouncesStatus()) {
+      mWatchBatch.AddGroup(aService, true, now);
     }
   }
-  mRelays.AddGroup(aService, true, now);
+  mForwardingBatch.AddGroup(aService, true, now);
 }
 
 void
-control::Do(const std::string& aService, const lead::log_step& aAction)
+control::Execute(const std::string& aService, const lead::log_step& aAction)
 {
   mMetrics.CountLeadStep(aAction.step);
   log::Write(log::level::kInfo,
@@ -348,13 +352,13 @@
 // groups whose lock this VM holds or is to acquire. These are checked at every
 // tick.
 void
-control::KeepDuties(clock::time_point aNow)
+control::UpdateLocks(clock::time_point aNow)
 {
-  auto services = mDuties.TakeChangedGroups();
-  services.insert(mDuties.OwnGroups().begin(), mDuties.OwnGroups().end());
+  auto services = mLocks.TakeChangedGroups();
+  services.insert(mLocks.OwnGroups().begin(), mLocks.OwnGroups().end());
   for (const auto& service : services) {
-    if (auto* one = Touch(service)) {
-      KeepDuty(service, *one, aNow);
+    if (auto* one = MarkPending(service)) {
+      UpdateLock(service, *one, aNow);
     }
   }
 }
@@ -362,85 +366,89 @@
 void
 control::SetMayConfirm()
 {
-  const bool mayAsk = mRegistration.IsWritten();
-  if (std::exchange(mMayAsk, mayAsk) == mayAsk) {
+  const bool mayConfirm = mRegistration.IsWritten();
+  if (std::exchange(mMayConfirm, mayConfirm) == mayConfirm) {
     return;
   }
   for (auto& [service, one] : mGroups) {
-    one->lead.SetMayConfirm(mayAsk);
+    one->monitor.SetMayConfirm(mayConfirm);
   }
 }
 
 void
-control::NoteDuties(const cluster_changes& aChanges)
+control::UpdateLockAssignments(const cluster_changes& aChanges)
 {
   if (aChanges.isAll || !aChanges.vms.empty()) {
-    mDuties.SetCandidates(mOwnKeys, LockCandidates(mOwnKeys));
+    mLocks.SetCandidates(mClusterState, LockCandidates(mClusterState));
   }
   if (aChanges.isAll) {
-    mDuties.OnAllChanged(mOwnKeys);
+    mLocks.OnAllChanged(mClusterState);
     return;
   }
   for (const auto& vm : aChanges.vms) {
-    mDuties.OnVmChanged(mOwnKeys, vm);
+    mLocks.OnVmChanged(mClusterState, vm);
   }
   for (const auto& service : aChanges.locks) {
-    mDuties.OnLockChanged(mOwnKeys, service);
+    mLocks.OnLockChanged(mClusterState, service);
   }
 }
 
 void
-control::KeepDuty(const std::string& aService,
-                  group& aGroup,
-                  clock::time_point aNow)
+control::UpdateLock(const std::string& aService,
+                    group& aGroup,
+                    clock::time_point aNow)
 {
-  const auto* duty = DutyOf(aService);
-  const bool isOwn = duty != nullptr && duty->holder == mSelf.where.vm &&
-                     duty->incarnation == mSelf.incarnation;
-  const bool holds = isOwn && !mIsLeaving && mRegistration.IsListed() &&
+  const auto* lock = LockOf(aService);
+  const bool isOwn = lock != nullptr && lock->holder == mSelf.where.vm &&
+                     lock->incarnation == mSelf.incarnation;
+  const bool holds = isOwn && !mIsDraining && mRegistration.IsListed() &&
                      aNow < mRegistration.ValidUntil();
-  if (holds != aGroup.lead.HoldsFailoverLock()) {
+  if (holds != aGroup.monitor.HoldsFailoverLock()) {
     log::Write(
       log::level::kInfo,
       holds ? "duty_held" : "duty_lost",
       { { "service", aService },
         { "epoch",
-          static_cast<std::int64_t>(duty == nullptr ? 0 : duty->epoch) } });
+          static_cast<std::int64_t>(lock == nullptr ? 0 : lock->epoch) } });
   }
-  if (duty != nullptr) {
-    aGroup.lead.SetReplacedTerm(duty->replacedTerm, aNow);
+  if (lock != nullptr) {
+    aGroup.monitor.SetReplacedTerm(lock->replacedTerm, aNow);
   }
-  aGroup.lead.SetFailoverLock(holds, duty == nullptr ? 0 : duty->epoch, aNow);
-  const bool mayCall = !mIsLeaving && mListedAt != clock::time_point{} &&
+  aGroup.monitor.SetFailoverLock(
+    holds, lock == nullptr ? 0 : lock->epoch, aNow);
+  const bool mayCall = !mIsDraining && mListedAt != clock::time_point{} &&
                        mRegistration.IsListed() && ReachesStore();
-  const bool isNext = !isOwn && mayCall && mDuties.IsNextHolder(aService);
-  const bool isPast = isOwn && !IsFromEra(*duty, mOwnView.Seen().era);
+  const bool isNext = !isOwn && mayCall && mLocks.IsNextHolder(aService);
+  const bool isPast = isOwn && !IsFromEra(*lock, mClusterView.Seen().era);
   // While the store is unavailable, the last lock holder goes on obtaining
   // confirmations for the others, who would otherwise all query the servers
   // themselves.
-  const bool isLast = isOwn && !holds && !mIsLeaving;
-  aGroup.lead.SetIsInterim(isNext || isLast);
-  const bool mayClaim = (isNext || (isPast && mayCall)) && !aGroup.isClaiming &&
-                        aNow >= aGroup.claimFrom &&
-                        aNow >= mListedAt + kSettleTime;
+  const bool isLast = isOwn && !holds && !mIsDraining;
+  aGroup.monitor.SetIsInterim(isNext || isLast);
+  const bool mayClaim = (isNext || (isPast && mayCall)) &&
+                        !aGroup.isClaimPending && aNow >= aGroup.nextClaimAt &&
+                        aNow >= mListedAt + kClaimDelay;
   if (mayClaim) {
     mRegistration.SetLease(ShortLease());
   }
   if (mayClaim && mRegistration.IsWrittenWith(ShortLease())) {
-    Claim(aService, aGroup, aNow);
+    ClaimLock(aService, aGroup, aNow);
   }
 }
 
 void
-control::Claim(const std::string& aService,
-               group& aGroup,
-               clock::time_point aNow)
+control::ClaimLock(const std::string& aService,
+                   group& aGroup,
+                   clock::time_point aNow)
 {
-  aGroup.isClaiming = true;
-  aGroup.claimFrom = aNow + kClaimPause;
+  aGroup.isClaimPending = true;
+  aGroup.nextClaimAt = aNow + kClaimPause;
   mStore.Commit(
-    MakeLockClaim(
-      mOwnKeys, aService, mSelf, mOwnView.Seen(), aGroup.lead.ReplacedTerm()),
+    MakeLockClaim(mClusterState,
+                  aService,
+                  mSelf,
+                  mClusterView.Seen(),
+                  aGroup.monitor.ReplacedTerm()),
     [this, aService](
       store::commit_outcome aOutcome, store::revision, store::response_info) {
       log::Write(log::level::kInfo,
@@ -448,23 +456,23 @@
                  { { "service", aService },
                    { "outcome", static_cast<std::int64_t>(aOutcome) } });
       if (auto* found = Find(aService)) {
-        found->isClaiming = false;
+        found->isClaimPending = false;
       }
     });
 }
 
 std::string
-control::HolderOf(const std::string& aService) const
+control::LockHolderOf(const std::string& aService) const
 {
-  const auto* duty = DutyOf(aService);
-  return duty == nullptr ? std::string() : duty->holder;
+  const auto* lock = LockOf(aService);
+  return lock == nullptr ? std::string() : lock->holder;
 }
 
 const failover_lock*
-control::DutyOf(const std::string& aService) const
+control::LockOf(const std::string& aService) const
 {
-  const auto found = mOwnKeys.locks.find(aService);
-  return found == mOwnKeys.locks.end() ? nullptr : &found->second.record;
+  const auto found = mClusterState.locks.find(aService);
+  return found == mClusterState.locks.end() ? nullptr : &found->second.record;
 }
 
 } // namespace currantshed::node
--- a/src/currantshed/node/control_fleet.cpp
+++ b/src/currantshed/node/control_fleet.cpp
@@ -26,39 +26,40 @@
 control::FleetChanged(clock::time_point aNow)
 {
   mIsFleetStale.reset();
-  if (!mFormer.empty()) {
-    MergeIntoFleet(mOwnKeys, mFormer);
+  if (!mFormerVms.empty()) {
+    MergeIntoFleet(mClusterState, mFormerVms);
   }
-  NoteVms(aNow);
+  UpdateMembership(aNow);
   UpdateForwarders(aNow);
-  SetCheckPlace();
-  NoteCollectors();
-  TellFleet(aNow);
-  SetPlaces(aNow);
+  SetCheckRank();
+  UpdateCoordinators();
+  PublishFleet(aNow);
+  UpdateQueryStagger(aNow);
 }
 
 // The traffic thread divides the servers' connections among the listed VMs, and
 // for a while after the start also among the recorded ones.
 void
-control::TellFleet(clock::time_point aNow)
+control::PublishFleet(clock::time_point aNow)
 {
-  if (!mSettledAt) {
-    mSettledAt = aNow + kFleetSettling;
+  if (!mSettlesAt) {
+    mSettlesAt = aNow + kFleetSettling;
   }
-  auto vms = mOwnKeys.Listed();
+  auto vms = mClusterState.Listed();
   if (!mIsSettled) {
-    for (const auto& one : mOwnKeys.fleet) {
-      if (!mOwnKeys.vms.contains(one.where.vm)) {
+    for (const auto& one : mClusterState.fleet) {
+      if (!mClusterState.vms.contains(one.where.vm)) {
         vms.push_back(one);
       }
     }
   }
-  std::vector<proxy::vm_capacity> strengths;
-  strengths.reserve(vms.size());
+  std::vector<proxy::vm_capacity> capacities;
+  capacities.reserve(vms.size());
   for (const auto& one : vms) {
-    strengths.push_back({ one.failureDomain, one.cpuMillicores, one.leaving });
+    capacities.push_back(
+      { one.failureDomain, one.cpuMillicores, one.draining });
   }
-  const auto works = proxy::SelectDelegates(strengths);
+  const auto delegates = proxy::SelectDelegates(capacities);
   std::vector<proxy::fleet_vm> fleet;
   fleet.reserve(vms.size());
   for (std::size_t i = 0; i < vms.size(); ++i) {
@@ -67,9 +68,9 @@
                       one.failureDomain,
                       one.where.address,
                       one.relayPort,
-                      one.leaving,
-                      works[i] });
-    if (works[i] && one.where.vm == mSelf.where.vm) {
+                      one.draining,
+                      delegates[i] });
+    if (delegates[i] && one.where.vm == mSelf.where.vm) {
       mRegistration.SetLease(ShortLease());
     }
   }
@@ -79,17 +80,17 @@
 // The holder of the first group's failover lock records the fleet once it has
 // been unchanged for a while.
 void
-control::KeepFleet(clock::time_point aNow)
+control::RecordFleet(clock::time_point aNow)
 {
   const bool isDue = !mGroups.empty() &&
-                     mGroups.begin()->second->lead.HoldsFailoverLock() &&
+                     mGroups.begin()->second->monitor.HoldsFailoverLock() &&
                      ReachesStore();
   if (!isDue) {
     mFleetStaleSince.reset();
     return;
   }
   if (!mIsFleetStale) {
-    mIsFleetStale = !IsSameFleet(mOwnKeys.Listed(), mOwnKeys.fleet);
+    mIsFleetStale = !IsSameFleet(mClusterState.Listed(), mClusterState.fleet);
   }
   if (!*mIsFleetStale) {
     mFleetStaleSince.reset();
@@ -102,10 +103,11 @@
     return;
   }
   mFleetStaleSince = aNow;
-  const auto listed = mOwnKeys.Listed();
+  const auto listed = mClusterState.Listed();
   store::transaction made;
   made.conditions.push_back(
-    { FleetKey(), { mOwnView.Seen().era, mOwnKeys.fleetChanged.number } });
+    { FleetKey(),
+      { mClusterView.Seen().era, mClusterState.fleetChanged.number } });
   made.puts.push_back({ FleetKey(), SerializeFleet(listed), {}, {} });
   mStore.Commit(
     std::move(made),
@@ -122,47 +124,48 @@
 // run. A VM that divided connections and rates by these alone would take more
 // than its share.
 void
-control::NoteEra(clock::time_point aNow)
+control::UpdateEra(clock::time_point aNow)
 {
-  const auto era = mOwnView.Seen().era;
-  if (std::exchange(mOwnEra, era) == era) {
+  const auto era = mClusterView.Seen().era;
+  if (std::exchange(mClusterEra, era) == era) {
     return;
   }
-  mFormer = mOwnKeys.Listed();
-  mFormer.insert(mFormer.end(), mOwnKeys.fleet.begin(), mOwnKeys.fleet.end());
+  mFormerVms = mClusterState.Listed();
+  mFormerVms.insert(
+    mFormerVms.end(), mClusterState.fleet.begin(), mClusterState.fleet.end());
   mIsSettled = false;
-  mSettledAt = aNow + kFleetSettling;
+  mSettlesAt = aNow + kFleetSettling;
 }
 
 void
 control::EndSettling(clock::time_point aNow)
 {
-  if (mIsSettled || !mSettledAt || aNow < *mSettledAt) {
+  if (mIsSettled || !mSettlesAt || aNow < *mSettlesAt) {
     return;
   }
   mIsSettled = true;
-  if (!mFormer.empty()) {
-    mFormer.clear();
-    ReloadFleet(mOwnKeys, mOwnView.Items());
+  if (!mFormerVms.empty()) {
+    mFormerVms.clear();
+    ReloadFleet(mClusterState, mClusterView.Items());
     mIsFleetStale.reset();
   }
-  TellFleet(aNow);
-  NoteCollectors();
+  PublishFleet(aNow);
+  UpdateCoordinators();
 }
 
 // Updates which VMs are listed and which can be sent to.
 void
-control::NoteVms(clock::time_point aNow)
+control::UpdateMembership(clock::time_point aNow)
 {
   std::vector<news::peer> listed;
-  listed.reserve(mOwnKeys.vms.size());
-  for (const auto& [name, one] : mOwnKeys.vms) {
+  listed.reserve(mClusterState.vms.size());
+  for (const auto& [name, one] : mClusterState.vms) {
     listed.push_back(one.record.where);
   }
-  mKnownVms.Listed(listed, aNow);
-  auto peers = mKnownVms.Reachable(aNow);
+  mMembership.SetListed(listed, aNow);
+  auto peers = mMembership.Reachable(aNow);
   AddRecordedPeers(peers);
-  mNews.SetPeers(peers);
+  mExchange.SetPeers(peers);
 }
 
 // For a while after the start, VMs that are recorded but not listed can be sent
@@ -177,7 +180,7 @@
   for (const auto& one : aTo) {
     known.insert(one.vm);
   }
-  for (const auto& one : mOwnKeys.fleet) {
+  for (const auto& one : mClusterState.fleet) {
     if (!known.contains(one.where.vm)) {
       aTo.push_back(one.where);
     }
@@ -187,29 +190,29 @@
 // Sets this VM's rank among the VMs that ask for confirmations of a group that
 // no VM monitors.
 void
-control::SetPlaces(clock::time_point aNow)
+control::UpdateQueryStagger(clock::time_point aNow)
 {
-  const auto vms = mKnownVms.CountReachable(aNow) + 1;
-  const bool isRelayed = IsRelayed(aNow);
+  const auto vms = mMembership.CountReachable(aNow) + 1;
+  const bool isForwarded = IsForwardedTo(aNow);
   for (auto& [service, one] : mGroups) {
-    one->lead.SetQueryStagger(vms, one->place);
-    one->lead.SetIsForwarded(isRelayed);
+    one->monitor.SetQueryStagger(vms, one->queryRank);
+    one->monitor.SetIsForwarded(isForwarded);
   }
 }
 
 // Whether the store has removed this VM from the list by now, as far as the VM
 // can tell: it is cut off from the store, or the store is unavailable.
 bool
-control::IsOffTheList(clock::time_point aNow) const
+control::IsUnlisted(clock::time_point aNow) const
 {
   return mListedAt != clock::time_point{} && aNow >= mRegistration.ValidUntil();
 }
 
 // Whether that has lasted so long that lock holders may soon forget this VM.
 bool
-control::IsLongOffTheList(clock::time_point aNow) const
+control::IsLongUnlisted(clock::time_point aNow) const
 {
-  return IsOffTheList(aNow) &&
+  return IsUnlisted(aNow) &&
          aNow >= mRegistration.ValidUntil() + vm_membership::kRetention / 2;
 }
 
--- a/src/currantshed/node/control_forwarding.cpp
+++ b/src/currantshed/node/control_forwarding.cpp
@@ -22,10 +22,10 @@
 // Interval between two polls of a VM, which alternates between its forwarders.
 constexpr milliseconds kPollInterval{ 400 };
 // How long a VM that has found forwarders waits for their first answer.
-constexpr milliseconds kFirstAnswer{ 600 };
+constexpr milliseconds kFirstAnswerTimeout{ 600 };
 
 store::key_change
-ReadKey(const news::Key& aKey, store::era_id aEra)
+ApplyKey(const news::Key& aKey, store::era_id aEra)
 {
   return { { aKey.key(),
              aKey.value(),
@@ -56,7 +56,7 @@
     aUpdate.keys().begin(),
     aUpdate.keys().end(),
     std::back_inserter(made.changes),
-    [&aUpdate](const auto& aKey) { return ReadKey(aKey, aUpdate.era()); });
+    [&aUpdate](const auto& aKey) { return ApplyKey(aKey, aUpdate.era()); });
   return made;
 }
 
@@ -68,10 +68,12 @@
 void
 control::EndForwarderDiscovery(bool aIsForwarder, clock::time_point aNow)
 {
-  const auto recorded = std::count_if(
-    mOwnKeys.fleet.begin(), mOwnKeys.fleet.end(), [this](const auto& aVm) {
-      return aVm.failureDomain == mSelf.failureDomain;
-    });
+  const auto recorded =
+    std::count_if(mClusterState.fleet.begin(),
+                  mClusterState.fleet.end(),
+                  [this](const auto& aVm) {
+                    return aVm.failureDomain == mSelf.failureDomain;
+                  });
   const bool areFew =
     recorded > 0 && static_cast<std::size_t>(recorded) < kMinVmsForForwarders;
   if (aIsForwarder || areFew) {
@@ -86,7 +88,7 @@
 void
 control::UpdateForwarders(clock::time_point aNow)
 {
-  NoteDomains();
+  UpdateForwardersOfAll();
   auto forwarders = mDomainForwarders;
   const bool isForwarder =
     std::find(forwarders.begin(), forwarders.end(), mSelf.where.vm) !=
@@ -98,7 +100,7 @@
   if (forwarders.empty()) {
     EndForwarderDiscovery(isForwarder, aNow);
   }
-  HoldFirstReadings(!forwarders.empty(), aNow);
+  DelayFirstReads(!forwarders.empty(), aNow);
   if (forwarders == mForwarders) {
     return;
   }
@@ -114,31 +116,32 @@
     return;
   }
   for (auto* view : Views()) {
-    view->ForwardedUntil(std::max(view->ForwardedUntil(), aNow + kFirstAnswer));
+    view->ForwardedUntil(
+      std::max(view->ForwardedUntil(), aNow + kFirstAnswerTimeout));
   }
   for (const auto& vm : mForwarders) {
-    SendWanted(vm, aNow);
+    SendPoll(vm, aNow);
   }
 }
 
 // Polls the next forwarder, and other VMs if the forwarders cannot help.
 void
-control::Poll(clock::time_point aNow)
+control::PollForwarders(clock::time_point aNow)
 {
-  if (aNow < mNextPoll || (mForwarders.empty() && !LacksProof(aNow))) {
+  if (aNow < mNextPoll || (mForwarders.empty() && !LacksVerification(aNow))) {
     return;
   }
   mNextPoll = aNow + kPollInterval;
   if (!mForwarders.empty()) {
-    AskUse(aNow);
-    SendWanted(mForwarders[++mTurn % mForwarders.size()], aNow);
+    UpdateGroupsInUse(aNow);
+    SendPoll(mForwarders[++mRound % mForwarders.size()], aNow);
   }
   // The forwarders are cut off from the store as well, but others may not be.
   const bool areCutOff =
-    mRegistration.IsFailing() && aNow >= mOwnView.ForwardedUntil();
-  if (areCutOff || LacksProof(aNow)) {
-    for (const auto& vm : NextFew(aNow)) {
-      SendWanted(vm, aNow);
+    mRegistration.IsFailing() && aNow >= mClusterView.ForwardedUntil();
+  if (areCutOff || LacksVerification(aNow)) {
+    for (const auto& vm : SelectFewVms(aNow)) {
+      SendPoll(vm, aNow);
     }
   }
 }
@@ -146,14 +149,14 @@
 // Requests from the traffic thread which groups callers use. The next poll
 // names them.
 void
-control::AskUse(clock::time_point aNow)
+control::UpdateGroupsInUse(clock::time_point aNow)
 {
-  const auto since = std::exchange(mUseKnownAt, aNow);
+  const auto since = std::exchange(mGroupsInUseAt, aNow);
   mTraffic.QueryUsedServices(
     since, [this, aNow](std::vector<std::string> aUsed) {
       boost::asio::post(mContext, [this, aNow, used = std::move(aUsed)] {
         for (const auto& service : used) {
-          mInUse.MarkUsed(service, aNow);
+          mGroupsInUse.MarkUsed(service, aNow);
         }
       });
     });
@@ -164,64 +167,66 @@
 void
 control::ConfirmationNeeded(const std::string& aService, clock::time_point aNow)
 {
-  auto* found = Touch(aService);
+  auto* found = MarkPending(aService);
   if (found == nullptr) {
     return;
   }
-  const bool isNew = !mInUse.Contains(aService, aNow);
-  mInUse.MarkUsed(aService, aNow);
-  if (isNew && IsRelayed(aNow)) {
-    SendWanted(mForwarders[mTurn % mForwarders.size()], aNow);
+  const bool isNew = !mGroupsInUse.Contains(aService, aNow);
+  mGroupsInUse.MarkUsed(aService, aNow);
+  if (isNew && IsForwardedTo(aNow)) {
+    SendPoll(mForwarders[mRound % mForwarders.size()], aNow);
   }
-  found->lead.ConfirmationNeeded(aNow);
-  Perform(aNow);
+  found->monitor.ConfirmationNeeded(aNow);
+  PerformActions(aNow);
 }
 
 void
-control::SendWanted(const std::string& aVm, clock::time_point aNow)
+control::SendPoll(const std::string& aVm, clock::time_point aNow)
 {
-  news::News told;
-  FillChanges(told);
-  for (auto& service : mInUse.All(aNow)) {
-    told.add_groups(std::move(service));
+  news::News message;
+  FillRevisions(message);
+  for (auto& service : mGroupsInUse.All(aNow)) {
+    message.add_groups(std::move(service));
   }
   std::uint32_t number = 0;
   for (const auto* view : Views()) {
-    auto* wanted = told.add_wanted();
+    auto* wanted = message.add_wanted();
     wanted->set_prefix(number++);
     const auto known = view->IsKnown() ? view->Seen() : store::revision{};
     wanted->set_known(known.number);
     wanted->set_known_era(known.era);
   }
-  mPace.Asked(aNow);
-  mNews.Send(aVm, std::move(told), aNow);
+  mPollThrottle.OnRequestSent(aNow);
+  mExchange.Send(aVm, std::move(message), aNow);
 }
 
 // Answers a poll with the changes that the VM lacks, and with the time as of
 // which this VM's keys are current.
 void
-control::AnswerWanted(const news::News& aNews, clock::time_point aNow)
+control::AnswerPoll(const news::News& aMessage, clock::time_point aNow)
 {
-  if (aNews.wanted_size() == 0) {
+  if (aMessage.wanted_size() == 0) {
     return;
   }
-  const auto added = mSubscribers.Asked(
-    aNews.vm(), { aNews.groups().begin(), aNews.groups().end() }, aNow);
-  SendRecent(aNews.vm(), added, aNow);
+  const auto added = mSubscribers.Subscribe(
+    aMessage.vm(),
+    { aMessage.groups().begin(), aMessage.groups().end() },
+    aNow);
+  SendRecentUpdates(aMessage.vm(), added, aNow);
   const auto views = Views();
   const auto longest = MaxUpdateBytes(mSettings.linkMegabits);
-  news::News told;
-  FillChanges(told);
-  for (const auto& wanted : aNews.wanted()) {
+  news::News message;
+  FillRevisions(message);
+  for (const auto& wanted : aMessage.wanted()) {
     if (wanted.prefix() >= views.size() || !views[wanted.prefix()]->IsKnown()) {
       continue;
     }
     const auto& view = *views[wanted.prefix()];
     const auto update =
       view.UpdateSince({ wanted.known_era(), wanted.known() }, longest);
-    FillUpdate(*told.add_updates(), wanted.prefix(), update);
+    FillUpdate(*message.add_updates(), wanted.prefix(), update);
   }
-  mNews.Send(aNews.vm(), std::move(told), aNow);
+  mExchange.Send(aMessage.vm(), std::move(message), aNow);
 }
 
 void
@@ -248,32 +253,32 @@
 }
 
 void
-control::TakeUpdates(const news::News& aNews,
-                     const news::exchange::clock_converter& aClock,
-                     clock::time_point aNow)
+control::ApplyKeysUpdates(const news::News& aMessage,
+                          const news::exchange::clock_converter& aClock,
+                          clock::time_point aNow)
 {
-  if (aNews.updates_size() > 0) {
-    mPace.OnResponse();
+  if (aMessage.updates_size() > 0) {
+    mPollThrottle.OnResponse();
   }
-  for (const auto& update : aNews.updates()) {
+  for (const auto& update : aMessage.updates()) {
     if (update.prefix() < Views().size()) {
-      TakeUpdate(aNews.vm(), update, aClock, aNow);
+      ApplyKeysUpdate(aMessage.vm(), update, aClock, aNow);
     }
   }
 }
 
 void
-control::TakeUpdate(const std::string& aVm,
-                    const news::KeysUpdate& aUpdate,
-                    const news::exchange::clock_converter& aClock,
-                    clock::time_point aNow)
+control::ApplyKeysUpdate(const std::string& aVm,
+                         const news::KeysUpdate& aUpdate,
+                         const news::exchange::clock_converter& aClock,
+                         clock::time_point aNow)
 {
   auto& view = *Views().at(aUpdate.prefix());
   if (aUpdate.proved_at_us() != 0 && !aClock) {
-    AnswerSender(aVm, aNow);
+    SendEmptyAnnouncement(aVm, aNow);
   }
   if (aUpdate.too_long()) {
-    AskParts(aVm, aUpdate.prefix(), aNow);
+    BeginSnapshotTransfer(aVm, aUpdate.prefix(), aNow);
     return;
   }
   if (!view.ApplyUpdate(ReadUpdate(aUpdate), aNow) || !aClock) {
@@ -281,7 +286,7 @@
   }
   if (aUpdate.proved_at_us() != 0) {
     view.MarkVerified(aClock(aUpdate.proved_at_us()));
-    NoteProof(aNow);
+    ApplyVerification(aNow);
   }
   const auto until = mForwardingTimeouts.ForwardedUntil(
     &view == &mConfigurationView, aClock(aUpdate.current_at_us()), aNow);
@@ -291,25 +296,26 @@
 // Sends an empty message, so that the other VM can convert its timestamps to
 // this VM's clock in later messages.
 void
-control::AnswerSender(const std::string& aVm, clock::time_point aNow)
+control::SendEmptyAnnouncement(const std::string& aVm, clock::time_point aNow)
 {
-  news::News told;
-  FillChanges(told);
-  mNews.Send(aVm, std::move(told), aNow);
+  news::News message;
+  FillRevisions(message);
+  mExchange.Send(aVm, std::move(message), aNow);
 }
 
 // Polls a forwarder at once when it has seen newer changes.
 void
-control::HeardChanges(const news::News& aNews, clock::time_point aNow)
+control::PollIfNewer(const news::News& aMessage, clock::time_point aNow)
 {
-  const auto heard = ReadChanges(aNews);
+  const auto heard = ReadChanges(aMessage);
   const auto views = Views();
-  bool isNews = false;
+  bool hasNewer = false;
   for (std::size_t i = 0; i < views.size(); ++i) {
-    isNews = isNews || heard[i] > views[i]->Seen();
+    hasNewer = hasNewer || heard[i] > views[i]->Seen();
   }
-  if (isNews && IsForwarder(aNews.vm()) && mPace.MayRequest(aNow)) {
-    SendWanted(aNews.vm(), aNow);
+  if (hasNewer && IsForwarder(aMessage.vm()) &&
+      mPollThrottle.MayRequest(aNow)) {
+    SendPoll(aMessage.vm(), aNow);
   }
 }
 
@@ -323,20 +329,20 @@
 
 // Notifies the VMs that poll this one of newer changes.
 void
-control::TellSubscribers(clock::time_point aNow)
+control::NotifySubscribers(clock::time_point aNow)
 {
   mSubscribers.RemoveExpired(aNow);
-  news::News told;
-  FillChanges(told);
+  news::News message;
+  FillRevisions(message);
   for (const auto& vm : mSubscribers.All()) {
-    mNews.Send(vm, told, aNow);
+    mExchange.Send(vm, message, aNow);
   }
 }
 
 std::array<store::prefix_view*, 3>
 control::Views()
 {
-  return { &mConfigurationView, &mServersView, &mOwnView };
+  return { &mConfigurationView, &mServersView, &mClusterView };
 }
 
 } // namespace currantshed::node
--- a/src/currantshed/node/control_freshness.cpp
+++ b/src/currantshed/node/control_freshness.cpp
@@ -17,50 +17,50 @@
 
 // A VM whose last verification is older than this asks other VMs for one,
 // whether or not the store answers.
-constexpr milliseconds kAskOthers{ 2000 };
+constexpr milliseconds kMaxVerificationAge{ 2000 };
 // Interval between attempts to end the sessions of a VM that is cut off.
-constexpr milliseconds kEndPause{ 500 };
+constexpr milliseconds kSessionEndInterval{ 500 };
 
 } // namespace
 
 // Ranks the VMs for freshness checks: forwarders come first, ordered by name.
 // All others have late turns and rarely make a check.
 void
-control::SetCheckPlace()
+control::SetCheckRank()
 {
   std::vector<std::string> order(mAllForwarders.begin(), mAllForwarders.end());
   if (order.empty()) {
-    std::transform(mOwnKeys.vms.begin(),
-                   mOwnKeys.vms.end(),
+    std::transform(mClusterState.vms.begin(),
+                   mClusterState.vms.end(),
                    std::back_inserter(order),
                    [](const auto& aEntry) { return aEntry.first; });
   }
   std::sort(order.begin(), order.end());
   const auto self = std::find(order.begin(), order.end(), mSelf.where.vm);
-  mChecks.SetRank(static_cast<std::size_t>(self - order.begin()));
+  mCheckSchedule.SetRank(static_cast<std::size_t>(self - order.begin()));
   mCheckers = std::move(order);
 }
 
 // A verification applies only once the configuration that it covers is in
 // force.
 void
-control::NoteProof(clock::time_point aNow)
+control::ApplyVerification(clock::time_point aNow)
 {
-  const auto provedAt = mConfigurationView.VerifiedAt();
-  if (mInForce != mConfigurationView.Changed() ||
-      provedAt <= mFreshness.VerifiedAt()) {
+  const auto verifiedAt = mConfigurationView.VerifiedAt();
+  if (mConfigurationRevision != mConfigurationView.Changed() ||
+      verifiedAt <= mFreshness.VerifiedAt()) {
     return;
   }
   const bool held = mFreshness.Holds(aNow);
-  mFreshness.MarkVerified(provedAt);
+  mFreshness.MarkVerified(verifiedAt);
   mTraffic.SetFreshness(mFreshness);
   if (!held && mFreshness.Holds(aNow)) {
-    NoteFreshness(true, aNow);
+    LogFreshness(true, aNow);
   }
 }
 
 void
-control::NoteFreshness(bool aHolds, clock::time_point aNow)
+control::LogFreshness(bool aHolds, clock::time_point aNow)
 {
   mWasFresh = aHolds;
   const auto age = mFreshness.VerifiedAt() == clock::time_point{}
@@ -81,44 +81,46 @@
 control::IsCutOff(clock::time_point aNow) const
 {
   return mFreshness.IsBounded() && mVersion != 0 && !mFreshness.Holds(aNow) &&
-         mKnownVms.RecentlyHeard(aNow).empty();
+         mMembership.RecentlyHeard(aNow).empty();
 }
 
 void
-control::KeepFresh(clock::time_point aNow)
+control::TickFreshness(clock::time_point aNow)
 {
   if (!mFreshness.IsBounded() || !mConfigurationView.IsKnown()) {
     return;
   }
-  NoteProof(aNow);
+  ApplyVerification(aNow);
   if (mWasFresh && !mFreshness.Holds(aNow)) {
-    NoteFreshness(false, aNow);
+    LogFreshness(false, aNow);
   }
-  if (IsCutOff(aNow) && aNow >= mNextEnd) {
-    mNextEnd = aNow + kEndPause;
+  if (IsCutOff(aNow) && aNow >= mNextSessionEnd) {
+    mNextSessionEnd = aNow + kSessionEndInterval;
     mTraffic.CloseIdleCustomerSessions();
   }
-  const auto provedAt = mConfigurationView.VerifiedAt();
-  if (mRegistration.IsFailing() || aNow < mChecks.NextCheck(provedAt)) {
+  const auto verifiedAt = mConfigurationView.VerifiedAt();
+  if (mRegistration.IsFailing() ||
+      aNow < mCheckSchedule.NextCheck(verifiedAt)) {
     return;
   }
-  mChecks.OnRequestSent();
-  mConfigurationView.Check(aNow, [this](bool aIsProof, clock::time_point aAt) {
-    mChecks.OnResponse(aIsProof, aAt);
-    if (aIsProof) {
-      SpreadProof(aAt);
-    }
-    Tick();
-  });
+  mCheckSchedule.OnRequestSent();
+  mConfigurationView.Check(aNow,
+                           [this](bool aIsVerified, clock::time_point aAt) {
+                             mCheckSchedule.OnResponse(aIsVerified, aAt);
+                             if (aIsVerified) {
+                               SendVerification(aAt);
+                             }
+                             Tick();
+                           });
 }
 
 // Sends the verification to the other VMs that would make the check.
 void
-control::SpreadProof(clock::time_point aNow)
+control::SendVerification(clock::time_point aNow)
 {
-  news::News told;
-  FillChanges(told);
-  auto& out = *told.add_updates();
+  news::News message;
+  FillRevisions(message);
+  auto& out = *message.add_updates();
   out.set_prefix(internal::kConfigurationPrefix);
   out.set_after(mConfigurationView.Changed().number);
   out.set_up_to(mConfigurationView.Seen().number);
@@ -126,27 +128,28 @@
   out.set_proved_at_us(lead::ToWire(mConfigurationView.VerifiedAt()).count());
   for (const auto& vm : mCheckers) {
     if (vm != mSelf.where.vm) {
-      mNews.Send(vm, told, aNow);
+      mExchange.Send(vm, message, aNow);
     }
   }
 }
 
 bool
-control::LacksProof(clock::time_point aNow) const
+control::LacksVerification(clock::time_point aNow) const
 {
-  return mFreshness.IsBounded() && aNow >= mFreshness.VerifiedAt() + kAskOthers;
+  return mFreshness.IsBounded() &&
+         aNow >= mFreshness.VerifiedAt() + kMaxVerificationAge;
 }
 
 // Returns when the next freshness check is due.
 clock::time_point
-control::NextFreshness() const
+control::NextFreshnessCheck() const
 {
   if (!mFreshness.IsBounded() || !mConfigurationView.IsKnown()) {
     return clock::time_point::max();
   }
   return mRegistration.IsFailing()
            ? clock::time_point::max()
-           : mChecks.NextCheck(mConfigurationView.VerifiedAt());
+           : mCheckSchedule.NextCheck(mConfigurationView.VerifiedAt());
 }
 
 } // namespace currantshed::node
--- a/src/currantshed/node/control_quota.cpp
+++ b/src/currantshed/node/control_quota.cpp
@@ -22,47 +22,48 @@
 constexpr milliseconds kShareInterval{ 400 };
 // Minimum interval between two transfers. A request for tokens carries a share,
 // so that after a start of all VMs the first operations find tokens.
-constexpr milliseconds kShortestShare{ 50 };
+constexpr milliseconds kMinShareInterval{ 50 };
 // A share that was in transit for longer is dropped, so that a network fault
 // does not deliver accumulated shares all at once.
-constexpr milliseconds kLongestWay{ 700 };
+constexpr milliseconds kMaxTransitTime{ 700 };
 
 } // namespace
 
 // Sets the coordinators of this VM's failure domain and of each other one.
 // Without customers no coordinator is used.
 void
-control::NoteCollectors()
+control::UpdateCoordinators()
 {
   if (mCustomers == nullptr) {
     return;
   }
-  const auto keys = WithRecorded();
+  const auto keys = StateWithRecordedVms();
   std::set<std::string> domains;
-  for (const auto& one : mOwnKeys.fleet) {
+  for (const auto& one : mClusterState.fleet) {
     domains.insert(one.failureDomain);
   }
   for (const auto& [name, one] : keys.vms) {
     domains.insert(one.record.failureDomain);
   }
-  mBank.SetCoordinatorCount(std::max<std::size_t>(domains.size(), 1));
+  mTokenBuckets.SetCoordinatorCount(std::max<std::size_t>(domains.size(), 1));
   std::vector<std::vector<std::string>> others;
   for (const auto& domain : domains) {
     if (domain != mSelf.failureDomain) {
       others.push_back(QuotaCoordinators(keys, domain));
     }
   }
-  mTokens.SetCoordinators(QuotaCoordinators(keys, mSelf.failureDomain), others);
+  mTokenClient.SetCoordinators(QuotaCoordinators(keys, mSelf.failureDomain),
+                               others);
 }
 
 // The listed VMs and, for a while after the start, the recorded ones: VMs that
 // start together find each other's tokens before all are listed.
 cluster_state
-control::WithRecorded() const
+control::StateWithRecordedVms() const
 {
-  auto keys = mOwnKeys;
+  auto keys = mClusterState;
   if (!mIsSettled) {
-    for (const auto& one : mOwnKeys.fleet) {
+    for (const auto& one : mClusterState.fleet) {
       keys.vms.try_emplace(one.where.vm, cluster_state::stored_vm{ one, {} });
     }
   }
@@ -74,18 +75,18 @@
 std::size_t
 control::FleetSize() const
 {
-  auto vms = mOwnKeys.vms.size();
-  for (const auto& one : mOwnKeys.fleet) {
-    vms += mOwnKeys.vms.contains(one.where.vm) ? 0 : 1;
+  auto vms = mClusterState.vms.size();
+  for (const auto& one : mClusterState.fleet) {
+    vms += mClusterState.vms.contains(one.where.vm) ? 0 : 1;
   }
   return std::max<std::size_t>(vms, 1);
 }
 
 bool
-control::KeepsQuotas() const
+control::EnforcesQuotas() const
 {
-  return mCustomers != nullptr && mOwnView.IsKnown() &&
-         (mIsSettled || !mOwnKeys.fleet.empty());
+  return mCustomers != nullptr && mClusterView.IsKnown() &&
+         (mIsSettled || !mClusterState.fleet.empty());
 }
 
 // Adds this VM's shares of the partitions that the other VM coordinates to a
@@ -98,16 +99,18 @@
   auto& sharedAt = mSharedAt[aVm];
   // A receiver that cannot convert this VM's timestamps cannot tell the share's
   // age and would drop it.
-  const bool isDue = aNow >= sharedAt + kShortestShare &&
-                     (aVm == mSelf.where.vm || mNews.HasClockOffset(aVm, aNow));
-  if (!isDue || !KeepsQuotas()) {
+  const bool isDue =
+    aNow >= sharedAt + kMinShareInterval &&
+    (aVm == mSelf.where.vm || mExchange.HasClockOffset(aVm, aNow));
+  if (!isDue || !EnforcesQuotas()) {
     return;
   }
-  for (std::size_t part = 0; part < customer::kPartitions; ++part) {
-    if (mTokens.CoordinatorOf(part, aNow) == aVm) {
+  for (std::size_t partition = 0; partition < customer::kPartitions;
+       ++partition) {
+    if (mTokenClient.CoordinatorOf(partition, aNow) == aVm) {
       auto& out = *aOut.add_shares();
-      out.set_part(static_cast<std::uint32_t>(part));
-      out.set_seconds(mShares[part].Take(FleetSize(), aNow).count());
+      out.set_part(static_cast<std::uint32_t>(partition));
+      out.set_seconds(mShares[partition].Take(FleetSize(), aNow).count());
     }
   }
   if (aOut.shares_size() > 0) {
@@ -118,66 +121,67 @@
 // Transfers this VM's shares that no other message has carried, to itself for
 // the partitions that it coordinates.
 void
-control::KeepQuotas(clock::time_point aNow)
+control::TickQuotas(clock::time_point aNow)
 {
   // Operations may wait for tokens before this VM can earn any.
-  mTokens.Tick(aNow);
-  if (KeepsQuotas()) {
+  mTokenClient.Tick(aNow);
+  if (EnforcesQuotas()) {
     for (auto& share : mShares) {
       share.Begin(mStartedAt);
     }
     if (aNow >= mNextShare) {
       mNextShare = aNow + kShareInterval;
-      ShareAll(aNow);
+      SendShares(aNow);
     }
   }
-  CarryTokens(aNow);
+  ExchangeTokens(aNow);
 }
 
 void
-control::ShareAll(clock::time_point aNow)
+control::SendShares(clock::time_point aNow)
 {
-  std::set<std::string> collectors;
-  for (std::size_t part = 0; part < customer::kPartitions; ++part) {
-    collectors.insert(mTokens.CoordinatorOf(part, aNow));
+  std::set<std::string> coordinators;
+  for (std::size_t partition = 0; partition < customer::kPartitions;
+       ++partition) {
+    coordinators.insert(mTokenClient.CoordinatorOf(partition, aNow));
   }
-  for (const auto& vm : collectors) {
+  for (const auto& vm : coordinators) {
     const bool isOld = aNow >= mSharedAt[vm] + kShareInterval;
     if (vm.empty() || !isOld) {
       continue;
     }
-    news::News told;
-    FillShares(vm, told, aNow);
+    news::News message;
+    FillShares(vm, message, aNow);
     if (vm == mSelf.where.vm) {
-      told.set_incarnation(mSelf.incarnation);
-      told.set_vm(vm);
-      told.set_sent_at_us(lead::ToWire(aNow).count());
-      TakeShares(told);
+      message.set_incarnation(mSelf.incarnation);
+      message.set_vm(vm);
+      message.set_sent_at_us(lead::ToWire(aNow).count());
+      ApplyShares(message);
     } else {
-      mNews.Send(vm, std::move(told), aNow);
+      mExchange.Send(vm, std::move(message), aNow);
     }
   }
 }
 
 void
-control::TakeShares(const news::News& aNews)
+control::ApplyShares(const news::News& aMessage)
 {
-  for (const auto& one : aNews.shares()) {
-    mBank.AddShare(aNews.vm(),
-                   aNews.incarnation(),
-                   std::chrono::microseconds{ aNews.sent_at_us() },
-                   one.part(),
-                   customer::share{ one.seconds() });
+  for (const auto& one : aMessage.shares()) {
+    mTokenBuckets.AddShare(aMessage.vm(),
+                           aMessage.incarnation(),
+                           std::chrono::microseconds{ aMessage.sent_at_us() },
+                           one.partition(),
+                           customer::share{ one.seconds() });
   }
 }
 
 void
-control::WantTokens(const std::string& aCustomer,
-                    unsigned aCount,
-                    clock::time_point aNow)
+control::RequestTokens(const std::string& aCustomer,
+                       unsigned aCount,
+                       clock::time_point aNow)
 {
-  mTokens.Request(aCustomer, aCount, aNow);
-  CarryTokens(aNow);
+  mTokenClient.Request(aCustomer, aCount, aNow);
+  ExchangeTokens(aNow);
   Schedule();
 }
 
@@ -189,67 +193,67 @@
   if (owner == nullptr || !owner->limit) {
     return {};
   }
-  return mBank.GrantTokens(aCustomer, *owner->limit, aCount);
+  return mTokenBuckets.GrantTokens(aCustomer, *owner->limit, aCount);
 }
 
 // Sends the token client's requests, one message per VM, and passes its results
 // to the traffic thread. Responses by this VM itself may lead to further
 // requests.
 void
-control::CarryTokens(clock::time_point aNow)
+control::ExchangeTokens(clock::time_point aNow)
 {
-  absl::btree_map<std::string, news::News> told;
-  for (auto asks = mTokens.TakeRequests(); !asks.empty();
-       asks = mTokens.TakeRequests()) {
-    for (auto& ask : asks) {
+  absl::btree_map<std::string, news::News> messages;
+  for (auto requests = mTokenClient.TakeRequests(); !requests.empty();
+       requests = mTokenClient.TakeRequests()) {
+    for (auto& ask : requests) {
       if (ask.vm == mSelf.where.vm) {
         const auto got = GrantTokens(ask.customer, ask.count);
-        mTokens.OnResponse(ask.number, got.count, got.retryAfter, aNow);
+        mTokenClient.OnResponse(ask.number, got.count, got.retryAfter, aNow);
         continue;
       }
-      auto& out = *told[ask.vm].add_tokens_wanted();
+      auto& out = *messages[ask.vm].add_tokens_wanted();
       out.set_number(ask.number);
       out.set_customer(std::move(ask.customer));
       out.set_count(ask.count);
     }
   }
-  for (auto& [vm, news] : told) {
+  for (auto& [vm, news] : messages) {
     FillShares(vm, news, aNow);
-    mNews.Send(vm, std::move(news), aNow);
+    mExchange.Send(vm, std::move(news), aNow);
   }
-  auto outcomes = mTokens.TakeResults();
+  auto outcomes = mTokenClient.TakeResults();
   if (!outcomes.empty()) {
     mTraffic.ApplyTokenResults(std::move(outcomes));
   }
 }
 
 void
-control::HeardOfTokens(const news::News& aNews,
-                       const news::exchange::clock_converter& aClock,
-                       clock::time_point aNow)
+control::HandleTokenMessages(const news::News& aMessage,
+                             const news::exchange::clock_converter& aClock,
+                             clock::time_point aNow)
 {
-  if (aClock && aNow - aClock(aNews.sent_at_us()) < kLongestWay) {
-    TakeShares(aNews);
+  if (aClock && aNow - aClock(aMessage.sent_at_us()) < kMaxTransitTime) {
+    ApplyShares(aMessage);
   }
-  news::News told;
-  for (const auto& wanted : aNews.tokens_wanted()) {
+  news::News message;
+  for (const auto& wanted : aMessage.tokens_wanted()) {
     const auto got = GrantTokens(wanted.customer(), wanted.count());
-    auto& out = *told.add_tokens_granted();
+    auto& out = *message.add_tokens_granted();
     out.set_number(wanted.number());
     out.set_count(got.count);
     out.set_retry_after_ms(static_cast<std::uint32_t>(got.retryAfter.count()));
   }
-  if (told.tokens_granted_size() > 0) {
-    mNews.Send(aNews.vm(), std::move(told), aNow);
+  if (message.tokens_granted_size() > 0) {
+    mExchange.Send(aMessage.vm(), std::move(message), aNow);
   }
-  for (const auto& granted : aNews.tokens_granted()) {
-    mTokens.OnResponse(granted.number(),
-                       granted.count(),
-                       milliseconds{ granted.retry_after_ms() },
-                       aNow);
+  for (const auto& granted : aMessage.tokens_granted()) {
+    mTokenClient.OnResponse(granted.number(),
+                            granted.count(),
+                            milliseconds{ granted.retry_after_ms() },
+                            aNow);
   }
-  if (aNews.tokens_granted_size() > 0) {
-    CarryTokens(aNow);
+  if (aMessage.tokens_granted_size() > 0) {
+    ExchangeTokens(aNow);
   }
 }
 
--- a/src/currantshed/node/control_servers.cpp
+++ b/src/currantshed/node/control_servers.cpp
@@ -61,7 +61,7 @@
   const auto before = mServers.Servers();
   const auto source =
     mServersView.MayBeStale() ? list_source::kResync : list_source::kWatch;
-  NoteServers(mServers.Take(ReadServers(), source, aNow), source);
+  LogServerChanges(mServers.Update(ReadServers(), source, aNow), source);
   const auto changed = ChangedServices(before, mServers.Servers());
   if (changed.empty()) {
     return;
@@ -75,7 +75,7 @@
       { "store_era", static_cast<std::int64_t>(mServersView.Seen().era) } });
   mTraffic.SetServers(mServers.Servers());
   UpdateReadiness(aNow);
-  Perform(aNow);
+  PerformActions(aNow);
 }
 
 // Entries of unknown writers cannot be used. The server of an entry that was
@@ -90,7 +90,7 @@
   const auto changed = mServersView.TakeChangedKeys();
   if (changed.isAll) {
     mEntries.clear();
-    absl::erase_if(mUnusable, [&items](const auto& aEntry) {
+    absl::erase_if(mUnusableEntries, [&items](const auto& aEntry) {
       return !items.contains(aEntry.first);
     });
     for (const auto& [key, item] : items) {
@@ -101,7 +101,7 @@
     const auto found = items.find(key);
     if (found == items.end()) {
       mEntries.erase(key);
-      mUnusable.erase(key);
+      mUnusableEntries.erase(key);
     } else {
       ReadEntry(key, found->second);
     }
@@ -110,7 +110,7 @@
   servers.reserve(mEntries.size());
   for (const auto& [key, entry] : mEntries) {
     if (mServices && !mServices->contains(entry.service)) {
-      NoteUnusable(key, items.at(key).changed, entry_errc::kUnknownService);
+      LogUnusableEntry(key, items.at(key).changed, entry_errc::kUnknownService);
     } else {
       servers.push_back(entry);
     }
@@ -121,32 +121,32 @@
 void
 control::ReadEntry(const std::string& aKey, const store::item& aItem)
 {
-  std::error_code whyNot;
-  auto read = mDocuments.ReadServer(aKey, aItem.value, whyNot);
-  if (read && !whyNot) {
+  std::error_code error;
+  auto read = mDocuments.ReadServer(aKey, aItem.value, error);
+  if (read && !error) {
     mEntries.insert_or_assign(aKey, std::move(*read));
-    mUnusable.erase(aKey);
+    mUnusableEntries.erase(aKey);
     return;
   }
   mEntries.erase(aKey);
-  NoteUnusable(aKey, aItem.changed, whyNot);
+  LogUnusableEntry(aKey, aItem.changed, error);
 }
 
 // Logs once per entry and revision.
 void
-control::NoteUnusable(const std::string& aKey,
-                      store::revision aChanged,
-                      std::error_code aWhyNot)
+control::LogUnusableEntry(const std::string& aKey,
+                          store::revision aChanged,
+                          std::error_code aError)
 {
-  auto& noted = mUnusable[aKey];
-  if (std::exchange(noted, aChanged) == aChanged) {
+  auto& loggedRevision = mUnusableEntries[aKey];
+  if (std::exchange(loggedRevision, aChanged) == aChanged) {
     return;
   }
-  mMetrics.CountUnusableEntry(aWhyNot.message());
+  mMetrics.CountUnusableEntry(aError.message());
   log::Write(log::level::kWarning,
              "server_unusable",
              { { "key", aKey },
-               { "reason", aWhyNot.message() },
+               { "reason", aError.message() },
                { "changed", static_cast<std::int64_t>(aChanged.number) } });
 }
 
@@ -154,23 +154,23 @@
 // learned that a server is draining. New servers are not logged one by one:
 // when all start they are many, and only their number is logged.
 void
-control::NoteServers(const std::vector<server_change>& aNews,
-                     list_source aSource) const
+control::LogServerChanges(const std::vector<server_change>& aChanges,
+                          list_source aSource) const
 {
-  for (const auto& one : aNews) {
-    if (one.isNew && one.standing == listing_state::kReady) {
+  for (const auto& one : aChanges) {
+    if (one.isNew && one.state == listing_state::kReady) {
       continue;
     }
-    const auto* lead = Find(one.server.service);
-    const bool leads =
-      lead != nullptr && lead->lead.Confirmation().primary == one.server.id;
-    mMetrics.CountListingState(ToString(one.standing));
+    const auto* found = Find(one.server.service);
+    const bool leads = found != nullptr &&
+                       found->monitor.Confirmation().primary == one.server.id;
+    mMetrics.CountListingState(ToString(one.state));
     log::Write(
       log::level::kInfo,
       "server_standing",
       { { "server", one.server.id },
         { "service", one.server.service },
-        { "standing", std::string(ToString(one.standing)) },
+        { "standing", std::string(ToString(one.state)) },
         { "started_at_ms",
           static_cast<std::int64_t>(
             one.server.startedAt.time_since_epoch().count()) },
@@ -196,15 +196,15 @@
     }
   }
   for (auto& [service, listed] : members) {
-    auto& place = mGroups[service];
-    if (place == nullptr) {
-      place = std::make_unique<group>(mLeadSettings);
-      place->place = PlaceOf(service, mSelf.where.vm);
-      place->lead.SetMayConfirm(mMayAsk);
-      mDuties.AddService(mOwnKeys, service);
+    auto& entry = mGroups[service];
+    if (entry == nullptr) {
+      entry = std::make_unique<group>(mMonitorSettings);
+      entry->queryRank = PlaceOf(service, mSelf.where.vm);
+      entry->monitor.SetMayConfirm(mMayConfirm);
+      mLocks.AddService(mClusterState, service);
     }
-    place->lead.Configure(listed, aNow);
-    mAgenda.Touch(service);
+    entry->monitor.Configure(listed, aNow);
+    mScheduler.MarkPending(service);
   }
 }
 
--- a/src/currantshed/node/control_snapshots.cpp
+++ b/src/currantshed/node/control_snapshots.cpp
@@ -16,15 +16,15 @@
 namespace {
 
 news::KeysPart
-ToWire(std::size_t aPrefix, const snapshot_chunk& aPart)
+ToWire(std::size_t aPrefix, const snapshot_chunk& aChunk)
 {
   news::KeysPart made;
   made.set_prefix(static_cast<std::uint32_t>(aPrefix));
-  made.set_of(aPart.of.number);
-  made.set_of_era(aPart.of.era);
-  made.set_from(aPart.from);
-  made.set_length(aPart.length);
-  made.set_content(aPart.content);
+  made.set_of(aChunk.revision.number);
+  made.set_of_era(aChunk.revision.era);
+  made.set_from(aChunk.offset);
+  made.set_length(aChunk.totalBytes);
+  made.set_content(aChunk.data);
   return made;
 }
 
@@ -42,41 +42,41 @@
 // The update is too large for one message. If the snapshot does not arrive in
 // time, this VM reads the store.
 void
-control::AskParts(const std::string& aVm,
-                  std::size_t aPrefix,
-                  clock::time_point aNow)
+control::BeginSnapshotTransfer(const std::string& aVm,
+                               std::size_t aPrefix,
+                               clock::time_point aNow)
 {
-  auto& collector = mCollectors.at(aPrefix);
-  if (collector.Begin(aVm, aNow)) {
-    SendWantedPart(aPrefix, aVm, aNow);
+  auto& assembler = mAssemblers.at(aPrefix);
+  if (assembler.Begin(aVm, aNow)) {
+    RequestNextChunk(aPrefix, aVm, aNow);
   }
 }
 
 void
-control::SendWantedPart(std::size_t aPrefix,
-                        const std::string& aVm,
-                        clock::time_point aNow)
+control::RequestNextChunk(std::size_t aPrefix,
+                          const std::string& aVm,
+                          clock::time_point aNow)
 {
-  const auto& collector = mCollectors.at(aPrefix);
+  const auto& assembler = mAssemblers.at(aPrefix);
   auto& view = *Views().at(aPrefix);
-  view.ForwardedUntil(collector.Until());
-  view.DelayFirstReadUntil(collector.Until());
-  news::News told;
-  FillChanges(told);
-  *told.add_parts_wanted() = ToWire(aPrefix, collector.Wanted());
-  mNews.Send(aVm, std::move(told), aNow);
+  view.ForwardedUntil(assembler.Deadline());
+  view.DelayFirstReadUntil(assembler.Deadline());
+  news::News message;
+  FillRevisions(message);
+  *message.add_parts_wanted() = ToWire(aPrefix, assembler.NextRequest());
+  mExchange.Send(aVm, std::move(message), aNow);
 }
 
 void
-control::AnswerParts(const news::News& aNews, clock::time_point aNow)
+control::AnswerChunkRequests(const news::News& aMessage, clock::time_point aNow)
 {
-  for (const auto& wanted : aNews.parts_wanted()) {
+  for (const auto& wanted : aMessage.parts_wanted()) {
     const std::size_t prefix = wanted.prefix();
-    if (prefix >= mCutters.size() || !Views().at(prefix)->IsKnown()) {
+    if (prefix >= mSplitters.size() || !Views().at(prefix)->IsKnown()) {
       continue;
     }
     const auto& view = *Views().at(prefix);
-    const auto part = mCutters.at(prefix).GetChunk(
+    const auto part = mSplitters.at(prefix).GetChunk(
       FromWire(wanted),
       MaxUpdateBytes(mSettings.linkMegabits),
       view.Seen(),
@@ -86,26 +86,26 @@
         FillUpdate(whole, prefix, view.UpdateSince({}));
         return whole.SerializeAsString();
       });
-    news::News told;
-    FillChanges(told);
-    *told.add_parts() = ToWire(prefix, part);
-    mNews.Send(aNews.vm(), std::move(told), aNow);
+    news::News message;
+    FillRevisions(message);
+    *message.add_parts() = ToWire(prefix, part);
+    mExchange.Send(aMessage.vm(), std::move(message), aNow);
   }
 }
 
 void
-control::TakeParts(const news::News& aNews, clock::time_point aNow)
+control::ApplyChunks(const news::News& aMessage, clock::time_point aNow)
 {
-  for (const auto& part : aNews.parts()) {
+  for (const auto& part : aMessage.parts()) {
     const std::size_t prefix = part.prefix();
-    if (prefix >= mCollectors.size()) {
+    if (prefix >= mAssemblers.size()) {
       continue;
     }
-    auto& collector = mCollectors.at(prefix);
-    const auto copy = collector.Take(aNews.vm(), FromWire(part), aNow);
+    auto& assembler = mAssemblers.at(prefix);
+    const auto copy = assembler.AddChunk(aMessage.vm(), FromWire(part), aNow);
     if (!copy) {
-      if (collector.IsInProgress(aNow) && collector.IsFrom(aNews.vm())) {
-        SendWantedPart(prefix, aNews.vm(), aNow);
+      if (assembler.IsInProgress(aNow) && assembler.IsFrom(aMessage.vm())) {
+        RequestNextChunk(prefix, aMessage.vm(), aNow);
       }
       continue;
     }
@@ -115,15 +115,15 @@
     log::Write(isReadable ? log::level::kDebug : log::level::kWarning,
                "copy_taken",
                { { "prefix", static_cast<std::int64_t>(prefix) },
-                 { "from", aNews.vm() },
+                 { "from", aMessage.vm() },
                  { "bytes", static_cast<std::int64_t>(copy->size()) },
                  { "revision", static_cast<std::int64_t>(update.up_to()) },
                  { "readable", isReadable } });
     if (isReadable) {
       // The answer to this request tells how old the snapshot is and what has
       // changed since.
-      TakeUpdate(aNews.vm(), update, {}, aNow);
-      SendWanted(aNews.vm(), aNow);
+      ApplyKeysUpdate(aMessage.vm(), update, {}, aNow);
+      SendPoll(aMessage.vm(), aNow);
     }
   }
 }
@@ -131,7 +131,7 @@
 // A VM that starts learns from the cluster state which VMs exist, and gets the
 // other keys from the forwarders, if there are any.
 void
-control::HoldFirstReadings(bool aHasForwarders, clock::time_point aNow)
+control::DelayFirstReads(bool aHasForwarders, clock::time_point aNow)
 {
   const auto until =
     aHasForwarders ? mStartedAt + mForwardingTimeouts.DiscoveryTimeout() : aNow;
--- a/src/currantshed/node/document_codec.hpp
+++ b/src/currantshed/node/document_codec.hpp
@@ -27,12 +27,12 @@
   [[nodiscard]] virtual std::string ServersPrefix() const = 0;
 
   [[nodiscard]] virtual std::shared_ptr<const proxy::configuration>
-  ReadConfiguration(std::string_view aValue, std::string& aWhyNot) const = 0;
+  ReadConfiguration(std::string_view aValue, std::string& aError) const = 0;
 
   [[nodiscard]] virtual std::optional<proxy::server> ReadServer(
     std::string_view aKey,
     std::string_view aValue,
-    std::error_code& aWhyNot) const = 0;
+    std::error_code& aError) const = 0;
 };
 
 /// The platform's answer to a promotion order.
--- a/src/currantshed/node/forwarders.cpp
+++ b/src/currantshed/node/forwarders.cpp
@@ -19,43 +19,44 @@
 constexpr unsigned kForwarders = 2;
 // Maximum time, in seconds, that one answer occupies the forwarder's link: some
 // sixty VMs may poll at the same time, and callers use the same link.
-constexpr double kLinkPart = 0.01;
-constexpr double kBytesByMegabit = 1e6 / 8;
+constexpr double kMaxLinkTime = 0.01;
+constexpr double kBytesPerMegabit = 1e6 / 8;
 // All updates of a message together must stay below the receiver's limit of 256
 // KB. The receiver drops the connection of a sender that exceeds it, polls
 // again and gets the same message.
-constexpr double kLongestAnswer = 64.0 * 1024;
+constexpr double kMaxUpdateSize = 64.0 * 1024;
 
 } // namespace
 
 std::vector<std::string>
 SelectForwarders(const cluster_state& aKeys, const std::string& aFailureDomain)
 {
-  std::vector<store::vm> staying;
-  std::vector<unsigned> shares;
+  std::vector<store::vm> active;
+  std::vector<unsigned> capacities;
   for (const auto& [name, one] : aKeys.vms) {
     const auto& record = one.record;
-    if (record.failureDomain == aFailureDomain && !record.leaving) {
+    if (record.failureDomain == aFailureDomain && !record.draining) {
       store::vm vm;
       vm.id = name;
       vm.failureDomain = aFailureDomain;
-      staying.push_back(std::move(vm));
-      shares.push_back(record.cpuMillicores);
+      active.push_back(std::move(vm));
+      capacities.push_back(record.cpuMillicores);
     }
   }
   std::vector<std::string> forwarders;
-  if (staying.size() < kMinVmsForForwarders) {
+  if (active.size() < kMinVmsForForwarders) {
     return forwarders;
   }
-  const auto strongest = *std::max_element(shares.begin(), shares.end());
-  std::vector<store::vm> strong;
-  for (std::size_t i = 0; i < staying.size(); ++i) {
-    if (proxy::HasHighCapacity(shares[i], strongest)) {
-      strong.push_back(std::move(staying[i]));
+  const auto maxCpuMillicores =
+    *std::max_element(capacities.begin(), capacities.end());
+  std::vector<store::vm> eligible;
+  for (std::size_t i = 0; i < active.size(); ++i) {
+    if (proxy::HasHighCapacity(capacities[i], maxCpuMillicores)) {
+      eligible.push_back(std::move(active[i]));
     }
   }
   for (const auto& one : member::ChooseOwners(
-         "feeders of " + aFailureDomain, strong, kForwarders)) {
+         "feeders of " + aFailureDomain, eligible, kForwarders)) {
     forwarders.push_back(one.id);
   }
   return forwarders;
@@ -64,8 +65,8 @@
 std::size_t
 MaxUpdateBytes(double aLinkMegabits) noexcept
 {
-  const auto byLink = aLinkMegabits * kBytesByMegabit * kLinkPart;
-  return static_cast<std::size_t>(std::min(byLink, kLongestAnswer));
+  const auto byLink = aLinkMegabits * kBytesPerMegabit * kMaxLinkTime;
+  return static_cast<std::size_t>(std::min(byLink, kMaxUpdateSize));
 }
 
 } // namespace currantshed::node
--- a/src/currantshed/node/forwarding_batch.cpp
+++ b/src/currantshed/node/forwarding_batch.cpp
@@ -11,12 +11,12 @@
 
 // How long reach updates of several VMs are batched: less than half of the 600
 // ms for which a primary counts as reachable after it was heard.
-constexpr milliseconds kReachPause{ 250 };
+constexpr milliseconds kReachDelay{ 250 };
 // The same for acknowledgements, which a change of the primary waits for.
-constexpr milliseconds kObeyedPause{ 15 };
+constexpr milliseconds kAcknowledgementDelay{ 15 };
 
 bool
-IsFresher(const lead::reach_update& aLeft, const lead::reach_update& aRight)
+IsNewer(const lead::reach_update& aLeft, const lead::reach_update& aRight)
 {
   return std::tie(aLeft.term, aLeft.heardAt) >
          std::tie(aRight.term, aRight.heardAt);
@@ -29,27 +29,27 @@
                            bool aIsUrgent,
                            clock::time_point aNow)
 {
-  mWords.insert(aService);
+  mGroups.insert(aService);
   // Watch updates that are not urgent wait for the pause that is passed to
   // TakeGroups.
-  mWordsAt = std::min(mWordsAt, aIsUrgent ? clock::time_point{} : aNow);
+  mGroupsDueAt = std::min(mGroupsDueAt, aIsUrgent ? clock::time_point{} : aNow);
 }
 
 std::vector<std::string>
 forwarding_batch::TakeGroups(milliseconds aPause, clock::time_point aNow)
 {
-  if (mWords.empty()) {
+  if (mGroups.empty()) {
     return {};
   }
-  const bool isUrgent = mWordsAt == clock::time_point{};
-  if (!isUrgent && aNow < mLastWords + aPause) {
-    mWordsAt = mLastWords + aPause;
+  const bool isUrgent = mGroupsDueAt == clock::time_point{};
+  if (!isUrgent && aNow < mLastTaken + aPause) {
+    mGroupsDueAt = mLastTaken + aPause;
     return {};
   }
-  std::vector<std::string> taken(mWords.begin(), mWords.end());
-  mWords.clear();
-  mWordsAt = clock::time_point::max();
-  mLastWords = aNow;
+  std::vector<std::string> taken(mGroups.begin(), mGroups.end());
+  mGroups.clear();
+  mGroupsDueAt = clock::time_point::max();
+  mLastTaken = aNow;
   return taken;
 }
 
@@ -57,15 +57,16 @@
 forwarding_batch::AddReachUpdate(forwarded_reach_update aReach,
                                  clock::time_point aNow)
 {
-  const bool obeys = aReach.news.acknowledgedTerm != 0;
-  mReachesAt =
-    std::min(mReachesAt, aNow + (obeys ? kObeyedPause : kReachPause));
-  if (obeys) {
-    mObeyed[{ aReach.service, aReach.vm }] = aReach;
+  const bool acknowledges = aReach.update.acknowledgedTerm != 0;
+  mReachUpdatesDueAt =
+    std::min(mReachUpdatesDueAt,
+             aNow + (acknowledges ? kAcknowledgementDelay : kReachDelay));
+  if (acknowledges) {
+    mAcknowledged[{ aReach.service, aReach.vm }] = aReach;
   }
-  auto& freshest = mFreshest[aReach.service];
-  if (freshest.vm.empty() || IsFresher(aReach.news, freshest.news)) {
-    freshest = std::move(aReach);
+  auto& latest = mLatest[aReach.service];
+  if (latest.vm.empty() || IsNewer(aReach.update, latest.update)) {
+    latest = std::move(aReach);
   }
 }
 
@@ -73,27 +74,27 @@
 forwarding_batch::TakeReachUpdates(clock::time_point aNow)
 {
   std::vector<forwarded_reach_update> taken;
-  if (aNow < mReachesAt) {
+  if (aNow < mReachUpdatesDueAt) {
     return taken;
   }
-  for (auto& [service, one] : mFreshest) {
-    if (!mObeyed.contains({ service, one.vm })) {
+  for (auto& [service, one] : mLatest) {
+    if (!mAcknowledged.contains({ service, one.vm })) {
       taken.push_back(std::move(one));
     }
   }
-  for (auto& [key, one] : mObeyed) {
+  for (auto& [key, one] : mAcknowledged) {
     taken.push_back(std::move(one));
   }
-  mFreshest.clear();
-  mObeyed.clear();
-  mReachesAt = clock::time_point::max();
+  mLatest.clear();
+  mAcknowledged.clear();
+  mReachUpdatesDueAt = clock::time_point::max();
   return taken;
 }
 
 clock::time_point
 forwarding_batch::NextTick() const noexcept
 {
-  return std::min(mWordsAt, mReachesAt);
+  return std::min(mGroupsDueAt, mReachUpdatesDueAt);
 }
 
 } // namespace currantshed::node
--- a/src/currantshed/node/forwarding_batch.hpp
+++ b/src/currantshed/node/forwarding_batch.hpp
@@ -19,7 +19,7 @@
 {
   std::string service;
   std::string vm;
-  lead::reach_update news;
+  lead::reach_update update;
 };
 
 /// Batches the updates that a forwarder passes between the VMs that monitor
@@ -53,15 +53,15 @@
   [[nodiscard]] clock::time_point NextTick() const noexcept;
 
 private:
-  absl::btree_set<std::string> mWords;
-  clock::time_point mWordsAt = clock::time_point::max();
-  clock::time_point mLastWords{};
+  absl::btree_set<std::string> mGroups;
+  clock::time_point mGroupsDueAt = clock::time_point::max();
+  clock::time_point mLastTaken{};
   /// The most recent reach update, by group.
-  absl::btree_map<std::string, forwarded_reach_update> mFreshest;
+  absl::btree_map<std::string, forwarded_reach_update> mLatest;
   /// Acknowledgements, by group and VM.
   absl::btree_map<std::pair<std::string, std::string>, forwarded_reach_update>
-    mObeyed;
-  clock::time_point mReachesAt = clock::time_point::max();
+    mAcknowledged;
+  clock::time_point mReachUpdatesDueAt = clock::time_point::max();
 };
 
 } // namespace currantshed::node
--- a/src/currantshed/node/freshness_check_schedule.hpp
+++ b/src/currantshed/node/freshness_check_schedule.hpp
@@ -17,19 +17,19 @@
 {
 public:
   /// Sets the VM's rank; rank zero asks first.
-  void SetRank(std::size_t aPlace) noexcept { mPlace = aPlace; }
+  void SetRank(std::size_t aRank) noexcept { mRank = aRank; }
 
   /// Returns when to ask next, given the time of the latest verification.
   [[nodiscard]] clock::time_point NextCheck(
-    clock::time_point aProvedAt) const noexcept;
+    clock::time_point aVerifiedAt) const noexcept;
 
-  void OnRequestSent() noexcept { mIsAsking = true; }
-  void OnResponse(bool aIsProof, clock::time_point aNow) noexcept;
+  void OnRequestSent() noexcept { mIsInFlight = true; }
+  void OnResponse(bool aIsVerified, clock::time_point aNow) noexcept;
 
 private:
-  std::size_t mPlace = 0;
+  std::size_t mRank = 0;
   unsigned mFailures = 0;
-  bool mIsAsking = false;
+  bool mIsInFlight = false;
   clock::time_point mNotBefore{};
 };
 
--- a/src/currantshed/node/group_scheduler.cpp
+++ b/src/currantshed/node/group_scheduler.cpp
@@ -8,7 +8,7 @@
 std::vector<std::string>
 group_scheduler::TakePending()
 {
-  const auto taken = std::exchange(mTouched, {});
+  const auto taken = std::exchange(mPending, {});
   return { taken.begin(), taken.end() };
 }
 
--- a/src/currantshed/node/group_scheduler.hpp
+++ b/src/currantshed/node/group_scheduler.hpp
@@ -20,7 +20,7 @@
 public:
   /// Marks the group as pending: its group_monitor may have actions to be
   /// carried out.
-  void Touch(const std::string& aService) { mTouched.insert(aService); }
+  void MarkPending(const std::string& aService) { mPending.insert(aService); }
 
   /// Returns the groups marked since the last call, ordered by name.
   [[nodiscard]] std::vector<std::string> TakePending();
@@ -40,7 +40,7 @@
   [[nodiscard]] std::vector<std::string> Scheduled() const;
 
 private:
-  absl::btree_set<std::string> mTouched;
+  absl::btree_set<std::string> mPending;
   absl::btree_map<std::string, clock::time_point> mDue;
   absl::btree_set<std::pair<clock::time_point, std::string>> mByTime;
 };
--- a/src/currantshed/node/internal/forwarding_timeouts.hpp
+++ b/src/currantshed/node/internal/forwarding_timeouts.hpp
@@ -47,21 +47,22 @@
     clock::time_point aCurrentAt,
     clock::time_point aNow) const noexcept
   {
-    const auto usual = aIsConfiguration ? kConfigurationLife : kOtherLife;
+    const auto usual =
+      aIsConfiguration ? kConfigurationLifetime : kOtherLifetime;
     const auto longest =
       std::max(usual, aIsConfiguration ? mBound * 3 / 5 : mBound * 5 / 6);
     return std::max(aCurrentAt + usual,
-                    std::min(aNow + kAnswerLife, aCurrentAt + longest));
+                    std::min(aNow + kResponseLife, aCurrentAt + longest));
   }
 
 private:
   // How long keys count as current after they are known to have matched the
   // store, whether or not a forwarder answers. Shorter for the configuration,
   // which must be in force in time wherever the VM itself reaches the store.
-  static constexpr std::chrono::milliseconds kConfigurationLife{ 1800 };
-  static constexpr std::chrono::milliseconds kOtherLife{ 2500 };
+  static constexpr std::chrono::milliseconds kConfigurationLifetime{ 1800 };
+  static constexpr std::chrono::milliseconds kOtherLifetime{ 2500 };
   // The time of three polls.
-  static constexpr std::chrono::milliseconds kAnswerLife{ 1200 };
+  static constexpr std::chrono::milliseconds kResponseLife{ 1200 };
 
   std::chrono::milliseconds mBound;
 };
--- a/src/currantshed/node/line_stream.cpp
+++ b/src/currantshed/node/line_stream.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kReadBytes = std::size_t{ 64 } * 1024;
 
 // Buffers with a larger capacity are freed once they are empty.
-constexpr std::size_t kKeptBytes = 4096;
+constexpr std::size_t kMaxIdleCapacity = 4096;
 
 std::array<char, kReadBytes>&
 ReadBuffer()
@@ -26,7 +26,7 @@
 void
 Clear(std::string& aText)
 {
-  if (aText.capacity() > kKeptBytes) {
+  if (aText.capacity() > kMaxIdleCapacity) {
     std::string().swap(aText);
   } else {
     aText.clear();
@@ -88,7 +88,7 @@
 line_stream::HasUnread() const
 {
   boost::system::error_code ignored;
-  return !mPart.empty() || mSocket.available(ignored) > 0;
+  return !mPartialLine.empty() || mSocket.available(ignored) > 0;
 }
 
 void
@@ -137,7 +137,7 @@
     return;
   }
   if (!mClosesWhenSent) {
-    TakeLines({ buffer.data(), count });
+    ProcessLines({ buffer.data(), count });
   }
   if (mSocket.is_open()) {
     WaitToRead();
@@ -145,16 +145,16 @@
 }
 
 void
-line_stream::TakeLines(std::string_view aBytes)
+line_stream::ProcessLines(std::string_view aBytes)
 {
   // The listener may close the stream, which destroys the listener.
   const auto line = mListener.line;
   std::string owned;
-  if (!mPart.empty()) {
-    owned = std::move(mPart);
+  if (!mPartialLine.empty()) {
+    owned = std::move(mPartialLine);
     owned.append(aBytes);
     aBytes = owned;
-    mPart.clear();
+    mPartialLine.clear();
   }
   while (mSocket.is_open()) {
     const auto end = aBytes.find('\n');
@@ -172,7 +172,7 @@
     End();
     return;
   }
-  mPart.assign(aBytes);
+  mPartialLine.assign(aBytes);
 }
 
 void
--- a/src/currantshed/node/line_stream.hpp
+++ b/src/currantshed/node/line_stream.hpp
@@ -59,7 +59,7 @@
 private:
   void WaitToRead();
   void Read();
-  void TakeLines(std::string_view aBytes);
+  void ProcessLines(std::string_view aBytes);
   void WaitToWrite();
   void Flush();
   void End();
@@ -67,7 +67,7 @@
   boost::asio::ip::tcp::socket mSocket;
   listener mListener;
   // The beginning of an incomplete line.
-  std::string mPart;
+  std::string mPartialLine;
   std::string mOut;
   bool mIsWriting = false;
   bool mClosesWhenSent = false;
--- a/src/currantshed/node/lock_assignments.cpp
+++ b/src/currantshed/node/lock_assignments.cpp
@@ -13,18 +13,18 @@
 absl::btree_set<std::string>
 LockCandidates(const cluster_state& aKeys)
 {
-  std::vector<proxy::vm_capacity> strengths;
-  strengths.reserve(aKeys.vms.size());
+  std::vector<proxy::vm_capacity> capacities;
+  capacities.reserve(aKeys.vms.size());
   for (const auto& [name, one] : aKeys.vms) {
     const auto& record = one.record;
-    strengths.push_back(
-      { record.failureDomain, record.cpuMillicores, record.leaving });
+    capacities.push_back(
+      { record.failureDomain, record.cpuMillicores, record.draining });
   }
-  const auto works = proxy::SelectDelegates(strengths);
+  const auto delegates = proxy::SelectDelegates(capacities);
   absl::btree_set<std::string> candidates;
   std::size_t place = 0;
   for (const auto& [name, one] : aKeys.vms) {
-    if (works[place++]) {
+    if (delegates[place++]) {
       candidates.insert(candidates.end(), name);
     }
   }
@@ -54,25 +54,25 @@
                                 absl::btree_set<std::string> aCandidates)
 {
   const auto before = std::exchange(mCandidates, std::move(aCandidates));
-  std::vector<std::string> come;
-  std::vector<std::string> gone;
+  std::vector<std::string> added;
+  std::vector<std::string> removed;
   std::set_difference(mCandidates.begin(),
                       mCandidates.end(),
                       before.begin(),
                       before.end(),
-                      std::back_inserter(come));
+                      std::back_inserter(added));
   std::set_difference(before.begin(),
                       before.end(),
                       mCandidates.begin(),
                       mCandidates.end(),
-                      std::back_inserter(gone));
-  if (come.empty() && gone.empty()) {
+                      std::back_inserter(removed));
+  if (added.empty() && removed.empty()) {
     return;
   }
   for (const auto& service : mVacant) {
-    Reconsider(service, come);
+    UpdateBest(service, added);
   }
-  for (const auto* vms : { &come, &gone }) {
+  for (const auto* vms : { &added, &removed }) {
     for (const auto& vm : *vms) {
       OnVmChanged(aKeys, vm);
     }
@@ -88,7 +88,7 @@
     return;
   }
   for (const auto& service : held->second) {
-    Recheck(aKeys, service, mGroups.at(service));
+    UpdateHeld(aKeys, service, mGroups.at(service));
   }
 }
 
@@ -100,13 +100,13 @@
   if (found == mGroups.end()) {
     return;
   }
-  const auto duty = aKeys.locks.find(aService);
+  const auto lock = aKeys.locks.find(aService);
   SetHolder(aService,
             found->second,
-            duty == aKeys.locks.end() ? std::string()
-                                      : duty->second.record.holder);
-  Recheck(aKeys, aService, found->second);
-  Note(aService, found->second);
+            lock == aKeys.locks.end() ? std::string()
+                                      : lock->second.record.holder);
+  UpdateHeld(aKeys, aService, found->second);
+  MarkChanged(aService, found->second);
 }
 
 void
@@ -152,17 +152,17 @@
 // Updates the candidate for a vacant lock after VMs were added or removed. All
 // candidates are examined only if the selected one was removed.
 void
-lock_assignments::Reconsider(const std::string& aService,
-                             const std::vector<std::string>& aCome)
+lock_assignments::UpdateBest(const std::string& aService,
+                             const std::vector<std::string>& aAdded)
 {
   auto& group = mGroups.at(aService);
-  const bool isGone = group.best && !mCandidates.contains(group.best->vm);
-  if (isGone) {
+  const bool isRemoved = group.best && !mCandidates.contains(group.best->vm);
+  if (isRemoved) {
     Choose(aService, group);
-    Note(aService, group);
+    MarkChanged(aService, group);
     return;
   }
-  for (const auto& vm : aCome) {
+  for (const auto& vm : aAdded) {
     Compare(aService, group, vm);
   }
 }
@@ -179,10 +179,10 @@
   const auto& best = aGroup.best;
   if (!best || score > best->score ||
       (score == best->score && aVm < best->vm)) {
-    const bool concerns = aVm == mSelf || (best && best->vm == mSelf);
+    const bool isOwn = aVm == mSelf || (best && best->vm == mSelf);
     aGroup.best = { score, aVm };
-    if (concerns) {
-      Note(aService, aGroup);
+    if (isOwn) {
+      MarkChanged(aService, aGroup);
     }
   }
 }
@@ -197,9 +197,9 @@
 }
 
 void
-lock_assignments::Recheck(const cluster_state& aKeys,
-                          const std::string& aService,
-                          group& aGroup)
+lock_assignments::UpdateHeld(const cluster_state& aKeys,
+                             const std::string& aService,
+                             group& aGroup)
 {
   const bool isHeld =
     mCandidates.contains(aGroup.holder) && IsLockHeld(aKeys, aService);
@@ -213,7 +213,7 @@
     mVacant.insert(aService);
     Choose(aService, aGroup);
   }
-  Note(aService, aGroup);
+  MarkChanged(aService, aGroup);
 }
 
 void
@@ -238,7 +238,7 @@
 }
 
 void
-lock_assignments::Note(const std::string& aService, const group& aGroup)
+lock_assignments::MarkChanged(const std::string& aService, const group& aGroup)
 {
   mChanged.insert(aService);
   const bool isNext = aGroup.best && aGroup.best->vm == mSelf;
--- a/src/currantshed/node/lock_assignments.hpp
+++ b/src/currantshed/node/lock_assignments.hpp
@@ -91,19 +91,19 @@
 
   using groups = absl::btree_map<std::string, group>;
 
-  void Reconsider(const std::string& aService,
-                  const std::vector<std::string>& aCome);
+  void UpdateBest(const std::string& aService,
+                  const std::vector<std::string>& aAdded);
   void Compare(const std::string& aService,
                group& aGroup,
                const std::string& aVm);
   void Choose(const std::string& aService, group& aGroup);
-  void Recheck(const cluster_state& aKeys,
-               const std::string& aService,
-               group& aGroup);
+  void UpdateHeld(const cluster_state& aKeys,
+                  const std::string& aService,
+                  group& aGroup);
   void SetHolder(const std::string& aService,
                  group& aGroup,
                  const std::string& aHolder);
-  void Note(const std::string& aService, const group& aGroup);
+  void MarkChanged(const std::string& aService, const group& aGroup);
 
   std::string mSelf;
   absl::btree_set<std::string> mCandidates;
--- a/src/currantshed/node/message_conversion.cpp
+++ b/src/currantshed/node/message_conversion.cpp
@@ -69,12 +69,12 @@
           std::int64_t aSentAt,
           const news::exchange::clock_converter& aClock)
 {
-  const bool isPassedOn = !aReach.vm().empty();
+  const bool isForwarded = !aReach.vm().empty();
   return { aReach.term(),
            aReach.primary(),
            aClock(aReach.heard_at_us()),
            aReach.obeyed_term(),
-           aClock(isPassedOn ? aReach.said_at_us() : aSentAt) };
+           aClock(isForwarded ? aReach.said_at_us() : aSentAt) };
 }
 
 std::array<store::revision, 3>
--- a/src/currantshed/node/metrics.cpp
+++ b/src/currantshed/node/metrics.cpp
@@ -52,14 +52,14 @@
   , mServers(Counter(*mRegistry,
                      "currantshed_node_servers_total",
                      "Number of times a server was reached or lost"))
-  , mStandings(
+  , mListingStates(
       Counter(*mRegistry,
               "currantshed_node_server_standings_total",
               "Number of state changes of listed servers, by new state"))
   , mAtLeaving(Counter(*mRegistry,
                        "currantshed_node_requests_at_leaving_servers_total",
                        "Number of requests on a draining server, by outcome"))
-  , mUnusable(
+  , mUnusableEntries(
       Counter(*mRegistry,
               "currantshed_node_unusable_entries_total",
               "Number of server entries that cannot be used, by reason"))
@@ -113,15 +113,15 @@
 }
 
 void
-metrics::CountListingState(std::string_view aStanding)
+metrics::CountListingState(std::string_view aState)
 {
-  mStandings.Add({ { "now", std::string(aStanding) } }).Increment();
+  mListingStates.Add({ { "now", std::string(aState) } }).Increment();
 }
 
 void
 metrics::CountUnusableEntry(const std::string& aReason)
 {
-  mUnusable.Add({ { "reason", aReason } }).Increment();
+  mUnusableEntries.Add({ { "reason", aReason } }).Increment();
 }
 
 void
--- a/src/currantshed/node/metrics.hpp
+++ b/src/currantshed/node/metrics.hpp
@@ -29,7 +29,7 @@
 
   void CountServerReached(bool aIsReached);
   /// Counts a change of a listed server's state.
-  void CountListingState(std::string_view aStanding);
+  void CountListingState(std::string_view aState);
   /// Counts an entry that cannot be used, by the reason.
   void CountUnusableEntry(const std::string& aReason);
   void CountLeadStep(std::string_view aStep);
@@ -49,9 +49,9 @@
   prometheus::Family<prometheus::Histogram>& mTimes;
   prometheus::Family<prometheus::Counter>& mStoreCalls;
   prometheus::Family<prometheus::Counter>& mServers;
-  prometheus::Family<prometheus::Counter>& mStandings;
+  prometheus::Family<prometheus::Counter>& mListingStates;
   prometheus::Family<prometheus::Counter>& mAtLeaving;
-  prometheus::Family<prometheus::Counter>& mUnusable;
+  prometheus::Family<prometheus::Counter>& mUnusableEntries;
   prometheus::Family<prometheus::Counter>& mLeadSteps;
   prometheus::Gauge& mSessions;
   prometheus::Gauge& mConfiguration;
--- a/src/currantshed/node/quota_coordinators.cpp
+++ b/src/currantshed/node/quota_coordinators.cpp
@@ -10,36 +10,36 @@
 
 namespace {
 
-constexpr unsigned kMostCollectors = 4;
+constexpr unsigned kMaxCoordinators = 4;
 
 } // namespace
 
 std::vector<std::string>
 QuotaCoordinators(const cluster_state& aKeys, const std::string& aFailureDomain)
 {
-  std::vector<const vm_record*> staying;
-  unsigned strongest = 0;
+  std::vector<const vm_record*> active;
+  unsigned maxCpuMillicores = 0;
   for (const auto& [name, one] : aKeys.vms) {
-    if (one.record.failureDomain == aFailureDomain && !one.record.leaving) {
-      staying.push_back(&one.record);
-      strongest = std::max(strongest, one.record.cpuMillicores);
+    if (one.record.failureDomain == aFailureDomain && !one.record.draining) {
+      active.push_back(&one.record);
+      maxCpuMillicores = std::max(maxCpuMillicores, one.record.cpuMillicores);
     }
   }
-  std::vector<store::vm> strong;
-  for (const auto* record : staying) {
-    if (proxy::HasHighCapacity(record->cpuMillicores, strongest)) {
+  std::vector<store::vm> eligible;
+  for (const auto* record : active) {
+    if (proxy::HasHighCapacity(record->cpuMillicores, maxCpuMillicores)) {
       store::vm vm;
       vm.id = record->where.vm;
       vm.failureDomain = aFailureDomain;
-      strong.push_back(std::move(vm));
+      eligible.push_back(std::move(vm));
     }
   }
-  std::vector<std::string> collectors;
+  std::vector<std::string> coordinators;
   for (const auto& one : member::ChooseOwners(
-         "tokens of " + aFailureDomain, strong, kMostCollectors)) {
-    collectors.push_back(one.id);
+         "tokens of " + aFailureDomain, eligible, kMaxCoordinators)) {
+    coordinators.push_back(one.id);
   }
-  return collectors;
+  return coordinators;
 }
 
 } // namespace currantshed::node
--- a/src/currantshed/node/request_throttle.hpp
+++ b/src/currantshed/node/request_throttle.hpp
@@ -14,26 +14,26 @@
 class request_throttle
 {
 public:
-  void Asked(clock::time_point aNow) noexcept
+  void OnRequestSent(clock::time_point aNow) noexcept
   {
-    mAskedAt = aNow;
-    mIsAwaited = true;
+    mSentAt = aNow;
+    mIsInFlight = true;
   }
 
-  void OnResponse() noexcept { mIsAwaited = false; }
+  void OnResponse() noexcept { mIsInFlight = false; }
 
   [[nodiscard]] bool MayRequest(clock::time_point aNow) const noexcept
   {
-    return aNow >= mAskedAt + (mIsAwaited ? kPatience : kPause);
+    return aNow >= mSentAt + (mIsInFlight ? kTimeout : kMinInterval);
   }
 
 private:
   // Pause after a response, and time-out of a request without one.
-  static constexpr std::chrono::milliseconds kPause{ 20 };
-  static constexpr std::chrono::milliseconds kPatience{ 250 };
+  static constexpr std::chrono::milliseconds kMinInterval{ 20 };
+  static constexpr std::chrono::milliseconds kTimeout{ 250 };
 
-  clock::time_point mAskedAt{};
-  bool mIsAwaited = false;
+  clock::time_point mSentAt{};
+  bool mIsInFlight = false;
 };
 
 } // namespace currantshed::node
--- a/src/currantshed/node/server_connector.cpp
+++ b/src/currantshed/node/server_connector.cpp
@@ -103,7 +103,7 @@
       End(proxy::link_close_reason::kMalformed);
       return;
     }
-    std::visit([this](auto& aTold) { Take(std::move(aTold)); }, *message);
+    std::visit([this](auto& aMessage) { Take(std::move(aMessage)); }, *message);
   }
 
   void Take(server_row aRow)
--- a/src/currantshed/node/server_list.cpp
+++ b/src/currantshed/node/server_list.cpp
@@ -19,82 +19,83 @@
 constexpr std::chrono::hours kLongAgo{ 1 };
 
 listing_state
-StandingOf(const proxy::server& aListed)
+StateOf(const proxy::server& aListed)
 {
-  return aListed.draining ? listing_state::kLeaving : listing_state::kReady;
+  return aListed.draining ? listing_state::kDraining : listing_state::kReady;
 }
 
 } // namespace
 
 std::vector<server_change>
-server_list::Take(std::vector<proxy::server> aListed,
-                  list_source aSource,
-                  clock::time_point aNow)
+server_list::Update(std::vector<proxy::server> aListed,
+                    list_source aSource,
+                    clock::time_point aNow)
 {
-  std::vector<server_change> news;
-  if (mOlderUntil && aNow >= *mOlderUntil) {
-    mOlderUntil.reset();
+  std::vector<server_change> changes;
+  if (mRestoredUntil && aNow >= *mRestoredUntil) {
+    mRestoredUntil.reset();
   }
   for (auto& one : aListed) {
-    if (mOlderUntil) {
-      KeepLeaving(one);
+    if (mRestoredUntil) {
+      KeepDraining(one);
     }
-    NoteLeaving(one, aSource, aNow);
+    SetDrainingSince(one, aSource, aNow);
     const auto* before = Find(one.id);
-    const bool isNews =
+    const bool hasChanged =
       before == nullptr || before->Incarnation() != one.Incarnation() ||
       before->draining != one.draining || mMissing.contains(one.id);
-    if (isNews) {
-      news.push_back({ one, StandingOf(one), before == nullptr });
+    if (hasChanged) {
+      changes.push_back({ one, StateOf(one), before == nullptr });
     }
     mMissing.erase(one.id);
   }
-  KeepMissing(aListed, news, aNow);
+  KeepMissing(aListed, changes, aNow);
   mServers = std::move(aListed);
-  mPlaces.clear();
+  mIndexes.clear();
   for (std::size_t i = 0; i < mServers.size(); ++i) {
-    mPlaces.emplace(mServers[i].id, i);
+    mIndexes.emplace(mServers[i].id, i);
   }
-  return news;
+  return changes;
 }
 
 const proxy::server*
 server_list::Find(const upstream::server_id& aId) const
 {
-  const auto found = mPlaces.find(aId);
-  return found == mPlaces.end() ? nullptr : &mServers[found->second];
+  const auto found = mIndexes.find(aId);
+  return found == mIndexes.end() ? nullptr : &mServers[found->second];
 }
 
 void
 server_list::OnStoreRestored(clock::time_point aNow) noexcept
 {
-  mOlderUntil = aNow + kMissingGrace;
+  mRestoredUntil = aNow + kMissingGrace;
 }
 
 void
-server_list::KeepLeaving(proxy::server& aListed) const
+server_list::KeepDraining(proxy::server& aListed) const
 {
   const auto* before = Find(aListed.id);
-  const bool livesOn =
+  const bool isSameIncarnation =
     before != nullptr && before->Incarnation() == aListed.Incarnation();
-  aListed.draining = aListed.draining || (livesOn && before->draining);
+  aListed.draining =
+    aListed.draining || (isSameIncarnation && before->draining);
 }
 
 // Sets the time since when the server may have been draining. A VM that was
 // disconnected from the store does not know when the server announced it, and
 // assumes that the server's draining time is over.
 void
-server_list::NoteLeaving(proxy::server& aListed,
-                         list_source aSource,
-                         clock::time_point aNow) const
+server_list::SetDrainingSince(proxy::server& aListed,
+                              list_source aSource,
+                              clock::time_point aNow) const
 {
   if (!aListed.draining) {
     return;
   }
   const auto* before = Find(aListed.id);
-  const bool livesOn =
+  const bool isSameIncarnation =
     before != nullptr && before->Incarnation() == aListed.Incarnation();
-  if (livesOn && before->drainingSince) {
+  if (isSameIncarnation && before->drainingSince) {
     aListed.drainingSince = before->drainingSince;
   } else {
     aListed.drainingSince =
@@ -104,7 +105,7 @@
 
 void
 server_list::KeepMissing(std::vector<proxy::server>& aListed,
-                         std::vector<server_change>& aNews,
+                         std::vector<server_change>& aChanges,
                          clock::time_point aNow)
 {
   absl::flat_hash_set<upstream::server_id> listed;
@@ -117,13 +118,13 @@
     }
     const auto [since, isNew] = mMissing.try_emplace(old.id, aNow);
     if (isNew) {
-      aNews.push_back({ old, listing_state::kMissing });
+      aChanges.push_back({ old, listing_state::kMissing });
     }
     if (aNow - since->second < kMissingGrace) {
       aListed.push_back(old);
     } else {
       mMissing.erase(since);
-      aNews.push_back({ old, listing_state::kGone });
+      aChanges.push_back({ old, listing_state::kGone });
     }
   }
 }
@@ -131,7 +132,7 @@
 bool
 server_list::IsDue(clock::time_point aNow) const
 {
-  const bool isCopyOver = mOlderUntil && aNow >= *mOlderUntil;
+  const bool isCopyOver = mRestoredUntil && aNow >= *mRestoredUntil;
   return isCopyOver ||
          std::any_of(
            mMissing.begin(), mMissing.end(), [aNow](const auto& aEntry) {
@@ -140,12 +141,12 @@
 }
 
 std::string_view
-ToString(listing_state aStanding)
+ToString(listing_state aState)
 {
-  switch (aStanding) {
+  switch (aState) {
     case listing_state::kReady:
       return "ready";
-    case listing_state::kLeaving:
+    case listing_state::kDraining:
       return "leaving";
     case listing_state::kMissing:
       return "missing";
--- a/src/currantshed/node/server_list.hpp
+++ b/src/currantshed/node/server_list.hpp
@@ -20,7 +20,7 @@
   /// Listed and not draining.
   kReady,
   /// Listed, and has announced that it is draining.
-  kLeaving,
+  kDraining,
   /// No longer listed, but kept for a grace period: entries of running servers
   /// may expire while the store is unavailable, and are back soon after.
   kMissing,
@@ -42,7 +42,7 @@
 struct server_change
 {
   proxy::server server;
-  listing_state standing = listing_state::kReady;
+  listing_state state = listing_state::kReady;
   /// The server was not known before.
   bool isNew = false;
 };
@@ -54,9 +54,9 @@
 public:
   /// Replaces the list by what the store lists now. Returns the servers whose
   /// state has changed.
-  std::vector<server_change> Take(std::vector<proxy::server> aListed,
-                                  list_source aSource,
-                                  clock::time_point aNow);
+  std::vector<server_change> Update(std::vector<proxy::server> aListed,
+                                    list_source aSource,
+                                    clock::time_point aNow);
 
   /// To be called when the store was restored from an older snapshot, which may
   /// lack recent writes of servers. Until the servers have written again, those
@@ -64,7 +64,7 @@
   void OnStoreRestored(clock::time_point aNow) noexcept;
 
   /// Whether the grace period of a missing server, or of a restored store, has
-  /// ended, so that Take must be called again.
+  /// ended, so that Update must be called again.
   [[nodiscard]] bool IsDue(clock::time_point aNow) const;
 
   [[nodiscard]] const std::vector<proxy::server>& Servers() const noexcept
@@ -73,28 +73,28 @@
   }
 
 private:
-  void NoteLeaving(proxy::server& aListed,
-                   list_source aSource,
-                   clock::time_point aNow) const;
-  void KeepLeaving(proxy::server& aListed) const;
+  void SetDrainingSince(proxy::server& aListed,
+                        list_source aSource,
+                        clock::time_point aNow) const;
+  void KeepDraining(proxy::server& aListed) const;
   void KeepMissing(std::vector<proxy::server>& aListed,
-                   std::vector<server_change>& aNews,
+                   std::vector<server_change>& aChanges,
                    clock::time_point aNow);
 
   [[nodiscard]] const proxy::server* Find(const upstream::server_id& aId) const;
 
   std::vector<proxy::server> mServers;
   // Index of each server in mServers.
-  absl::flat_hash_map<upstream::server_id, std::size_t> mPlaces;
+  absl::flat_hash_map<upstream::server_id, std::size_t> mIndexes;
   // Servers that are no longer listed, and since when.
   absl::btree_map<upstream::server_id, clock::time_point> mMissing;
   // Until when the list may come from an older snapshot.
-  std::optional<clock::time_point> mOlderUntil;
+  std::optional<clock::time_point> mRestoredUntil;
 };
 
 /// Name of the state for logs and metrics.
 [[nodiscard]] std::string_view
-ToString(listing_state aStanding);
+ToString(listing_state aState);
 
 /// Name of the source for logs.
 [[nodiscard]] std::string_view
--- a/src/currantshed/node/snapshot_chunks.cpp
+++ b/src/currantshed/node/snapshot_chunks.cpp
@@ -10,59 +10,62 @@
 using std::chrono::milliseconds;
 
 // How long a snapshot is used for VMs that begin to request one.
-constexpr milliseconds kCopyLife{ 300 };
+constexpr milliseconds kSnapshotLife{ 300 };
 // VMs that began with the snapshot before the newest one also finish with it.
-constexpr std::size_t kMostCopies = 2;
+constexpr std::size_t kMaxSnapshots = 2;
 // Time-outs for the next chunk and for the whole snapshot.
-constexpr milliseconds kPartPatience{ 400 };
-constexpr milliseconds kPatience{ 1200 };
+constexpr milliseconds kChunkTimeout{ 400 };
+constexpr milliseconds kTransferTimeout{ 1200 };
 
 } // namespace
 
 snapshot_chunk
-snapshot_splitter::GetChunk(const snapshot_chunk& aAsked,
-                            std::size_t aLongest,
+snapshot_splitter::GetChunk(const snapshot_chunk& aRequested,
+                            std::size_t aMaxBytes,
                             store::revision aNewest,
                             clock::time_point aNow,
-                            const snapshot_factory& aMake)
+                            const snapshot_factory& aMakeSnapshot)
 {
-  const auto* kept = aAsked.from > 0 ? Find(aAsked.of) : nullptr;
-  const auto& copy = kept != nullptr ? *kept : Newest(aNewest, aNow, aMake);
-  snapshot_chunk part;
-  part.of = copy.of;
-  part.length = copy.bytes.size();
-  part.from = kept != nullptr ? std::min(aAsked.from, part.length) : 0;
-  part.content = copy.bytes.substr(part.from, aLongest);
-  return part;
+  const auto* kept =
+    aRequested.offset > 0 ? Find(aRequested.revision) : nullptr;
+  const auto& snapshot =
+    kept != nullptr ? *kept : Newest(aNewest, aNow, aMakeSnapshot);
+  snapshot_chunk chunk;
+  chunk.revision = snapshot.revision;
+  chunk.totalBytes = snapshot.bytes.size();
+  chunk.offset =
+    kept != nullptr ? std::min(aRequested.offset, chunk.totalBytes) : 0;
+  chunk.data = snapshot.bytes.substr(chunk.offset, aMaxBytes);
+  return chunk;
 }
 
-const snapshot_splitter::copy*
-snapshot_splitter::Find(store::revision aOf) const
+const snapshot_splitter::snapshot*
+snapshot_splitter::Find(store::revision aRevision) const
 {
-  const auto found =
-    std::find_if(mCopies.begin(), mCopies.end(), [aOf](const auto& aCopy) {
-      return aCopy.of == aOf;
+  const auto found = std::find_if(
+    mSnapshots.begin(), mSnapshots.end(), [aRevision](const auto& aSnapshot) {
+      return aSnapshot.revision == aRevision;
     });
-  return found == mCopies.end() ? nullptr : &*found;
+  return found == mSnapshots.end() ? nullptr : &*found;
 }
 
-const snapshot_splitter::copy&
+const snapshot_splitter::snapshot&
 snapshot_splitter::Newest(store::revision aNewest,
                           clock::time_point aNow,
-                          const snapshot_factory& aMake)
+                          const snapshot_factory& aMakeSnapshot)
 {
   const bool serves =
-    !mCopies.empty() && (mCopies.back().of == aNewest ||
-                         (mCopies.back().of.era == aNewest.era &&
-                          aNow < mCopies.back().madeAt + kCopyLife));
+    !mSnapshots.empty() && (mSnapshots.back().revision == aNewest ||
+                            (mSnapshots.back().revision.era == aNewest.era &&
+                             aNow < mSnapshots.back().madeAt + kSnapshotLife));
   if (!serves) {
-    ++mMade;
-    mCopies.push_back({ aNewest, aMake(), aNow });
-    if (mCopies.size() > kMostCopies) {
-      mCopies.pop_front();
+    ++mSnapshotsMade;
+    mSnapshots.push_back({ aNewest, aMakeSnapshot(), aNow });
+    if (mSnapshots.size() > kMaxSnapshots) {
+      mSnapshots.pop_front();
     }
   }
-  return mCopies.back();
+  return mSnapshots.back();
 }
 
 bool
@@ -71,48 +74,48 @@
   if (IsInProgress(aNow)) {
     return false;
   }
-  mFrom = aVm;
-  mOf = {};
+  mSource = aVm;
+  mRevision = {};
   mBytes.clear();
-  mBegunAt = aNow;
-  mUntil = aNow + kPartPatience;
+  mStartedAt = aNow;
+  mDeadline = aNow + kChunkTimeout;
   return true;
 }
 
 snapshot_chunk
-snapshot_assembler::Wanted() const
+snapshot_assembler::NextRequest() const
 {
-  return { mOf, mBytes.size(), 0, {} };
+  return { mRevision, mBytes.size(), 0, {} };
 }
 
 std::optional<std::string>
-snapshot_assembler::Take(const std::string& aVm,
-                         const snapshot_chunk& aPart,
-                         clock::time_point aNow)
+snapshot_assembler::AddChunk(const std::string& aVm,
+                             const snapshot_chunk& aChunk,
+                             clock::time_point aNow)
 {
-  if (!IsInProgress(aNow) || aVm != mFrom) {
+  if (!IsInProgress(aNow) || aVm != mSource) {
     return std::nullopt;
   }
-  if (aPart.from == 0) {
-    mOf = aPart.of;
+  if (aChunk.offset == 0) {
+    mRevision = aChunk.revision;
     mBytes.clear();
   }
-  if (aPart.of != mOf || aPart.from != mBytes.size()) {
+  if (aChunk.revision != mRevision || aChunk.offset != mBytes.size()) {
     return std::nullopt;
   }
-  mBytes += aPart.content;
-  mUntil = std::min(aNow + kPartPatience, mBegunAt + kPatience);
-  if (mBytes.size() < aPart.length) {
+  mBytes += aChunk.data;
+  mDeadline = std::min(aNow + kChunkTimeout, mStartedAt + kTransferTimeout);
+  if (mBytes.size() < aChunk.totalBytes) {
     return std::nullopt;
   }
-  mUntil = {};
+  mDeadline = {};
   return std::exchange(mBytes, {});
 }
 
 bool
 snapshot_assembler::IsInProgress(clock::time_point aNow) const
 {
-  return aNow < mUntil;
+  return aNow < mDeadline;
 }
 
 } // namespace currantshed::node
