--- a/src/currantshed/node/snapshot_chunks.hpp
+++ b/src/currantshed/node/snapshot_chunks.hpp
@@ -18,11 +18,11 @@
 struct snapshot_chunk
 {
   /// The revision of the snapshot; zero in a first request.
-  store::revision of;
-  std::size_t from = 0;
+  store::revision revision;
+  std::size_t offset = 0;
   /// Size of the whole snapshot in bytes.
-  std::size_t length = 0;
-  std::string content;
+  std::size_t totalBytes = 0;
+  std::string data;
 };
 
 /// Splits snapshots that are too large for one message into chunks, for many
@@ -33,34 +33,37 @@
 public:
   using snapshot_factory = std::function<std::string()>;
 
-  /// Returns the requested chunk, of at most aLongest bytes. If the requested
+  /// Returns the requested chunk, of at most aMaxBytes bytes. If the requested
   /// snapshot is no longer kept, returns the first chunk of the newest one. A
   /// snapshot is shared by all requests that begin within a short time; later
   /// changes are requested separately.
-  [[nodiscard]] snapshot_chunk GetChunk(const snapshot_chunk& aAsked,
-                                        std::size_t aLongest,
+  [[nodiscard]] snapshot_chunk GetChunk(const snapshot_chunk& aRequested,
+                                        std::size_t aMaxBytes,
                                         store::revision aNewest,
                                         clock::time_point aNow,
-                                        const snapshot_factory& aMake);
+                                        const snapshot_factory& aMakeSnapshot);
 
   /// Number of snapshots made so far, as a measure of work.
-  [[nodiscard]] std::size_t SnapshotsMade() const noexcept { return mMade; }
+  [[nodiscard]] std::size_t SnapshotsMade() const noexcept
+  {
+    return mSnapshotsMade;
+  }
 
 private:
-  struct copy
+  struct snapshot
   {
-    store::revision of;
+    store::revision revision;
     std::string bytes;
     clock::time_point madeAt;
   };
 
-  [[nodiscard]] const copy* Find(store::revision aOf) const;
-  const copy& Newest(store::revision aNewest,
-                     clock::time_point aNow,
-                     const snapshot_factory& aMake);
+  [[nodiscard]] const snapshot* Find(store::revision aRevision) const;
+  const snapshot& Newest(store::revision aNewest,
+                         clock::time_point aNow,
+                         const snapshot_factory& aMakeSnapshot);
 
-  std::deque<copy> mCopies;
-  std::size_t mMade = 0;
+  std::deque<snapshot> mSnapshots;
+  std::size_t mSnapshotsMade = 0;
 };
 
 /// Assembles a snapshot from chunks, which come from one VM, one after the
@@ -73,30 +76,33 @@
   bool Begin(const std::string& aVm, clock::time_point aNow);
 
   /// The next chunk to request.
-  [[nodiscard]] snapshot_chunk Wanted() const;
+  [[nodiscard]] snapshot_chunk NextRequest() const;
 
   /// Adds a chunk. Returns the snapshot once it is complete.
-  std::optional<std::string> Take(const std::string& aVm,
-                                  const snapshot_chunk& aPart,
-                                  clock::time_point aNow);
+  std::optional<std::string> AddChunk(const std::string& aVm,
+                                      const snapshot_chunk& aChunk,
+                                      clock::time_point aNow);
 
   /// Whether a transfer is in progress. It ends when a chunk does not arrive in
   /// time or when the whole transfer takes too long.
   [[nodiscard]] bool IsInProgress(clock::time_point aNow) const;
   [[nodiscard]] bool IsFrom(const std::string& aVm) const
   {
-    return mFrom == aVm;
+    return mSource == aVm;
   }
 
   /// Deadline of the next chunk.
-  [[nodiscard]] clock::time_point Until() const noexcept { return mUntil; }
+  [[nodiscard]] clock::time_point Deadline() const noexcept
+  {
+    return mDeadline;
+  }
 
 private:
-  std::string mFrom;
-  store::revision mOf;
+  std::string mSource;
+  store::revision mRevision;
   std::string mBytes;
-  clock::time_point mBegunAt{};
-  clock::time_point mUntil{};
+  clock::time_point mStartedAt{};
+  clock::time_point mDeadline{};
 };
 
 } // namespace currantshed::node
--- a/src/currantshed/node/subscribers.cpp
+++ b/src/currantshed/node/subscribers.cpp
@@ -20,9 +20,9 @@
 } // namespace
 
 std::vector<std::string>
-subscribers::Asked(const std::string& aVm,
-                   std::vector<std::string> aGroups,
-                   clock::time_point aNow)
+subscribers::Subscribe(const std::string& aVm,
+                       std::vector<std::string> aGroups,
+                       clock::time_point aNow)
 {
   auto& one = mVms[aVm];
   one.askedAt = aNow;
--- a/src/currantshed/node/subscribers.hpp
+++ b/src/currantshed/node/subscribers.hpp
@@ -21,9 +21,9 @@
   /// Records a poll of a VM and the groups that it subscribes to. Returns the
   /// groups that are new in its subscription, for which it has had no watch
   /// updates yet.
-  std::vector<std::string> Asked(const std::string& aVm,
-                                 std::vector<std::string> aGroups,
-                                 clock::time_point aNow);
+  std::vector<std::string> Subscribe(const std::string& aVm,
+                                     std::vector<std::string> aGroups,
+                                     clock::time_point aNow);
 
   /// Removes the VMs that have not polled for a while.
   void RemoveExpired(clock::time_point aNow);
--- a/src/currantshed/node/token_client.cpp
+++ b/src/currantshed/node/token_client.cpp
@@ -13,15 +13,15 @@
 
 // Response timeout. An answer takes a few milliseconds, and some tens of
 // milliseconds on a busy VM.
-constexpr milliseconds kPatience{ 100 };
+constexpr milliseconds kResponseTimeout{ 100 };
 // How long an unresponsive coordinator is asked only after all others. It may
 // just have started, as this VM may have.
-constexpr milliseconds kSilence{ 400 };
+constexpr milliseconds kUnresponsiveTime{ 400 };
 // Maximum number of coordinators asked for one operation, whose time is short.
-constexpr std::size_t kMostAsked = 3;
+constexpr std::size_t kMaxAttempts = 3;
 // How long operations of a customer whose tokens are used up at all
 // coordinators are refused without another request.
-constexpr milliseconds kExhausted{ 100 };
+constexpr milliseconds kExhaustedTime{ 100 };
 // Retry time if no coordinator could name one; also how long a late answer is
 // accepted.
 constexpr milliseconds kUnknownRetry{ 500 };
@@ -29,10 +29,10 @@
 // Sorts the VMs by a hash of their name and the partition. The order is the
 // same on every VM.
 std::vector<std::string>
-InOrder(std::size_t aPart, std::vector<std::string> aVms)
+SortByHash(std::size_t aPartition, std::vector<std::string> aVms)
 {
-  const auto place = [aPart](const std::string& aVm) {
-    return XXH3_64bits_withSeed(aVm.data(), aVm.size(), aPart);
+  const auto place = [aPartition](const std::string& aVm) {
+    return XXH3_64bits_withSeed(aVm.data(), aVm.size(), aPartition);
   };
   std::sort(
     aVms.begin(), aVms.end(), [&place](const auto& aLeft, const auto& aRight) {
@@ -48,45 +48,48 @@
   const std::vector<std::string>& aOwn,
   const std::vector<std::vector<std::string>>& aOthers)
 {
-  for (std::size_t part = 0; part < customer::kPartitions; ++part) {
-    mOwn[part] = InOrder(part, aOwn);
-    mOthers[part].clear();
+  for (std::size_t partition = 0; partition < customer::kPartitions;
+       ++partition) {
+    mLocal[partition] = SortByHash(partition, aOwn);
+    mRemote[partition].clear();
     for (const auto& domain : aOthers) {
-      const auto theirs = InOrder(part, domain);
+      const auto theirs = SortByHash(partition, domain);
       if (!theirs.empty()) {
-        mOthers[part].push_back(theirs.front());
+        mRemote[partition].push_back(theirs.front());
       }
     }
   }
-  if (IsAlone()) {
+  if (HasNoCoordinators()) {
     return;
   }
-  for (auto& one : std::exchange(mUnasked, {})) {
+  for (auto& one : std::exchange(mQueued, {})) {
     const auto since = one.askedAt;
-    AskNext(std::move(one), since);
+    RequestNext(std::move(one), since);
   }
 }
 
 bool
-token_client::IsSilent(const std::string& aVm, clock::time_point aNow) const
+token_client::IsUnresponsive(const std::string& aVm,
+                             clock::time_point aNow) const
 {
-  const auto found = mSilentUntil.find(aVm);
-  return found != mSilentUntil.end() && aNow < found->second;
+  const auto found = mUnresponsiveUntil.find(aVm);
+  return found != mUnresponsiveUntil.end() && aNow < found->second;
 }
 
 std::string
-token_client::CoordinatorOf(std::size_t aPart, clock::time_point aNow) const
+token_client::CoordinatorOf(std::size_t aPartition,
+                            clock::time_point aNow) const
 {
-  const auto& own = mOwn[aPart];
-  const auto& others = mOthers[aPart];
+  const auto& own = mLocal[aPartition];
+  const auto& others = mRemote[aPartition];
   for (const auto* some : { &own, &others }) {
     for (const auto& vm : *some) {
-      if (!IsSilent(vm, aNow)) {
+      if (!IsUnresponsive(vm, aNow)) {
         return vm;
       }
     }
   }
-  if (IsAlone()) {
+  if (HasNoCoordinators()) {
     return {};
   }
   return own.empty() ? others.front() : own.front();
@@ -94,22 +97,23 @@
 
 // The coordinator to ask next; empty if none is left.
 std::string
-token_client::NextFor(const pending& aWhat, clock::time_point aNow) const
+token_client::NextCoordinator(const pending& aRequest,
+                              clock::time_point aNow) const
 {
-  const auto wasAsked = [&aWhat](const std::string& aVm) {
-    return std::find(aWhat.asked.begin(), aWhat.asked.end(), aVm) !=
-           aWhat.asked.end();
+  const auto wasAsked = [&aRequest](const std::string& aVm) {
+    return std::find(aRequest.asked.begin(), aRequest.asked.end(), aVm) !=
+           aRequest.asked.end();
   };
-  if (aWhat.asked.size() >= kMostAsked) {
+  if (aRequest.asked.size() >= kMaxAttempts) {
     return {};
   }
-  const auto part = customer::PartitionOf(aWhat.customer);
-  auto current = CoordinatorOf(part, aNow);
+  const auto partition = customer::PartitionOf(aRequest.customer);
+  auto current = CoordinatorOf(partition, aNow);
   if (!current.empty() && !wasAsked(current)) {
     return current;
   }
-  for (const auto& vm : mOthers[part]) {
-    if (!wasAsked(vm) && !IsSilent(vm, aNow)) {
+  for (const auto& vm : mRemote[partition]) {
+    if (!wasAsked(vm) && !IsUnresponsive(vm, aNow)) {
       return vm;
     }
   }
@@ -125,36 +129,36 @@
   if (used != mExhausted.end() && aNow < used->second.until) {
     const auto after =
       std::chrono::duration_cast<milliseconds>(used->second.retryAt - aNow);
-    mOutcomes.push_back({ aCustomer, 0, aCount, after });
+    mResults.push_back({ aCustomer, 0, aCount, after });
     return;
   }
   pending wanted{ aCustomer, aCount };
   wanted.askedAt = aNow;
-  if (IsAlone()) {
-    mUnasked.push_back(std::move(wanted));
+  if (HasNoCoordinators()) {
+    mQueued.push_back(std::move(wanted));
     return;
   }
-  AskNext(std::move(wanted), aNow);
+  RequestNext(std::move(wanted), aNow);
 }
 
 // Asks the first coordinator that was not asked yet, or refuses the operations.
 void
-token_client::AskNext(pending aWhat, clock::time_point aNow)
+token_client::RequestNext(pending aRequest, clock::time_point aNow)
 {
-  if (const auto vm = NextFor(aWhat, aNow); !vm.empty()) {
-    aWhat.asked.push_back(vm);
-    aWhat.askedAt = aNow;
+  if (const auto vm = NextCoordinator(aRequest, aNow); !vm.empty()) {
+    aRequest.asked.push_back(vm);
+    aRequest.askedAt = aNow;
     const auto number = ++mLastNumber;
-    mAsks.push_back({ vm, number, aWhat.customer, aWhat.count });
-    mPending.emplace(number, std::move(aWhat));
+    mRequests.push_back({ vm, number, aRequest.customer, aRequest.count });
+    mPending.emplace(number, std::move(aRequest));
     return;
   }
-  const bool areUsedUp = aWhat.retryAfter.count() > 0;
-  const auto after = areUsedUp ? aWhat.retryAfter : kUnknownRetry;
+  const bool areUsedUp = aRequest.retryAfter.count() > 0;
+  const auto after = areUsedUp ? aRequest.retryAfter : kUnknownRetry;
   if (areUsedUp) {
-    mExhausted[aWhat.customer] = { aNow + kExhausted, aNow + after };
+    mExhausted[aRequest.customer] = { aNow + kExhaustedTime, aNow + after };
   }
-  mOutcomes.push_back({ aWhat.customer, 0, aWhat.count, after });
+  mResults.push_back({ aRequest.customer, 0, aRequest.count, after });
 }
 
 void
@@ -163,54 +167,54 @@
                          milliseconds aRetryAfter,
                          clock::time_point aNow)
 {
-  if (const auto late = mLate.find(aNumber); late != mLate.end()) {
+  if (const auto late = mTimedOut.find(aNumber); late != mTimedOut.end()) {
     const auto granted = std::min(aCount, late->second.count);
     if (granted > 0) {
-      mOutcomes.push_back(
+      mResults.push_back(
         { late->second.customer, granted, 0, {}, late->second.askedAt });
     }
-    mLate.erase(late);
+    mTimedOut.erase(late);
     return;
   }
   const auto found = mPending.find(aNumber);
   if (found == mPending.end()) {
     return;
   }
-  auto what = std::move(found->second);
+  auto request = std::move(found->second);
   mPending.erase(found);
-  const auto granted = std::min(aCount, what.count);
+  const auto granted = std::min(aCount, request.count);
   if (granted > 0) {
-    mExhausted.erase(what.customer);
-    mOutcomes.push_back({ what.customer, granted, 0, {}, what.askedAt });
-    what.count -= granted;
+    mExhausted.erase(request.customer);
+    mResults.push_back({ request.customer, granted, 0, {}, request.askedAt });
+    request.count -= granted;
   }
-  if (what.count == 0) {
+  if (request.count == 0) {
     return;
   }
   const bool isSooner =
-    what.retryAfter.count() == 0 || aRetryAfter < what.retryAfter;
+    request.retryAfter.count() == 0 || aRetryAfter < request.retryAfter;
   if (aRetryAfter.count() > 0 && isSooner) {
-    what.retryAfter = aRetryAfter;
+    request.retryAfter = aRetryAfter;
   }
-  AskNext(std::move(what), aNow);
+  RequestNext(std::move(request), aNow);
 }
 
 void
 token_client::Tick(clock::time_point aNow)
 {
-  std::erase_if(mUnasked, [aNow](const auto& aOne) {
+  std::erase_if(mQueued, [aNow](const auto& aOne) {
     return aNow >= aOne.askedAt + kUnknownRetry;
   });
-  while (!mLate.empty() &&
-         aNow >= mLate.begin()->second.askedAt + kUnknownRetry) {
-    mLate.erase(mLate.begin());
+  while (!mTimedOut.empty() &&
+         aNow >= mTimedOut.begin()->second.askedAt + kUnknownRetry) {
+    mTimedOut.erase(mTimedOut.begin());
   }
   while (!mPending.empty() &&
-         aNow >= mPending.begin()->second.askedAt + kPatience) {
-    auto what = mPending.begin()->second;
-    mLate.insert(mPending.extract(mPending.begin()));
-    mSilentUntil[what.asked.back()] = aNow + kSilence;
-    AskNext(std::move(what), aNow);
+         aNow >= mPending.begin()->second.askedAt + kResponseTimeout) {
+    auto request = mPending.begin()->second;
+    mTimedOut.insert(mPending.extract(mPending.begin()));
+    mUnresponsiveUntil[request.asked.back()] = aNow + kUnresponsiveTime;
+    RequestNext(std::move(request), aNow);
   }
 }
 
@@ -218,19 +222,19 @@
 token_client::NextTick() const
 {
   return mPending.empty() ? clock::time_point::max()
-                          : mPending.begin()->second.askedAt + kPatience;
+                          : mPending.begin()->second.askedAt + kResponseTimeout;
 }
 
 std::vector<token_request>
 token_client::TakeRequests()
 {
-  return std::exchange(mAsks, {});
+  return std::exchange(mRequests, {});
 }
 
 std::vector<token_result>
 token_client::TakeResults()
 {
-  return std::exchange(mOutcomes, {});
+  return std::exchange(mResults, {});
 }
 
 } // namespace currantshed::node
--- a/src/currantshed/node/token_client.hpp
+++ b/src/currantshed/node/token_client.hpp
@@ -53,7 +53,7 @@
 
   /// The coordinator that gets this VM's share of a partition; empty while none
   /// is known.
-  [[nodiscard]] std::string CoordinatorOf(std::size_t aPart,
+  [[nodiscard]] std::string CoordinatorOf(std::size_t aPartition,
                                           clock::time_point aNow) const;
 
   void Request(const std::string& aCustomer,
@@ -86,30 +86,30 @@
     clock::time_point retryAt;
   };
 
-  void AskNext(pending aWhat, clock::time_point aNow);
-  [[nodiscard]] std::string NextFor(const pending& aWhat,
+  void RequestNext(pending aRequest, clock::time_point aNow);
+  [[nodiscard]] std::string NextCoordinator(const pending& aRequest,
+                                            clock::time_point aNow) const;
+  [[nodiscard]] bool IsUnresponsive(const std::string& aVm,
                                     clock::time_point aNow) const;
-  [[nodiscard]] bool IsSilent(const std::string& aVm,
-                              clock::time_point aNow) const;
-  [[nodiscard]] bool IsAlone() const noexcept
+  [[nodiscard]] bool HasNoCoordinators() const noexcept
   {
-    return mOwn.front().empty() && mOthers.front().empty();
+    return mLocal.front().empty() && mRemote.front().empty();
   }
 
   /// By partition, in the order of requests.
-  std::array<std::vector<std::string>, customer::kPartitions> mOwn;
-  std::array<std::vector<std::string>, customer::kPartitions> mOthers;
-  absl::btree_map<std::string, clock::time_point> mSilentUntil;
+  std::array<std::vector<std::string>, customer::kPartitions> mLocal;
+  std::array<std::vector<std::string>, customer::kPartitions> mRemote;
+  absl::btree_map<std::string, clock::time_point> mUnresponsiveUntil;
   absl::btree_map<std::string, exhausted> mExhausted;
   std::map<std::uint64_t, pending> mPending;
   /// Requests that timed out and were repeated elsewhere. An answer may still
   /// arrive.
-  std::map<std::uint64_t, pending> mLate;
+  std::map<std::uint64_t, pending> mTimedOut;
   /// Requests that wait until a coordinator is known.
-  std::vector<pending> mUnasked;
+  std::vector<pending> mQueued;
   std::uint64_t mLastNumber = 0;
-  std::vector<token_request> mAsks;
-  std::vector<token_result> mOutcomes;
+  std::vector<token_request> mRequests;
+  std::vector<token_result> mResults;
 };
 
 } // namespace currantshed::node
--- a/src/currantshed/node/traffic.cpp
+++ b/src/currantshed/node/traffic.cpp
@@ -16,12 +16,12 @@
 
 // File descriptors reserved for servers, peers, the store and files.
 constexpr std::size_t kOtherDescriptors = 600;
-constexpr std::size_t kFewestCallers = 64;
+constexpr std::size_t kMinCallers = 64;
 // How long callers are accepted after the signal to stop: the platform needs
 // two probes, one second apart, to see that the VM is not ready.
-constexpr milliseconds kHandOverTime{ 2500 };
+constexpr milliseconds kHandoverTime{ 2500 };
 // Time reserved at the end for sending the last answers.
-constexpr milliseconds kLastAnswers{ 400 };
+constexpr milliseconds kFlushReserve{ 400 };
 constexpr milliseconds kDrainCheck{ 50 };
 
 std::int64_t
@@ -31,11 +31,11 @@
 }
 
 std::size_t
-MostCallers(std::size_t aDescriptors)
+MaxCallers(std::size_t aDescriptors)
 {
-  return aDescriptors > kOtherDescriptors + kFewestCallers
+  return aDescriptors > kOtherDescriptors + kMinCallers
            ? aDescriptors - kOtherDescriptors
-           : kFewestCallers;
+           : kMinCallers;
 }
 
 } // namespace
@@ -53,21 +53,21 @@
       caller_server::endpoint_kind::kCallers,
       aCodec,
       mEngine,
-      MostCallers(aSettings.descriptors),
+      MaxCallers(aSettings.descriptors),
       [this] { return mIsConfigured; },
-      [this] { After(); })
+      [this] { AfterEvent(); })
   , mRelays(
       mContext,
       caller_server::endpoint_kind::kRelays,
       aCodec,
       mEngine,
-      MostCallers(aSettings.descriptors),
+      MaxCallers(aSettings.descriptors),
       [this] { return mIsConfigured; },
-      [this] { After(); })
+      [this] { AfterEvent(); })
   , mTicker(mContext,
             [this] {
               mEngine.Tick(clock::Now());
-              After();
+              AfterEvent();
             })
   , mDrainTimer(mContext)
 {
@@ -84,7 +84,7 @@
 std::error_code
 traffic::Listen()
 {
-  After();
+  AfterEvent();
   if (const auto error =
         mRelays.Listen(mSettings.relays.host, mSettings.relays.port)) {
     return error;
@@ -102,7 +102,7 @@
       mEngine.SetConfiguration(std::move(configuration), clock::Now());
       mCallers.OnConfigured();
       mCallers.RetryPendingKeys();
-      After();
+      AfterEvent();
     });
 }
 
@@ -112,7 +112,7 @@
   boost::asio::post(mContext, [this, aFreshness] {
     mEngine.SetFreshness(aFreshness);
     mCallers.RetryPendingKeys();
-    After();
+    AfterEvent();
   });
 }
 
@@ -128,7 +128,7 @@
         mEngine.RefuseTokens(one.customer, one.refused, one.retryAfter, now);
       }
     }
-    After();
+    AfterEvent();
   });
 }
 
@@ -137,7 +137,7 @@
 {
   boost::asio::post(mContext, [this] {
     mEngine.CloseIdleCustomerSessions();
-    After();
+    AfterEvent();
   });
 }
 
@@ -146,7 +146,7 @@
 {
   boost::asio::post(mContext, [this, servers = std::move(aServers)] {
     mEngine.SetServers(servers, clock::Now());
-    After();
+    AfterEvent();
   });
 }
 
@@ -155,16 +155,17 @@
 {
   boost::asio::post(mContext, [this, fleet = std::move(aFleet)] {
     mEngine.SetFleet(fleet, clock::Now());
-    After();
+    AfterEvent();
   });
 }
 
 void
-traffic::Confirm(const std::string& aService, const proxy::confirmation& aProof)
+traffic::Confirm(const std::string& aService,
+                 const proxy::confirmation& aConfirmation)
 {
-  boost::asio::post(mContext, [this, aService, aProof] {
-    mEngine.Confirm(aService, aProof, clock::Now());
-    After();
+  boost::asio::post(mContext, [this, aService, aConfirmation] {
+    mEngine.Confirm(aService, aConfirmation, clock::Now());
+    AfterEvent();
   });
 }
 
@@ -212,7 +213,7 @@
                           done(aResult, mEngine.LastContactAt(aServer));
                         },
                         clock::Now());
-                      After();
+                      AfterEvent();
                     });
 }
 
@@ -237,12 +238,12 @@
 // requests are served as usual, and afterwards sessions are closed as they
 // become idle.
 void
-traffic::Drain(milliseconds aAtMost)
+traffic::Drain(milliseconds aMaxTime)
 {
-  boost::asio::post(mContext, [this, aAtMost] {
-    mDrainTime = aAtMost;
+  boost::asio::post(mContext, [this, aMaxTime] {
+    mDrainTime = aMaxTime;
     mDrainStart = clock::Now();
-    mDrainTimer.expires_after(std::min(kHandOverTime, aAtMost / 2));
+    mDrainTimer.expires_after(std::min(kHandoverTime, aMaxTime / 2));
     mDrainTimer.async_wait([this](boost::system::error_code aError) {
       if (!aError) {
         CloseIdle();
@@ -256,7 +257,7 @@
 {
   mCallers.StopListening();
   mEngine.Drain();
-  After();
+  AfterEvent();
   const auto half = mDrainStart + mDrainTime / 2;
   mDrainTimer.expires_at(std::max(half, clock::Now()));
   mDrainTimer.async_wait([this](boost::system::error_code aError) {
@@ -276,7 +277,7 @@
 void
 traffic::StopIfDone()
 {
-  const auto end = mDrainStart + mDrainTime - kLastAnswers;
+  const auto end = mDrainStart + mDrainTime - kFlushReserve;
   if (mCallers.Connections() == 0 || clock::Now() >= end) {
     log::Write(
       log::level::kInfo,
@@ -336,7 +337,7 @@
   const log::value floorAge = aDecision.floor
                                 ? log::value(Milliseconds(aDecision.floorAge))
                                 : log::unknown{};
-  const log::value proofAge =
+  const log::value confirmationAge =
     aDecision.confirmationAge >= clock::duration::zero()
       ? log::value(Milliseconds(aDecision.confirmationAge))
       : log::unknown{};
@@ -355,7 +356,7 @@
                { "needs_primary", aDecision.needsPrimary },
                { "tries", static_cast<std::int64_t>(aDecision.tries) },
                { "waited_ms", Milliseconds(aDecision.waited) },
-               { "proof_age_ms", proofAge },
+               { "proof_age_ms", confirmationAge },
                { "floor", floor },
                { "floor_age_ms", floorAge },
                { "server_leaving_ms", drainingFor } });
@@ -376,7 +377,7 @@
 }
 
 void
-traffic::After()
+traffic::AfterEvent()
 {
   mMetrics.SetSessions(mEngine.Sessions());
   mTicker.At(mEngine.NextTick());
--- a/src/currantshed/node/traffic.hpp
+++ b/src/currantshed/node/traffic.hpp
@@ -71,7 +71,8 @@
   void CloseIdleCustomerSessions();
   void SetServers(std::vector<proxy::server> aServers);
   void SetFleet(std::vector<proxy::fleet_vm> aFleet);
-  void Confirm(const std::string& aService, const proxy::confirmation& aProof);
+  void Confirm(const std::string& aService,
+               const proxy::confirmation& aConfirmation);
   void AddSample(const std::string& aService,
                  const proxy::position_sample& aSample);
   /// Calls back on the traffic thread once nothing relies on the term any
@@ -97,7 +98,7 @@
 
   /// Lets sessions end, and stops the thread after the given time at the
   /// latest.
-  void Drain(std::chrono::milliseconds aAtMost);
+  void Drain(std::chrono::milliseconds aMaxTime);
 
 private:
   void NeedsConfirmation(const std::string& aService) override;
@@ -108,7 +109,7 @@
   void ReachabilityChanged(const proxy::server& aServer,
                            bool aIsReachable,
                            std::string_view aReason) override;
-  void After();
+  void AfterEvent();
   void CloseIdle();
   void EndTransactions();
   void StopIfDone();
--- a/src/currantshed/node/vm_membership.cpp
+++ b/src/currantshed/node/vm_membership.cpp
@@ -13,14 +13,14 @@
 // How long a VM that is not listed gets watch updates after its last message. A
 // VM sends a message at least every two seconds, and every second while it is
 // not listed; this time allows for a lost message.
-constexpr milliseconds kSpeaking{ 4500 };
+constexpr milliseconds kRecent{ 4500 };
 
 } // namespace
 
 bool
-vm_membership::known_vm::IsRecentlyHeard(clock::time_point aNow) const
+vm_membership::member::IsRecentlyHeard(clock::time_point aNow) const
 {
-  return heardAt && aNow - *heardAt < kSpeaking;
+  return heardAt && aNow - *heardAt < kRecent;
 }
 
 vm_membership::vm_membership(std::string aSelf)
@@ -29,8 +29,8 @@
 }
 
 void
-vm_membership::Listed(const std::vector<news::peer>& aVms,
-                      clock::time_point aNow)
+vm_membership::SetListed(const std::vector<news::peer>& aVms,
+                         clock::time_point aNow)
 {
   for (auto& [name, one] : mVms) {
     one.seenAt = one.isListed ? aNow : one.seenAt;
@@ -48,7 +48,7 @@
 }
 
 void
-vm_membership::Seen(const std::string& aVm, clock::time_point aNow)
+vm_membership::MarkSeen(const std::string& aVm, clock::time_point aNow)
 {
   auto& one = mVms[aVm];
   one.seenAt = std::max(one.seenAt, aNow);
@@ -57,7 +57,7 @@
 void
 vm_membership::OnMessage(const std::string& aVm, clock::time_point aNow)
 {
-  Seen(aVm, aNow);
+  MarkSeen(aVm, aNow);
   mVms[aVm].heardAt = aNow;
 }
 
@@ -65,7 +65,7 @@
 vm_membership::OnDirectReachUpdate(const std::string& aVm,
                                    clock::time_point aNow)
 {
-  Seen(aVm, aNow);
+  MarkSeen(aVm, aNow);
   mVms[aVm].askedAt = aNow;
 }
 
@@ -75,7 +75,7 @@
 {
   const auto found = mVms.find(aVm);
   return found != mVms.end() && found->second.askedAt &&
-         aNow - *found->second.askedAt < kSpeaking;
+         aNow - *found->second.askedAt < kRecent;
 }
 
 std::vector<news::peer>
@@ -94,8 +94,8 @@
   absl::FunctionRef<void(const news::peer&)> aVisit) const
 {
   for (const auto& [name, one] : mVms) {
-    const bool isThere = one.isListed || one.IsRecentlyHeard(aNow);
-    if (name != mSelf && one.where && isThere) {
+    const bool isReachable = one.isListed || one.IsRecentlyHeard(aNow);
+    if (name != mSelf && one.where && isReachable) {
       aVisit(*one.where);
     }
   }
@@ -112,11 +112,11 @@
 std::vector<news::peer>
 vm_membership::RecentlyHeard(clock::time_point aNow) const
 {
-  auto speaking = Reachable(aNow);
-  std::erase_if(speaking, [&](const auto& aPeer) {
+  auto recentlyHeard = Reachable(aNow);
+  std::erase_if(recentlyHeard, [&](const auto& aPeer) {
     return !mVms.at(aPeer.vm).IsRecentlyHeard(aNow);
   });
-  return speaking;
+  return recentlyHeard;
 }
 
 bool
--- a/src/currantshed/node/vm_membership.hpp
+++ b/src/currantshed/node/vm_membership.hpp
@@ -29,10 +29,10 @@
   explicit vm_membership(std::string aSelf);
 
   /// Applies the list of the store.
-  void Listed(const std::vector<news::peer>& aVms, clock::time_point aNow);
+  void SetListed(const std::vector<news::peer>& aVms, clock::time_point aNow);
 
   /// Records that the store, read later than the list, lists the VM.
-  void Seen(const std::string& aVm, clock::time_point aNow);
+  void MarkSeen(const std::string& aVm, clock::time_point aNow);
 
   /// Records a message of the VM, listed or not.
   void OnMessage(const std::string& aVm, clock::time_point aNow);
@@ -72,7 +72,7 @@
     clock::time_point aNow) const;
 
 private:
-  struct known_vm
+  struct member
   {
     std::optional<news::peer> where;
     bool isListed = false;
@@ -85,7 +85,7 @@
   };
 
   std::string mSelf;
-  absl::btree_map<std::string, known_vm> mVms;
+  absl::btree_map<std::string, member> mVms;
 };
 
 } // namespace currantshed::node
--- a/test/currantshed/node/cluster_state.cpp
+++ b/test/currantshed/node/cluster_state.cpp
@@ -19,20 +19,20 @@
 namespace {
 
 vm_record
-Vm(const std::string& aName, std::uint64_t aIncarnation, bool aLeaving = false)
+Vm(const std::string& aName, std::uint64_t aIncarnation, bool aDraining = false)
 {
   vm_record record;
   record.where = { aName, "10.0.0.1", 7440 };
   record.relayPort = 7441;
   record.failureDomain = "marka";
   record.incarnation = aIncarnation;
-  record.leaving = aLeaving;
+  record.draining = aDraining;
   return record;
 }
 
 store::prefix_view::items
 Items(const std::vector<vm_record>& aVms,
-      const std::optional<failover_lock>& aDuty)
+      const std::optional<failover_lock>& aLock)
 {
   store::prefix_view::items items;
   std::uint64_t revision = 10;
@@ -40,10 +40,10 @@
     const auto key = node::VmKey(vm.where.vm);
     items[key] = { key, node::SerializeVm(vm), { 0, ++revision }, { 0, 1 } };
   }
-  if (aDuty) {
+  if (aLock) {
     const auto key = node::FailoverLockKey("group");
     items[key] = {
-      key, node::SerializeFailoverLock(*aDuty), { 0, ++revision }, {}
+      key, node::SerializeFailoverLock(*aLock), { 0, ++revision }, {}
     };
   }
   return items;
@@ -53,7 +53,7 @@
 {
   const char* name;
   std::vector<vm_record> vms;
-  std::optional<failover_lock> duty;
+  std::optional<failover_lock> lock;
   /// Whether some VM claims the lock.
   bool claims;
 };
@@ -81,26 +81,26 @@
 
 } // namespace
 
-TEST_GROUP(duty){};
+TEST_GROUP(cluster_state){};
 
-TEST(duty, one_vm_claims_what_nobody_holds)
+TEST(cluster_state, one_vm_claims_a_lock_without_holder)
 {
   for (const auto& row : kRows) {
-    const auto keys = node::ReadClusterState(Items(row.vms, row.duty));
-    int claimers = 0;
+    const auto keys = node::ReadClusterState(Items(row.vms, row.lock));
+    int claimCount = 0;
     for (const auto& vm : row.vms) {
-      node::lock_assignments board(vm.where.vm);
-      board.AddService(keys, "group");
-      board.SetCandidates(keys, node::LockCandidates(keys));
-      const bool claims = board.IsNextHolder("group");
-      CHECK_TEXT(!(claims && vm.leaving), row.name);
-      claimers += claims ? 1 : 0;
+      node::lock_assignments assignments(vm.where.vm);
+      assignments.AddService(keys, "group");
+      assignments.SetCandidates(keys, node::LockCandidates(keys));
+      const bool claims = assignments.IsNextHolder("group");
+      CHECK_TEXT(!(claims && vm.draining), row.name);
+      claimCount += claims ? 1 : 0;
     }
-    CHECK_TEXT(claimers == (row.claims ? 1 : 0), row.name);
+    CHECK_TEXT(claimCount == (row.claims ? 1 : 0), row.name);
   }
 }
 
-TEST(duty, a_claim_holds_only_over_what_was_seen)
+TEST(cluster_state, a_claim_is_conditional_on_the_records_that_were_read)
 {
   const auto items =
     Items({ Vm("a", 1, true), Vm("b", 2) }, failover_lock{ "a", 1, 50 });
@@ -120,7 +120,7 @@
   CHECK(fresh.conditions.front().changed.number == 0);
 }
 
-TEST(duty, the_replaced_term_goes_on_to_the_next_holder)
+TEST(cluster_state, the_next_holder_inherits_the_replaced_term)
 {
   const auto items =
     Items({ Vm("a", 1, true), Vm("b", 2) }, failover_lock{ "a", 1, 50, 6 });
@@ -135,7 +135,7 @@
   CHECK(old && old->epoch == 5 && old->replacedTerm == 0);
 }
 
-TEST(duty, the_fleet_is_recorded_without_its_lives)
+TEST(cluster_state, the_fleet_is_recorded_without_incarnations)
 {
   const std::vector<vm_record> fleet{ Vm("a", 1), Vm("b", 2) };
   store::prefix_view::items items;
@@ -155,7 +155,7 @@
   CHECK(node::ReadClusterState(items).fleet.empty());
 }
 
-TEST(duty, what_cannot_be_read_is_left_out)
+TEST(cluster_state, malformed_values_are_ignored)
 {
   store::prefix_view::items items;
   for (const char* text :
@@ -189,7 +189,7 @@
 // Guards against reuse of an epoch after a restore of the store. All VMs may
 // have been killed in between, so that none remembers the claim that the store
 // lost.
-TEST(duty, no_epoch_is_given_again_by_a_store_that_lost_it)
+TEST(cluster_state, a_restored_store_reuses_no_epoch)
 {
   for (const auto& row : kEpochRows) {
     const auto isRecorded = !row.recorded.holder.empty();
@@ -205,7 +205,7 @@
   }
 }
 
-TEST(duty, is_of_the_era_in_which_it_was_claimed)
+TEST(cluster_state, is_of_the_era_in_which_it_was_claimed)
 {
   for (const store::era_id era : { 0, 1, 7 }) {
     const auto claimed = node::ParseFailoverLock(
@@ -217,7 +217,7 @@
 }
 
 // The restored record lacks a term that this VM knows to be replaced.
-TEST(duty, a_claim_records_the_newest_replaced_term)
+TEST(cluster_state, a_claim_records_the_newest_replaced_term)
 {
   const auto keys = node::ReadClusterState(
     Items({ Vm("b", 2) }, failover_lock{ "b", 2, 50, 6 }));
@@ -230,7 +230,7 @@
 }
 
 // The restored list and fleet record lack VMs that are still running.
-TEST(duty, vms_that_were_known_count_beside_the_record)
+TEST(cluster_state, known_vms_are_merged_into_the_fleet)
 {
   cluster_state keys;
   keys.fleet = { Vm("b", 2) };
@@ -250,7 +250,7 @@
   const auto areSameVms = [&](const auto& aOne, const auto& aOther) {
     return isSame(aOne, aOther) && aOne.second.record == aOther.second.record;
   };
-  const auto areSameDuties = [&](const auto& aOne, const auto& aOther) {
+  const auto areSameLocks = [&](const auto& aOne, const auto& aOther) {
     return isSame(aOne, aOther) &&
            node::SerializeFailoverLock(aOne.second.record) ==
              node::SerializeFailoverLock(aOther.second.record);
@@ -264,7 +264,7 @@
                     aLeft.locks.end(),
                     aRight.locks.begin(),
                     aRight.locks.end(),
-                    areSameDuties) &&
+                    areSameLocks) &&
          aLeft.fleet == aRight.fleet &&
          aLeft.fleetChanged == aRight.fleetChanged;
 }
@@ -326,7 +326,7 @@
 
 // Any sequence of incremental updates of any size must give the same result as
 // reading all keys.
-TEST(duty, changes_lead_to_what_reading_all_does)
+TEST(cluster_state, updates_match_a_full_read)
 {
   for (unsigned seed = 1; seed <= 20; ++seed) {
     key_changer changer(seed);
@@ -345,7 +345,7 @@
 }
 
 // Moving a key to another lease writes it again with the same value.
-TEST(duty, a_record_that_says_the_same_is_no_change_of_the_vm)
+TEST(cluster_state, an_equal_record_is_no_change_of_the_vm)
 {
   auto items = Items({ Vm("a", 1), Vm("b", 2) }, std::nullopt);
   auto keys = node::ReadClusterState(items);
--- a/test/currantshed/node/forwarders.cpp
+++ b/test/currantshed/node/forwarders.cpp
@@ -14,7 +14,7 @@
 {
   std::string name;
   std::string failureDomain;
-  bool leaving = false;
+  bool draining = false;
 };
 
 std::vector<listed>
@@ -43,7 +43,7 @@
     auto& record = keys.vms[one.name].record;
     record.where.vm = one.name;
     record.failureDomain = one.failureDomain;
-    record.leaving = one.leaving;
+    record.draining = one.draining;
   }
   return keys;
 }
@@ -68,14 +68,14 @@
     0 },
 };
 
-struct answer_row
+struct size_row
 {
   const char* name;
   double linkMegabits;
-  std::size_t longest;
+  std::size_t maxBytes;
 };
 
-constexpr answer_row kAnswers[] = {
+constexpr size_row kSizes[] = {
   { "a slow link", 20, 25000 },
   { "a fast link", 200, 65536 },
   { "a very fast link", 1000, 65536 },
@@ -96,13 +96,13 @@
           return aVm.name == one;
         });
       CHECK_TEXT(found != row.vms.end() && found->failureDomain == "marka" &&
-                   !found->leaving,
+                   !found->draining,
                  row.name);
     }
   }
 }
 
-TEST(forwarders, a_vm_that_comes_or_goes_moves_few)
+TEST(forwarders, adding_or_removing_a_vm_changes_few)
 {
   const auto all = Domain("marka", 20);
   const auto before = node::SelectForwarders(Keys(all), "marka");
@@ -125,12 +125,12 @@
 // handled requests with a configuration that was 6 s old. With the
 // high-capacity VM as the first forwarder, the low-capacity second one was
 // overloaded instead: it was 126 ms late, all other VMs 0 to 50 ms.
-TEST(forwarders, are_strong_vms)
+TEST(forwarders, are_high_capacity_vms)
 {
   struct row
   {
     const char* name;
-    std::vector<unsigned> shares;
+    std::vector<unsigned> capacities;
     /// Expected number of forwarders, all of high capacity.
     std::size_t forwarders;
   };
@@ -145,31 +145,31 @@
     // high-capacity VM by chance.
     for (int turn = 0; turn < 20; ++turn) {
       const auto domain = "marka" + std::to_string(turn);
-      auto vms = Domain(domain, static_cast<int>(row.shares.size()));
+      auto vms = Domain(domain, static_cast<int>(row.capacities.size()));
       auto keys = Keys(vms);
       for (std::size_t i = 0; i < vms.size(); ++i) {
-        keys.vms[vms[i].name].record.cpuMillicores = row.shares[i];
+        keys.vms[vms[i].name].record.cpuMillicores = row.capacities[i];
       }
       const auto chosen = node::SelectForwarders(keys, domain);
       CHECK_EQUAL_TEXT(row.forwarders, chosen.size(), row.name);
-      const auto strongest =
-        *std::max_element(row.shares.begin(), row.shares.end());
+      const auto maxCpuMillicores =
+        *std::max_element(row.capacities.begin(), row.capacities.end());
       for (const auto& one : chosen) {
-        const auto share = keys.vms[one].record.cpuMillicores;
-        CHECK_TEXT(2 * share >= strongest, row.name);
+        const auto cpuMillicores = keys.vms[one].record.cpuMillicores;
+        CHECK_TEXT(2 * cpuMillicores >= maxCpuMillicores, row.name);
       }
     }
   }
 }
 
 // A message contains up to three updates, one for each followed prefix.
-TEST(forwarders, answers_fit_into_what_a_vm_takes_at_once)
+TEST(forwarders, updates_fit_into_one_message)
 {
-  constexpr std::size_t kLongestMessage = std::size_t{ 256 } * 1024;
-  for (const auto& row : kAnswers) {
+  constexpr std::size_t kMaxMessageBytes = std::size_t{ 256 } * 1024;
+  for (const auto& row : kSizes) {
     CHECK_EQUAL_TEXT(
-      row.longest, node::MaxUpdateBytes(row.linkMegabits), row.name);
-    CHECK_TEXT(3 * node::MaxUpdateBytes(row.linkMegabits) < kLongestMessage,
+      row.maxBytes, node::MaxUpdateBytes(row.linkMegabits), row.name);
+    CHECK_TEXT(3 * node::MaxUpdateBytes(row.linkMegabits) < kMaxMessageBytes,
                row.name);
   }
 }
--- a/test/currantshed/node/forwarding_batch.cpp
+++ b/test/currantshed/node/forwarding_batch.cpp
@@ -16,22 +16,22 @@
 const clock::time_point kStart{ 1h };
 constexpr auto kPause = 150ms;
 
-struct word
+struct group_update
 {
   std::chrono::milliseconds at;
   std::string service;
   bool isUrgent = false;
 };
 
-struct word_row
+struct group_row
 {
   const char* name;
-  std::vector<word> given;
+  std::vector<group_update> given;
   /// What is forwarded if the batch is polled every 10 ms: time and groups.
   std::string expected;
 };
 
-const word_row kWords[] = {
+const group_row kGroupRows[] = {
   { "nothing", {}, "" },
   { "the first update at once", { { 0ms, "a" } }, "0:a " },
   { "updates of several groups together",
@@ -49,17 +49,17 @@
 };
 
 std::string
-PassedOn(const word_row& aRow)
+Forwarded(const group_row& aRow)
 {
-  forwarding_batch box;
+  forwarding_batch batch;
   std::string text;
   for (auto at = 0ms; at <= 600ms; at += 10ms) {
     for (const auto& one : aRow.given) {
       if (one.at == at) {
-        box.AddGroup(one.service, one.isUrgent, kStart + at);
+        batch.AddGroup(one.service, one.isUrgent, kStart + at);
       }
     }
-    const auto taken = box.TakeGroups(kPause, kStart + at);
+    const auto taken = batch.TakeGroups(kPause, kStart + at);
     if (!taken.empty()) {
       text += std::to_string(at.count()) + ":";
       for (const auto& service : taken) {
@@ -71,24 +71,24 @@
   return text;
 }
 
-struct reach
+struct received_update
 {
   std::chrono::milliseconds at;
   std::string service;
   std::string vm;
   std::chrono::milliseconds heardAt;
   position::term_id term = 1;
-  position::term_id obeyed = 0;
+  position::term_id acknowledged = 0;
 };
 
 struct reach_row
 {
   const char* name;
-  std::vector<reach> given;
+  std::vector<received_update> given;
   std::string expected;
 };
 
-const reach_row kReaches[] = {
+const reach_row kReachRows[] = {
   { "nothing", {}, "" },
   { "one", { { 0ms, "a", "v", 0ms } }, "250:av " },
   { "the most recent of each group",
@@ -111,28 +111,28 @@
 };
 
 std::string
-PassedOn(const reach_row& aRow)
+Forwarded(const reach_row& aRow)
 {
-  forwarding_batch box;
+  forwarding_batch batch;
   std::string text;
   for (auto at = 0ms; at <= 600ms; at += 10ms) {
     for (const auto& one : aRow.given) {
       if (one.at == at) {
-        box.AddReachUpdate({ one.service,
-                             one.vm,
-                             { one.term,
-                               "i-1",
-                               kStart + one.heardAt,
-                               one.obeyed,
-                               kStart + one.at } },
-                           kStart + at);
+        batch.AddReachUpdate({ one.service,
+                               one.vm,
+                               { one.term,
+                                 "i-1",
+                                 kStart + one.heardAt,
+                                 one.acknowledged,
+                                 kStart + one.at } },
+                             kStart + at);
       }
     }
-    const auto taken = box.TakeReachUpdates(kStart + at);
+    const auto taken = batch.TakeReachUpdates(kStart + at);
     if (!taken.empty()) {
       text += std::to_string(at.count()) + ":";
-      for (const auto& passed : taken) {
-        text += passed.service + passed.vm;
+      for (const auto& update : taken) {
+        text += update.service + update.vm;
       }
       text += " ";
     }
@@ -146,29 +146,29 @@
 
 TEST(forwarding_batch, batches_watch_updates)
 {
-  for (const auto& row : kWords) {
-    STRCMP_EQUAL_TEXT(row.expected.c_str(), PassedOn(row).c_str(), row.name);
+  for (const auto& row : kGroupRows) {
+    STRCMP_EQUAL_TEXT(row.expected.c_str(), Forwarded(row).c_str(), row.name);
   }
 }
 
 TEST(forwarding_batch, batches_reach_updates)
 {
-  for (const auto& row : kReaches) {
-    STRCMP_EQUAL_TEXT(row.expected.c_str(), PassedOn(row).c_str(), row.name);
+  for (const auto& row : kReachRows) {
+    STRCMP_EQUAL_TEXT(row.expected.c_str(), Forwarded(row).c_str(), row.name);
   }
 }
 
 TEST(forwarding_batch, says_when_it_is_due)
 {
-  forwarding_batch box;
-  CHECK(box.NextTick() == clock::time_point::max());
-  box.AddGroup("a", false, kStart);
-  CHECK(box.NextTick() <= kStart);
-  CHECK_EQUAL(1U, box.TakeGroups(kPause, kStart).size());
-  box.AddGroup("a", false, kStart + 10ms);
-  CHECK(box.TakeGroups(kPause, kStart + 10ms).empty());
-  CHECK(box.NextTick() == kStart + kPause);
-  CHECK_EQUAL(1U, box.TakeGroups(kPause, kStart + kPause).size());
-  box.AddReachUpdate({ "a", "v", {} }, kStart + kPause);
-  CHECK(box.NextTick() == kStart + kPause + 250ms);
+  forwarding_batch batch;
+  CHECK(batch.NextTick() == clock::time_point::max());
+  batch.AddGroup("a", false, kStart);
+  CHECK(batch.NextTick() <= kStart);
+  CHECK_EQUAL(1U, batch.TakeGroups(kPause, kStart).size());
+  batch.AddGroup("a", false, kStart + 10ms);
+  CHECK(batch.TakeGroups(kPause, kStart + 10ms).empty());
+  CHECK(batch.NextTick() == kStart + kPause);
+  CHECK_EQUAL(1U, batch.TakeGroups(kPause, kStart + kPause).size());
+  batch.AddReachUpdate({ "a", "v", {} }, kStart + kPause);
+  CHECK(batch.NextTick() == kStart + kPause + 250ms);
 }
--- a/test/currantshed/node/freshness_check_schedule.cpp
+++ b/test/currantshed/node/freshness_check_schedule.cpp
@@ -11,13 +11,13 @@
 
 constexpr clock::time_point kStart{ 1h };
 
-struct place_row
+struct rank_row
 {
-  std::size_t place;
+  std::size_t rank;
   std::chrono::milliseconds due;
 };
 
-constexpr place_row kPlaces[] = {
+constexpr rank_row kRanks[] = {
   { 0, 600ms }, { 1, 900ms }, { 5, 2100ms }, { 6, 2400ms }, { 400, 2400ms },
 };
 
@@ -25,11 +25,11 @@
 
 TEST_GROUP(freshness_check_schedule){};
 
-TEST(freshness_check_schedule, Later_ones_ask_once_those_before_say_nothing)
+TEST(freshness_check_schedule, Later_ranks_ask_once_earlier_ones_do_not_answer)
 {
-  for (const auto& row : kPlaces) {
+  for (const auto& row : kRanks) {
     node::freshness_check_schedule made;
-    made.SetRank(row.place);
+    made.SetRank(row.rank);
     CHECK(made.NextCheck(kStart) == kStart + row.due);
   }
 }
@@ -43,7 +43,7 @@
   CHECK(made.NextCheck(kStart) == kStart + 600ms);
 }
 
-TEST(freshness_check_schedule, Failures_pause_longer_each_time)
+TEST(freshness_check_schedule, Failures_back_off_exponentially)
 {
   node::freshness_check_schedule made;
   for (const auto pause : { 150ms, 300ms, 600ms, 1200ms, 1200ms }) {
--- a/test/currantshed/node/group_scheduler.cpp
+++ b/test/currantshed/node/group_scheduler.cpp
@@ -15,7 +15,7 @@
 const clock::time_point kStart{ 1h };
 const auto kNever = clock::time_point::max() - kStart;
 
-struct time_given
+struct scheduled_action
 {
   std::string group;
   clock::duration at;
@@ -24,11 +24,11 @@
 struct row
 {
   const char* name;
-  std::vector<time_given> given;
+  std::vector<scheduled_action> given;
   clock::duration when;
   std::vector<std::string> due;
   clock::duration next;
-  std::vector<std::string> awake;
+  std::vector<std::string> scheduled;
 };
 
 const row kRows[] = {
@@ -59,25 +59,25 @@
 
 TEST_GROUP(group_scheduler){};
 
-TEST(group_scheduler, tells_which_groups_are_due)
+TEST(group_scheduler, returns_the_groups_that_are_due)
 {
   for (const auto& row : kRows) {
-    group_scheduler agenda;
+    group_scheduler scheduler;
     for (const auto& one : row.given) {
-      agenda.SetDue(one.group, kStart + one.at);
+      scheduler.SetDue(one.group, kStart + one.at);
     }
-    CHECK_TEXT(agenda.Due(kStart + row.when) == row.due, row.name);
-    CHECK_TEXT(agenda.Next() == kStart + row.next, row.name);
-    CHECK_TEXT(agenda.Scheduled() == row.awake, row.name);
+    CHECK_TEXT(scheduler.Due(kStart + row.when) == row.due, row.name);
+    CHECK_TEXT(scheduler.Next() == kStart + row.next, row.name);
+    CHECK_TEXT(scheduler.Scheduled() == row.scheduled, row.name);
   }
 }
 
 TEST(group_scheduler, touched_groups_are_returned_once)
 {
-  group_scheduler agenda;
-  agenda.Touch("b");
-  agenda.Touch("a");
-  agenda.Touch("b");
-  CHECK(agenda.TakePending() == (std::vector<std::string>{ "a", "b" }));
-  CHECK(agenda.TakePending().empty());
+  group_scheduler scheduler;
+  scheduler.MarkPending("b");
+  scheduler.MarkPending("a");
+  scheduler.MarkPending("b");
+  CHECK(scheduler.TakePending() == (std::vector<std::string>{ "a", "b" }));
+  CHECK(scheduler.TakePending().empty());
 }
--- a/test/currantshed/node/lock_assignments.cpp
+++ b/test/currantshed/node/lock_assignments.cpp
@@ -33,71 +33,72 @@
     : groups(aGroups)
   {
     for (std::size_t i = 0; i < aGroups; ++i) {
-      board.AddService(keys, GroupName(i));
+      assignments.AddService(keys, GroupName(i));
     }
   }
 
-  void Comes(const std::string& aVm,
+  void AddVm(const std::string& aVm,
              std::uint64_t aIncarnation = 1,
-             bool aLeaving = false,
+             bool aDraining = false,
              unsigned aShare = 100)
   {
     node::vm_record record;
     record.where.vm = aVm;
     record.incarnation = aIncarnation;
-    record.leaving = aLeaving;
+    record.draining = aDraining;
     record.cpuMillicores = aShare;
     keys.vms[aVm] = { record, {} };
-    Changed(aVm);
+    Update(aVm);
   }
 
-  void Goes(const std::string& aVm)
+  void RemoveVm(const std::string& aVm)
   {
     keys.vms.erase(aVm);
-    Changed(aVm);
+    Update(aVm);
   }
 
-  void Changed(const std::string& aVm)
+  void Update(const std::string& aVm)
   {
-    board.SetCandidates(keys, node::LockCandidates(keys));
-    board.OnVmChanged(keys, aVm);
+    assignments.SetCandidates(keys, node::LockCandidates(keys));
+    assignments.OnVmChanged(keys, aVm);
   }
 
-  void Takes(const std::string& aVm, const std::string& aGroup)
+  void TakeLock(const std::string& aVm, const std::string& aGroup)
   {
     keys.locks[aGroup] = { { aVm, 1, 1 }, {} };
-    board.OnLockChanged(keys, aGroup);
+    assignments.OnLockChanged(keys, aGroup);
   }
 
-  void IsLost(const std::string& aGroup)
+  void RemoveLock(const std::string& aGroup)
   {
     keys.locks.erase(aGroup);
-    board.OnLockChanged(keys, aGroup);
+    assignments.OnLockChanged(keys, aGroup);
   }
 
   std::size_t groups;
   cluster_state keys;
-  lock_assignments board{ VmName(0) };
+  lock_assignments assignments{ VmName(0) };
 };
 
 /// Whether assignments computed from scratch for the same keys are the same.
 bool
-IsSameAnew(const fleet& aFleet)
+MatchesRecomputed(const fleet& aFleet)
 {
-  lock_assignments anew(VmName(0));
-  anew.SetCandidates(aFleet.keys, node::LockCandidates(aFleet.keys));
+  lock_assignments recomputed(VmName(0));
+  recomputed.SetCandidates(aFleet.keys, node::LockCandidates(aFleet.keys));
   for (std::size_t i = 0; i < aFleet.groups; ++i) {
-    anew.AddService(aFleet.keys, GroupName(i));
+    recomputed.AddService(aFleet.keys, GroupName(i));
   }
   for (std::size_t i = 0; i < aFleet.groups; ++i) {
     const auto group = GroupName(i);
-    if (anew.IsNextHolder(group) != aFleet.board.IsNextHolder(group) ||
-        anew.IsHeld(group) != aFleet.board.IsHeld(group)) {
+    if (recomputed.IsNextHolder(group) !=
+          aFleet.assignments.IsNextHolder(group) ||
+        recomputed.IsHeld(group) != aFleet.assignments.IsHeld(group)) {
       return false;
     }
   }
-  return anew.OwnGroups() == aFleet.board.OwnGroups() &&
-         anew.Holders() == aFleet.board.Holders();
+  return recomputed.OwnGroups() == aFleet.assignments.OwnGroups() &&
+         recomputed.Holders() == aFleet.assignments.Holders();
 }
 
 /// Numbers of VMs, and of as many groups, for which work is counted.
@@ -107,7 +108,7 @@
 
 TEST_GROUP(lock_assignments){};
 
-TEST(lock_assignments, changes_lead_to_what_a_look_at_all_does)
+TEST(lock_assignments, updates_match_a_full_computation)
 {
   constexpr std::size_t kVms = 8;
   constexpr std::size_t kGroups = 12;
@@ -122,19 +123,19 @@
       const auto group = GroupName(pick(kGroups));
       switch (pick(5)) {
         case 0:
-          one.Goes(vm);
+          one.RemoveVm(vm);
           break;
         case 1:
-          one.IsLost(group);
+          one.RemoveLock(group);
           break;
         case 2:
-          one.Takes(vm, group);
+          one.TakeLock(vm, group);
           break;
         default:
-          one.Comes(vm, 1 + pick(2), pick(4) == 0, pick(3) == 0 ? 100 : 10);
+          one.AddVm(vm, 1 + pick(2), pick(4) == 0, pick(3) == 0 ? 100 : 10);
           break;
       }
-      CHECK(IsSameAnew(one));
+      CHECK(MatchesRecomputed(one));
     }
   }
 }
@@ -143,16 +144,16 @@
 // cost every other one no more than a hash per vacant group. Comparing all VMs
 // for each group at every change cost the product of both, and used most of the
 // CPU time while 985 VMs started.
-TEST(lock_assignments, a_vm_that_comes_costs_the_vacant_groups)
+TEST(lock_assignments, a_new_vm_costs_one_hash_per_vacant_group)
 {
   for (const auto size : kSizes) {
     fleet one(size);
     for (std::size_t i = 0; i < size; ++i) {
-      const auto before = one.board.ScoresComputed();
-      one.Comes(VmName(i));
-      CHECK(one.board.ScoresComputed() - before <= size);
+      const auto before = one.assignments.ScoresComputed();
+      one.AddVm(VmName(i));
+      CHECK(one.assignments.ScoresComputed() - before <= size);
     }
-    CHECK(one.board.ScoresComputed() <= size * size);
+    CHECK(one.assignments.ScoresComputed() <= size * size);
   }
 }
 
@@ -161,24 +162,24 @@
   for (const auto size : kSizes) {
     fleet one(size);
     for (std::size_t i = 0; i < size; ++i) {
-      one.Comes(VmName(i));
+      one.AddVm(VmName(i));
     }
     for (std::size_t i = 0; i < size; ++i) {
-      one.Takes(VmName(i), GroupName(i));
+      one.TakeLock(VmName(i), GroupName(i));
     }
-    const auto atRest = one.board.ScoresComputed();
-    one.Comes("another");
-    CHECK_EQUAL(atRest, one.board.ScoresComputed());
+    const auto before = one.assignments.ScoresComputed();
+    one.AddVm("another");
+    CHECK_EQUAL(before, one.assignments.ScoresComputed());
     // The lost VM held the lock of one group, which one of the others is to
     // acquire.
-    one.Goes(VmName(size / 2));
-    CHECK_EQUAL(atRest + size, one.board.ScoresComputed());
-    one.Takes("another", GroupName(size / 2));
-    CHECK_EQUAL(atRest + size, one.board.ScoresComputed());
-    const auto changed = one.board.TakeChangedGroups();
+    one.RemoveVm(VmName(size / 2));
+    CHECK_EQUAL(before + size, one.assignments.ScoresComputed());
+    one.TakeLock("another", GroupName(size / 2));
+    CHECK_EQUAL(before + size, one.assignments.ScoresComputed());
+    const auto changed = one.assignments.TakeChangedGroups();
     CHECK(changed.contains(GroupName(size / 2)));
-    one.Comes("a third");
-    CHECK(one.board.TakeChangedGroups().empty());
+    one.AddVm("a third");
+    CHECK(one.assignments.TakeChangedGroups().empty());
   }
 }
 
@@ -187,23 +188,23 @@
 TEST(lock_assignments, strong_vms_hold_the_locks)
 {
   fleet one(3);
-  one.Comes(VmName(0), 1, false, 10);
-  one.Comes("weak", 1, false, 10);
+  one.AddVm(VmName(0), 1, false, 10);
+  one.AddVm("weak", 1, false, 10);
   for (std::size_t i = 0; i < 3; ++i) {
-    one.Takes("weak", GroupName(i));
-    CHECK(one.board.IsHeld(GroupName(i)));
+    one.TakeLock("weak", GroupName(i));
+    CHECK(one.assignments.IsHeld(GroupName(i)));
   }
-  one.Comes("strong-1", 1, false, 100);
-  CHECK(one.board.IsHeld(GroupName(0)));
-  one.Comes("strong-2", 1, false, 100);
+  one.AddVm("strong-1", 1, false, 100);
+  CHECK(one.assignments.IsHeld(GroupName(0)));
+  one.AddVm("strong-2", 1, false, 100);
   for (std::size_t i = 0; i < 3; ++i) {
-    CHECK_FALSE(one.board.IsHeld(GroupName(i)));
-    CHECK_FALSE(one.board.IsNextHolder(GroupName(i)));
-    one.Takes("strong-1", GroupName(i));
-    CHECK(one.board.IsHeld(GroupName(i)));
+    CHECK_FALSE(one.assignments.IsHeld(GroupName(i)));
+    CHECK_FALSE(one.assignments.IsNextHolder(GroupName(i)));
+    one.TakeLock("strong-1", GroupName(i));
+    CHECK(one.assignments.IsHeld(GroupName(i)));
   }
-  one.Goes("strong-1");
+  one.RemoveVm("strong-1");
   for (std::size_t i = 0; i < 3; ++i) {
-    CHECK_FALSE(one.board.IsHeld(GroupName(i)));
+    CHECK_FALSE(one.assignments.IsHeld(GroupName(i)));
   }
 }
--- a/test/currantshed/node/peer_selection.cpp
+++ b/test/currantshed/node/peer_selection.cpp
@@ -31,7 +31,7 @@
   return text;
 }
 
-struct some_row
+struct selection_row
 {
   const char* name;
   std::size_t peers;
@@ -40,7 +40,7 @@
   std::string expected;
 };
 
-const some_row kRows[] = {
+const selection_row kRows[] = {
   { "no VMs", 0, 3, 5, "" },
   { "fewer than requested", 2, 3, 0, "ab" },
   { "fewer than requested, next turn", 2, 3, 1, "ab" },
@@ -53,7 +53,7 @@
 
 TEST_GROUP(peer_selection){};
 
-TEST(peer_selection, takes_the_next_ones_each_turn)
+TEST(peer_selection, selects_the_next_ones_each_turn)
 {
   for (const auto& row : kRows) {
     CHECK_EQUAL_TEXT(
@@ -63,7 +63,7 @@
   }
 }
 
-TEST(peer_selection, adds_only_what_is_not_there)
+TEST(peer_selection, appends_only_missing_names)
 {
   std::vector<std::string> names{ "b", "c" };
   node::AppendMissing(names, { "c", "a", "a" });
--- a/test/currantshed/node/quota_coordinators.cpp
+++ b/test/currantshed/node/quota_coordinators.cpp
@@ -14,10 +14,10 @@
 {
   std::size_t count;
   unsigned cpuMillicores;
-  bool leaving;
+  bool draining;
 };
 
-struct collectors_row
+struct coordinators_row
 {
   const char* name;
   std::vector<group_of_vms> vms;
@@ -26,7 +26,7 @@
   unsigned cpuMillicores;
 };
 
-const collectors_row kRows[] = {
+const coordinators_row kRows[] = {
   { "nobody", {}, 0, 0 },
   { "a single VM", { { 1, 250, false } }, 1, 250 },
   { "equal capacities", { { 9, 250, false } }, 4, 250 },
@@ -51,7 +51,7 @@
       record.where.vm = "vm-" + std::to_string(++number);
       record.failureDomain = "north";
       record.cpuMillicores = some.cpuMillicores;
-      record.leaving = some.leaving;
+      record.draining = some.draining;
       keys.vms[record.where.vm] = { record, 1 };
     }
   }
--- a/test/currantshed/node/request_throttle.cpp
+++ b/test/currantshed/node/request_throttle.cpp
@@ -18,10 +18,10 @@
   const char* name;
   /// Interval between notifications, and time from a request to its response;
   /// nullopt if no response arrives.
-  std::chrono::milliseconds hints;
-  std::optional<std::chrono::milliseconds> answer;
+  std::chrono::milliseconds interval;
+  std::optional<std::chrono::milliseconds> response;
   /// Expected number of requests in one second.
-  int questions;
+  int requests;
 };
 
 constexpr row kRows[] = {
@@ -35,26 +35,26 @@
 };
 
 int
-QuestionsOf(const row& aRow)
+RequestsOf(const row& aRow)
 {
-  request_throttle pace;
-  int questions = 0;
-  std::optional<clock::time_point> answerAt;
+  request_throttle throttle;
+  int requests = 0;
+  std::optional<clock::time_point> responseAt;
   for (auto at = 0ms; at < 1000ms; at += 1ms) {
     const auto now = kStart + at;
-    if (answerAt && now >= *answerAt) {
-      pace.OnResponse();
-      answerAt.reset();
+    if (responseAt && now >= *responseAt) {
+      throttle.OnResponse();
+      responseAt.reset();
     }
-    if (at % aRow.hints == 0ms && pace.MayRequest(now)) {
-      pace.Asked(now);
-      ++questions;
-      if (aRow.answer) {
-        answerAt = now + *aRow.answer;
+    if (at % aRow.interval == 0ms && throttle.MayRequest(now)) {
+      throttle.OnRequestSent(now);
+      ++requests;
+      if (aRow.response) {
+        responseAt = now + *aRow.response;
       }
     }
   }
-  return questions;
+  return requests;
 }
 
 } // namespace
@@ -64,6 +64,6 @@
 TEST(request_throttle, no_request_while_one_is_in_flight)
 {
   for (const auto& row : kRows) {
-    CHECK_EQUAL_TEXT(row.questions, QuestionsOf(row), row.name);
+    CHECK_EQUAL_TEXT(row.requests, RequestsOf(row), row.name);
   }
 }
--- a/test/currantshed/node/server_list.cpp
+++ b/test/currantshed/node/server_list.cpp
@@ -26,12 +26,12 @@
 };
 
 /// A change of one server's state.
-struct told
+struct state_change
 {
   std::string name;
-  listing_state standing;
+  listing_state state;
 
-  friend bool operator==(const told&, const told&) = default;
+  friend bool operator==(const state_change&, const state_change&) = default;
 };
 
 struct row
@@ -39,7 +39,7 @@
   const char* name;
   std::vector<listing> given;
   /// Changes that the last listing causes.
-  std::vector<told> expect;
+  std::vector<state_change> expect;
   /// Servers that are known after the last listing.
   std::vector<std::string> known;
 };
@@ -55,7 +55,7 @@
     { "a", "b" } },
   { "a server drains",
     { { 0ms, { "a", "b" } }, { 50ms, { "A", "b" } } },
-    { { "a", listing_state::kLeaving } },
+    { { "a", listing_state::kDraining } },
     { "A", "b" } },
   { "a draining server is missing and remains draining",
     { { 0ms, { "A", "b" } }, { 50ms, { "b" } } },
@@ -74,7 +74,7 @@
       { 50ms, { "b" } },
       { 4000ms, { "b" } },
       { 9000ms, { "A", "b" } } },
-    { { "a", listing_state::kLeaving } },
+    { { "a", listing_state::kDraining } },
     { "A", "b" } },
 };
 
@@ -111,27 +111,27 @@
 
 TEST_GROUP(server_list){};
 
-TEST(server_list, tells_what_becomes_of_servers)
+TEST(server_list, returns_state_changes)
 {
   for (const auto& row : kRows) {
     node::server_list list;
-    std::vector<told> heard;
+    std::vector<state_change> changes;
     for (const auto& listing : row.given) {
-      heard.clear();
-      for (const auto& one : list.Take(ServersOf(listing.names),
-                                       list_source::kWatch,
-                                       kStart + listing.at)) {
-        heard.push_back({ one.server.id, one.standing });
+      changes.clear();
+      for (const auto& one : list.Update(ServersOf(listing.names),
+                                         list_source::kWatch,
+                                         kStart + listing.at)) {
+        changes.push_back({ one.server.id, one.state });
       }
     }
-    CHECK_TEXT(heard == row.expect, row.name);
+    CHECK_TEXT(changes == row.expect, row.name);
     CHECK_TEXT(NamesOf(list.Servers()) == row.known, row.name);
   }
 }
 
 // A restarted server must not inherit the draining state of its earlier
 // incarnation, nor lose its own because of it.
-TEST(server_list, a_server_that_starts_again_begins_anew)
+TEST(server_list, a_restarted_server_inherits_nothing)
 {
   const auto listed = [](std::chrono::milliseconds aStart, bool aLeaves) {
     proxy::server one;
@@ -141,29 +141,29 @@
     return std::vector<proxy::server>{ one };
   };
   node::server_list list;
-  list.Take(listed(5000ms, true), list_source::kWatch, kStart);
-  list.Take({}, list_source::kWatch, kStart + 100ms);
-  auto news =
-    list.Take(listed(9000ms, false), list_source::kWatch, kStart + 1s);
-  CHECK(news.size() == 1 && news[0].standing == listing_state::kReady);
+  list.Update(listed(5000ms, true), list_source::kWatch, kStart);
+  list.Update({}, list_source::kWatch, kStart + 100ms);
+  auto changes =
+    list.Update(listed(9000ms, false), list_source::kWatch, kStart + 1s);
+  CHECK(changes.size() == 1 && changes[0].state == listing_state::kReady);
   CHECK(!list.Servers()[0].drainingSince);
   // The clock was set back before this restart.
-  news = list.Take(listed(7000ms, true), list_source::kWatch, kStart + 2s);
-  CHECK(news.size() == 1 && news[0].standing == listing_state::kLeaving);
+  changes = list.Update(listed(7000ms, true), list_source::kWatch, kStart + 2s);
+  CHECK(changes.size() == 1 && changes[0].state == listing_state::kDraining);
   CHECK(*list.Servers()[0].drainingSince == kStart + 2s);
-  news = list.Take(listed(8000ms, true), list_source::kWatch, kStart + 3s);
-  CHECK(news.size() == 1);
+  changes = list.Update(listed(8000ms, true), list_source::kWatch, kStart + 3s);
+  CHECK(changes.size() == 1);
   CHECK(*list.Servers()[0].drainingSince == kStart + 3s);
 }
 
-TEST(server_list, is_due_when_the_time_of_a_missing_server_is_up)
+TEST(server_list, is_due_at_the_end_of_the_grace_period)
 {
   node::server_list list;
-  list.Take(ServersOf({ "a", "b" }), list_source::kWatch, kStart);
-  list.Take(ServersOf({ "b" }), list_source::kWatch, kStart + 100ms);
+  list.Update(ServersOf({ "a", "b" }), list_source::kWatch, kStart);
+  list.Update(ServersOf({ "b" }), list_source::kWatch, kStart + 100ms);
   CHECK(!list.IsDue(kStart + 3099ms));
   CHECK(list.IsDue(kStart + 3100ms));
-  list.Take(ServersOf({ "b" }), list_source::kWatch, kStart + 3100ms);
+  list.Update(ServersOf({ "b" }), list_source::kWatch, kStart + 3100ms);
   CHECK(!list.IsDue(kStart + 9000ms));
 }
 
@@ -222,12 +222,12 @@
 
 } // namespace
 
-TEST(server_list, knows_how_long_a_server_may_have_been_leaving)
+TEST(server_list, knows_how_long_a_server_may_have_been_draining)
 {
   for (const auto& row : kAgeRows) {
     node::server_list list;
     for (const auto& step : row.given) {
-      list.Take(ServersOf(step.names), step.source, kStart + step.at);
+      list.Update(ServersOf(step.names), step.source, kStart + step.at);
     }
     const auto& servers = list.Servers();
     const auto found =
@@ -246,21 +246,21 @@
 
 namespace {
 
-struct copy_row
+struct restore_row
 {
   const char* name;
   std::vector<std::string> before;
   /// The list in the restored snapshot, and what the servers write again later.
-  std::vector<std::string> copy;
+  std::vector<std::string> restored;
   std::vector<std::string> again;
   /// Servers known with the restored list, 100 ms before the end of the grace
   /// period, and after it.
-  std::vector<std::string> withCopy;
+  std::vector<std::string> withRestored;
   std::vector<std::string> within;
   std::vector<std::string> after;
 };
 
-const copy_row kCopyRows[] = {
+const restore_row kRestoreRows[] = {
   { "a draining server writes its state again",
     { "A", "b" },
     { "a", "b" },
@@ -290,16 +290,16 @@
 // two seconds.
 TEST(server_list, an_older_snapshot_takes_back_no_state_of_a_server)
 {
-  for (const auto& row : kCopyRows) {
+  for (const auto& row : kRestoreRows) {
     node::server_list list;
-    list.Take(ServersOf(row.before), list_source::kWatch, kStart);
+    list.Update(ServersOf(row.before), list_source::kWatch, kStart);
     list.OnStoreRestored(kStart + 100ms);
-    list.Take(ServersOf(row.copy), list_source::kResync, kStart + 100ms);
-    CHECK_TEXT(NamesOf(list.Servers()) == row.withCopy, row.name);
-    list.Take(ServersOf(row.again), list_source::kWatch, kStart + 3000ms);
+    list.Update(ServersOf(row.restored), list_source::kResync, kStart + 100ms);
+    CHECK_TEXT(NamesOf(list.Servers()) == row.withRestored, row.name);
+    list.Update(ServersOf(row.again), list_source::kWatch, kStart + 3000ms);
     CHECK_TEXT(NamesOf(list.Servers()) == row.within, row.name);
     CHECK_TEXT(list.IsDue(kStart + 3100ms), row.name);
-    list.Take(ServersOf(row.again), list_source::kWatch, kStart + 3100ms);
+    list.Update(ServersOf(row.again), list_source::kWatch, kStart + 3100ms);
     CHECK_TEXT(NamesOf(list.Servers()) == row.after, row.name);
     CHECK_TEXT(!list.IsDue(kStart + 9000ms), row.name);
   }
--- a/test/currantshed/node/snapshot_chunks.cpp
+++ b/test/currantshed/node/snapshot_chunks.cpp
@@ -17,11 +17,11 @@
 namespace {
 
 const clock::time_point kStart{ 1h };
-constexpr std::size_t kLongest = 10;
+constexpr std::size_t kMaxBytes = 10;
 
 /// Contents that identify the revision of the snapshot.
 std::string
-CopyOf(std::uint64_t aRevision, std::size_t aLength)
+SnapshotOf(std::uint64_t aRevision, std::size_t aLength)
 {
   return std::string(aLength, static_cast<char>('a' + aRevision % 26));
 }
@@ -31,7 +31,7 @@
   enum class kind
   {
     /// The next chunk is requested and arrives.
-    kPart,
+    kChunk,
     /// The next chunk is requested and lost.
     kLost,
     /// A chunk arrives from another VM.
@@ -56,89 +56,89 @@
 };
 
 const row kRows[] = {
-  { "one chunk", 10, { { 0ms, kind::kPart } }, 1 },
+  { "one chunk", 10, { { 0ms, kind::kChunk } }, 1 },
   { "three chunks",
     25,
-    { { 0ms, kind::kPart }, { 1ms, kind::kPart }, { 2ms, kind::kPart } },
+    { { 0ms, kind::kChunk }, { 1ms, kind::kChunk }, { 2ms, kind::kChunk } },
     1 },
-  { "incomplete", 25, { { 0ms, kind::kPart }, { 1ms, kind::kPart } }, {} },
+  { "incomplete", 25, { { 0ms, kind::kChunk }, { 1ms, kind::kChunk } }, {} },
   { "the keys change during the transfer",
     25,
-    { { 0ms, kind::kPart },
+    { { 0ms, kind::kChunk },
       { 1ms, kind::kChange },
-      { 2ms, kind::kPart },
-      { 3ms, kind::kPart } },
+      { 2ms, kind::kChunk },
+      { 3ms, kind::kChunk } },
     1 },
   { "the snapshot is dropped during the transfer, and the newest one sent",
     25,
-    { { 0ms, kind::kPart },
+    { { 0ms, kind::kChunk },
       { 350ms, kind::kChange },
       { 360ms, kind::kChange },
-      { 370ms, kind::kPart },
-      { 380ms, kind::kPart },
-      { 390ms, kind::kPart } },
+      { 370ms, kind::kChunk },
+      { 380ms, kind::kChunk },
+      { 390ms, kind::kChunk } },
     1 },
   { "a lost chunk",
     25,
-    { { 0ms, kind::kPart }, { 1ms, kind::kLost }, { 500ms, kind::kPart } },
+    { { 0ms, kind::kChunk }, { 1ms, kind::kLost }, { 500ms, kind::kChunk } },
     {} },
   { "a chunk of another VM",
     25,
-    { { 0ms, kind::kPart },
+    { { 0ms, kind::kChunk },
       { 1ms, kind::kStray },
-      { 2ms, kind::kPart },
-      { 3ms, kind::kPart } },
+      { 2ms, kind::kChunk },
+      { 3ms, kind::kChunk } },
     1 },
   { "the whole transfer takes too long",
     45,
-    { { 0ms, kind::kPart },
-      { 350ms, kind::kPart },
-      { 700ms, kind::kPart },
-      { 1050ms, kind::kPart },
-      { 1250ms, kind::kPart } },
+    { { 0ms, kind::kChunk },
+      { 350ms, kind::kChunk },
+      { 700ms, kind::kChunk },
+      { 1050ms, kind::kChunk },
+      { 1250ms, kind::kChunk } },
     {} },
 };
 
 std::optional<std::string>
-Play(const row& aRow)
+Run(const row& aRow)
 {
-  snapshot_splitter cutter;
-  snapshot_assembler collector;
+  snapshot_splitter splitter;
+  snapshot_assembler assembler;
   std::uint64_t revision = 1;
-  CHECK(collector.Begin("feeder", kStart));
-  CHECK_FALSE(collector.Begin("another", kStart));
-  std::optional<std::string> whole;
+  CHECK(assembler.Begin("feeder", kStart));
+  CHECK_FALSE(assembler.Begin("another", kStart));
+  std::optional<std::string> snapshot;
   for (const auto& one : aRow.given) {
     const auto now = kStart + one.at;
     if (one.what == kind::kChange) {
       ++revision;
       continue;
     }
-    const auto part =
-      cutter.GetChunk(collector.Wanted(), kLongest, { 0, revision }, now, [&] {
-        return CopyOf(revision, aRow.length);
+    const auto chunk = splitter.GetChunk(
+      assembler.NextRequest(), kMaxBytes, { 0, revision }, now, [&] {
+        return SnapshotOf(revision, aRow.length);
       });
-    CHECK(part.content.size() <= kLongest);
+    CHECK(chunk.data.size() <= kMaxBytes);
     if (one.what != kind::kLost) {
       const auto* from = one.what == kind::kStray ? "another" : "feeder";
-      const auto made = collector.Take(from, part, now);
-      whole = made ? made : whole;
+      const auto made = assembler.AddChunk(from, chunk, now);
+      snapshot = made ? made : snapshot;
     }
   }
-  return whole;
+  return snapshot;
 }
 
 } // namespace
 
 TEST_GROUP(snapshot_chunks){};
 
-TEST(snapshot_chunks, are_put_together)
+TEST(snapshot_chunks, are_assembled)
 {
   for (const auto& row : kRows) {
-    const auto whole = Play(row);
-    CHECK_TEXT(whole.has_value() == row.taken.has_value(), row.name);
-    if (whole) {
-      CHECK_TEXT(*whole == CopyOf(*row.taken, row.length), row.name);
+    const auto snapshot = Run(row);
+    CHECK_TEXT(snapshot.has_value() == row.taken.has_value(), row.name);
+    if (snapshot) {
+      CHECK_TEXT(*snapshot == SnapshotOf(*row.taken, row.length), row.name);
     }
   }
 }
@@ -149,40 +149,40 @@
 TEST(snapshot_chunks, one_snapshot_serves_all_that_ask)
 {
   for (const std::size_t vms : { 50, 100, 200 }) {
-    snapshot_splitter cutter;
-    std::vector<snapshot_assembler> collectors(vms);
+    snapshot_splitter splitter;
+    std::vector<snapshot_assembler> assemblers(vms);
     std::size_t taken = 0;
-    for (auto& one : collectors) {
+    for (auto& one : assemblers) {
       (void)one.Begin("feeder", kStart);
     }
-    for (std::size_t part = 0; part < 3; ++part) {
-      for (auto& one : collectors) {
-        const auto sent =
-          cutter.GetChunk(one.Wanted(), kLongest, { 0, 1 + part }, kStart, [] {
-            return CopyOf(1, 25);
+    for (std::size_t chunk = 0; chunk < 3; ++chunk) {
+      for (auto& one : assemblers) {
+        const auto sent = splitter.GetChunk(
+          one.NextRequest(), kMaxBytes, { 0, 1 + chunk }, kStart, [] {
+            return SnapshotOf(1, 25);
           });
-        taken += one.Take("feeder", sent, kStart) ? 1 : 0;
+        taken += one.AddChunk("feeder", sent, kStart) ? 1 : 0;
       }
     }
     CHECK_EQUAL(vms, taken);
-    CHECK_EQUAL(1, cutter.SnapshotsMade());
+    CHECK_EQUAL(1, splitter.SnapshotsMade());
   }
 }
 
 TEST(snapshot_chunks, what_a_snapshot_lacks_is_in_the_next_one)
 {
-  snapshot_splitter cutter;
-  const auto cut = [&](std::uint64_t aRevision, clock::time_point aAt) {
-    return cutter
+  snapshot_splitter splitter;
+  const auto split = [&](std::uint64_t aRevision, clock::time_point aAt) {
+    return splitter
       .GetChunk({},
-                kLongest,
+                kMaxBytes,
                 { 0, aRevision },
                 aAt,
-                [=] { return CopyOf(aRevision, 5); })
-      .of.number;
+                [=] { return SnapshotOf(aRevision, 5); })
+      .revision.number;
   };
-  CHECK_EQUAL(1, cut(1, kStart));
-  CHECK_EQUAL(1, cut(2, kStart + 100ms));
-  CHECK_EQUAL(2, cut(2, kStart + 300ms));
-  CHECK_EQUAL(2, cut(2, kStart + 10s));
+  CHECK_EQUAL(1, split(1, kStart));
+  CHECK_EQUAL(1, split(2, kStart + 100ms));
+  CHECK_EQUAL(2, split(2, kStart + 300ms));
+  CHECK_EQUAL(2, split(2, kStart + 10s));
 }
--- a/test/currantshed/node/subscribers.cpp
+++ b/test/currantshed/node/subscribers.cpp
@@ -23,7 +23,7 @@
   return text;
 }
 
-struct question
+struct poll
 {
   std::chrono::milliseconds at;
   std::vector<std::string> groups;
@@ -31,19 +31,19 @@
   std::string added;
 };
 
-struct question_row
+struct poll_row
 {
   const char* name;
-  std::vector<question> questions;
+  std::vector<poll> polls;
   /// Time of the check, and whether the VM is subscribed then at all, to "a"
   /// and to "b".
-  std::chrono::milliseconds lookAt;
+  std::chrono::milliseconds checkAt;
   bool isLeft;
   bool wantsA;
   bool wantsB;
 };
 
-const question_row kQuestions[] = {
+const poll_row kPolls[] = {
   { "no groups", { { 0ms, {}, "" } }, 10ms, true, false, false },
   { "one group", { { 0ms, { "a" }, "a " } }, 10ms, true, true, false },
   { "an additional group",
@@ -73,37 +73,40 @@
 
 TEST_GROUP(subscribers){};
 
-TEST(subscribers, are_told_what_they_ask_for)
+TEST(subscribers, subscribe_to_the_groups_that_they_name)
 {
-  for (const auto& row : kQuestions) {
-    node::subscribers box;
-    CHECK_TEXT(box.Empty(), row.name);
-    for (const auto& one : row.questions) {
-      const auto added = box.Asked("v", one.groups, kStart + one.at);
+  for (const auto& row : kPolls) {
+    node::subscribers subscribers;
+    CHECK_TEXT(subscribers.Empty(), row.name);
+    for (const auto& one : row.polls) {
+      const auto added =
+        subscribers.Subscribe("v", one.groups, kStart + one.at);
       STRCMP_EQUAL_TEXT(one.added.c_str(), Joined(added).c_str(), row.name);
     }
-    box.RemoveExpired(kStart + row.lookAt);
-    CHECK_EQUAL_TEXT(row.isLeft, box.Contains("v"), row.name);
-    CHECK_EQUAL_TEXT(row.isLeft, !box.Empty(), row.name);
+    subscribers.RemoveExpired(kStart + row.checkAt);
+    CHECK_EQUAL_TEXT(row.isLeft, subscribers.Contains("v"), row.name);
+    CHECK_EQUAL_TEXT(row.isLeft, !subscribers.Empty(), row.name);
     STRCMP_EQUAL_TEXT(
-      row.isLeft ? "v " : "", Joined(box.All()).c_str(), row.name);
-    CHECK_EQUAL_TEXT(row.wantsA, box.GroupsOf("v").contains("a"), row.name);
-    CHECK_EQUAL_TEXT(row.wantsB, box.GroupsOf("v").contains("b"), row.name);
-    CHECK_FALSE_TEXT(box.GroupsOf("w").contains("a"), row.name);
+      row.isLeft ? "v " : "", Joined(subscribers.All()).c_str(), row.name);
+    CHECK_EQUAL_TEXT(
+      row.wantsA, subscribers.GroupsOf("v").contains("a"), row.name);
+    CHECK_EQUAL_TEXT(
+      row.wantsB, subscribers.GroupsOf("v").contains("b"), row.name);
+    CHECK_FALSE_TEXT(subscribers.GroupsOf("w").contains("a"), row.name);
   }
 }
 
 TEST(subscribers, groups_count_as_used_for_a_while)
 {
-  node::groups_in_use box;
-  STRCMP_EQUAL("", Joined(box.All(kStart)).c_str());
-  box.MarkUsed("a", kStart);
-  box.MarkUsed("b", kStart + 2s);
-  box.MarkUsed("b", kStart + 1s);
-  STRCMP_EQUAL("a b ", Joined(box.All(kStart + 3s)).c_str());
-  CHECK(box.Contains("a", kStart + 3s));
-  STRCMP_EQUAL("b ", Joined(box.All(kStart + 3001ms)).c_str());
-  CHECK_FALSE(box.Contains("a", kStart + 3001ms));
-  CHECK(box.Contains("b", kStart + 5s));
-  CHECK_FALSE(box.Contains("b", kStart + 5001ms));
+  node::groups_in_use subscribers;
+  STRCMP_EQUAL("", Joined(subscribers.All(kStart)).c_str());
+  subscribers.MarkUsed("a", kStart);
+  subscribers.MarkUsed("b", kStart + 2s);
+  subscribers.MarkUsed("b", kStart + 1s);
+  STRCMP_EQUAL("a b ", Joined(subscribers.All(kStart + 3s)).c_str());
+  CHECK(subscribers.Contains("a", kStart + 3s));
+  STRCMP_EQUAL("b ", Joined(subscribers.All(kStart + 3001ms)).c_str());
+  CHECK_FALSE(subscribers.Contains("a", kStart + 3001ms));
+  CHECK(subscribers.Contains("b", kStart + 5s));
+  CHECK_FALSE(subscribers.Contains("b", kStart + 5001ms));
 }
--- a/test/currantshed/node/token_client.cpp
+++ b/test/currantshed/node/token_client.cpp
@@ -15,22 +15,22 @@
 constexpr clock::time_point kStart{ 1h };
 
 node::token_client
-Desk()
+MakeClient()
 {
   node::token_client made;
   made.SetCoordinators({ "own-1", "own-2" }, { { "far-1" }, { "far-2" } });
   return made;
 }
 
-const std::size_t kBakers = customer::PartitionOf("baker");
+const std::size_t kBakersPartition = customer::PartitionOf("baker");
 
 /// Maps the roles "own-1" and "own-2" to the names of the coordinators in the
 /// order in which they are asked for the baker's tokens. The order depends on
 /// hashes of the names.
 std::string
-Named(const std::string& aRole)
+CoordinatorName(const std::string& aRole)
 {
-  const auto first = Desk().CoordinatorOf(kBakers, kStart);
+  const auto first = MakeClient().CoordinatorOf(kBakersPartition, kStart);
   const std::string second = first == "own-1" ? "own-2" : "own-1";
   return aRole == "own-1" ? first : aRole == "own-2" ? second : aRole;
 }
@@ -39,12 +39,12 @@
 struct reply
 {
   const char* vm;
-  bool isSilent = false;
+  bool isUnresponsive = false;
   unsigned count = 0;
   std::chrono::milliseconds retryAfter{ 0 };
 };
 
-struct desk_row
+struct client_row
 {
   const char* name;
   unsigned wanted;
@@ -54,7 +54,7 @@
   std::chrono::milliseconds retryAfter;
 };
 
-const desk_row kRows[] = {
+const client_row kRows[] = {
   { "the coordinator of the own failure domain has tokens",
     1,
     { { "own-1", false, 1 } },
@@ -96,26 +96,27 @@
 TEST(token_client, Coordinators_are_asked_in_turn)
 {
   for (const auto& row : kRows) {
-    auto desk = Desk();
+    auto client = MakeClient();
     auto now = kStart;
-    desk.Request("baker", row.wanted, now);
+    client.Request("baker", row.wanted, now);
     for (const auto& one : row.replies) {
-      const auto asks = desk.TakeRequests();
-      LONGS_EQUAL_TEXT(1, asks.size(), row.name);
+      const auto requests = client.TakeRequests();
+      LONGS_EQUAL_TEXT(1, requests.size(), row.name);
       STRCMP_EQUAL_TEXT(
-        Named(one.vm).c_str(), asks.front().vm.c_str(), row.name);
-      if (one.isSilent) {
-        now = desk.NextTick();
-        desk.Tick(now);
+        CoordinatorName(one.vm).c_str(), requests.front().vm.c_str(), row.name);
+      if (one.isUnresponsive) {
+        now = client.NextTick();
+        client.Tick(now);
       } else {
         now += 2ms;
-        desk.OnResponse(asks.front().number, one.count, one.retryAfter, now);
+        client.OnResponse(
+          requests.front().number, one.count, one.retryAfter, now);
       }
     }
-    CHECK_TEXT(desk.TakeRequests().empty(), row.name);
+    CHECK_TEXT(client.TakeRequests().empty(), row.name);
     unsigned granted = 0;
     unsigned refused = 0;
-    for (const auto& one : desk.TakeResults()) {
+    for (const auto& one : client.TakeResults()) {
       granted += one.granted;
       refused += one.refused;
       CHECK_TEXT(one.refused == 0 || one.retryAfter == row.retryAfter,
@@ -126,47 +127,47 @@
   }
 }
 
-TEST(token_client, An_answer_counts_once)
+TEST(token_client, A_response_counts_once)
 {
-  auto desk = Desk();
-  desk.Request("baker", 1, kStart);
-  const auto number = desk.TakeRequests().front().number;
-  desk.OnResponse(number, 1, 0ms, kStart + 2ms);
-  desk.OnResponse(number, 1, 0ms, kStart + 3ms);
-  LONGS_EQUAL(1, desk.TakeResults().size());
+  auto client = MakeClient();
+  client.Request("baker", 1, kStart);
+  const auto number = client.TakeRequests().front().number;
+  client.OnResponse(number, 1, 0ms, kStart + 2ms);
+  client.OnResponse(number, 1, 0ms, kStart + 3ms);
+  LONGS_EQUAL(1, client.TakeResults().size());
 }
 
 // The coordinator has deducted the tokens before its late response.
-TEST(token_client, A_late_answer_counts_for_a_moment)
+TEST(token_client, A_late_response_counts_for_a_while)
 {
   for (const bool isLost : { false, true }) {
-    auto desk = Desk();
-    desk.Request("baker", 1, kStart);
-    const auto number = desk.TakeRequests().front().number;
-    desk.Tick(kStart + 100ms);
-    LONGS_EQUAL(1, desk.TakeRequests().size());
+    auto client = MakeClient();
+    client.Request("baker", 1, kStart);
+    const auto number = client.TakeRequests().front().number;
+    client.Tick(kStart + 100ms);
+    LONGS_EQUAL(1, client.TakeRequests().size());
     if (isLost) {
-      desk.Tick(kStart + 600ms);
-      (void)desk.TakeResults();
+      client.Tick(kStart + 600ms);
+      (void)client.TakeResults();
     }
-    desk.OnResponse(number, 1, 0ms, kStart + 600ms);
-    LONGS_EQUAL(isLost ? 0 : 1, desk.TakeResults().size());
+    client.OnResponse(number, 1, 0ms, kStart + 600ms);
+    LONGS_EQUAL(isLost ? 0 : 1, client.TakeResults().size());
   }
 }
 
-TEST(token_client, Shares_go_to_one_that_speaks)
+TEST(token_client, Shares_go_to_a_responsive_coordinator)
 {
-  auto desk = Desk();
-  STRCMP_EQUAL(Named("own-1").c_str(),
-               desk.CoordinatorOf(kBakers, kStart).c_str());
-  desk.Request("baker", 1, kStart);
-  desk.Tick(kStart + 100ms);
-  STRCMP_EQUAL(Named("own-2").c_str(),
-               desk.CoordinatorOf(kBakers, kStart + 100ms).c_str());
-  STRCMP_EQUAL(Named("own-1").c_str(),
-               desk.CoordinatorOf(kBakers, kStart + 500ms).c_str());
-  desk.SetCoordinators({}, {});
-  STRCMP_EQUAL("", desk.CoordinatorOf(kBakers, kStart).c_str());
+  auto client = MakeClient();
+  STRCMP_EQUAL(CoordinatorName("own-1").c_str(),
+               client.CoordinatorOf(kBakersPartition, kStart).c_str());
+  client.Request("baker", 1, kStart);
+  client.Tick(kStart + 100ms);
+  STRCMP_EQUAL(CoordinatorName("own-2").c_str(),
+               client.CoordinatorOf(kBakersPartition, kStart + 100ms).c_str());
+  STRCMP_EQUAL(CoordinatorName("own-1").c_str(),
+               client.CoordinatorOf(kBakersPartition, kStart + 500ms).c_str());
+  client.SetCoordinators({}, {});
+  STRCMP_EQUAL("", client.CoordinatorOf(kBakersPartition, kStart).c_str());
 }
 
 // Every VM must find the same coordinator for a partition, and all coordinators
@@ -177,55 +178,56 @@
   node::token_client other;
   one.SetCoordinators({ "own-1", "own-2", "own-3" }, { { "far" } });
   other.SetCoordinators({ "near" }, { { "own-3", "own-1", "own-2" } });
-  std::map<std::string, int> parts;
-  for (std::size_t part = 0; part < customer::kPartitions; ++part) {
-    const auto collector = one.CoordinatorOf(part, kStart);
-    ++parts[collector];
-    STRCMP_EQUAL("near", other.CoordinatorOf(part, kStart).c_str());
+  std::map<std::string, int> partitionCounts;
+  for (std::size_t partition = 0; partition < customer::kPartitions;
+       ++partition) {
+    const auto coordinator = one.CoordinatorOf(partition, kStart);
+    ++partitionCounts[coordinator];
+    STRCMP_EQUAL("near", other.CoordinatorOf(partition, kStart).c_str());
   }
-  LONGS_EQUAL(3, parts.size());
+  LONGS_EQUAL(3, partitionCounts.size());
   // A VM without coordinators in its own failure domain asks the one that
   // coordinates the partition elsewhere.
   other.Request("baker", 1, kStart);
   other.OnResponse(other.TakeRequests().front().number, 0, 100ms, kStart);
-  STRCMP_EQUAL(one.CoordinatorOf(kBakers, kStart).c_str(),
+  STRCMP_EQUAL(one.CoordinatorOf(kBakersPartition, kStart).c_str(),
                other.TakeRequests().front().vm.c_str());
 }
 
 // A VM that has just started knows no coordinator yet: its operations wait.
 TEST(token_client, Operations_wait_until_a_coordinator_is_known)
 {
-  node::token_client desk;
-  desk.Request("baker", 1, kStart);
-  desk.Request("smith", 1, kStart + 400ms);
-  CHECK(desk.TakeRequests().empty());
-  CHECK(desk.TakeResults().empty());
+  node::token_client client;
+  client.Request("baker", 1, kStart);
+  client.Request("smith", 1, kStart + 400ms);
+  CHECK(client.TakeRequests().empty());
+  CHECK(client.TakeResults().empty());
   // The first operation has timed out by now.
-  desk.Tick(kStart + 500ms);
-  desk.SetCoordinators({ "own-1" }, {});
-  const auto asks = desk.TakeRequests();
-  LONGS_EQUAL(1, asks.size());
-  STRCMP_EQUAL("smith", asks.front().customer.c_str());
+  client.Tick(kStart + 500ms);
+  client.SetCoordinators({ "own-1" }, {});
+  const auto requests = client.TakeRequests();
+  LONGS_EQUAL(1, requests.size());
+  STRCMP_EQUAL("smith", requests.front().customer.c_str());
 }
 
 // While the tokens of a customer are used up at all coordinators, none is asked
 // again.
 TEST(token_client, A_customer_without_tokens_is_refused_at_once)
 {
-  auto desk = Desk();
-  desk.Request("baker", 1, kStart);
-  for (auto asks = desk.TakeRequests(); !asks.empty();
-       asks = desk.TakeRequests()) {
-    desk.OnResponse(asks.front().number, 0, 400ms, kStart);
+  auto client = MakeClient();
+  client.Request("baker", 1, kStart);
+  for (auto requests = client.TakeRequests(); !requests.empty();
+       requests = client.TakeRequests()) {
+    client.OnResponse(requests.front().number, 0, 400ms, kStart);
   }
-  LONGS_EQUAL(1, desk.TakeResults().size());
-  desk.Request("baker", 2, kStart + 50ms);
-  CHECK(desk.TakeRequests().empty());
-  const auto told = desk.TakeResults();
-  LONGS_EQUAL(2, told.front().refused);
-  CHECK(told.front().retryAfter == 350ms);
-  desk.Request("smith", 1, kStart + 50ms);
-  LONGS_EQUAL(1, desk.TakeRequests().size());
-  desk.Request("baker", 1, kStart + 100ms);
-  LONGS_EQUAL(1, desk.TakeRequests().size());
+  LONGS_EQUAL(1, client.TakeResults().size());
+  client.Request("baker", 2, kStart + 50ms);
+  CHECK(client.TakeRequests().empty());
+  const auto results = client.TakeResults();
+  LONGS_EQUAL(2, results.front().refused);
+  CHECK(results.front().retryAfter == 350ms);
+  client.Request("smith", 1, kStart + 50ms);
+  LONGS_EQUAL(1, client.TakeRequests().size());
+  client.Request("baker", 1, kStart + 100ms);
+  LONGS_EQUAL(1, client.TakeRequests().size());
 }
--- a/test/currantshed/node/vm_membership.cpp
+++ b/test/currantshed/node/vm_membership.cpp
@@ -40,8 +40,8 @@
   std::vector<step> given;
   std::chrono::milliseconds when;
   /// Expected result of Reachable and of MayUseConfirmation.
-  std::vector<std::string> told;
-  std::vector<std::string> mayRest;
+  std::vector<std::string> reachable;
+  std::vector<std::string> mayUse;
 };
 
 const row kRows[] = {
@@ -102,7 +102,7 @@
      reaches_vms_heard_recently_and_counts_those_that_may_use_a_confirmation)
 {
   for (const auto& row : kRows) {
-    vm_membership known("self");
+    vm_membership membership("self");
     for (const auto& step : row.given) {
       if (step.kind == step_kind::kListed) {
         std::vector<news::peer> listed;
@@ -110,14 +110,14 @@
         for (const auto& name : step.vms) {
           listed.push_back(Peer(name));
         }
-        known.Listed(listed, kStart + step.at);
+        membership.SetListed(listed, kStart + step.at);
       } else {
-        known.OnMessage(step.vms.front(), kStart + step.at);
+        membership.OnMessage(step.vms.front(), kStart + step.at);
       }
     }
     const auto now = kStart + row.when;
-    CHECK_TEXT(Names(known.Reachable(now)) == row.told, row.name);
-    CHECK_TEXT(known.MayUseConfirmation(now) == row.mayRest, row.name);
+    CHECK_TEXT(Names(membership.Reachable(now)) == row.reachable, row.name);
+    CHECK_TEXT(membership.MayUseConfirmation(now) == row.mayUse, row.name);
   }
 }
 
@@ -126,12 +126,12 @@
 TEST(vm_membership,
      only_vms_that_sent_reach_updates_directly_expect_watch_updates)
 {
-  vm_membership known("self");
-  known.Listed({ Peer("a"), Peer("b") }, kStart);
-  known.OnMessage("a", kStart);
-  known.OnMessage("b", kStart);
-  known.OnDirectReachUpdate("b", kStart);
-  CHECK_FALSE(known.SendsDirectReachUpdates("a", kStart + 1s));
-  CHECK(known.SendsDirectReachUpdates("b", kStart + 1s));
-  CHECK_FALSE(known.SendsDirectReachUpdates("b", kStart + 4500ms));
+  vm_membership membership("self");
+  membership.SetListed({ Peer("a"), Peer("b") }, kStart);
+  membership.OnMessage("a", kStart);
+  membership.OnMessage("b", kStart);
+  membership.OnDirectReachUpdate("b", kStart);
+  CHECK_FALSE(membership.SendsDirectReachUpdates("a", kStart + 1s));
+  CHECK(membership.SendsDirectReachUpdates("b", kStart + 1s));
+  CHECK_FALSE(membership.SendsDirectReachUpdates("b", kStart + 4500ms));
 }
