--- a/src/currantshed/node/cluster_state.cpp
+++ b/src/currantshed/node/cluster_state.cpp
@@ -93,10 +93,10 @@
 // Whether the holder is listed in the incarnation that acquired the lock and is
 // not draining.
 bool
-IsHeld(const cluster_state& aKeys, const failover_lock& aLock)
+IsHeld(const cluster_state& aState, const failover_lock& aLock)
 {
-  const auto holder = aKeys.vms.find(aLock.holder);
-  return holder != aKeys.vms.end() &&
+  const auto holder = aState.vms.find(aLock.holder);
+  return holder != aState.vms.end() &&
          holder->second.record.incarnation == aLock.incarnation &&
          !holder->second.record.draining;
 }
@@ -104,17 +104,17 @@
 // The following functions apply one key. Null stands for a removed key, and a
 // value that cannot be parsed counts as removed.
 void
-ApplyVmKey(cluster_state& aKeys,
+ApplyVmKey(cluster_state& aState,
            const std::string& aName,
            const store::item* aItem,
            cluster_changes& aChanges)
 {
   auto record = aItem == nullptr ? std::nullopt : ParseVm(*aItem);
-  const auto before = aKeys.vms.find(aName);
-  const bool wasThere = before != aKeys.vms.end();
+  const auto before = aState.vms.find(aName);
+  const bool wasThere = before != aState.vms.end();
   if (!record || record->where.vm != aName) {
     if (wasThere) {
-      aKeys.vms.erase(before);
+      aState.vms.erase(before);
       aChanges.vms.push_back(aName);
     }
     return;
@@ -123,11 +123,11 @@
   if (!wasThere || before->second.record != *record) {
     aChanges.vms.push_back(aName);
   }
-  aKeys.vms[aName] = { std::move(*record), aItem->changed };
+  aState.vms[aName] = { std::move(*record), aItem->changed };
 }
 
 void
-ApplyLockKey(cluster_state& aKeys,
+ApplyLockKey(cluster_state& aState,
              const std::string& aService,
              const store::item* aItem,
              cluster_changes& aChanges)
@@ -135,35 +135,35 @@
   auto record = aItem == nullptr ? std::nullopt : ParseFailoverLock(*aItem);
   aChanges.locks.push_back(aService);
   if (record) {
-    aKeys.locks[aService] = { std::move(*record), aItem->changed };
+    aState.locks[aService] = { std::move(*record), aItem->changed };
   } else {
-    aKeys.locks.erase(aService);
+    aState.locks.erase(aService);
   }
 }
 
 void
-ApplyFleetKey(cluster_state& aKeys,
+ApplyFleetKey(cluster_state& aState,
               const store::item* aItem,
               cluster_changes& aChanges)
 {
   auto fleet = aItem == nullptr ? std::nullopt : ParseFleet(*aItem);
-  aKeys.fleet = fleet ? std::move(*fleet) : std::vector<vm_record>{};
-  aKeys.fleetChanged = aItem == nullptr ? store::revision{} : aItem->changed;
+  aState.fleet = fleet ? std::move(*fleet) : std::vector<vm_record>{};
+  aState.fleetChanged = aItem == nullptr ? store::revision{} : aItem->changed;
   aChanges.isFleetRecorded = true;
 }
 
 void
-ApplyKey(cluster_state& aKeys,
+ApplyKey(cluster_state& aState,
          const std::string& aKey,
          const store::item* aItem,
          cluster_changes& aChanges)
 {
   if (StartsWith(aKey, kVmPrefix)) {
-    ApplyVmKey(aKeys, aKey.substr(kVmPrefix.size()), aItem, aChanges);
+    ApplyVmKey(aState, aKey.substr(kVmPrefix.size()), aItem, aChanges);
   } else if (StartsWith(aKey, kLockPrefix)) {
-    ApplyLockKey(aKeys, aKey.substr(kLockPrefix.size()), aItem, aChanges);
+    ApplyLockKey(aState, aKey.substr(kLockPrefix.size()), aItem, aChanges);
   } else if (aKey == kFleetKey) {
-    ApplyFleetKey(aKeys, aItem, aChanges);
+    ApplyFleetKey(aState, aItem, aChanges);
   }
 }
 
@@ -299,82 +299,82 @@
 }
 
 cluster_changes
-UpdateClusterState(cluster_state& aKeys,
+UpdateClusterState(cluster_state& aState,
                    const store::prefix_view::items& aItems,
                    const store::changed_keys& aChanged)
 {
   cluster_changes changes;
   if (aChanged.isAll) {
-    aKeys = ReadClusterState(aItems);
+    aState = ReadClusterState(aItems);
     changes.isAll = true;
     return changes;
   }
   for (const auto& key : aChanged.keys) {
     const auto found = aItems.find(key);
     ApplyKey(
-      aKeys, key, found == aItems.end() ? nullptr : &found->second, changes);
+      aState, key, found == aItems.end() ? nullptr : &found->second, changes);
   }
   return changes;
 }
 
 void
-ReloadFleet(cluster_state& aKeys, const store::prefix_view::items& aItems)
+ReloadFleet(cluster_state& aState, const store::prefix_view::items& aItems)
 {
   const auto found = aItems.find(FleetKey());
   cluster_changes ignoredChanges;
-  ApplyKey(aKeys,
+  ApplyKey(aState,
            FleetKey(),
            found == aItems.end() ? nullptr : &found->second,
            ignoredChanges);
 }
 
 void
-MergeIntoFleet(cluster_state& aKeys, const std::vector<vm_record>& aVms)
+MergeIntoFleet(cluster_state& aState, const std::vector<vm_record>& aVms)
 {
   absl::btree_map<std::string, vm_record> byName;
-  for (const auto* vms : { &std::as_const(aKeys.fleet), &aVms }) {
+  for (const auto* vms : { &std::as_const(aState.fleet), &aVms }) {
     for (const auto& one : *vms) {
       byName.try_emplace(one.where.vm, one);
     }
   }
-  aKeys.fleet.clear();
+  aState.fleet.clear();
   for (auto& [name, one] : byName) {
-    aKeys.fleet.push_back(std::move(one));
+    aState.fleet.push_back(std::move(one));
   }
 }
 
 bool
-IsLockHeld(const cluster_state& aKeys, const std::string& aService)
+IsLockHeld(const cluster_state& aState, const std::string& aService)
 {
-  const auto lock = aKeys.locks.find(aService);
-  return lock != aKeys.locks.end() && IsHeld(aKeys, lock->second.record);
+  const auto lock = aState.locks.find(aService);
+  return lock != aState.locks.end() && IsHeld(aState, lock->second.record);
 }
 
 store::transaction
-MakeLockClaim(const cluster_state& aKeys,
+MakeLockClaim(const cluster_state& aState,
               const std::string& aService,
               const vm_record& aSelf,
               store::revision aSeen,
               position::term_id aReplaced)
 {
   const auto key = FailoverLockKey(aService);
-  const auto before = aKeys.locks.find(aService);
+  const auto before = aState.locks.find(aService);
   const store::revision none{ aSeen.era };
   failover_lock claimed{
     aSelf.where.vm, aSelf.incarnation, EpochOf(aSeen), aReplaced
   };
   store::transaction claim;
-  if (before == aKeys.locks.end()) {
+  if (before == aState.locks.end()) {
     claim.conditions.push_back({ key, none });
   } else {
     const auto& old = before->second.record;
-    const auto holder = aKeys.vms.find(old.holder);
+    const auto holder = aState.vms.find(old.holder);
     claimed.epoch = std::max(claimed.epoch, old.epoch + 1);
     claimed.replacedTerm = std::max(aReplaced, old.replacedTerm);
     claim.conditions.push_back({ key, before->second.changed });
     claim.conditions.push_back(
       { VmKey(old.holder),
-        holder == aKeys.vms.end() ? none : holder->second.changed });
+        holder == aState.vms.end() ? none : holder->second.changed });
   }
   claim.puts.push_back({ key, SerializeFailoverLock(claimed), {}, {} });
   return claim;
--- a/src/currantshed/node/cluster_state.hpp
+++ b/src/currantshed/node/cluster_state.hpp
@@ -126,22 +126,22 @@
 /// Parses only the keys that changed, so that the cost is proportional to the
 /// change. The resulting state equals that of ReadClusterState.
 [[nodiscard]] cluster_changes
-UpdateClusterState(cluster_state& aKeys,
+UpdateClusterState(cluster_state& aState,
                    const store::prefix_view::items& aItems,
                    const store::changed_keys& aChanged);
 
 /// Parses the fleet record again.
 void
-ReloadFleet(cluster_state& aKeys, const store::prefix_view::items& aItems);
+ReloadFleet(cluster_state& aState, const store::prefix_view::items& aItems);
 
 /// Adds VMs that the fleet record lacks.
 void
-MergeIntoFleet(cluster_state& aKeys, const std::vector<vm_record>& aVms);
+MergeIntoFleet(cluster_state& aState, const std::vector<vm_record>& aVms);
 
 /// Whether the lock's holder is listed in the same incarnation and is not
 /// draining.
 [[nodiscard]] bool
-IsLockHeld(const cluster_state& aKeys, const std::string& aService);
+IsLockHeld(const cluster_state& aState, const std::string& aService);
 
 /// Builds the transaction that acquires the lock. It fails if the lock's record
 /// or its holder's record has changed since. The epoch exceeds all earlier
@@ -149,7 +149,7 @@
 /// derived from the store's revision and era, which never decrease. The
 /// replaced term is the newest that the record or this VM knows.
 [[nodiscard]] store::transaction
-MakeLockClaim(const cluster_state& aKeys,
+MakeLockClaim(const cluster_state& aState,
               const std::string& aService,
               const vm_record& aSelf,
               store::revision aSeen,
--- a/src/currantshed/node/control_quota.cpp
+++ b/src/currantshed/node/control_quota.cpp
@@ -37,22 +37,22 @@
   if (mCustomers == nullptr) {
     return;
   }
-  const auto keys = StateWithRecordedVms();
+  const auto state = StateWithRecordedVms();
   std::set<std::string> domains;
   for (const auto& one : mClusterState.fleet) {
     domains.insert(one.failureDomain);
   }
-  for (const auto& [name, one] : keys.vms) {
+  for (const auto& [name, one] : state.vms) {
     domains.insert(one.record.failureDomain);
   }
   mTokenBuckets.SetCoordinatorCount(std::max<std::size_t>(domains.size(), 1));
   std::vector<std::vector<std::string>> others;
   for (const auto& domain : domains) {
     if (domain != mSelf.failureDomain) {
-      others.push_back(QuotaCoordinators(keys, domain));
+      others.push_back(QuotaCoordinators(state, domain));
     }
   }
-  mTokenClient.SetCoordinators(QuotaCoordinators(keys, mSelf.failureDomain),
+  mTokenClient.SetCoordinators(QuotaCoordinators(state, mSelf.failureDomain),
                                others);
 }
 
@@ -61,13 +61,13 @@
 cluster_state
 control::StateWithRecordedVms() const
 {
-  auto keys = mClusterState;
+  auto state = mClusterState;
   if (!mIsSettled) {
     for (const auto& one : mClusterState.fleet) {
-      keys.vms.try_emplace(one.where.vm, cluster_state::stored_vm{ one, {} });
+      state.vms.try_emplace(one.where.vm, cluster_state::stored_vm{ one, {} });
     }
   }
-  return keys;
+  return state;
 }
 
 // Number of VMs that share the customers' rates. Recorded VMs count while they
@@ -170,7 +170,7 @@
     mTokenBuckets.AddShare(aMessage.vm(),
                            aMessage.incarnation(),
                            std::chrono::microseconds{ aMessage.sent_at_us() },
-                           one.partition(),
+                           one.part(),
                            customer::share{ one.seconds() });
   }
 }
--- a/src/currantshed/node/forwarders.cpp
+++ b/src/currantshed/node/forwarders.cpp
@@ -29,11 +29,11 @@
 } // namespace
 
 std::vector<std::string>
-SelectForwarders(const cluster_state& aKeys, const std::string& aFailureDomain)
+SelectForwarders(const cluster_state& aState, const std::string& aFailureDomain)
 {
   std::vector<store::vm> active;
   std::vector<unsigned> capacities;
-  for (const auto& [name, one] : aKeys.vms) {
+  for (const auto& [name, one] : aState.vms) {
     const auto& record = one.record;
     if (record.failureDomain == aFailureDomain && !record.draining) {
       store::vm vm;
--- a/src/currantshed/node/forwarders.hpp
+++ b/src/currantshed/node/forwarders.hpp
@@ -19,7 +19,8 @@
 /// all VMs that have the same list. Returns none if there are so few VMs that
 /// this would save next to nothing; each then follows the store itself.
 [[nodiscard]] std::vector<std::string>
-SelectForwarders(const cluster_state& aKeys, const std::string& aFailureDomain);
+SelectForwarders(const cluster_state& aState,
+                 const std::string& aFailureDomain);
 
 /// Maximum size, in bytes of keys and values, of an update that a forwarder
 /// sends. The link's bandwidth is in megabits per second.
--- a/src/currantshed/node/lock_assignments.cpp
+++ b/src/currantshed/node/lock_assignments.cpp
@@ -11,11 +11,11 @@
 namespace currantshed::node {
 
 absl::btree_set<std::string>
-LockCandidates(const cluster_state& aKeys)
+LockCandidates(const cluster_state& aState)
 {
   std::vector<proxy::vm_capacity> capacities;
-  capacities.reserve(aKeys.vms.size());
-  for (const auto& [name, one] : aKeys.vms) {
+  capacities.reserve(aState.vms.size());
+  for (const auto& [name, one] : aState.vms) {
     const auto& record = one.record;
     capacities.push_back(
       { record.failureDomain, record.cpuMillicores, record.draining });
@@ -23,7 +23,7 @@
   const auto delegates = proxy::SelectDelegates(capacities);
   absl::btree_set<std::string> candidates;
   std::size_t place = 0;
-  for (const auto& [name, one] : aKeys.vms) {
+  for (const auto& [name, one] : aState.vms) {
     if (delegates[place++]) {
       candidates.insert(candidates.end(), name);
     }
@@ -37,7 +37,7 @@
 }
 
 void
-lock_assignments::AddService(const cluster_state& aKeys,
+lock_assignments::AddService(const cluster_state& aState,
                              const std::string& aService)
 {
   const auto [place, isNew] = mGroups.try_emplace(aService);
@@ -46,11 +46,11 @@
   }
   mVacant.insert(aService);
   Choose(aService, place->second);
-  OnLockChanged(aKeys, aService);
+  OnLockChanged(aState, aService);
 }
 
 void
-lock_assignments::SetCandidates(const cluster_state& aKeys,
+lock_assignments::SetCandidates(const cluster_state& aState,
                                 absl::btree_set<std::string> aCandidates)
 {
   const auto before = std::exchange(mCandidates, std::move(aCandidates));
@@ -74,13 +74,13 @@
   }
   for (const auto* vms : { &added, &removed }) {
     for (const auto& vm : *vms) {
-      OnVmChanged(aKeys, vm);
+      OnVmChanged(aState, vm);
     }
   }
 }
 
 void
-lock_assignments::OnVmChanged(const cluster_state& aKeys,
+lock_assignments::OnVmChanged(const cluster_state& aState,
                               const std::string& aVm)
 {
   const auto held = mByHolder.find(aVm);
@@ -88,32 +88,32 @@
     return;
   }
   for (const auto& service : held->second) {
-    UpdateHeld(aKeys, service, mGroups.at(service));
+    UpdateHeld(aState, service, mGroups.at(service));
   }
 }
 
 void
-lock_assignments::OnLockChanged(const cluster_state& aKeys,
+lock_assignments::OnLockChanged(const cluster_state& aState,
                                 const std::string& aService)
 {
   const auto found = mGroups.find(aService);
   if (found == mGroups.end()) {
     return;
   }
-  const auto lock = aKeys.locks.find(aService);
+  const auto lock = aState.locks.find(aService);
   SetHolder(aService,
             found->second,
-            lock == aKeys.locks.end() ? std::string()
-                                      : lock->second.record.holder);
-  UpdateHeld(aKeys, aService, found->second);
+            lock == aState.locks.end() ? std::string()
+                                       : lock->second.record.holder);
+  UpdateHeld(aState, aService, found->second);
   MarkChanged(aService, found->second);
 }
 
 void
-lock_assignments::OnAllChanged(const cluster_state& aKeys)
+lock_assignments::OnAllChanged(const cluster_state& aState)
 {
   for (const auto& [service, one] : mGroups) {
-    OnLockChanged(aKeys, service);
+    OnLockChanged(aState, service);
   }
 }
 
@@ -197,12 +197,12 @@
 }
 
 void
-lock_assignments::UpdateHeld(const cluster_state& aKeys,
+lock_assignments::UpdateHeld(const cluster_state& aState,
                              const std::string& aService,
                              group& aGroup)
 {
   const bool isHeld =
-    mCandidates.contains(aGroup.holder) && IsLockHeld(aKeys, aService);
+    mCandidates.contains(aGroup.holder) && IsLockHeld(aState, aService);
   if (std::exchange(aGroup.isHeld, isHeld) == isHeld) {
     return;
   }
--- a/src/currantshed/node/lock_assignments.hpp
+++ b/src/currantshed/node/lock_assignments.hpp
@@ -18,7 +18,7 @@
 /// VMs keeps watch updates batched and connections to servers few, and lets all
 /// other VMs use leases that cost half as much to renew.
 [[nodiscard]] absl::btree_set<std::string>
-LockCandidates(const cluster_state& aKeys);
+LockCandidates(const cluster_state& aState);
 
 /// Tracks the holder of each group's failover lock and, for each lock that no
 /// candidate holds, the candidate that is to acquire it. All VMs agree on it by
@@ -31,20 +31,20 @@
   explicit lock_assignments(std::string aSelf);
 
   /// Starts to track the group. Has no effect if the group is known.
-  void AddService(const cluster_state& aKeys, const std::string& aService);
+  void AddService(const cluster_state& aState, const std::string& aService);
 
   /// Replaces the set of eligible VMs. Locks held by VMs outside the set are
   /// taken over.
-  void SetCandidates(const cluster_state& aKeys,
+  void SetCandidates(const cluster_state& aState,
                      absl::btree_set<std::string> aCandidates);
 
   /// To be called after the record of the VM or of the lock was changed or
   /// removed.
-  void OnVmChanged(const cluster_state& aKeys, const std::string& aVm);
-  void OnLockChanged(const cluster_state& aKeys, const std::string& aService);
+  void OnVmChanged(const cluster_state& aState, const std::string& aVm);
+  void OnLockChanged(const cluster_state& aState, const std::string& aService);
 
   /// To be called after any record may have changed.
-  void OnAllChanged(const cluster_state& aKeys);
+  void OnAllChanged(const cluster_state& aState);
 
   /// Whether this VM is to acquire the group's lock, which no candidate holds.
   [[nodiscard]] bool IsNextHolder(const std::string& aService) const;
@@ -97,7 +97,7 @@
                group& aGroup,
                const std::string& aVm);
   void Choose(const std::string& aService, group& aGroup);
-  void UpdateHeld(const cluster_state& aKeys,
+  void UpdateHeld(const cluster_state& aState,
                   const std::string& aService,
                   group& aGroup);
   void SetHolder(const std::string& aService,
--- a/src/currantshed/node/quota_coordinators.cpp
+++ b/src/currantshed/node/quota_coordinators.cpp
@@ -15,11 +15,12 @@
 } // namespace
 
 std::vector<std::string>
-QuotaCoordinators(const cluster_state& aKeys, const std::string& aFailureDomain)
+QuotaCoordinators(const cluster_state& aState,
+                  const std::string& aFailureDomain)
 {
   std::vector<const vm_record*> active;
   unsigned maxCpuMillicores = 0;
-  for (const auto& [name, one] : aKeys.vms) {
+  for (const auto& [name, one] : aState.vms) {
     if (one.record.failureDomain == aFailureDomain && !one.record.draining) {
       active.push_back(&one.record);
       maxCpuMillicores = std::max(maxCpuMillicores, one.record.cpuMillicores);
--- a/src/currantshed/node/quota_coordinators.hpp
+++ b/src/currantshed/node/quota_coordinators.hpp
@@ -13,7 +13,7 @@
 /// because each of the other VMs keeps a connection to each coordinator. The
 /// result is the same on all VMs that have the same list.
 [[nodiscard]] std::vector<std::string>
-QuotaCoordinators(const cluster_state& aKeys,
+QuotaCoordinators(const cluster_state& aState,
                   const std::string& aFailureDomain);
 
 } // namespace currantshed::node
--- a/test/currantshed/node/cluster_state.cpp
+++ b/test/currantshed/node/cluster_state.cpp
@@ -86,12 +86,12 @@
 TEST(cluster_state, one_vm_claims_a_lock_without_holder)
 {
   for (const auto& row : kRows) {
-    const auto keys = node::ReadClusterState(Items(row.vms, row.lock));
+    const auto state = node::ReadClusterState(Items(row.vms, row.lock));
     int claimCount = 0;
     for (const auto& vm : row.vms) {
       node::lock_assignments assignments(vm.where.vm);
-      assignments.AddService(keys, "group");
-      assignments.SetCandidates(keys, node::LockCandidates(keys));
+      assignments.AddService(state, "group");
+      assignments.SetCandidates(state, node::LockCandidates(state));
       const bool claims = assignments.IsNextHolder("group");
       CHECK_TEXT(!(claims && vm.draining), row.name);
       claimCount += claims ? 1 : 0;
@@ -104,9 +104,9 @@
 {
   const auto items =
     Items({ Vm("a", 1, true), Vm("b", 2) }, failover_lock{ "a", 1, 50 });
-  const auto keys = node::ReadClusterState(items);
+  const auto state = node::ReadClusterState(items);
   const auto claim =
-    node::MakeLockClaim(keys, "group", Vm("b", 2), { 0, 20 }, 0);
+    node::MakeLockClaim(state, "group", Vm("b", 2), { 0, 20 }, 0);
   CHECK_EQUAL(2, static_cast<int>(claim.conditions.size()));
   CHECK(claim.conditions[0].changed ==
         items.at(node::FailoverLockKey("group")).changed);
@@ -124,9 +124,9 @@
 {
   const auto items =
     Items({ Vm("a", 1, true), Vm("b", 2) }, failover_lock{ "a", 1, 50, 6 });
-  const auto keys = node::ReadClusterState(items);
+  const auto state = node::ReadClusterState(items);
   const auto claim =
-    node::MakeLockClaim(keys, "group", Vm("b", 2), { 0, 40 }, 0);
+    node::MakeLockClaim(state, "group", Vm("b", 2), { 0, 40 }, 0);
   const auto made = node::ParseFailoverLock(claim.puts.front());
   CHECK(made && made->holder == "b" && made->replacedTerm == 6);
   // A record written by a version without the field is still valid.
@@ -142,10 +142,10 @@
   items[node::FleetKey()] = {
     node::FleetKey(), node::SerializeFleet(fleet), { 0, 7 }, 0
   };
-  const auto keys = node::ReadClusterState(items);
-  CHECK(node::IsSameFleet(keys.fleet, fleet));
-  CHECK(keys.fleetChanged.number == 7);
-  CHECK(keys.Listed().empty());
+  const auto state = node::ReadClusterState(items);
+  CHECK(node::IsSameFleet(state.fleet, fleet));
+  CHECK(state.fleetChanged.number == 7);
+  CHECK(state.Listed().empty());
   CHECK(node::IsSameFleet(fleet, { Vm("a", 8), Vm("b", 9, true) }));
   CHECK_FALSE(node::IsSameFleet(fleet, { Vm("a", 1) }));
   auto moved = fleet;
@@ -164,8 +164,8 @@
     items[node::FailoverLockKey("g")] = {
       node::FailoverLockKey("g"), text, {}, {}
     };
-    const auto keys = node::ReadClusterState(items);
-    CHECK(keys.vms.empty() && keys.locks.empty());
+    const auto state = node::ReadClusterState(items);
+    CHECK(state.vms.empty() && state.locks.empty());
   }
 }
 
@@ -193,13 +193,13 @@
 {
   for (const auto& row : kEpochRows) {
     const auto isRecorded = !row.recorded.holder.empty();
-    const auto keys = node::ReadClusterState(Items(
+    const auto state = node::ReadClusterState(Items(
       { Vm("b", 2) }, isRecorded ? std::optional(row.recorded) : std::nullopt));
     const auto lost = node::ParseFailoverLock(
-      node::MakeLockClaim(keys, "group", Vm("b", 2), row.before, 0)
+      node::MakeLockClaim(state, "group", Vm("b", 2), row.before, 0)
         .puts.front());
     const auto next = node::ParseFailoverLock(
-      node::MakeLockClaim(keys, "group", Vm("c", 3), row.after, 0)
+      node::MakeLockClaim(state, "group", Vm("c", 3), row.after, 0)
         .puts.front());
     CHECK_TEXT(next->epoch > lost->epoch, row.name);
   }
@@ -219,11 +219,11 @@
 // The restored record lacks a term that this VM knows to be replaced.
 TEST(cluster_state, a_claim_records_the_newest_replaced_term)
 {
-  const auto keys = node::ReadClusterState(
+  const auto state = node::ReadClusterState(
     Items({ Vm("b", 2) }, failover_lock{ "b", 2, 50, 6 }));
   for (const position::term_id known : { 0, 6, 9 }) {
     const auto made = node::ParseFailoverLock(
-      node::MakeLockClaim(keys, "group", Vm("b", 2), { 2, 40 }, known)
+      node::MakeLockClaim(state, "group", Vm("b", 2), { 2, 40 }, known)
         .puts.front());
     CHECK(made->replacedTerm == std::max<position::term_id>(known, 6));
   }
@@ -232,10 +232,10 @@
 // The restored list and fleet record lack VMs that are still running.
 TEST(cluster_state, known_vms_are_merged_into_the_fleet)
 {
-  cluster_state keys;
-  keys.fleet = { Vm("b", 2) };
-  node::MergeIntoFleet(keys, { Vm("c", 3), Vm("a", 1), Vm("b", 9) });
-  CHECK(node::IsSameFleet(keys.fleet, { Vm("a", 1), Vm("b", 2), Vm("c", 3) }));
+  cluster_state state;
+  state.fleet = { Vm("b", 2) };
+  node::MergeIntoFleet(state, { Vm("c", 3), Vm("a", 1), Vm("b", 9) });
+  CHECK(node::IsSameFleet(state.fleet, { Vm("a", 1), Vm("b", 2), Vm("c", 3) }));
 }
 
 namespace {
@@ -331,15 +331,15 @@
   for (unsigned seed = 1; seed <= 20; ++seed) {
     key_changer changer(seed);
     store::prefix_view::items items;
-    cluster_state keys;
+    cluster_state state;
     for (unsigned step = 0; step < 200; ++step) {
       std::set<std::string> changed;
       for (unsigned i = 0; i < 1 + step % 3; ++i) {
         changed.insert(changer.Change(items));
       }
       (void)node::UpdateClusterState(
-        keys, items, { false, { changed.begin(), changed.end() } });
-      CHECK(AreSame(keys, node::ReadClusterState(items)));
+        state, items, { false, { changed.begin(), changed.end() } });
+      CHECK(AreSame(state, node::ReadClusterState(items)));
     }
   }
 }
@@ -348,12 +348,12 @@
 TEST(cluster_state, an_equal_record_is_no_change_of_the_vm)
 {
   auto items = Items({ Vm("a", 1), Vm("b", 2) }, std::nullopt);
-  auto keys = node::ReadClusterState(items);
+  auto state = node::ReadClusterState(items);
   const auto key = node::VmKey("a");
   items[key].changed = { 0, 90 };
-  CHECK(node::UpdateClusterState(keys, items, { false, { key } }).vms.empty());
-  CHECK(keys.vms.at("a").changed.number == 90);
+  CHECK(node::UpdateClusterState(state, items, { false, { key } }).vms.empty());
+  CHECK(state.vms.at("a").changed.number == 90);
   items[key].value = node::SerializeVm(Vm("a", 1, true));
-  CHECK(node::UpdateClusterState(keys, items, { false, { key } }).vms ==
+  CHECK(node::UpdateClusterState(state, items, { false, { key } }).vms ==
         std::vector<std::string>{ "a" });
 }
--- a/test/currantshed/node/forwarders.cpp
+++ b/test/currantshed/node/forwarders.cpp
@@ -36,16 +36,16 @@
 }
 
 node::cluster_state
-Keys(const std::vector<listed>& aVms)
+MakeState(const std::vector<listed>& aVms)
 {
-  node::cluster_state keys;
+  node::cluster_state state;
   for (const auto& one : aVms) {
-    auto& record = keys.vms[one.name].record;
+    auto& record = state.vms[one.name].record;
     record.where.vm = one.name;
     record.failureDomain = one.failureDomain;
     record.draining = one.draining;
   }
-  return keys;
+  return state;
 }
 
 struct forwarder_row
@@ -88,7 +88,7 @@
 TEST(forwarders, two_of_a_failure_domain_with_several_vms)
 {
   for (const auto& row : kRows) {
-    const auto chosen = node::SelectForwarders(Keys(row.vms), "marka");
+    const auto chosen = node::SelectForwarders(MakeState(row.vms), "marka");
     CHECK_EQUAL_TEXT(row.forwarders, chosen.size(), row.name);
     for (const auto& one : chosen) {
       const auto found =
@@ -105,11 +105,11 @@
 TEST(forwarders, adding_or_removing_a_vm_changes_few)
 {
   const auto all = Domain("marka", 20);
-  const auto before = node::SelectForwarders(Keys(all), "marka");
+  const auto before = node::SelectForwarders(MakeState(all), "marka");
   for (std::size_t gone = 0; gone < all.size(); ++gone) {
     auto left = all;
     left.erase(left.begin() + static_cast<std::ptrdiff_t>(gone));
-    const auto after = node::SelectForwarders(Keys(left), "marka");
+    const auto after = node::SelectForwarders(MakeState(left), "marka");
     for (const auto& one : before) {
       const bool isGone = one == all[gone].name;
       const bool isThere =
@@ -146,16 +146,16 @@
     for (int turn = 0; turn < 20; ++turn) {
       const auto domain = "marka" + std::to_string(turn);
       auto vms = Domain(domain, static_cast<int>(row.capacities.size()));
-      auto keys = Keys(vms);
+      auto state = MakeState(vms);
       for (std::size_t i = 0; i < vms.size(); ++i) {
-        keys.vms[vms[i].name].record.cpuMillicores = row.capacities[i];
+        state.vms[vms[i].name].record.cpuMillicores = row.capacities[i];
       }
-      const auto chosen = node::SelectForwarders(keys, domain);
+      const auto chosen = node::SelectForwarders(state, domain);
       CHECK_EQUAL_TEXT(row.forwarders, chosen.size(), row.name);
       const auto maxCpuMillicores =
         *std::max_element(row.capacities.begin(), row.capacities.end());
       for (const auto& one : chosen) {
-        const auto cpuMillicores = keys.vms[one].record.cpuMillicores;
+        const auto cpuMillicores = state.vms[one].record.cpuMillicores;
         CHECK_TEXT(2 * cpuMillicores >= maxCpuMillicores, row.name);
       }
     }
--- a/test/currantshed/node/lock_assignments.cpp
+++ b/test/currantshed/node/lock_assignments.cpp
@@ -33,7 +33,7 @@
     : groups(aGroups)
   {
     for (std::size_t i = 0; i < aGroups; ++i) {
-      assignments.AddService(keys, GroupName(i));
+      assignments.AddService(state, GroupName(i));
     }
   }
 
@@ -47,36 +47,36 @@
     record.incarnation = aIncarnation;
     record.draining = aDraining;
     record.cpuMillicores = aShare;
-    keys.vms[aVm] = { record, {} };
+    state.vms[aVm] = { record, {} };
     Update(aVm);
   }
 
   void RemoveVm(const std::string& aVm)
   {
-    keys.vms.erase(aVm);
+    state.vms.erase(aVm);
     Update(aVm);
   }
 
   void Update(const std::string& aVm)
   {
-    assignments.SetCandidates(keys, node::LockCandidates(keys));
-    assignments.OnVmChanged(keys, aVm);
+    assignments.SetCandidates(state, node::LockCandidates(state));
+    assignments.OnVmChanged(state, aVm);
   }
 
   void TakeLock(const std::string& aVm, const std::string& aGroup)
   {
-    keys.locks[aGroup] = { { aVm, 1, 1 }, {} };
-    assignments.OnLockChanged(keys, aGroup);
+    state.locks[aGroup] = { { aVm, 1, 1 }, {} };
+    assignments.OnLockChanged(state, aGroup);
   }
 
   void RemoveLock(const std::string& aGroup)
   {
-    keys.locks.erase(aGroup);
-    assignments.OnLockChanged(keys, aGroup);
+    state.locks.erase(aGroup);
+    assignments.OnLockChanged(state, aGroup);
   }
 
   std::size_t groups;
-  cluster_state keys;
+  cluster_state state;
   lock_assignments assignments{ VmName(0) };
 };
 
@@ -85,9 +85,9 @@
 MatchesRecomputed(const fleet& aFleet)
 {
   lock_assignments recomputed(VmName(0));
-  recomputed.SetCandidates(aFleet.keys, node::LockCandidates(aFleet.keys));
+  recomputed.SetCandidates(aFleet.state, node::LockCandidates(aFleet.state));
   for (std::size_t i = 0; i < aFleet.groups; ++i) {
-    recomputed.AddService(aFleet.keys, GroupName(i));
+    recomputed.AddService(aFleet.state, GroupName(i));
   }
   for (std::size_t i = 0; i < aFleet.groups; ++i) {
     const auto group = GroupName(i);
--- a/test/currantshed/node/quota_coordinators.cpp
+++ b/test/currantshed/node/quota_coordinators.cpp
@@ -41,9 +41,9 @@
 };
 
 node::cluster_state
-Keys(const std::vector<group_of_vms>& aVms)
+MakeState(const std::vector<group_of_vms>& aVms)
 {
-  node::cluster_state keys;
+  node::cluster_state state;
   std::size_t number = 0;
   for (const auto& some : aVms) {
     for (std::size_t i = 0; i < some.count; ++i) {
@@ -52,10 +52,10 @@
       record.failureDomain = "north";
       record.cpuMillicores = some.cpuMillicores;
       record.draining = some.draining;
-      keys.vms[record.where.vm] = { record, 1 };
+      state.vms[record.where.vm] = { record, 1 };
     }
   }
-  return keys;
+  return state;
 }
 
 } // namespace
@@ -65,13 +65,13 @@
 TEST(quota_coordinators, A_few_strong_VMs_of_the_domain)
 {
   for (const auto& row : kRows) {
-    const auto keys = Keys(row.vms);
-    const auto chosen = node::QuotaCoordinators(keys, "north");
+    const auto state = MakeState(row.vms);
+    const auto chosen = node::QuotaCoordinators(state, "north");
     LONGS_EQUAL_TEXT(row.expect, chosen.size(), row.name);
     for (const auto& vm : chosen) {
-      const auto share = keys.vms.at(vm).record.cpuMillicores;
-      LONGS_EQUAL_TEXT(row.cpuMillicores, share, row.name);
+      const auto cpuMillicores = state.vms.at(vm).record.cpuMillicores;
+      LONGS_EQUAL_TEXT(row.cpuMillicores, cpuMillicores, row.name);
     }
-    CHECK_TEXT(node::QuotaCoordinators(keys, "south").empty(), row.name);
+    CHECK_TEXT(node::QuotaCoordinators(state, "south").empty(), row.name);
   }
 }
