--- a/src/currantshed/node/control.hpp
+++ b/src/currantshed/node/control.hpp
@@ -206,7 +206,7 @@
   void SendReachUpdateTo(const std::string& aVm,
                          bool aAsks,
                          clock::time_point aNow);
-  void OnHeardServers(const std::vector<proxy::server_contact>& aHeard);
+  void OnServerContacts(const std::vector<proxy::server_contact>& aContacts);
   [[nodiscard]] std::vector<std::string> ReachUpdateGroups() const;
   void OnAnnouncement(const news::News& aMessage,
                       const news::exchange::clock_converter& aClock,
--- a/src/currantshed/node/control_failover.cpp
+++ b/src/currantshed/node/control_failover.cpp
@@ -93,14 +93,14 @@
 control::Execute(const std::string& aService,
                  const lead::request_promotion& aAction)
 {
-  const auto asked = clock::Now();
+  const auto askedAt = clock::Now();
   mStore.Get(
     FailoverLockKey(aService),
-    [this, aService, asked, aAction](std::error_code aError,
-                                     std::optional<store::item> aItem,
-                                     store::response_info aAnswer) {
+    [this, aService, askedAt, aAction](std::error_code aError,
+                                       std::optional<store::item> aItem,
+                                       store::response_info aAnswer) {
       auto lock = aItem ? ParseFailoverLock(*aItem) : std::nullopt;
-      if (aError || !lock || !StillHoldsLock(*lock, asked) ||
+      if (aError || !lock || !StillHoldsLock(*lock, askedAt) ||
           !IsFromEra(*lock, aItem->changed.era)) {
         PromotionNotOrdered(aService,
                             aAction.server,
@@ -135,18 +135,18 @@
                         failover_lock aLock,
                         store::revision aChanged)
 {
-  const auto asked = clock::Now();
+  const auto askedAt = clock::Now();
   const auto key = FailoverLockKey(aService);
-  store::transaction made;
-  made.conditions.push_back({ key, aChanged });
-  made.puts.push_back({ key, SerializeFailoverLock(aLock), {}, {} });
-  mStore.Commit(std::move(made),
-                [this, aService, aServer, lock = std::move(aLock), asked](
+  store::transaction transaction;
+  transaction.conditions.push_back({ key, aChanged });
+  transaction.puts.push_back({ key, SerializeFailoverLock(aLock), {}, {} });
+  mStore.Commit(std::move(transaction),
+                [this, aService, aServer, lock = std::move(aLock), askedAt](
                   store::commit_outcome aOutcome,
                   store::revision,
                   store::response_info aAnswer) {
                   if (aOutcome == store::commit_outcome::kApplied &&
-                      StillHoldsLock(lock, asked)) {
+                      StillHoldsLock(lock, askedAt)) {
                     Promote(aService, aServer, lock.epoch);
                   } else {
                     PromotionNotOrdered(aService,
@@ -253,12 +253,12 @@
 void
 control::Execute(const std::string& aService, const lead::list_vms& /*aAction*/)
 {
-  const auto asked = clock::Now();
+  const auto askedAt = clock::Now();
   mStore.Range(VmKey(""),
-               [this, aService, asked](std::error_code aError,
-                                       const std::vector<store::item>& aItems,
-                                       store::revision,
-                                       store::response_info aAnswer) {
+               [this, aService, askedAt](std::error_code aError,
+                                         const std::vector<store::item>& aItems,
+                                         store::revision,
+                                         store::response_info aAnswer) {
                  const auto now = aAnswer.at;
                  auto* found = MarkPending(aService);
                  if (aError || found == nullptr) {
@@ -270,7 +270,7 @@
                    }
                  }
                  found->monitor.VmsListed(
-                   mMembership.MayUseConfirmation(now), asked, now);
+                   mMembership.MayUseConfirmation(now), askedAt, now);
                  PerformActions(now);
                });
 }
@@ -419,13 +419,14 @@
   const bool mayCall = !mIsDraining && mListedAt != clock::time_point{} &&
                        mRegistration.IsListed() && ReachesStore();
   const bool isNext = !isOwn && mayCall && mLocks.IsNextHolder(aService);
-  const bool isPast = isOwn && !IsFromEra(*lock, mClusterView.Seen().era);
+  const bool isFromEarlierEra =
+    isOwn && !IsFromEra(*lock, mClusterView.Seen().era);
   // While the store is unavailable, the last lock holder goes on obtaining
   // confirmations for the others, who would otherwise all query the servers
   // themselves.
-  const bool isLast = isOwn && !holds && !mIsDraining;
-  aGroup.monitor.SetIsInterim(isNext || isLast);
-  const bool mayClaim = (isNext || (isPast && mayCall)) &&
+  const bool wasLastHolder = isOwn && !holds && !mIsDraining;
+  aGroup.monitor.SetIsInterim(isNext || wasLastHolder);
+  const bool mayClaim = (isNext || (isFromEarlierEra && mayCall)) &&
                         !aGroup.isClaimPending && aNow >= aGroup.nextClaimAt &&
                         aNow >= mListedAt + kClaimDelay;
   if (mayClaim) {
--- a/src/currantshed/node/control_fleet.cpp
+++ b/src/currantshed/node/control_fleet.cpp
@@ -104,13 +104,13 @@
   }
   mFleetStaleSince = aNow;
   const auto listed = mClusterState.Listed();
-  store::transaction made;
-  made.conditions.push_back(
+  store::transaction transaction;
+  transaction.conditions.push_back(
     { FleetKey(),
       { mClusterView.Seen().era, mClusterState.fleetChanged.number } });
-  made.puts.push_back({ FleetKey(), SerializeFleet(listed), {}, {} });
+  transaction.puts.push_back({ FleetKey(), SerializeFleet(listed), {}, {} });
   mStore.Commit(
-    std::move(made),
+    std::move(transaction),
     [vms = listed.size()](
       store::commit_outcome aOutcome, store::revision, store::response_info) {
       log::Write(log::level::kInfo,
--- a/src/currantshed/node/control_forwarding.cpp
+++ b/src/currantshed/node/control_forwarding.cpp
@@ -214,7 +214,7 @@
     aNow);
   SendRecentUpdates(aMessage.vm(), added, aNow);
   const auto views = Views();
-  const auto longest = MaxUpdateBytes(mSettings.linkMegabits);
+  const auto maxBytes = MaxUpdateBytes(mSettings.linkMegabits);
   news::News message;
   FillRevisions(message);
   for (const auto& wanted : aMessage.wanted()) {
@@ -223,7 +223,7 @@
     }
     const auto& view = *views[wanted.prefix()];
     const auto update =
-      view.UpdateSince({ wanted.known_era(), wanted.known() }, longest);
+      view.UpdateSince({ wanted.known_era(), wanted.known() }, maxBytes);
     FillUpdate(*message.add_updates(), wanted.prefix(), update);
   }
   mExchange.Send(aMessage.vm(), std::move(message), aNow);
@@ -307,11 +307,11 @@
 void
 control::PollIfNewer(const news::News& aMessage, clock::time_point aNow)
 {
-  const auto heard = ReadChanges(aMessage);
+  const auto revisions = ReadRevisions(aMessage);
   const auto views = Views();
   bool hasNewer = false;
   for (std::size_t i = 0; i < views.size(); ++i) {
-    hasNewer = hasNewer || heard[i] > views[i]->Seen();
+    hasNewer = hasNewer || revisions[i] > views[i]->Seen();
   }
   if (hasNewer && IsForwarder(aMessage.vm()) &&
       mPollThrottle.MayRequest(aNow)) {
--- a/src/currantshed/node/control_messages.cpp
+++ b/src/currantshed/node/control_messages.cpp
@@ -115,19 +115,20 @@
 void
 control::SendReachUpdates(clock::time_point aNow)
 {
-  mTraffic.QueryHeardServers(
-    aNow - kMaxReachAge, [this](std::vector<proxy::server_contact> aHeard) {
-      boost::asio::post(
-        mContext, [this, heard = std::move(aHeard)] { OnHeardServers(heard); });
+  mTraffic.QueryServerContacts(
+    aNow - kMaxReachAge, [this](std::vector<proxy::server_contact> aContacts) {
+      boost::asio::post(mContext, [this, heard = std::move(aContacts)] {
+        OnServerContacts(heard);
+      });
     });
 }
 
 void
-control::OnHeardServers(const std::vector<proxy::server_contact>& aHeard)
+control::OnServerContacts(const std::vector<proxy::server_contact>& aContacts)
 {
   const auto now = clock::Now();
   mPrimaryHeardAt.clear();
-  for (const auto& one : aHeard) {
+  for (const auto& one : aContacts) {
     const auto* found = Find(one.service);
     if (found != nullptr &&
         found->monitor.Confirmation().primary == one.server) {
@@ -199,7 +200,7 @@
                         clock::time_point aNow)
 {
   mMembership.OnMessage(aMessage.vm(), aNow);
-  const auto heard = ReadChanges(aMessage);
+  const auto heard = ReadRevisions(aMessage);
   const auto views = Views();
   for (std::size_t i = 0; i < views.size(); ++i) {
     views[i]->NotifyRevision(heard[i], aNow);
--- a/src/currantshed/node/control_quota.cpp
+++ b/src/currantshed/node/control_quota.cpp
@@ -221,9 +221,9 @@
     FillShares(vm, news, aNow);
     mExchange.Send(vm, std::move(news), aNow);
   }
-  auto outcomes = mTokenClient.TakeResults();
-  if (!outcomes.empty()) {
-    mTraffic.ApplyTokenResults(std::move(outcomes));
+  auto results = mTokenClient.TakeResults();
+  if (!results.empty()) {
+    mTraffic.ApplyTokenResults(std::move(results));
   }
 }
 
--- a/src/currantshed/node/message_conversion.cpp
+++ b/src/currantshed/node/message_conversion.cpp
@@ -17,32 +17,32 @@
 void
 Fill(news::Watch& aOut,
      const std::string& aService,
-     const lead::watch_update& aNews)
+     const lead::watch_update& aUpdate)
 {
   aOut.set_group(aService);
-  aOut.set_term(aNews.confirmation.term);
-  aOut.set_primary(aNews.confirmation.primary);
-  aOut.set_asked_at_us(lead::ToWire(aNews.confirmation.askedAt).count());
-  aOut.set_revoked_term(aNews.revokedTerm);
-  aOut.set_epoch(aNews.epoch);
-  aOut.set_sequence(aNews.sequence);
-  if (aNews.sample) {
-    aOut.set_sample_term(aNews.sample->term);
-    Fill(aOut.mutable_sample(), aNews.sample->position);
-    aOut.set_sampled_at_us(lead::ToWire(aNews.sample->askedAt).count());
+  aOut.set_term(aUpdate.confirmation.term);
+  aOut.set_primary(aUpdate.confirmation.primary);
+  aOut.set_asked_at_us(lead::ToWire(aUpdate.confirmation.askedAt).count());
+  aOut.set_revoked_term(aUpdate.revokedTerm);
+  aOut.set_epoch(aUpdate.epoch);
+  aOut.set_sequence(aUpdate.sequence);
+  if (aUpdate.sample) {
+    aOut.set_sample_term(aUpdate.sample->term);
+    Fill(aOut.mutable_sample(), aUpdate.sample->position);
+    aOut.set_sampled_at_us(lead::ToWire(aUpdate.sample->askedAt).count());
   }
 }
 
 void
 Fill(news::Reach& aOut,
      const std::string& aService,
-     const lead::reach_update& aNews)
+     const lead::reach_update& aUpdate)
 {
   aOut.set_group(aService);
-  aOut.set_term(aNews.term);
-  aOut.set_primary(aNews.primary);
-  aOut.set_heard_at_us(lead::ToWire(aNews.heardAt).count());
-  aOut.set_obeyed_term(aNews.acknowledgedTerm);
+  aOut.set_term(aUpdate.term);
+  aOut.set_primary(aUpdate.primary);
+  aOut.set_heard_at_us(lead::ToWire(aUpdate.heardAt).count());
+  aOut.set_obeyed_term(aUpdate.acknowledgedTerm);
 }
 
 lead::watch_update
@@ -78,11 +78,11 @@
 }
 
 std::array<store::revision, 3>
-ReadChanges(const news::News& aNews)
+ReadRevisions(const news::News& aMessage)
 {
-  return { { { aNews.configuration_era(), aNews.configuration_change() },
-             { aNews.servers_era(), aNews.servers_change() },
-             { aNews.own_era(), aNews.own_change() } } };
+  return { { { aMessage.configuration_era(), aMessage.configuration_change() },
+             { aMessage.servers_era(), aMessage.servers_change() },
+             { aMessage.own_era(), aMessage.own_change() } } };
 }
 
 } // namespace currantshed::node
--- a/src/currantshed/node/message_conversion.hpp
+++ b/src/currantshed/node/message_conversion.hpp
@@ -15,13 +15,13 @@
 void
 Fill(news::Watch& aOut,
      const std::string& aService,
-     const lead::watch_update& aNews);
+     const lead::watch_update& aUpdate);
 
 /// Writes this VM's reach update on a group's primary into a message.
 void
 Fill(news::Reach& aOut,
      const std::string& aService,
-     const lead::reach_update& aNews);
+     const lead::reach_update& aUpdate);
 
 /// Reads a watch update; timestamps are converted to this VM's clock.
 [[nodiscard]] lead::watch_update
@@ -38,7 +38,7 @@
 /// Reads the newest revisions that the sender has seen of each followed prefix,
 /// in the order of the prefixes' numbers.
 [[nodiscard]] std::array<store::revision, 3>
-ReadChanges(const news::News& aNews);
+ReadRevisions(const news::News& aMessage);
 
 } // namespace currantshed::node
 
--- a/src/currantshed/node/traffic.cpp
+++ b/src/currantshed/node/traffic.cpp
@@ -117,11 +117,11 @@
 }
 
 void
-traffic::ApplyTokenResults(std::vector<token_result> aOutcomes)
+traffic::ApplyTokenResults(std::vector<token_result> aResults)
 {
-  boost::asio::post(mContext, [this, outcomes = std::move(aOutcomes)] {
+  boost::asio::post(mContext, [this, results = std::move(aResults)] {
     const auto now = clock::Now();
-    for (const auto& one : outcomes) {
+    for (const auto& one : results) {
       if (one.granted > 0) {
         mEngine.GrantTokens(one.customer, one.granted, one.askedAt, now);
       } else {
@@ -218,7 +218,7 @@
 }
 
 void
-traffic::QueryHeardServers(clock::time_point aSince, heard_callback aDone)
+traffic::QueryServerContacts(clock::time_point aSince, contacts_callback aDone)
 {
   boost::asio::post(mContext, [this, aSince, done = std::move(aDone)] {
     done(mEngine.ContactsSince(aSince));
@@ -307,8 +307,8 @@
 void
 traffic::LeadershipDenied(const std::string& aService, position::term_id aTerm)
 {
-  if (mListener.leadDenied) {
-    mListener.leadDenied(aService, aTerm);
+  if (mListener.leadershipDenied) {
+    mListener.leadershipDenied(aService, aTerm);
   }
 }
 
--- a/src/currantshed/node/traffic.hpp
+++ b/src/currantshed/node/traffic.hpp
@@ -25,7 +25,7 @@
 struct traffic_listener
 {
   std::function<void(const std::string&)> needsConfirmation;
-  std::function<void(const std::string&, position::term_id)> leadDenied;
+  std::function<void(const std::string&, position::term_id)> leadershipDenied;
   std::function<void(const std::string&, unsigned)> needsTokens;
 };
 
@@ -35,13 +35,13 @@
 class traffic final : private proxy::engine_host
 {
 public:
-  /// Receives the result of an order and the time when its server was last
-  /// heard.
+  /// Receives the result of a control command and the time of the last contact
+  /// with its server.
   using control_callback =
     std::function<void(proxy::control_result,
                        std::optional<clock::time_point>)>;
 
-  using heard_callback =
+  using contacts_callback =
     std::function<void(std::vector<proxy::server_contact>)>;
 
   traffic(const node_settings& aSettings,
@@ -66,7 +66,7 @@
   void SetConfiguration(
     std::shared_ptr<const proxy::configuration> aConfiguration);
   void SetFreshness(const customer::freshness& aFreshness);
-  void ApplyTokenResults(std::vector<token_result> aOutcomes);
+  void ApplyTokenResults(std::vector<token_result> aResults);
   /// Closes the idle sessions of customers.
   void CloseIdleCustomerSessions();
   void SetServers(std::vector<proxy::server> aServers);
@@ -87,11 +87,11 @@
                    bool aDirect,
                    std::chrono::milliseconds aTimeout,
                    control_callback aDone);
-  /// Returns the servers that were heard since then. The callback runs on the
+  /// Queries the servers that answered since then. The callback runs on the
   /// traffic thread.
-  void QueryHeardServers(clock::time_point aSince, heard_callback aDone);
+  void QueryServerContacts(clock::time_point aSince, contacts_callback aDone);
 
-  /// Returns the services that callers have used since then. The callback runs
+  /// Queries the services that callers have used since then. The callback runs
   /// on the traffic thread.
   void QueryUsedServices(clock::time_point aSince,
                          std::function<void(std::vector<std::string>)> aDone);
