--- a/src/currantshed/node/caller_server.hpp
+++ b/src/currantshed/node/caller_server.hpp
@@ -19,39 +19,40 @@
 
 namespace currantshed::node {
 
-/// Takes callers' connections, and carries their sessions to the engine.
+/// Accepts connections and passes their sessions to the engine.
 class caller_server
 {
 public:
-  /// Who connects: callers, or other VMs that reach servers through this one.
+  /// Which peers connect: callers, or other VMs that reach servers through this
+  /// one.
   enum class endpoint_kind
   {
     kCallers,
     kRelays,
   };
 
-  /// aIsConfigured tells whether databases are known yet; aAfter is called
-  /// after each event that the engine got.
+  /// aIsConfigured returns whether a configuration is known yet. aOnEngineEvent
+  /// is called after each event that was passed to the engine.
   caller_server(boost::asio::io_context& aContext,
                 endpoint_kind aKind,
                 const line_codec& aCodec,
                 proxy::engine& aEngine,
-                std::size_t aMostConnections,
+                std::size_t aMaxConnections,
                 std::function<bool()> aIsConfigured,
-                std::function<void()> aAfter);
+                std::function<void()> aOnEngineEvent);
 
   [[nodiscard]] std::error_code Listen(const std::string& aAddress,
                                        std::uint16_t aPort);
 
-  /// The databases are known now: callers that have connected meanwhile are
-  /// taken.
+  /// To be called once the configuration is known. Starts to accept the
+  /// connections that are waiting.
   void OnConfigured();
 
-  /// There is word on which customers there are: callers whose key was not
-  /// known are looked at again.
+  /// To be called when the customers' configuration or its freshness has
+  /// changed. Checks again the sessions whose key was unknown.
   void RetryPendingKeys();
 
-  /// Takes no more connections.
+  /// Stops accepting connections.
   void StopListening();
 
   [[nodiscard]] std::size_t Connections() const noexcept
@@ -62,28 +63,28 @@
 private:
   class connection;
 
-  [[nodiscard]] bool Hold(const std::shared_ptr<connection>& aCaller);
-  void Begin();
+  [[nodiscard]] bool HoldSession(const std::shared_ptr<connection>& aCaller);
+  void StartAccepting();
   void Accept();
-  void Accepted(boost::asio::ip::tcp::socket aSocket);
-  void Ended(std::uint64_t aNumber);
+  void OnAccepted(boost::asio::ip::tcp::socket aSocket);
+  void OnConnectionClosed(std::uint64_t aNumber);
 
   boost::asio::io_context& mContext;
   endpoint_kind mKind;
   const line_codec& mCodec;
   proxy::engine& mEngine;
-  std::size_t mMostConnections;
+  std::size_t mMaxConnections;
   std::function<bool()> mIsConfigured;
-  std::function<void()> mAfter;
+  std::function<void()> mOnEngineEvent;
   boost::asio::ip::tcp::acceptor mAcceptor;
   boost::asio::steady_timer mRetry;
-  // Ends the wait for the first configuration.
-  boost::asio::steady_timer mHold;
-  // Callers whose key may be in a newer configuration, and the end of the wait
-  // of the first one.
-  std::vector<std::shared_ptr<connection>> mDoubted;
-  boost::asio::steady_timer mDoubtEnd;
-  bool mHasBegun = false;
+  // Limits the wait for the first configuration.
+  boost::asio::steady_timer mStartTimer;
+  // Sessions whose key may be in a newer configuration, and the time-out of the
+  // oldest one.
+  std::vector<std::shared_ptr<connection>> mPendingKeys;
+  boost::asio::steady_timer mKeyTimer;
+  bool mIsAccepting = false;
   absl::flat_hash_map<std::uint64_t, std::shared_ptr<connection>> mConnections;
   std::uint64_t mLastNumber = 0;
 };
--- a/src/currantshed/node/cluster_state.cpp
+++ b/src/currantshed/node/cluster_state.cpp
@@ -11,12 +11,13 @@
 
 namespace json = boost::json;
 
-constexpr std::string_view kVms = "currantshed/vm/";
-constexpr std::string_view kDuties = "currantshed/duty/";
-constexpr std::string_view kFleet = "currantshed/fleet";
+constexpr std::string_view kVmPrefix = "currantshed/vm/";
+constexpr std::string_view kLockPrefix = "currantshed/duty/";
+constexpr std::string_view kFleetKey = "currantshed/fleet";
 
-// An epoch is a state of the store in one number. Both parts together stay
-// below what a double holds exactly, since the platform may read it as one.
+// An epoch combines the era and the revision of the store in one number. It
+// stays below 2^53, which a double represents exactly, because the platform may
+// read it as a double.
 constexpr unsigned kNumberBits = 40;
 
 std::uint64_t
@@ -44,7 +45,7 @@
 }
 
 json::object
-ToObject(const vm_record& aRecord)
+SerializeVmRecord(const vm_record& aRecord)
 {
   return { { "vm", aRecord.where.vm },
            { "address", aRecord.where.address },
@@ -53,12 +54,13 @@
            { "failure_domain", aRecord.failureDomain },
            { "incarnation", aRecord.incarnation },
            { "share", aRecord.cpuMillicores },
-           { "leaving", aRecord.leaving } };
+           { "leaving", aRecord.draining } };
 }
 
-// Throws what Boost.JSON throws when a member is missing or of another kind.
+// Throws the exceptions of Boost.JSON if a member is missing or has another
+// type.
 vm_record
-FromObject(const json::object& aObject)
+ParseVmRecord(const json::object& aObject)
 {
   vm_record record;
   record.where = { Text(aObject, "vm"),
@@ -68,14 +70,15 @@
   record.failureDomain = Text(aObject, "failure_domain");
   record.incarnation = Number(aObject, "incarnation");
   record.cpuMillicores = aObject.at("share").to_number<unsigned>();
-  record.leaving = aObject.at("leaving").as_bool();
+  record.draining = aObject.at("leaving").as_bool();
   return record;
 }
 
-// The same for a row of the recorded fleet, without names: the record is read
-// by all VMs and grows with them. Of lives it tells nothing.
+// Parses a row of the fleet record. Rows have no member names, because every VM
+// reads the whole record and it grows with the fleet. Incarnations are not
+// recorded.
 vm_record
-FromRow(const json::array& aRow)
+ParseFleetRow(const json::array& aRow)
 {
   vm_record record;
   record.where = { json::value_to<std::string>(aRow.at(0)),
@@ -87,79 +90,80 @@
   return record;
 }
 
-// Whether the holder is listed in the life that took the duty, and stays.
+// Whether the holder is listed in the incarnation that acquired the lock and is
+// not draining.
 bool
-IsHeld(const cluster_state& aKeys, const failover_lock& aDuty)
+IsHeld(const cluster_state& aState, const failover_lock& aLock)
 {
-  const auto holder = aKeys.vms.find(aDuty.holder);
-  return holder != aKeys.vms.end() &&
-         holder->second.record.incarnation == aDuty.incarnation &&
-         !holder->second.record.leaving;
+  const auto holder = aState.vms.find(aLock.holder);
+  return holder != aState.vms.end() &&
+         holder->second.record.incarnation == aLock.incarnation &&
+         !holder->second.record.draining;
 }
 
-// Each of these takes over what a key says now; null stands for one that is
-// gone, and one that can't be read is as good as gone.
+// The following functions apply one key. Null stands for a removed key, and a
+// value that cannot be parsed counts as removed.
 void
-ReadVmKey(cluster_state& aKeys,
-          const std::string& aName,
-          const store::item* aItem,
-          cluster_changes& aChanges)
+ApplyVmKey(cluster_state& aState,
+           const std::string& aName,
+           const store::item* aItem,
+           cluster_changes& aChanges)
 {
   auto record = aItem == nullptr ? std::nullopt : ParseVm(*aItem);
-  const auto before = aKeys.vms.find(aName);
-  const bool wasThere = before != aKeys.vms.end();
+  const auto before = aState.vms.find(aName);
+  const bool wasThere = before != aState.vms.end();
   if (!record || record->where.vm != aName) {
     if (wasThere) {
-      aKeys.vms.erase(before);
+      aState.vms.erase(before);
       aChanges.vms.push_back(aName);
     }
     return;
   }
-  // A key that was moved to another lease says the same.
+  // Moving a key to another lease changes its revision but not its value.
   if (!wasThere || before->second.record != *record) {
     aChanges.vms.push_back(aName);
   }
-  aKeys.vms[aName] = { std::move(*record), aItem->changed };
+  aState.vms[aName] = { std::move(*record), aItem->changed };
 }
 
 void
-ReadDutyKey(cluster_state& aKeys,
-            const std::string& aService,
-            const store::item* aItem,
-            cluster_changes& aChanges)
+ApplyLockKey(cluster_state& aState,
+             const std::string& aService,
+             const store::item* aItem,
+             cluster_changes& aChanges)
 {
   auto record = aItem == nullptr ? std::nullopt : ParseFailoverLock(*aItem);
   aChanges.locks.push_back(aService);
   if (record) {
-    aKeys.locks[aService] = { std::move(*record), aItem->changed };
+    aState.locks[aService] = { std::move(*record), aItem->changed };
   } else {
-    aKeys.locks.erase(aService);
+    aState.locks.erase(aService);
   }
 }
 
 void
-ReadFleetKey(cluster_state& aKeys,
-             const store::item* aItem,
-             cluster_changes& aChanges)
+ApplyFleetKey(cluster_state& aState,
+              const store::item* aItem,
+              cluster_changes& aChanges)
 {
   auto fleet = aItem == nullptr ? std::nullopt : ParseFleet(*aItem);
-  aKeys.fleet = fleet ? std::move(*fleet) : std::vector<vm_record>{};
-  aKeys.fleetChanged = aItem == nullptr ? store::revision{} : aItem->changed;
+  aState.fleet = fleet ? std::move(*fleet) : std::vector<vm_record>{};
+  aState.fleetChanged = aItem == nullptr ? store::revision{} : aItem->changed;
   aChanges.isFleetRecorded = true;
 }
 
 void
-ReadKey(cluster_state& aKeys,
-        const std::string& aKey,
-        const store::item* aItem,
-        cluster_changes& aChanges)
+ApplyKey(cluster_state& aState,
+         const std::string& aKey,
+         const store::item* aItem,
+         cluster_changes& aChanges)
 {
-  if (StartsWith(aKey, kVms)) {
-    ReadVmKey(aKeys, aKey.substr(kVms.size()), aItem, aChanges);
-  } else if (StartsWith(aKey, kDuties)) {
-    ReadDutyKey(aKeys, aKey.substr(kDuties.size()), aItem, aChanges);
-  } else if (aKey == kFleet) {
-    ReadFleetKey(aKeys, aItem, aChanges);
+  if (StartsWith(aKey, kVmPrefix)) {
+    ApplyVmKey(aState, aKey.substr(kVmPrefix.size()), aItem, aChanges);
+  } else if (StartsWith(aKey, kLockPrefix)) {
+    ApplyLockKey(aState, aKey.substr(kLockPrefix.size()), aItem, aChanges);
+  } else if (aKey == kFleetKey) {
+    ApplyFleetKey(aState, aItem, aChanges);
   }
 }
 
@@ -168,19 +172,19 @@
 std::string
 VmKey(const std::string& aVm)
 {
-  return std::string(kVms) + aVm;
+  return std::string(kVmPrefix) + aVm;
 }
 
 std::string
 FailoverLockKey(const std::string& aService)
 {
-  return std::string(kDuties) + aService;
+  return std::string(kLockPrefix) + aService;
 }
 
 std::string
 FleetKey()
 {
-  return std::string(kFleet);
+  return std::string(kFleetKey);
 }
 
 std::string
@@ -205,7 +209,7 @@
     std::vector<vm_record> fleet;
     const auto parsed = json::parse(aItem.value);
     for (const auto& one : parsed.as_array()) {
-      fleet.push_back(FromRow(one.as_array()));
+      fleet.push_back(ParseFleetRow(one.as_array()));
     }
     return fleet;
   } catch (const std::exception&) {
@@ -232,14 +236,14 @@
 std::string
 SerializeVm(const vm_record& aRecord)
 {
-  return json::serialize(ToObject(aRecord));
+  return json::serialize(SerializeVmRecord(aRecord));
 }
 
 std::optional<vm_record>
 ParseVm(const store::item& aItem)
 {
   try {
-    return FromObject(json::parse(aItem.value).as_object());
+    return ParseVmRecord(json::parse(aItem.value).as_object());
   } catch (const std::exception&) {
     return std::nullopt;
   }
@@ -273,7 +277,7 @@
     failover_lock record{ Text(object, "holder"),
                           Number(object, "incarnation"),
                           Number(object, "epoch") };
-    // Versions before the field had no term to tell.
+    // Absent in records of versions that did not have the field.
     if (object.contains("replaced_term")) {
       record.replacedTerm = Number(object, "replaced_term");
     }
@@ -288,98 +292,98 @@
 {
   cluster_state keys;
   for (const auto& [key, item] : aItems) {
-    cluster_changes ignored;
-    ReadKey(keys, key, &item, ignored);
+    cluster_changes ignoredChanges;
+    ApplyKey(keys, key, &item, ignoredChanges);
   }
   return keys;
 }
 
 cluster_changes
-UpdateClusterState(cluster_state& aKeys,
+UpdateClusterState(cluster_state& aState,
                    const store::prefix_view::items& aItems,
                    const store::changed_keys& aChanged)
 {
   cluster_changes changes;
   if (aChanged.isAll) {
-    aKeys = ReadClusterState(aItems);
+    aState = ReadClusterState(aItems);
     changes.isAll = true;
     return changes;
   }
   for (const auto& key : aChanged.keys) {
     const auto found = aItems.find(key);
-    ReadKey(
-      aKeys, key, found == aItems.end() ? nullptr : &found->second, changes);
+    ApplyKey(
+      aState, key, found == aItems.end() ? nullptr : &found->second, changes);
   }
   return changes;
 }
 
 void
-ReloadFleet(cluster_state& aKeys, const store::prefix_view::items& aItems)
+ReloadFleet(cluster_state& aState, const store::prefix_view::items& aItems)
 {
   const auto found = aItems.find(FleetKey());
-  cluster_changes ignored;
-  ReadKey(aKeys,
-          FleetKey(),
-          found == aItems.end() ? nullptr : &found->second,
-          ignored);
+  cluster_changes ignoredChanges;
+  ApplyKey(aState,
+           FleetKey(),
+           found == aItems.end() ? nullptr : &found->second,
+           ignoredChanges);
 }
 
 void
-MergeIntoFleet(cluster_state& aKeys, const std::vector<vm_record>& aVms)
+MergeIntoFleet(cluster_state& aState, const std::vector<vm_record>& aVms)
 {
   absl::btree_map<std::string, vm_record> byName;
-  for (const auto* vms : { &std::as_const(aKeys.fleet), &aVms }) {
+  for (const auto* vms : { &std::as_const(aState.fleet), &aVms }) {
     for (const auto& one : *vms) {
       byName.try_emplace(one.where.vm, one);
     }
   }
-  aKeys.fleet.clear();
+  aState.fleet.clear();
   for (auto& [name, one] : byName) {
-    aKeys.fleet.push_back(std::move(one));
+    aState.fleet.push_back(std::move(one));
   }
 }
 
 bool
-IsLockHeld(const cluster_state& aKeys, const std::string& aService)
+IsLockHeld(const cluster_state& aState, const std::string& aService)
 {
-  const auto duty = aKeys.locks.find(aService);
-  return duty != aKeys.locks.end() && IsHeld(aKeys, duty->second.record);
+  const auto lock = aState.locks.find(aService);
+  return lock != aState.locks.end() && IsHeld(aState, lock->second.record);
 }
 
 store::transaction
-MakeLockClaim(const cluster_state& aKeys,
+MakeLockClaim(const cluster_state& aState,
               const std::string& aService,
               const vm_record& aSelf,
               store::revision aSeen,
               position::term_id aReplaced)
 {
   const auto key = FailoverLockKey(aService);
-  const auto before = aKeys.locks.find(aService);
+  const auto before = aState.locks.find(aService);
   const store::revision none{ aSeen.era };
-  failover_lock made{
+  failover_lock claimed{
     aSelf.where.vm, aSelf.incarnation, EpochOf(aSeen), aReplaced
   };
   store::transaction claim;
-  if (before == aKeys.locks.end()) {
+  if (before == aState.locks.end()) {
     claim.conditions.push_back({ key, none });
   } else {
     const auto& old = before->second.record;
-    const auto holder = aKeys.vms.find(old.holder);
-    made.epoch = std::max(made.epoch, old.epoch + 1);
-    made.replacedTerm = std::max(aReplaced, old.replacedTerm);
+    const auto holder = aState.vms.find(old.holder);
+    claimed.epoch = std::max(claimed.epoch, old.epoch + 1);
+    claimed.replacedTerm = std::max(aReplaced, old.replacedTerm);
     claim.conditions.push_back({ key, before->second.changed });
     claim.conditions.push_back(
       { VmKey(old.holder),
-        holder == aKeys.vms.end() ? none : holder->second.changed });
+        holder == aState.vms.end() ? none : holder->second.changed });
   }
-  claim.puts.push_back({ key, SerializeFailoverLock(made), {}, {} });
+  claim.puts.push_back({ key, SerializeFailoverLock(claimed), {}, {} });
   return claim;
 }
 
 bool
-IsFromEra(const failover_lock& aDuty, store::era_id aEra)
+IsFromEra(const failover_lock& aLock, store::era_id aEra)
 {
-  return aDuty.epoch >> kNumberBits == aEra;
+  return aLock.epoch >> kNumberBits == aEra;
 }
 
 } // namespace currantshed::node
--- a/src/currantshed/node/cluster_state.hpp
+++ b/src/currantshed/node/cluster_state.hpp
@@ -15,35 +15,35 @@
 
 namespace currantshed::node {
 
-/// Where this system keeps its own keys in the store.
+/// Prefix of the keys that this system itself keeps in the store.
 constexpr std::string_view kClusterPrefix = "currantshed/";
 
-/// What a VM writes about itself.
+/// What a VM publishes about itself.
 struct vm_record
 {
   news::peer where;
-  /// Port for statements that it relays.
+  /// Port that accepts statements to be relayed to servers.
   std::uint16_t relayPort = 0;
   std::string failureDomain;
   std::uint64_t incarnation = 0;
-  /// Processor time that it has, in thousandths of a core.
+  /// CPU time available to the VM, in thousandths of a core.
   unsigned cpuMillicores = 0;
-  /// Stops soon: takes no duty.
-  bool leaving = false;
+  /// The VM is draining and takes no failover locks.
+  bool draining = false;
 
   [[nodiscard]] friend bool operator==(const vm_record&,
                                        const vm_record&) = default;
 };
 
-/// Who may change the primary of a group.
+/// The failover lock of a group: its holder may change the group's primary.
 struct failover_lock
 {
   std::string holder;
   std::uint64_t incarnation = 0;
-  /// Fencing token: goes up with each change of the holder.
+  /// Fencing token: increases with each change of the holder.
   std::uint64_t epoch = 0;
-  /// The newest term of the group that a holder has had replaced, or is about
-  /// to; no proof of it may be believed.
+  /// The newest term that a holder has had replaced or is about to.
+  /// Confirmations of it must be rejected.
   position::term_id replacedTerm = 0;
 };
 
@@ -52,9 +52,9 @@
 [[nodiscard]] std::string
 FailoverLockKey(const std::string& aService);
 
-/// Where it is recorded which VMs there are, whether they run or not. VMs that
-/// start, all at once after a loss of power, share the servers' connections by
-/// it until the others are listed again.
+/// Key of the fleet record: which VMs exist, whether they run or not. VMs that
+/// all start at once, for example after a power failure, divide the servers'
+/// connections by this record until the others are listed again.
 [[nodiscard]] std::string
 FleetKey();
 
@@ -63,8 +63,8 @@
 [[nodiscard]] std::optional<std::vector<vm_record>>
 ParseFleet(const store::item& aItem);
 
-/// Whether both name the same VMs at the same places, in the same order; lives
-/// may differ.
+/// Whether both lists name the same VMs with the same attributes in the same
+/// order. Incarnations are ignored.
 [[nodiscard]] bool
 IsSameFleet(const std::vector<vm_record>& aLeft,
             const std::vector<vm_record>& aRight);
@@ -79,7 +79,7 @@
 [[nodiscard]] std::optional<failover_lock>
 ParseFailoverLock(const store::item& aItem);
 
-/// What stands in the store below the prefix.
+/// The contents of the store below kClusterPrefix.
 struct cluster_state
 {
   struct stored_vm
@@ -94,70 +94,73 @@
     store::revision changed;
   };
 
-  /// By name.
+  /// By VM name.
   absl::btree_map<std::string, stored_vm> vms;
   /// By service.
   absl::btree_map<std::string, stored_lock> locks;
-  /// The recorded fleet, by name, and the record's last change.
+  /// The recorded fleet, ordered by name, and the revision of the record.
   std::vector<vm_record> fleet;
   store::revision fleetChanged;
 
-  /// The VMs that are listed, by name.
+  /// Returns the registered VMs, ordered by name.
   [[nodiscard]] std::vector<vm_record> Listed() const;
 };
 
-/// Reads the keys; what can't be read is left out.
+/// Parses all keys. Keys that cannot be parsed are left out.
 [[nodiscard]] cluster_state
 ReadClusterState(const store::prefix_view::items& aItems);
 
-/// What reading some keys anew has changed.
+/// The result of an incremental update.
 struct cluster_changes
 {
-  /// Everything may have.
+  /// Everything may have changed.
   bool isAll = false;
-  /// VMs that came, went or tell something else of themselves.
+  /// VMs that were added, removed or have another record.
   std::vector<std::string> vms;
-  /// Services whose duty has another record.
+  /// Services whose failover lock changed.
   std::vector<std::string> locks;
-  /// The recorded fleet was written.
+  /// The fleet record was written.
   bool isFleetRecorded = false;
 };
 
-/// Reads the keys that have changed, so that a change costs its own size; the
-/// outcome is that of reading all.
+/// Parses only the keys that changed, so that the cost is proportional to the
+/// change. The resulting state equals that of ReadClusterState.
 [[nodiscard]] cluster_changes
-UpdateClusterState(cluster_state& aKeys,
+UpdateClusterState(cluster_state& aState,
                    const store::prefix_view::items& aItems,
                    const store::changed_keys& aChanged);
 
-/// Reads the recorded fleet alone.
+/// Parses the fleet record again.
 void
-ReloadFleet(cluster_state& aKeys, const store::prefix_view::items& aItems);
+ReloadFleet(cluster_state& aState, const store::prefix_view::items& aItems);
 
-/// Counts VMs as recorded that the record lacks.
+/// Adds VMs that the fleet record lacks.
 void
-MergeIntoFleet(cluster_state& aKeys, const std::vector<vm_record>& aVms);
+MergeIntoFleet(cluster_state& aState, const std::vector<vm_record>& aVms);
 
-/// Whether a VM that is listed and stays holds the duty.
+/// Whether the lock's holder is listed in the same incarnation and is not
+/// draining.
 [[nodiscard]] bool
-IsLockHeld(const cluster_state& aKeys, const std::string& aService);
+IsLockHeld(const cluster_state& aState, const std::string& aService);
 
-/// Takes the duty over, provided that neither its record nor its holder's have
-/// changed. The epoch is above every earlier one, also of claims that the store
-/// has lost: states of the store only go up. The replaced term is the newest
-/// that the record or this VM knows.
+/// Builds the transaction that acquires the lock. It fails if the lock's record
+/// or its holder's record has changed since. The epoch exceeds all earlier
+/// ones, including those of claims that the store has lost, because it is
+/// derived from the store's revision and era, which never decrease. The
+/// replaced term is the newest that the record or this VM knows.
 [[nodiscard]] store::transaction
-MakeLockClaim(const cluster_state& aKeys,
+MakeLockClaim(const cluster_state& aState,
               const std::string& aService,
               const vm_record& aSelf,
               store::revision aSeen,
               position::term_id aReplaced);
 
-/// Whether the duty was claimed in the given era. The store may have lost later
-/// claims and the terms that they replaced: a duty of an earlier era gives no
-/// orders and tells of no term until its holder has claimed it anew.
+/// Whether the lock was acquired in the given era. After a restore the store
+/// may lack later claims and the terms that they replaced. The holder of a lock
+/// of an earlier era orders no promotions and announces no terms until it has
+/// acquired the lock again.
 [[nodiscard]] bool
-IsFromEra(const failover_lock& aDuty, store::era_id aEra);
+IsFromEra(const failover_lock& aLock, store::era_id aEra);
 
 } // namespace currantshed::node
 
--- a/src/currantshed/node/control_fleet.cpp
+++ b/src/currantshed/node/control_fleet.cpp
@@ -14,51 +14,52 @@
 
 using std::chrono::milliseconds;
 
-// How long a VM that starts counts on others that are recorded but not listed:
-// VMs that lost power together are back within a second of each other. Also
-// how long the fleet must stay the same before it is recorded.
+// How long a VM that starts takes account of VMs that are recorded but not
+// listed: VMs that lost power together are back within a second of each other.
+// Also how long the fleet must be unchanged before it is recorded.
 constexpr milliseconds kFleetSettling{ 2000 };
 
 } // namespace
 
-// Takes over which VMs there are, listed or recorded.
+// Applies a change of the VMs that are listed or recorded.
 void
 control::FleetChanged(clock::time_point aNow)
 {
   mIsFleetStale.reset();
-  if (!mFormer.empty()) {
-    MergeIntoFleet(mOwnKeys, mFormer);
+  if (!mFormerVms.empty()) {
+    MergeIntoFleet(mClusterState, mFormerVms);
   }
-  NoteVms(aNow);
+  UpdateMembership(aNow);
   UpdateForwarders(aNow);
-  SetCheckPlace();
-  NoteCollectors();
-  TellFleet(aNow);
-  SetPlaces(aNow);
+  SetCheckRank();
+  UpdateCoordinators();
+  PublishFleet(aNow);
+  UpdateQueryStagger(aNow);
 }
 
-// Traffic shares connections with the VMs that are listed, and for a while
-// after the start also with those that were.
+// The traffic thread divides the servers' connections among the listed VMs, and
+// for a while after the start also among the recorded ones.
 void
-control::TellFleet(clock::time_point aNow)
+control::PublishFleet(clock::time_point aNow)
 {
-  if (!mSettledAt) {
-    mSettledAt = aNow + kFleetSettling;
+  if (!mSettlesAt) {
+    mSettlesAt = aNow + kFleetSettling;
   }
-  auto vms = mOwnKeys.Listed();
+  auto vms = mClusterState.Listed();
   if (!mIsSettled) {
-    for (const auto& one : mOwnKeys.fleet) {
-      if (!mOwnKeys.vms.contains(one.where.vm)) {
+    for (const auto& one : mClusterState.fleet) {
+      if (!mClusterState.vms.contains(one.where.vm)) {
         vms.push_back(one);
       }
     }
   }
-  std::vector<proxy::vm_capacity> strengths;
-  strengths.reserve(vms.size());
+  std::vector<proxy::vm_capacity> capacities;
+  capacities.reserve(vms.size());
   for (const auto& one : vms) {
-    strengths.push_back({ one.failureDomain, one.cpuMillicores, one.leaving });
+    capacities.push_back(
+      { one.failureDomain, one.cpuMillicores, one.draining });
   }
-  const auto works = proxy::SelectDelegates(strengths);
+  const auto delegates = proxy::SelectDelegates(capacities);
   std::vector<proxy::fleet_vm> fleet;
   fleet.reserve(vms.size());
   for (std::size_t i = 0; i < vms.size(); ++i) {
@@ -67,29 +68,29 @@
                       one.failureDomain,
                       one.where.address,
                       one.relayPort,
-                      one.leaving,
-                      works[i] });
-    if (works[i] && one.where.vm == mSelf.where.vm) {
+                      one.draining,
+                      delegates[i] });
+    if (delegates[i] && one.where.vm == mSelf.where.vm) {
       mRegistration.SetLease(ShortLease());
     }
   }
   mTraffic.SetFleet(std::move(fleet));
 }
 
-// The VM that holds the first group's duty records the fleet once it has
-// stayed as it is for a while.
+// The holder of the first group's failover lock records the fleet once it has
+// been unchanged for a while.
 void
-control::KeepFleet(clock::time_point aNow)
+control::RecordFleet(clock::time_point aNow)
 {
   const bool isDue = !mGroups.empty() &&
-                     mGroups.begin()->second->lead.HoldsFailoverLock() &&
+                     mGroups.begin()->second->monitor.HoldsFailoverLock() &&
                      ReachesStore();
   if (!isDue) {
     mFleetStaleSince.reset();
     return;
   }
   if (!mIsFleetStale) {
-    mIsFleetStale = !IsSameFleet(mOwnKeys.Listed(), mOwnKeys.fleet);
+    mIsFleetStale = !IsSameFleet(mClusterState.Listed(), mClusterState.fleet);
   }
   if (!*mIsFleetStale) {
     mFleetStaleSince.reset();
@@ -102,13 +103,14 @@
     return;
   }
   mFleetStaleSince = aNow;
-  const auto listed = mOwnKeys.Listed();
-  store::transaction made;
-  made.conditions.push_back(
-    { FleetKey(), { mOwnView.Seen().era, mOwnKeys.fleetChanged.number } });
-  made.puts.push_back({ FleetKey(), SerializeFleet(listed), {}, {} });
+  const auto listed = mClusterState.Listed();
+  store::transaction transaction;
+  transaction.conditions.push_back(
+    { FleetKey(),
+      { mClusterView.Seen().era, mClusterState.fleetChanged.number } });
+  transaction.puts.push_back({ FleetKey(), SerializeFleet(listed), {}, {} });
   mStore.Commit(
-    std::move(made),
+    std::move(transaction),
     [vms = listed.size()](
       store::commit_outcome aOutcome, store::revision, store::response_info) {
       log::Write(log::level::kInfo,
@@ -118,50 +120,52 @@
     });
 }
 
-// A store that has come back may list few VMs and an old record, though all
-// run: whoever shared by those alone would take more than its part.
+// A restored store may list few VMs and an old fleet record although all VMs
+// run. A VM that divided connections and rates by these alone would take more
+// than its share.
 void
-control::NoteEra(clock::time_point aNow)
+control::UpdateEra(clock::time_point aNow)
 {
-  const auto era = mOwnView.Seen().era;
-  if (std::exchange(mOwnEra, era) == era) {
+  const auto era = mClusterView.Seen().era;
+  if (std::exchange(mClusterEra, era) == era) {
     return;
   }
-  mFormer = mOwnKeys.Listed();
-  mFormer.insert(mFormer.end(), mOwnKeys.fleet.begin(), mOwnKeys.fleet.end());
+  mFormerVms = mClusterState.Listed();
+  mFormerVms.insert(
+    mFormerVms.end(), mClusterState.fleet.begin(), mClusterState.fleet.end());
   mIsSettled = false;
-  mSettledAt = aNow + kFleetSettling;
+  mSettlesAt = aNow + kFleetSettling;
 }
 
 void
 control::EndSettling(clock::time_point aNow)
 {
-  if (mIsSettled || !mSettledAt || aNow < *mSettledAt) {
+  if (mIsSettled || !mSettlesAt || aNow < *mSettlesAt) {
     return;
   }
   mIsSettled = true;
-  if (!mFormer.empty()) {
-    mFormer.clear();
-    ReloadFleet(mOwnKeys, mOwnView.Items());
+  if (!mFormerVms.empty()) {
+    mFormerVms.clear();
+    ReloadFleet(mClusterState, mClusterView.Items());
     mIsFleetStale.reset();
   }
-  TellFleet(aNow);
-  NoteCollectors();
+  PublishFleet(aNow);
+  UpdateCoordinators();
 }
 
-// Takes over who is listed, and whom that leaves to be sent to.
+// Updates which VMs are listed and which can be sent to.
 void
-control::NoteVms(clock::time_point aNow)
+control::UpdateMembership(clock::time_point aNow)
 {
   std::vector<news::peer> listed;
-  listed.reserve(mOwnKeys.vms.size());
-  for (const auto& [name, one] : mOwnKeys.vms) {
+  listed.reserve(mClusterState.vms.size());
+  for (const auto& [name, one] : mClusterState.vms) {
     listed.push_back(one.record.where);
   }
-  mKnownVms.Listed(listed, aNow);
-  auto peers = mKnownVms.Reachable(aNow);
+  mMembership.SetListed(listed, aNow);
+  auto peers = mMembership.Reachable(aNow);
   AddRecordedPeers(peers);
-  mNews.SetPeers(peers);
+  mExchange.SetPeers(peers);
 }
 
 // For a while after the start, VMs that are recorded but not listed can be sent
@@ -176,38 +180,39 @@
   for (const auto& one : aTo) {
     known.insert(one.vm);
   }
-  for (const auto& one : mOwnKeys.fleet) {
+  for (const auto& one : mClusterState.fleet) {
     if (!known.contains(one.where.vm)) {
       aTo.push_back(one.where);
     }
   }
 }
 
-// In which order the VMs ask for proofs of a group that nobody watches.
+// Sets this VM's rank among the VMs that ask for confirmations of a group that
+// no VM monitors.
 void
-control::SetPlaces(clock::time_point aNow)
+control::UpdateQueryStagger(clock::time_point aNow)
 {
-  const auto vms = mKnownVms.CountReachable(aNow) + 1;
-  const bool isRelayed = IsRelayed(aNow);
+  const auto vms = mMembership.CountReachable(aNow) + 1;
+  const bool isForwarded = IsForwardedTo(aNow);
   for (auto& [service, one] : mGroups) {
-    one->lead.SetQueryStagger(vms, one->place);
-    one->lead.SetIsForwarded(isRelayed);
+    one->monitor.SetQueryStagger(vms, one->queryRank);
+    one->monitor.SetIsForwarded(isForwarded);
   }
 }
 
-// Whether the store has taken this VM off the list by now, as far as it can
-// tell: its way to the store is cut, or the store is away.
+// Whether the store has removed this VM from the list by now, as far as the VM
+// can tell: it is cut off from the store, or the store is unavailable.
 bool
-control::IsOffTheList(clock::time_point aNow) const
+control::IsUnlisted(clock::time_point aNow) const
 {
   return mListedAt != clock::time_point{} && aNow >= mRegistration.ValidUntil();
 }
 
-// Whether it is so long that whoever holds a duty may soon forget this VM.
+// Whether that has lasted so long that lock holders may soon forget this VM.
 bool
-control::IsLongOffTheList(clock::time_point aNow) const
+control::IsLongUnlisted(clock::time_point aNow) const
 {
-  return IsOffTheList(aNow) &&
+  return IsUnlisted(aNow) &&
          aNow >= mRegistration.ValidUntil() + vm_membership::kRetention / 2;
 }
 
--- a/src/currantshed/node/control_servers.cpp
+++ b/src/currantshed/node/control_servers.cpp
@@ -1,4 +1,4 @@
-// Which servers there are, as the store lists them.
+// The servers that the store lists.
 #include "currantshed/node/control.hpp"
 
 #include <cmath>
@@ -15,7 +15,8 @@
 
 namespace {
 
-// A number from 0 to below 1 that differs by group and VM, the same everywhere.
+// A number from 0 to below 1, derived from the group and the VM, so that it is
+// the same on every VM.
 double
 PlaceOf(const std::string& aService, const std::string& aVm)
 {
@@ -24,7 +25,7 @@
   return std::ldexp(static_cast<double>(hash >> 11U), -53);
 }
 
-// The services some of whose servers are listed otherwise than before.
+// The services for which the list of servers differs.
 absl::flat_hash_set<std::string>
 ChangedServices(const std::vector<proxy::server>& aBefore,
                 const std::vector<proxy::server>& aNow)
@@ -60,7 +61,7 @@
   const auto before = mServers.Servers();
   const auto source =
     mServersView.MayBeStale() ? list_source::kResync : list_source::kWatch;
-  NoteServers(mServers.Take(ReadServers(), source, aNow), source);
+  LogServerChanges(mServers.Update(ReadServers(), source, aNow), source);
   const auto changed = ChangedServices(before, mServers.Servers());
   if (changed.empty()) {
     return;
@@ -74,14 +75,14 @@
       { "store_era", static_cast<std::int64_t>(mServersView.Seen().era) } });
   mTraffic.SetServers(mServers.Servers());
   UpdateReadiness(aNow);
-  Perform(aNow);
+  PerformActions(aNow);
 }
 
-// Entries of other writers name no server to use. One that was good before and
-// can't be read any longer is missing: what it said last holds for as long as a
-// missing server is kept, so that one that leaves is still leaving. Only
-// entries that have changed are read: those of a thousand groups come in many
-// turns.
+// Entries of unknown writers cannot be used. The server of an entry that was
+// valid before and cannot be parsed any longer counts as missing: its last
+// state holds for the grace period, so that a draining server remains draining.
+// Only entries that have changed are parsed, because those of a thousand groups
+// arrive in many updates.
 std::vector<proxy::server>
 control::ReadServers()
 {
@@ -89,7 +90,7 @@
   const auto changed = mServersView.TakeChangedKeys();
   if (changed.isAll) {
     mEntries.clear();
-    absl::erase_if(mUnusable, [&items](const auto& aEntry) {
+    absl::erase_if(mUnusableEntries, [&items](const auto& aEntry) {
       return !items.contains(aEntry.first);
     });
     for (const auto& [key, item] : items) {
@@ -100,7 +101,7 @@
     const auto found = items.find(key);
     if (found == items.end()) {
       mEntries.erase(key);
-      mUnusable.erase(key);
+      mUnusableEntries.erase(key);
     } else {
       ReadEntry(key, found->second);
     }
@@ -109,7 +110,7 @@
   servers.reserve(mEntries.size());
   for (const auto& [key, entry] : mEntries) {
     if (mServices && !mServices->contains(entry.service)) {
-      NoteUnusable(key, items.at(key).changed, entry_errc::kUnknownService);
+      LogUnusableEntry(key, items.at(key).changed, entry_errc::kUnknownService);
     } else {
       servers.push_back(entry);
     }
@@ -120,56 +121,56 @@
 void
 control::ReadEntry(const std::string& aKey, const store::item& aItem)
 {
-  std::error_code whyNot;
-  auto read = mDocuments.ReadServer(aKey, aItem.value, whyNot);
-  if (read && !whyNot) {
+  std::error_code error;
+  auto read = mDocuments.ReadServer(aKey, aItem.value, error);
+  if (read && !error) {
     mEntries.insert_or_assign(aKey, std::move(*read));
-    mUnusable.erase(aKey);
+    mUnusableEntries.erase(aKey);
     return;
   }
   mEntries.erase(aKey);
-  NoteUnusable(aKey, aItem.changed, whyNot);
+  LogUnusableEntry(aKey, aItem.changed, error);
 }
 
-// One line for each entry and change of it.
+// Logs once per entry and revision.
 void
-control::NoteUnusable(const std::string& aKey,
-                      store::revision aChanged,
-                      std::error_code aWhyNot)
+control::LogUnusableEntry(const std::string& aKey,
+                          store::revision aChanged,
+                          std::error_code aError)
 {
-  auto& noted = mUnusable[aKey];
-  if (std::exchange(noted, aChanged) == aChanged) {
+  auto& loggedRevision = mUnusableEntries[aKey];
+  if (std::exchange(loggedRevision, aChanged) == aChanged) {
     return;
   }
-  mMetrics.CountUnusableEntry(aWhyNot.message());
+  mMetrics.CountUnusableEntry(aError.message());
   log::Write(log::level::kWarning,
              "server_unusable",
              { { "key", aKey },
-               { "reason", aWhyNot.message() },
+               { "reason", aError.message() },
                { "changed", static_cast<std::int64_t>(aChanged.number) } });
 }
 
-// One line for each server whose standing has changed, so that it can be told
-// when this VM knew that a server leaves, and how it came to know. Those that
-// have come are many when all start, and told by their number alone.
+// Logs once per change of a server's state, which shows when and how this VM
+// learned that a server is draining. New servers are not logged one by one:
+// when all start they are many, and only their number is logged.
 void
-control::NoteServers(const std::vector<server_change>& aNews,
-                     list_source aSource) const
+control::LogServerChanges(const std::vector<server_change>& aChanges,
+                          list_source aSource) const
 {
-  for (const auto& one : aNews) {
-    if (one.isNew && one.standing == listing_state::kReady) {
+  for (const auto& one : aChanges) {
+    if (one.isNew && one.state == listing_state::kReady) {
       continue;
     }
-    const auto* lead = Find(one.server.service);
-    const bool leads =
-      lead != nullptr && lead->lead.Confirmation().primary == one.server.id;
-    mMetrics.CountListingState(ToString(one.standing));
+    const auto* found = Find(one.server.service);
+    const bool leads = found != nullptr &&
+                       found->monitor.Confirmation().primary == one.server.id;
+    mMetrics.CountListingState(ToString(one.state));
     log::Write(
       log::level::kInfo,
       "server_standing",
       { { "server", one.server.id },
         { "service", one.server.service },
-        { "standing", std::string(ToString(one.standing)) },
+        { "standing", std::string(ToString(one.state)) },
         { "started_at_ms",
           static_cast<std::int64_t>(
             one.server.startedAt.time_since_epoch().count()) },
@@ -195,15 +196,15 @@
     }
   }
   for (auto& [service, listed] : members) {
-    auto& place = mGroups[service];
-    if (place == nullptr) {
-      place = std::make_unique<group>(mLeadSettings);
-      place->place = PlaceOf(service, mSelf.where.vm);
-      place->lead.SetMayConfirm(mMayAsk);
-      mDuties.AddService(mOwnKeys, service);
+    auto& entry = mGroups[service];
+    if (entry == nullptr) {
+      entry = std::make_unique<group>(mMonitorSettings);
+      entry->queryRank = PlaceOf(service, mSelf.where.vm);
+      entry->monitor.SetMayConfirm(mMayConfirm);
+      mLocks.AddService(mClusterState, service);
     }
-    place->lead.Configure(listed, aNow);
-    mAgenda.Touch(service);
+    entry->monitor.Configure(listed, aNow);
+    mScheduler.MarkPending(service);
   }
 }
 
--- a/src/currantshed/node/forwarding_batch.hpp
+++ b/src/currantshed/node/forwarding_batch.hpp
@@ -14,52 +14,54 @@
 
 namespace currantshed::node {
 
-/// What another VM said of its own way to a group's primary.
+/// Another VM's reach update on a group's primary.
 struct forwarded_reach_update
 {
   std::string service;
   std::string vm;
-  lead::reach_update news;
+  lead::reach_update update;
 };
 
-/// What a VM passes on between those that watch groups and the others of its
-/// failure domain, gathered for a moment: one message with several groups costs
-/// a VM much less than a message for each. Asks for no time and does no I/O.
+/// Batches the updates that a forwarder passes between the VMs that monitor
+/// groups and the other VMs of its failure domain: one message about several
+/// groups costs a VM much less than one message per group. Does not read the
+/// clock and does no I/O.
 class forwarding_batch
 {
 public:
-  /// There is newer word on the group for the others of the failure domain.
-  /// What a change of the primary waits for is urgent.
+  /// Records that there is a newer watch update for the group. One that a
+  /// change of the primary waits for is urgent.
   void AddGroup(const std::string& aService,
                 bool aIsUrgent,
                 clock::time_point aNow);
 
-  /// The groups whose word is to be passed on now; none before it is time. The
-  /// pause is that between two times.
+  /// Returns the groups whose watch updates are due, or none before that time.
+  /// aPause is the minimum time between two batches.
   [[nodiscard]] std::vector<std::string> TakeGroups(
     std::chrono::milliseconds aPause,
     clock::time_point aNow);
 
-  /// Another VM has said this. Of each group whoever watches it needs the
-  /// freshest word on the primary, and each word that a term was given up.
+  /// Adds the reach update of another VM. The VM that monitors a group needs
+  /// only the most recent state of reachability, but every acknowledgement of a
+  /// revoked term.
   void AddReachUpdate(forwarded_reach_update aReach, clock::time_point aNow);
 
-  /// What is to be passed on now; none before it is time.
+  /// Returns the reach updates that are due, or none before that time.
   [[nodiscard]] std::vector<forwarded_reach_update> TakeReachUpdates(
     clock::time_point aNow);
 
   [[nodiscard]] clock::time_point NextTick() const noexcept;
 
 private:
-  absl::btree_set<std::string> mWords;
-  clock::time_point mWordsAt = clock::time_point::max();
-  clock::time_point mLastWords{};
-  /// By group, the freshest.
-  absl::btree_map<std::string, forwarded_reach_update> mFreshest;
-  /// By group and VM.
+  absl::btree_set<std::string> mGroups;
+  clock::time_point mGroupsDueAt = clock::time_point::max();
+  clock::time_point mLastTaken{};
+  /// The most recent reach update, by group.
+  absl::btree_map<std::string, forwarded_reach_update> mLatest;
+  /// Acknowledgements, by group and VM.
   absl::btree_map<std::pair<std::string, std::string>, forwarded_reach_update>
-    mObeyed;
-  clock::time_point mReachesAt = clock::time_point::max();
+    mAcknowledged;
+  clock::time_point mReachUpdatesDueAt = clock::time_point::max();
 };
 
 } // namespace currantshed::node
--- a/src/currantshed/node/freshness_check_schedule.hpp
+++ b/src/currantshed/node/freshness_check_schedule.hpp
@@ -8,27 +8,28 @@
 
 namespace currantshed::node {
 
-/// When this VM asks the store whether its configuration is still the newest.
-/// The VMs have an order: the first one asks often enough for all, and tells
-/// the others; a later one asks once no proof has come for longer, since those
-/// before it are gone or cut off. Asks for no time.
+/// Schedules this VM's requests to the store that verify that its configuration
+/// is still the newest. The VMs are ranked: the first one asks often enough for
+/// all and sends the result to the others. A VM of a later rank asks only if no
+/// verification has arrived for longer, since the VMs before it have failed or
+/// are cut off. Does not read the clock.
 class freshness_check_schedule
 {
 public:
-  /// The VM's place in the order; zero asks first.
-  void SetRank(std::size_t aPlace) noexcept { mPlace = aPlace; }
+  /// Sets the VM's rank; rank zero asks first.
+  void SetRank(std::size_t aRank) noexcept { mRank = aRank; }
 
-  /// When to ask, given the latest proof.
+  /// Returns when to ask next, given the time of the latest verification.
   [[nodiscard]] clock::time_point NextCheck(
-    clock::time_point aProvedAt) const noexcept;
+    clock::time_point aVerifiedAt) const noexcept;
 
-  void OnRequestSent() noexcept { mIsAsking = true; }
-  void OnResponse(bool aIsProof, clock::time_point aNow) noexcept;
+  void OnRequestSent() noexcept { mIsInFlight = true; }
+  void OnResponse(bool aIsVerified, clock::time_point aNow) noexcept;
 
 private:
-  std::size_t mPlace = 0;
+  std::size_t mRank = 0;
   unsigned mFailures = 0;
-  bool mIsAsking = false;
+  bool mIsInFlight = false;
   clock::time_point mNotBefore{};
 };
 
--- a/src/currantshed/node/internal/forwarding_timeouts.hpp
+++ b/src/currantshed/node/internal/forwarding_timeouts.hpp
@@ -9,11 +9,11 @@
 
 namespace currantshed::node::internal {
 
-/// The number of the configuration's keys in messages.
+/// The number that stands for the configuration's prefix in messages.
 constexpr std::size_t kConfigurationPrefix = 0;
 
-/// How long what feeders pass on may count, by the time within which a
-/// configuration must be in force.
+/// Time-outs for keys that come from forwarders, derived from the time within
+/// which a configuration must be in force.
 class forwarding_timeouts
 {
 public:
@@ -23,9 +23,9 @@
   {
   }
 
-  /// How long after its start a VM looks for others that follow the store for
-  /// it, before it begins to follow what it has read by itself; and the same
-  /// for the system's own keys, which tell who does.
+  /// How long after its start a VM looks for forwarders before it follows the
+  /// store itself. The time for the cluster state, which tells which VMs are
+  /// forwarders, is shorter.
   [[nodiscard]] constexpr std::chrono::milliseconds DiscoveryTimeout()
     const noexcept
   {
@@ -37,30 +37,32 @@
     return mBound / 3;
   }
 
-  /// Until when keys count as current that came from a feeder now, and were
-  /// surely those of the store at the given time. A feeder that answers but is
-  /// behind is one to whom the store is slow: were all that it feeds to ask the
-  /// store instead, the store would stay slow.
+  /// Returns until when keys count as current that were received from a
+  /// forwarder at aNow and are known to have matched the store at aCurrentAt. A
+  /// forwarder that answers but is behind has a slow connection to the store.
+  /// If all its subscribers turned to the store instead, the store would remain
+  /// slow.
   [[nodiscard]] constexpr clock::time_point ForwardedUntil(
     bool aIsConfiguration,
     clock::time_point aCurrentAt,
     clock::time_point aNow) const noexcept
   {
-    const auto usual = aIsConfiguration ? kConfigurationLife : kOtherLife;
+    const auto usual =
+      aIsConfiguration ? kConfigurationLifetime : kOtherLifetime;
     const auto longest =
       std::max(usual, aIsConfiguration ? mBound * 3 / 5 : mBound * 5 / 6);
     return std::max(aCurrentAt + usual,
-                    std::min(aNow + kAnswerLife, aCurrentAt + longest));
+                    std::min(aNow + kResponseLife, aCurrentAt + longest));
   }
 
 private:
-  // How long keys count after they were surely those of the store, whether any
-  // feeder answers or not. Shorter for the configuration, which must be in
-  // force in time wherever the VM itself reaches the store.
-  static constexpr std::chrono::milliseconds kConfigurationLife{ 1800 };
-  static constexpr std::chrono::milliseconds kOtherLife{ 2500 };
-  // Three questions.
-  static constexpr std::chrono::milliseconds kAnswerLife{ 1200 };
+  // How long keys count as current after they are known to have matched the
+  // store, whether or not a forwarder answers. Shorter for the configuration,
+  // which must be in force in time wherever the VM itself reaches the store.
+  static constexpr std::chrono::milliseconds kConfigurationLifetime{ 1800 };
+  static constexpr std::chrono::milliseconds kOtherLifetime{ 2500 };
+  // The time of three polls.
+  static constexpr std::chrono::milliseconds kResponseLife{ 1200 };
 
   std::chrono::milliseconds mBound;
 };
--- a/src/currantshed/node/lock_assignments.hpp
+++ b/src/currantshed/node/lock_assignments.hpp
@@ -13,56 +13,61 @@
 
 namespace currantshed::node {
 
-/// The VMs that may have duties: those that are listed, stay and work for
-/// others. Few VMs with many groups each tell of them in few messages, keep few
-/// connections to servers, and let all others have leases that cost half.
+/// The VMs that are eligible for failover locks: those that are listed, are not
+/// draining and are delegates. Concentrating the locks of many groups on few
+/// VMs keeps watch updates batched and connections to servers few, and lets all
+/// other VMs use leases that cost half as much to renew.
 [[nodiscard]] absl::btree_set<std::string>
-LockCandidates(const cluster_state& aKeys);
+LockCandidates(const cluster_state& aState);
 
-/// Who holds the duty of each group, and which of the candidates is to take
-/// each one that none of them holds: the one that all agree on by hashing. Kept
-/// up change by change, so that a VM that comes costs one hash for each vacant
-/// group, and one that goes a look at the groups that it held or was to take.
-/// Does no I/O.
+/// Tracks the holder of each group's failover lock and, for each lock that no
+/// candidate holds, the candidate that is to acquire it. All VMs agree on it by
+/// rendezvous hashing. Updates are incremental: a new VM costs one hash per
+/// vacant group, and a lost VM costs a check of the groups that it held or was
+/// to take. Does no I/O.
 class lock_assignments
 {
 public:
   explicit lock_assignments(std::string aSelf);
 
-  /// There is such a group.
-  void AddService(const cluster_state& aKeys, const std::string& aService);
+  /// Starts to track the group. Has no effect if the group is known.
+  void AddService(const cluster_state& aState, const std::string& aService);
 
-  /// The VMs that may have duties. What another one holds is taken over.
-  void SetCandidates(const cluster_state& aKeys,
+  /// Replaces the set of eligible VMs. Locks held by VMs outside the set are
+  /// taken over.
+  void SetCandidates(const cluster_state& aState,
                      absl::btree_set<std::string> aCandidates);
 
-  /// The VM's record, or the duty's, is another one now, or is gone.
-  void OnVmChanged(const cluster_state& aKeys, const std::string& aVm);
-  void OnLockChanged(const cluster_state& aKeys, const std::string& aService);
+  /// To be called after the record of the VM or of the lock was changed or
+  /// removed.
+  void OnVmChanged(const cluster_state& aState, const std::string& aVm);
+  void OnLockChanged(const cluster_state& aState, const std::string& aService);
 
-  /// All records may be others.
-  void OnAllChanged(const cluster_state& aKeys);
+  /// To be called after any record may have changed.
+  void OnAllChanged(const cluster_state& aState);
 
-  /// Whether this VM is to take the group's duty, which nobody holds.
+  /// Whether this VM is to acquire the group's lock, which no candidate holds.
   [[nodiscard]] bool IsNextHolder(const std::string& aService) const;
 
-  /// Whether a candidate that is listed and stays holds the duty.
+  /// Whether a candidate that is listed and not draining holds the lock.
   [[nodiscard]] bool IsHeld(const std::string& aService) const;
 
-  /// The groups whose duty this VM has by the record, or is to take.
+  /// The groups whose lock this VM holds according to the record, or is to
+  /// acquire.
   [[nodiscard]] const absl::btree_set<std::string>& OwnGroups() const noexcept
   {
     return mOwn;
   }
 
-  /// The VMs that have duties by the records, listed or not, by name.
+  /// Returns the VMs that hold locks according to the records, listed or not,
+  /// ordered by name.
   [[nodiscard]] std::vector<std::string> Holders() const;
 
-  /// The groups whose record, or whose standing by Own or IsHeld, may have
-  /// changed since this was last called.
+  /// Returns the groups whose record, or whose result of OwnGroups or IsHeld,
+  /// may have changed since the last call.
   [[nodiscard]] absl::btree_set<std::string> TakeChangedGroups();
 
-  /// Hashes that were worked out; counts work.
+  /// Number of hash scores computed so far, as a measure of work.
   [[nodiscard]] std::uint64_t ScoresComputed() const noexcept
   {
     return mScored;
@@ -77,28 +82,28 @@
 
   struct group
   {
-    // By the record; empty where there is none.
+    // According to the record; empty if there is none.
     std::string holder;
     bool isHeld = false;
-    // The best VM while nobody holds it.
+    // The candidate with the highest score while the lock is vacant.
     std::optional<candidate> best;
   };
 
   using groups = absl::btree_map<std::string, group>;
 
-  void Reconsider(const std::string& aService,
-                  const std::vector<std::string>& aCome);
+  void UpdateBest(const std::string& aService,
+                  const std::vector<std::string>& aAdded);
   void Compare(const std::string& aService,
                group& aGroup,
                const std::string& aVm);
   void Choose(const std::string& aService, group& aGroup);
-  void Recheck(const cluster_state& aKeys,
-               const std::string& aService,
-               group& aGroup);
+  void UpdateHeld(const cluster_state& aState,
+                  const std::string& aService,
+                  group& aGroup);
   void SetHolder(const std::string& aService,
                  group& aGroup,
                  const std::string& aHolder);
-  void Note(const std::string& aService, const group& aGroup);
+  void MarkChanged(const std::string& aService, const group& aGroup);
 
   std::string mSelf;
   absl::btree_set<std::string> mCandidates;
--- a/src/currantshed/node/message_conversion.hpp
+++ b/src/currantshed/node/message_conversion.hpp
@@ -11,34 +11,34 @@
 
 namespace currantshed::node {
 
-/// Writes what a VM says of a group that it watches into a message.
+/// Writes the watch update of a group into a message.
 void
 Fill(news::Watch& aOut,
      const std::string& aService,
-     const lead::watch_update& aNews);
+     const lead::watch_update& aUpdate);
 
-/// Writes what a VM says of its own way to a group's primary into a message.
+/// Writes this VM's reach update on a group's primary into a message.
 void
 Fill(news::Reach& aOut,
      const std::string& aService,
-     const lead::reach_update& aNews);
+     const lead::reach_update& aUpdate);
 
-/// Reads what a VM that watches a group said; times become those of this VM.
+/// Reads a watch update; timestamps are converted to this VM's clock.
 [[nodiscard]] lead::watch_update
 ReadWatch(const news::Watch& aWatch,
           const news::exchange::clock_converter& aClock);
 
-/// Reads what a VM said of its way to a primary, in a message sent at the given
-/// time of the sender's clock.
+/// Reads a reach update from a message that was sent at the given time of the
+/// sender's clock.
 [[nodiscard]] lead::reach_update
 ReadReach(const news::Reach& aReach,
           std::int64_t aSentAt,
           const news::exchange::clock_converter& aClock);
 
-/// The newest changes that the sender has seen of each followed prefix, in the
-/// order of their numbers in messages.
+/// Reads the newest revisions that the sender has seen of each followed prefix,
+/// in the order of the prefixes' numbers.
 [[nodiscard]] std::array<store::revision, 3>
-ReadChanges(const news::News& aNews);
+ReadRevisions(const news::News& aMessage);
 
 } // namespace currantshed::node
 
--- a/src/currantshed/node/metrics.cpp
+++ b/src/currantshed/node/metrics.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-// Seconds: from a read in the own failure domain to the longest time limits of
-// statements.
+// In seconds: from reads within the failure domain to the longest time limits
+// of statements.
 const prometheus::Histogram::BucketBoundaries&
 Boundaries()
 {
@@ -41,39 +41,41 @@
   : mRegistry(std::make_shared<prometheus::Registry>())
   , mRequests(Counter(*mRegistry,
                       "currantshed_node_requests_total",
-                      "Decisions about requests, by outcome and reason"))
+                      "Number of decisions on requests, by outcome and reason"))
   , mTimes(prometheus::BuildHistogram()
              .Name("currantshed_node_request_seconds")
              .Help("Time from a request to its final answer, by outcome")
              .Register(*mRegistry))
   , mStoreCalls(Counter(*mRegistry,
                         "currantshed_node_store_calls_total",
-                        "Calls of the platform's store, by result"))
+                        "Number of calls of the store, by result"))
   , mServers(Counter(*mRegistry,
                      "currantshed_node_servers_total",
-                     "Servers reached and lost"))
-  , mStandings(Counter(*mRegistry,
-                       "currantshed_node_server_standings_total",
-                       "Servers that came to stand so on the store's list"))
+                     "Number of times a server was reached or lost"))
+  , mListingStates(
+      Counter(*mRegistry,
+              "currantshed_node_server_standings_total",
+              "Number of state changes of listed servers, by new state"))
   , mAtLeaving(Counter(*mRegistry,
                        "currantshed_node_requests_at_leaving_servers_total",
-                       "Requests whose server had said that it leaves"))
-  , mUnusable(Counter(*mRegistry,
-                      "currantshed_node_unusable_entries_total",
-                      "Entries that name no server to use, by reason"))
+                       "Number of requests on a draining server, by outcome"))
+  , mUnusableEntries(
+      Counter(*mRegistry,
+              "currantshed_node_unusable_entries_total",
+              "Number of server entries that cannot be used, by reason"))
   , mLeadSteps(Counter(*mRegistry,
                        "currantshed_node_lead_steps_total",
-                       "Steps in changes of primaries"))
-  , mSessions(Gauge(*mRegistry,
-                    "currantshed_node_sessions",
-                    "Sessions that stand open"))
+                       "Number of failover steps, by step"))
+  , mSessions(
+      Gauge(*mRegistry, "currantshed_node_sessions", "Number of open sessions"))
   , mConfiguration(Gauge(*mRegistry,
                          "currantshed_node_configuration_version",
                          "Version of the configuration in force"))
-  , mStoreEra(Gauge(*mRegistry,
-                    "currantshed_node_store_era",
-                    "How often the store has come back from an older copy, as "
-                    "it tells"))
+  , mStoreEra(
+      Gauge(*mRegistry,
+            "currantshed_node_store_era",
+            "Number of restores of the store from an older snapshot, as "
+            "reported by the store"))
 {
 }
 
@@ -81,8 +83,8 @@
 metrics::Decided(const proxy::decision& aDecision)
 {
   const std::string outcome(aDecision.outcome);
-  // Texts of failures vary; only words are labels, and what begins one with a
-  // word of its own before a semicolon.
+  // Reasons may be free text, which must not become label values. Only single
+  // words are used, or the word before a semicolon.
   const auto reason = aDecision.reason.substr(0, aDecision.reason.find(';'));
   const bool isWord = reason.find(' ') == std::string_view::npos;
   mRequests
@@ -111,15 +113,15 @@
 }
 
 void
-metrics::CountListingState(std::string_view aStanding)
+metrics::CountListingState(std::string_view aState)
 {
-  mStandings.Add({ { "now", std::string(aStanding) } }).Increment();
+  mListingStates.Add({ { "now", std::string(aState) } }).Increment();
 }
 
 void
 metrics::CountUnusableEntry(const std::string& aReason)
 {
-  mUnusable.Add({ { "reason", aReason } }).Increment();
+  mUnusableEntries.Add({ { "reason", aReason } }).Increment();
 }
 
 void
--- a/src/currantshed/node/request_throttle.hpp
+++ b/src/currantshed/node/request_throttle.hpp
@@ -7,33 +7,33 @@
 
 namespace currantshed::node {
 
-/// When a VM that hears of news may ask for them. While many keys change, such
-/// words come far oftener than answers, and each answer tells all that has
-/// changed since the question: several questions under way would bring the same
-/// several times, behind a link that is busy with it.
+/// Limits how often a VM requests changes after notifications. While many keys
+/// change, notifications arrive far more often than responses, and each
+/// response contains all changes since its request: several requests in flight
+/// would transfer the same changes several times over an already busy link.
 class request_throttle
 {
 public:
-  void Asked(clock::time_point aNow) noexcept
+  void OnRequestSent(clock::time_point aNow) noexcept
   {
-    mAskedAt = aNow;
-    mIsAwaited = true;
+    mSentAt = aNow;
+    mIsInFlight = true;
   }
 
-  void OnResponse() noexcept { mIsAwaited = false; }
+  void OnResponse() noexcept { mIsInFlight = false; }
 
   [[nodiscard]] bool MayRequest(clock::time_point aNow) const noexcept
   {
-    return aNow >= mAskedAt + (mIsAwaited ? kPatience : kPause);
+    return aNow >= mSentAt + (mIsInFlight ? kTimeout : kMinInterval);
   }
 
 private:
-  // Pause after an answer, and after a question that is not answered.
-  static constexpr std::chrono::milliseconds kPause{ 20 };
-  static constexpr std::chrono::milliseconds kPatience{ 250 };
+  // Pause after a response, and time-out of a request without one.
+  static constexpr std::chrono::milliseconds kMinInterval{ 20 };
+  static constexpr std::chrono::milliseconds kTimeout{ 250 };
 
-  clock::time_point mAskedAt{};
-  bool mIsAwaited = false;
+  clock::time_point mSentAt{};
+  bool mIsInFlight = false;
 };
 
 } // namespace currantshed::node
--- a/src/currantshed/node/server_list.hpp
+++ b/src/currantshed/node/server_list.hpp
@@ -14,55 +14,57 @@
 
 namespace currantshed::node {
 
-/// What a VM comes to believe of one server on the store's list.
+/// What this VM assumes about a server, based on the store's list.
 enum class listing_state
 {
-  /// Listed, and stays.
+  /// Listed and not draining.
   kReady,
-  /// Listed, and has said that it leaves.
-  kLeaving,
-  /// Listed no longer, but kept for a while: entries of servers that live may
-  /// lapse while the store is away, and are back soon after.
+  /// Listed, and has announced that it is draining.
+  kDraining,
+  /// No longer listed, but kept for a grace period: entries of running servers
+  /// may expire while the store is unavailable, and are back soon after.
   kMissing,
-  /// Missing for so long that it counts as gone.
+  /// Missing for longer than the grace period.
   kGone,
 };
 
-/// How a VM came to know what the store lists.
+/// How this VM learned the state of the store's list.
 enum class list_source
 {
-  /// Changes came as they were made.
+  /// Changes arrived through a watch as they were made.
   kWatch,
-  /// What the changes in between were, and when they were made, is not known.
+  /// The list was read as a whole after a gap. Which changes were made in
+  /// between, and when, is unknown.
   kResync,
 };
 
-/// One belief that has changed, for the log.
+/// A change of one server's state, for logging.
 struct server_change
 {
   proxy::server server;
-  listing_state standing = listing_state::kReady;
-  /// It was not known before.
+  listing_state state = listing_state::kReady;
+  /// The server was not known before.
   bool isNew = false;
 };
 
-/// The servers that the store lists, and those that it listed until lately.
+/// The servers that the store lists, and those that it listed until recently.
 /// Does no I/O.
 class server_list
 {
 public:
-  /// Takes over what the store lists now. Returns whose standing has changed.
-  std::vector<server_change> Take(std::vector<proxy::server> aListed,
-                                  list_source aSource,
-                                  clock::time_point aNow);
-
-  /// The store has come back from an older copy, which may lack what servers
-  /// have said since: until they have written it again, those that leave are
-  /// taken to leave on.
+  /// Replaces the list by what the store lists now. Returns the servers whose
+  /// state has changed.
+  std::vector<server_change> Update(std::vector<proxy::server> aListed,
+                                    list_source aSource,
+                                    clock::time_point aNow);
+
+  /// To be called when the store was restored from an older snapshot, which may
+  /// lack recent writes of servers. Until the servers have written again, those
+  /// that were draining are assumed to be draining still.
   void OnStoreRestored(clock::time_point aNow) noexcept;
 
-  /// Whether the time of a missing server is up, or that of an older copy, so
-  /// that the list is to be taken anew.
+  /// Whether the grace period of a missing server, or of a restored store, has
+  /// ended, so that Update must be called again.
   [[nodiscard]] bool IsDue(clock::time_point aNow) const;
 
   [[nodiscard]] const std::vector<proxy::server>& Servers() const noexcept
@@ -71,30 +73,30 @@
   }
 
 private:
-  void NoteLeaving(proxy::server& aListed,
-                   list_source aSource,
-                   clock::time_point aNow) const;
-  void KeepLeaving(proxy::server& aListed) const;
+  void SetDrainingSince(proxy::server& aListed,
+                        list_source aSource,
+                        clock::time_point aNow) const;
+  void KeepDraining(proxy::server& aListed) const;
   void KeepMissing(std::vector<proxy::server>& aListed,
-                   std::vector<server_change>& aNews,
+                   std::vector<server_change>& aChanges,
                    clock::time_point aNow);
 
   [[nodiscard]] const proxy::server* Find(const upstream::server_id& aId) const;
 
   std::vector<proxy::server> mServers;
-  // Where each stands among them.
-  absl::flat_hash_map<upstream::server_id, std::size_t> mPlaces;
-  // Servers that are listed no longer, and since when.
+  // Index of each server in mServers.
+  absl::flat_hash_map<upstream::server_id, std::size_t> mIndexes;
+  // Servers that are no longer listed, and since when.
   absl::btree_map<upstream::server_id, clock::time_point> mMissing;
-  // Until when the list may be an older copy.
-  std::optional<clock::time_point> mOlderUntil;
+  // Until when the list may come from an older snapshot.
+  std::optional<clock::time_point> mRestoredUntil;
 };
 
-/// The standing as one word for logs.
+/// Name of the state for logs and metrics.
 [[nodiscard]] std::string_view
-ToString(listing_state aStanding);
+ToString(listing_state aState);
 
-/// The source as one word for logs.
+/// Name of the source for logs.
 [[nodiscard]] std::string_view
 ToString(list_source aSource);
 
--- a/src/currantshed/node/snapshot_chunks.hpp
+++ b/src/currantshed/node/snapshot_chunks.hpp
@@ -13,88 +13,96 @@
 
 namespace currantshed::node {
 
-/// A piece of a copy of all keys below one prefix, or the question for it.
+/// A chunk of a snapshot of all keys below one prefix, or the request for a
+/// chunk.
 struct snapshot_chunk
 {
-  /// The state of the store that the copy is of; none in a first question.
-  store::revision of;
-  std::size_t from = 0;
-  /// Of the whole copy.
-  std::size_t length = 0;
-  std::string content;
+  /// The revision of the snapshot; zero in a first request.
+  store::revision revision;
+  std::size_t offset = 0;
+  /// Size of the whole snapshot in bytes.
+  std::size_t totalBytes = 0;
+  std::string data;
 };
 
-/// Cuts copies of keys that are too long for one message into parts, for many
-/// VMs that ask at the same time. Asks for no time and does no I/O.
+/// Splits snapshots that are too large for one message into chunks, for many
+/// VMs that request them at the same time. Does not read the clock and does no
+/// I/O.
 class snapshot_splitter
 {
 public:
   using snapshot_factory = std::function<std::string()>;
 
-  /// The part that was asked for, of at most so many bytes. One of a copy that
-  /// is not kept any longer is answered by the beginning of the newest. A copy
-  /// serves all that begin within a moment: what has changed since it was made
-  /// is asked for afterwards.
-  [[nodiscard]] snapshot_chunk GetChunk(const snapshot_chunk& aAsked,
-                                        std::size_t aLongest,
+  /// Returns the requested chunk, of at most aMaxBytes bytes. If the requested
+  /// snapshot is no longer kept, returns the first chunk of the newest one. A
+  /// snapshot is shared by all requests that begin within a short time; later
+  /// changes are requested separately.
+  [[nodiscard]] snapshot_chunk GetChunk(const snapshot_chunk& aRequested,
+                                        std::size_t aMaxBytes,
                                         store::revision aNewest,
                                         clock::time_point aNow,
-                                        const snapshot_factory& aMake);
+                                        const snapshot_factory& aMakeSnapshot);
 
-  /// Copies that were made; counts work.
-  [[nodiscard]] std::size_t SnapshotsMade() const noexcept { return mMade; }
+  /// Number of snapshots made so far, as a measure of work.
+  [[nodiscard]] std::size_t SnapshotsMade() const noexcept
+  {
+    return mSnapshotsMade;
+  }
 
 private:
-  struct copy
+  struct snapshot
   {
-    store::revision of;
+    store::revision revision;
     std::string bytes;
     clock::time_point madeAt;
   };
 
-  [[nodiscard]] const copy* Find(store::revision aOf) const;
-  const copy& Newest(store::revision aNewest,
-                     clock::time_point aNow,
-                     const snapshot_factory& aMake);
+  [[nodiscard]] const snapshot* Find(store::revision aRevision) const;
+  const snapshot& Newest(store::revision aNewest,
+                         clock::time_point aNow,
+                         const snapshot_factory& aMakeSnapshot);
 
-  std::deque<copy> mCopies;
-  std::size_t mMade = 0;
+  std::deque<snapshot> mSnapshots;
+  std::size_t mSnapshotsMade = 0;
 };
 
-/// Puts the parts of a copy together, which come from one VM, one after the
-/// other. Asks for no time and does no I/O.
+/// Assembles a snapshot from chunks, which come from one VM, one after the
+/// other. Does not read the clock and does no I/O.
 class snapshot_assembler
 {
 public:
-  /// Begins to collect from the VM, unless a copy is on its way already.
-  /// Returns whether it has begun.
+  /// Begins a transfer from the VM, unless one is in progress. Returns whether
+  /// it has begun.
   bool Begin(const std::string& aVm, clock::time_point aNow);
 
-  /// What to ask for next.
-  [[nodiscard]] snapshot_chunk Wanted() const;
+  /// The next chunk to request.
+  [[nodiscard]] snapshot_chunk NextRequest() const;
 
-  /// Takes a part over. Returns the copy once it is whole.
-  std::optional<std::string> Take(const std::string& aVm,
-                                  const snapshot_chunk& aPart,
-                                  clock::time_point aNow);
+  /// Adds a chunk. Returns the snapshot once it is complete.
+  std::optional<std::string> AddChunk(const std::string& aVm,
+                                      const snapshot_chunk& aChunk,
+                                      clock::time_point aNow);
 
-  /// Whether parts are on their way from the VM; not any longer when they stay
-  /// away, or when all of them take too long.
+  /// Whether a transfer is in progress. It ends when a chunk does not arrive in
+  /// time or when the whole transfer takes too long.
   [[nodiscard]] bool IsInProgress(clock::time_point aNow) const;
   [[nodiscard]] bool IsFrom(const std::string& aVm) const
   {
-    return mFrom == aVm;
+    return mSource == aVm;
   }
 
-  /// Until when the next part is waited for.
-  [[nodiscard]] clock::time_point Until() const noexcept { return mUntil; }
+  /// Deadline of the next chunk.
+  [[nodiscard]] clock::time_point Deadline() const noexcept
+  {
+    return mDeadline;
+  }
 
 private:
-  std::string mFrom;
-  store::revision mOf;
+  std::string mSource;
+  store::revision mRevision;
   std::string mBytes;
-  clock::time_point mBegunAt{};
-  clock::time_point mUntil{};
+  clock::time_point mStartedAt{};
+  clock::time_point mDeadline{};
 };
 
 } // namespace currantshed::node
--- a/src/currantshed/node/subscribers.cpp
+++ b/src/currantshed/node/subscribers.cpp
@@ -9,20 +9,20 @@
 
 using std::chrono::milliseconds;
 
-// How long a VM that asked is told news. It asks every 400 ms, two VMs by
-// turns.
+// How long a VM stays subscribed after a poll. A VM polls every 400 ms,
+// alternating between two forwarders.
 constexpr milliseconds kSubscriberLife{ 2000 };
 // How long a group counts as used after its last request. A VM with nine
-// requests a second uses some 25 of 140 groups in this time; a group that is
-// used again later costs one question to the VM that passes words on.
+// requests per second uses about 25 of 140 groups in this time. A group that is
+// used again later costs one request to a forwarder.
 constexpr milliseconds kUseLife{ 3000 };
 
 } // namespace
 
 std::vector<std::string>
-subscribers::Asked(const std::string& aVm,
-                   std::vector<std::string> aGroups,
-                   clock::time_point aNow)
+subscribers::Subscribe(const std::string& aVm,
+                       std::vector<std::string> aGroups,
+                       clock::time_point aNow)
 {
   auto& one = mVms[aVm];
   one.askedAt = aNow;
--- a/test/currantshed/node/forwarders.cpp
+++ b/test/currantshed/node/forwarders.cpp
@@ -14,7 +14,7 @@
 {
   std::string name;
   std::string failureDomain;
-  bool leaving = false;
+  bool draining = false;
 };
 
 std::vector<listed>
@@ -36,16 +36,16 @@
 }
 
 node::cluster_state
-Keys(const std::vector<listed>& aVms)
+MakeState(const std::vector<listed>& aVms)
 {
-  node::cluster_state keys;
+  node::cluster_state state;
   for (const auto& one : aVms) {
-    auto& record = keys.vms[one.name].record;
+    auto& record = state.vms[one.name].record;
     record.where.vm = one.name;
     record.failureDomain = one.failureDomain;
-    record.leaving = one.leaving;
+    record.draining = one.draining;
   }
-  return keys;
+  return state;
 }
 
 struct forwarder_row
@@ -57,25 +57,25 @@
 
 const forwarder_row kRows[] = {
   { "no VM", {}, 0 },
-  { "too few to be worth it", Domain("marka", 4), 0 },
-  { "a few", Domain("marka", 5), 2 },
+  { "too few VMs", Domain("marka", 4), 0 },
+  { "the minimum", Domain("marka", 5), 2 },
   { "many", Domain("marka", 60), 2 },
-  { "those of other failure domains don't count",
+  { "VMs of other failure domains don't count",
     Join(Domain("marka", 4), Domain("khalda", 60)),
     0 },
-  { "those that leave don't count",
+  { "draining VMs don't count",
     Join(Domain("marka", 4), { { "going", "marka", true } }),
     0 },
 };
 
-struct answer_row
+struct size_row
 {
   const char* name;
   double linkMegabits;
-  std::size_t longest;
+  std::size_t maxBytes;
 };
 
-constexpr answer_row kAnswers[] = {
+constexpr size_row kSizes[] = {
   { "a slow link", 20, 25000 },
   { "a fast link", 200, 65536 },
   { "a very fast link", 1000, 65536 },
@@ -88,7 +88,7 @@
 TEST(forwarders, two_of_a_failure_domain_with_several_vms)
 {
   for (const auto& row : kRows) {
-    const auto chosen = node::SelectForwarders(Keys(row.vms), "marka");
+    const auto chosen = node::SelectForwarders(MakeState(row.vms), "marka");
     CHECK_EQUAL_TEXT(row.forwarders, chosen.size(), row.name);
     for (const auto& one : chosen) {
       const auto found =
@@ -96,20 +96,20 @@
           return aVm.name == one;
         });
       CHECK_TEXT(found != row.vms.end() && found->failureDomain == "marka" &&
-                   !found->leaving,
+                   !found->draining,
                  row.name);
     }
   }
 }
 
-TEST(forwarders, a_vm_that_comes_or_goes_moves_few)
+TEST(forwarders, adding_or_removing_a_vm_changes_few)
 {
   const auto all = Domain("marka", 20);
-  const auto before = node::SelectForwarders(Keys(all), "marka");
+  const auto before = node::SelectForwarders(MakeState(all), "marka");
   for (std::size_t gone = 0; gone < all.size(); ++gone) {
     auto left = all;
     left.erase(left.begin() + static_cast<std::ptrdiff_t>(gone));
-    const auto after = node::SelectForwarders(Keys(left), "marka");
+    const auto after = node::SelectForwarders(MakeState(left), "marka");
     for (const auto& one : before) {
       const bool isGone = one == all[gone].name;
       const bool isThere =
@@ -119,55 +119,57 @@
   }
 }
 
-// In a play of 100 VMs a failure domain had one VM with half a core and
-// nineteen with 0.12 of one. Weak ones passed words on to the others: one
-// used 95.8 % of its processor time, and handled requests by a configuration
-// that was 6 s old. With the strong one first, the weak second one was that VM
-// (126 ms late, all others 0 to 50).
-TEST(forwarders, are_strong_vms)
+// Guards against overloaded forwarders. In a simulation of 100 VMs, one failure
+// domain had one VM with half a core and nineteen with 0.12 of a core, and
+// low-capacity VMs were forwarders. One of them used 95.8 % of its CPU time and
+// handled requests with a configuration that was 6 s old. With the
+// high-capacity VM as the first forwarder, the low-capacity second one was
+// overloaded instead: it was 126 ms late, all other VMs 0 to 50 ms.
+TEST(forwarders, are_high_capacity_vms)
 {
   struct row
   {
     const char* name;
-    std::vector<unsigned> shares;
-    /// How many feed, all of them strong.
+    std::vector<unsigned> capacities;
+    /// Expected number of forwarders, all of high capacity.
     std::size_t forwarders;
   };
   const row rows[] = {
     { "one", { 120, 120, 500, 120, 120, 120 }, 1 },
     { "two", { 120, 120, 500, 120, 400, 120 }, 2 },
     { "three", { 120, 500, 500, 120, 400, 120 }, 2 },
-    { "all alike", { 120, 120, 120, 120, 120, 120 }, 2 },
+    { "equal capacities", { 120, 120, 120, 120, 120, 120 }, 2 },
   };
   for (const auto& row : rows) {
-    // Other names each time, so that none is strong by luck.
+    // Other VM names in each round, so that the hash does not select a
+    // high-capacity VM by chance.
     for (int turn = 0; turn < 20; ++turn) {
       const auto domain = "marka" + std::to_string(turn);
-      auto vms = Domain(domain, static_cast<int>(row.shares.size()));
-      auto keys = Keys(vms);
+      auto vms = Domain(domain, static_cast<int>(row.capacities.size()));
+      auto state = MakeState(vms);
       for (std::size_t i = 0; i < vms.size(); ++i) {
-        keys.vms[vms[i].name].record.cpuMillicores = row.shares[i];
+        state.vms[vms[i].name].record.cpuMillicores = row.capacities[i];
       }
-      const auto chosen = node::SelectForwarders(keys, domain);
+      const auto chosen = node::SelectForwarders(state, domain);
       CHECK_EQUAL_TEXT(row.forwarders, chosen.size(), row.name);
-      const auto strongest =
-        *std::max_element(row.shares.begin(), row.shares.end());
+      const auto maxCpuMillicores =
+        *std::max_element(row.capacities.begin(), row.capacities.end());
       for (const auto& one : chosen) {
-        const auto share = keys.vms[one].record.cpuMillicores;
-        CHECK_TEXT(2 * share >= strongest, row.name);
+        const auto cpuMillicores = state.vms[one].record.cpuMillicores;
+        CHECK_TEXT(2 * cpuMillicores >= maxCpuMillicores, row.name);
       }
     }
   }
 }
 
-// Three answers at most, one for each followed prefix, make one message.
-TEST(forwarders, answers_fit_into_what_a_vm_takes_at_once)
+// A message contains up to three updates, one for each followed prefix.
+TEST(forwarders, updates_fit_into_one_message)
 {
-  constexpr std::size_t kLongestMessage = std::size_t{ 256 } * 1024;
-  for (const auto& row : kAnswers) {
+  constexpr std::size_t kMaxMessageBytes = std::size_t{ 256 } * 1024;
+  for (const auto& row : kSizes) {
     CHECK_EQUAL_TEXT(
-      row.longest, node::MaxUpdateBytes(row.linkMegabits), row.name);
-    CHECK_TEXT(3 * node::MaxUpdateBytes(row.linkMegabits) < kLongestMessage,
+      row.maxBytes, node::MaxUpdateBytes(row.linkMegabits), row.name);
+    CHECK_TEXT(3 * node::MaxUpdateBytes(row.linkMegabits) < kMaxMessageBytes,
                row.name);
   }
 }
--- a/test/currantshed/node/peer_selection.cpp
+++ b/test/currantshed/node/peer_selection.cpp
@@ -31,7 +31,7 @@
   return text;
 }
 
-struct some_row
+struct selection_row
 {
   const char* name;
   std::size_t peers;
@@ -40,20 +40,20 @@
   std::string expected;
 };
 
-const some_row kRows[] = {
-  { "none there", 0, 3, 5, "" },
-  { "fewer than wanted", 2, 3, 0, "ab" },
-  { "fewer than wanted, later", 2, 3, 1, "ab" },
-  { "the first", 7, 3, 0, "abc" },
-  { "the next", 7, 3, 1, "def" },
-  { "past the end", 7, 3, 2, "gab" },
+const selection_row kRows[] = {
+  { "no VMs", 0, 3, 5, "" },
+  { "fewer than requested", 2, 3, 0, "ab" },
+  { "fewer than requested, next turn", 2, 3, 1, "ab" },
+  { "the first turn", 7, 3, 0, "abc" },
+  { "the next turn", 7, 3, 1, "def" },
+  { "wraps around", 7, 3, 2, "gab" },
 };
 
 } // namespace
 
 TEST_GROUP(peer_selection){};
 
-TEST(peer_selection, takes_the_next_ones_each_turn)
+TEST(peer_selection, selects_the_next_ones_each_turn)
 {
   for (const auto& row : kRows) {
     CHECK_EQUAL_TEXT(
@@ -63,7 +63,7 @@
   }
 }
 
-TEST(peer_selection, adds_only_what_is_not_there)
+TEST(peer_selection, appends_only_missing_names)
 {
   std::vector<std::string> names{ "b", "c" };
   node::AppendMissing(names, { "c", "a", "a" });
--- a/test/currantshed/node/quota_coordinators.cpp
+++ b/test/currantshed/node/quota_coordinators.cpp
@@ -14,30 +14,36 @@
 {
   std::size_t count;
   unsigned cpuMillicores;
-  bool leaving;
+  bool draining;
 };
 
-struct collectors_row
+struct coordinators_row
 {
   const char* name;
   std::vector<group_of_vms> vms;
   std::size_t expect;
-  /// What those that are chosen have of a core.
+  /// CPU time, in thousandths of a core, of the expected coordinators.
   unsigned cpuMillicores;
 };
 
-const collectors_row kRows[] = {
+const coordinators_row kRows[] = {
   { "nobody", {}, 0, 0 },
-  { "one alone", { { 1, 250, false } }, 1, 250 },
-  { "all alike", { { 9, 250, false } }, 4, 250 },
-  { "strong ones first", { { 20, 120, false }, { 2, 500, false } }, 2, 500 },
-  { "strong ones that leave", { { 3, 120, false }, { 2, 500, true } }, 3, 120 },
+  { "a single VM", { { 1, 250, false } }, 1, 250 },
+  { "equal capacities", { { 9, 250, false } }, 4, 250 },
+  { "high-capacity VMs first",
+    { { 20, 120, false }, { 2, 500, false } },
+    2,
+    500 },
+  { "draining high-capacity VMs",
+    { { 3, 120, false }, { 2, 500, true } },
+    3,
+    120 },
 };
 
 node::cluster_state
-Keys(const std::vector<group_of_vms>& aVms)
+MakeState(const std::vector<group_of_vms>& aVms)
 {
-  node::cluster_state keys;
+  node::cluster_state state;
   std::size_t number = 0;
   for (const auto& some : aVms) {
     for (std::size_t i = 0; i < some.count; ++i) {
@@ -45,11 +51,11 @@
       record.where.vm = "vm-" + std::to_string(++number);
       record.failureDomain = "north";
       record.cpuMillicores = some.cpuMillicores;
-      record.leaving = some.leaving;
-      keys.vms[record.where.vm] = { record, 1 };
+      record.draining = some.draining;
+      state.vms[record.where.vm] = { record, 1 };
     }
   }
-  return keys;
+  return state;
 }
 
 } // namespace
@@ -59,13 +65,13 @@
 TEST(quota_coordinators, A_few_strong_VMs_of_the_domain)
 {
   for (const auto& row : kRows) {
-    const auto keys = Keys(row.vms);
-    const auto chosen = node::QuotaCoordinators(keys, "north");
+    const auto state = MakeState(row.vms);
+    const auto chosen = node::QuotaCoordinators(state, "north");
     LONGS_EQUAL_TEXT(row.expect, chosen.size(), row.name);
     for (const auto& vm : chosen) {
-      const auto share = keys.vms.at(vm).record.cpuMillicores;
-      LONGS_EQUAL_TEXT(row.cpuMillicores, share, row.name);
+      const auto cpuMillicores = state.vms.at(vm).record.cpuMillicores;
+      LONGS_EQUAL_TEXT(row.cpuMillicores, cpuMillicores, row.name);
     }
-    CHECK_TEXT(node::QuotaCoordinators(keys, "south").empty(), row.name);
+    CHECK_TEXT(node::QuotaCoordinators(state, "south").empty(), row.name);
   }
 }
--- a/test/currantshed/node/request_throttle.cpp
+++ b/test/currantshed/node/request_throttle.cpp
@@ -16,42 +16,45 @@
 struct row
 {
   const char* name;
-  /// Time between two words that there is news, and from a question to its
-  /// answer; none for answers that never come.
-  std::chrono::milliseconds hints;
-  std::optional<std::chrono::milliseconds> answer;
-  /// Questions in a second.
-  int questions;
+  /// Interval between notifications, and time from a request to its response;
+  /// nullopt if no response arrives.
+  std::chrono::milliseconds interval;
+  std::optional<std::chrono::milliseconds> response;
+  /// Expected number of requests in one second.
+  int requests;
 };
 
 constexpr row kRows[] = {
-  { "rare words, each asked for", 100ms, 5ms, 10 },
-  { "many words, quick answers", 1ms, 5ms, 50 },
-  { "many words, answers that take long: one at a time", 1ms, 200ms, 5 },
-  { "lost answers", 1ms, std::nullopt, 4 },
+  { "rare notifications, a request for each", 100ms, 5ms, 10 },
+  { "many notifications, fast responses", 1ms, 5ms, 50 },
+  { "many notifications, slow responses: one request at a time",
+    1ms,
+    200ms,
+    5 },
+  { "lost responses", 1ms, std::nullopt, 4 },
 };
 
 int
-QuestionsOf(const row& aRow)
+RequestsOf(const row& aRow)
 {
-  request_throttle pace;
-  int questions = 0;
-  std::optional<clock::time_point> answerAt;
+  request_throttle throttle;
+  int requests = 0;
+  std::optional<clock::time_point> responseAt;
   for (auto at = 0ms; at < 1000ms; at += 1ms) {
     const auto now = kStart + at;
-    if (answerAt && now >= *answerAt) {
-      pace.OnResponse();
-      answerAt.reset();
+    if (responseAt && now >= *responseAt) {
+      throttle.OnResponse();
+      responseAt.reset();
     }
-    if (at % aRow.hints == 0ms && pace.MayRequest(now)) {
-      pace.Asked(now);
-      ++questions;
-      if (aRow.answer) {
-        answerAt = now + *aRow.answer;
+    if (at % aRow.interval == 0ms && throttle.MayRequest(now)) {
+      throttle.OnRequestSent(now);
+      ++requests;
+      if (aRow.response) {
+        responseAt = now + *aRow.response;
       }
     }
   }
-  return questions;
+  return requests;
 }
 
 } // namespace
@@ -61,6 +64,6 @@
 TEST(request_throttle, no_request_while_one_is_in_flight)
 {
   for (const auto& row : kRows) {
-    CHECK_EQUAL_TEXT(row.questions, QuestionsOf(row), row.name);
+    CHECK_EQUAL_TEXT(row.requests, RequestsOf(row), row.name);
   }
 }
--- a/test/currantshed/node/server_list.cpp
+++ b/test/currantshed/node/server_list.cpp
@@ -17,63 +17,64 @@
 
 const clock::time_point kStart{ 1h };
 
-/// What the store lists at one time: names, those that leave in capitals.
+/// The servers that the store lists at a time. Draining servers are in
+/// capitals.
 struct listing
 {
   std::chrono::milliseconds at;
   std::vector<std::string> names;
 };
 
-/// What is told of one server.
-struct told
+/// A change of one server's state.
+struct state_change
 {
   std::string name;
-  listing_state standing;
+  listing_state state;
 
-  friend bool operator==(const told&, const told&) = default;
+  friend bool operator==(const state_change&, const state_change&) = default;
 };
 
 struct row
 {
   const char* name;
   std::vector<listing> given;
-  /// What the last listing brings.
-  std::vector<told> expect;
-  /// Who is known after it.
+  /// Changes that the last listing causes.
+  std::vector<state_change> expect;
+  /// Servers that are known after the last listing.
   std::vector<std::string> known;
 };
 
 const row kRows[] = {
-  { "servers that are new",
+  { "new servers",
     { { 0ms, { "a", "b" } } },
     { { "a", listing_state::kReady }, { "b", listing_state::kReady } },
     { "a", "b" } },
-  { "what is the same is no news",
+  { "an unchanged list",
     { { 0ms, { "a", "b" } }, { 50ms, { "a", "b" } } },
     {},
     { "a", "b" } },
-  { "one that leaves",
+  { "a server drains",
     { { 0ms, { "a", "b" } }, { 50ms, { "A", "b" } } },
-    { { "a", listing_state::kLeaving } },
+    { { "a", listing_state::kDraining } },
     { "A", "b" } },
-  { "one that leaves is missing, and leaves all the same",
+  { "a draining server is missing and remains draining",
     { { 0ms, { "A", "b" } }, { 50ms, { "b" } } },
     { { "a", listing_state::kMissing } },
     { "A", "b" } },
-  { "one that is missing for long is gone",
+  { "a server is removed after the grace period",
     { { 0ms, { "a", "b" } }, { 50ms, { "b" } }, { 3050ms, { "b" } } },
     { { "a", listing_state::kGone } },
     { "b" } },
-  { "one that is missing for a short time is back",
+  { "a missing server is listed again within the grace period",
     { { 0ms, { "a", "b" } }, { 50ms, { "b" } }, { 2050ms, { "a", "b" } } },
     { { "a", listing_state::kReady } },
     { "a", "b" } },
-  { "one that was gone is back",
+  { "a removed server is listed again",
     { { 0ms, { "a", "b" } },
       { 50ms, { "b" } },
       { 4000ms, { "b" } },
       { 9000ms, { "A", "b" } } },
-    { { "a", listing_state::kLeaving } },
+    { { "a", listing_state::kDraining } },
     { "A", "b" } },
 };
 
@@ -110,27 +111,27 @@
 
 TEST_GROUP(server_list){};
 
-TEST(server_list, tells_what_becomes_of_servers)
+TEST(server_list, returns_state_changes)
 {
   for (const auto& row : kRows) {
     node::server_list list;
-    std::vector<told> heard;
+    std::vector<state_change> changes;
     for (const auto& listing : row.given) {
-      heard.clear();
-      for (const auto& one : list.Take(ServersOf(listing.names),
-                                       list_source::kWatch,
-                                       kStart + listing.at)) {
-        heard.push_back({ one.server.id, one.standing });
+      changes.clear();
+      for (const auto& one : list.Update(ServersOf(listing.names),
+                                         list_source::kWatch,
+                                         kStart + listing.at)) {
+        changes.push_back({ one.server.id, one.state });
       }
     }
-    CHECK_TEXT(heard == row.expect, row.name);
+    CHECK_TEXT(changes == row.expect, row.name);
     CHECK_TEXT(NamesOf(list.Servers()) == row.known, row.name);
   }
 }
 
-// What an earlier life of a server had said is not carried over to the next,
-// and the next one's word is not taken back with it.
-TEST(server_list, a_server_that_starts_again_begins_anew)
+// A restarted server must not inherit the draining state of its earlier
+// incarnation, nor lose its own because of it.
+TEST(server_list, a_restarted_server_inherits_nothing)
 {
   const auto listed = [](std::chrono::milliseconds aStart, bool aLeaves) {
     proxy::server one;
@@ -140,29 +141,29 @@
     return std::vector<proxy::server>{ one };
   };
   node::server_list list;
-  list.Take(listed(5000ms, true), list_source::kWatch, kStart);
-  list.Take({}, list_source::kWatch, kStart + 100ms);
-  auto news =
-    list.Take(listed(9000ms, false), list_source::kWatch, kStart + 1s);
-  CHECK(news.size() == 1 && news[0].standing == listing_state::kReady);
+  list.Update(listed(5000ms, true), list_source::kWatch, kStart);
+  list.Update({}, list_source::kWatch, kStart + 100ms);
+  auto changes =
+    list.Update(listed(9000ms, false), list_source::kWatch, kStart + 1s);
+  CHECK(changes.size() == 1 && changes[0].state == listing_state::kReady);
   CHECK(!list.Servers()[0].drainingSince);
-  // The clock of the next start was set back.
-  news = list.Take(listed(7000ms, true), list_source::kWatch, kStart + 2s);
-  CHECK(news.size() == 1 && news[0].standing == listing_state::kLeaving);
+  // The clock was set back before this restart.
+  changes = list.Update(listed(7000ms, true), list_source::kWatch, kStart + 2s);
+  CHECK(changes.size() == 1 && changes[0].state == listing_state::kDraining);
   CHECK(*list.Servers()[0].drainingSince == kStart + 2s);
-  news = list.Take(listed(8000ms, true), list_source::kWatch, kStart + 3s);
-  CHECK(news.size() == 1);
+  changes = list.Update(listed(8000ms, true), list_source::kWatch, kStart + 3s);
+  CHECK(changes.size() == 1);
   CHECK(*list.Servers()[0].drainingSince == kStart + 3s);
 }
 
-TEST(server_list, is_due_when_the_time_of_a_missing_server_is_up)
+TEST(server_list, is_due_at_the_end_of_the_grace_period)
 {
   node::server_list list;
-  list.Take(ServersOf({ "a", "b" }), list_source::kWatch, kStart);
-  list.Take(ServersOf({ "b" }), list_source::kWatch, kStart + 100ms);
+  list.Update(ServersOf({ "a", "b" }), list_source::kWatch, kStart);
+  list.Update(ServersOf({ "b" }), list_source::kWatch, kStart + 100ms);
   CHECK(!list.IsDue(kStart + 3099ms));
   CHECK(list.IsDue(kStart + 3100ms));
-  list.Take(ServersOf({ "b" }), list_source::kWatch, kStart + 3100ms);
+  list.Update(ServersOf({ "b" }), list_source::kWatch, kStart + 3100ms);
   CHECK(!list.IsDue(kStart + 9000ms));
 }
 
@@ -179,41 +180,39 @@
 {
   const char* name;
   std::vector<source_step> given;
-  /// How long "a" may have been leaving at the time of the last step, at the
-  /// most; none if it is not.
+  /// The maximum time for which "a" may have been draining at the last step;
+  /// nullopt if it is not draining.
   std::optional<std::chrono::milliseconds> expect;
 };
 
 constexpr std::chrono::milliseconds kUnknownAge = 1h;
 
 const age_row kAgeRows[] = {
-  { "one that stays",
-    { { 0ms, list_source::kResync, { "a" } } },
-    std::nullopt },
-  { "its word came by the watch",
+  { "not draining", { { 0ms, list_source::kResync, { "a" } } }, std::nullopt },
+  { "draining was learned through the watch",
     { { 0ms, list_source::kResync, { "a" } },
       { 900ms, list_source::kWatch, { "A" } },
       { 1500ms, list_source::kWatch, { "A", "b" } } },
     600ms },
-  { "its word came while this VM was out of touch",
+  { "draining began while this VM was disconnected",
     { { 0ms, list_source::kResync, { "a" } },
       { 900ms, list_source::kResync, { "A" } } },
     kUnknownAge },
-  { "it was leaving when this VM started",
+  { "draining when this VM started",
     { { 0ms, list_source::kResync, { "A" } } },
     kUnknownAge },
-  { "what was known before this VM was out of touch is kept",
+  { "the time learned before a disconnection is kept",
     { { 0ms, list_source::kResync, { "a" } },
       { 900ms, list_source::kWatch, { "A" } },
       { 2900ms, list_source::kResync, { "A" } } },
     2000ms },
-  { "its entry lapses and is back",
+  { "the entry expires and is listed again",
     { { 0ms, list_source::kResync, { "a" } },
       { 900ms, list_source::kWatch, { "A" } },
       { 1900ms, list_source::kWatch, {} },
       { 2900ms, list_source::kResync, { "A" } } },
     2000ms },
-  { "it stays after all, and leaves later",
+  { "draining is cancelled and begins again later",
     { { 0ms, list_source::kResync, { "A" } },
       { 900ms, list_source::kWatch, { "a" } },
       { 1900ms, list_source::kWatch, { "A" } },
@@ -223,12 +222,12 @@
 
 } // namespace
 
-TEST(server_list, knows_how_long_a_server_may_have_been_leaving)
+TEST(server_list, knows_how_long_a_server_may_have_been_draining)
 {
   for (const auto& row : kAgeRows) {
     node::server_list list;
     for (const auto& step : row.given) {
-      list.Take(ServersOf(step.names), step.source, kStart + step.at);
+      list.Update(ServersOf(step.names), step.source, kStart + step.at);
     }
     const auto& servers = list.Servers();
     const auto found =
@@ -247,35 +246,36 @@
 
 namespace {
 
-struct copy_row
+struct restore_row
 {
   const char* name;
   std::vector<std::string> before;
-  /// What the older copy lists, and what servers write again later.
-  std::vector<std::string> copy;
+  /// The list in the restored snapshot, and what the servers write again later.
+  std::vector<std::string> restored;
   std::vector<std::string> again;
-  /// Who is known with the copy, 100 ms before the time is up, and after it.
-  std::vector<std::string> withCopy;
+  /// Servers known with the restored list, 100 ms before the end of the grace
+  /// period, and after it.
+  std::vector<std::string> withRestored;
   std::vector<std::string> within;
   std::vector<std::string> after;
 };
 
-const copy_row kCopyRows[] = {
-  { "one that leaves, which says so again",
+const restore_row kRestoreRows[] = {
+  { "a draining server writes its state again",
     { "A", "b" },
     { "a", "b" },
     { "A", "b" },
     { "A", "b" },
     { "A", "b" },
     { "A", "b" } },
-  { "one that stays after all",
+  { "a server that is no longer draining",
     { "A", "b" },
     { "a", "b" },
     { "a", "b" },
     { "A", "b" },
     { "A", "b" },
     { "a", "b" } },
-  { "one that the copy does not have",
+  { "a server that the snapshot lacks",
     { "a", "b" },
     { "b" },
     { "b" },
@@ -286,20 +286,20 @@
 
 } // namespace
 
-// A copy of the list may be older than what servers have said since. They write
-// it again within two seconds.
+// A restored list may lack recent writes of servers, which they repeat within
+// two seconds.
 TEST(server_list, an_older_snapshot_takes_back_no_state_of_a_server)
 {
-  for (const auto& row : kCopyRows) {
+  for (const auto& row : kRestoreRows) {
     node::server_list list;
-    list.Take(ServersOf(row.before), list_source::kWatch, kStart);
+    list.Update(ServersOf(row.before), list_source::kWatch, kStart);
     list.OnStoreRestored(kStart + 100ms);
-    list.Take(ServersOf(row.copy), list_source::kResync, kStart + 100ms);
-    CHECK_TEXT(NamesOf(list.Servers()) == row.withCopy, row.name);
-    list.Take(ServersOf(row.again), list_source::kWatch, kStart + 3000ms);
+    list.Update(ServersOf(row.restored), list_source::kResync, kStart + 100ms);
+    CHECK_TEXT(NamesOf(list.Servers()) == row.withRestored, row.name);
+    list.Update(ServersOf(row.again), list_source::kWatch, kStart + 3000ms);
     CHECK_TEXT(NamesOf(list.Servers()) == row.within, row.name);
     CHECK_TEXT(list.IsDue(kStart + 3100ms), row.name);
-    list.Take(ServersOf(row.again), list_source::kWatch, kStart + 3100ms);
+    list.Update(ServersOf(row.again), list_source::kWatch, kStart + 3100ms);
     CHECK_TEXT(NamesOf(list.Servers()) == row.after, row.name);
     CHECK_TEXT(!list.IsDue(kStart + 9000ms), row.name);
   }
--- a/test/currantshed/node/vm_membership.cpp
+++ b/test/currantshed/node/vm_membership.cpp
@@ -39,43 +39,43 @@
   const char* name;
   std::vector<step> given;
   std::chrono::milliseconds when;
-  /// Which VMs are told news, and which may rest on a proof.
-  std::vector<std::string> told;
-  std::vector<std::string> mayRest;
+  /// Expected result of Reachable and of MayUseConfirmation.
+  std::vector<std::string> reachable;
+  std::vector<std::string> mayUse;
 };
 
 const row kRows[] = {
-  { "all that are listed, but not itself",
+  { "all listed VMs except itself",
     { { 0ms, step_kind::kListed, { "a", "b", "self" } } },
     60000ms,
     { "a", "b" },
     { "a", "b" } },
-  { "one that lost its key but speaks is told on",
+  { "a VM that is no longer listed but sends messages remains reachable",
     { { 0ms, step_kind::kListed, { "a", "b" } },
       { 2000ms, step_kind::kListed, { "a" } },
       { 20000ms, step_kind::kHeard, { "b" } } },
     22000ms,
     { "a", "b" },
     { "a", "b" } },
-  { "one that lost its key and is silent is told no more, but counts on",
+  { "a silent VM that is no longer listed may still use a confirmation",
     { { 0ms, step_kind::kListed, { "a", "b" } },
       { 2000ms, step_kind::kListed, { "a" } } },
     8000ms,
     { "a" },
     { "a", "b" } },
-  { "one that was silent for long is forgotten",
+  { "a VM that was silent for long is removed",
     { { 0ms, step_kind::kListed, { "a", "b" } },
       { 2000ms, step_kind::kListed, { "a" } } },
     17001ms,
     { "a" },
     { "a" } },
-  { "one that was never listed here counts, though it can't be told",
+  { "a VM that was never listed may use a confirmation without being reachable",
     { { 0ms, step_kind::kListed, { "a" } },
       { 1000ms, step_kind::kHeard, { "c" } } },
     2000ms,
     { "a" },
     { "a", "c" } },
-  { "how long it was listed counts, not when the list was last read",
+  { "retention begins when a VM is dropped from the list",
     { { 0ms, step_kind::kListed, { "a", "b" } },
       { 60000ms, step_kind::kListed, { "a" } } },
     61000ms,
@@ -102,7 +102,7 @@
      reaches_vms_heard_recently_and_counts_those_that_may_use_a_confirmation)
 {
   for (const auto& row : kRows) {
-    vm_membership known("self");
+    vm_membership membership("self");
     for (const auto& step : row.given) {
       if (step.kind == step_kind::kListed) {
         std::vector<news::peer> listed;
@@ -110,28 +110,28 @@
         for (const auto& name : step.vms) {
           listed.push_back(Peer(name));
         }
-        known.Listed(listed, kStart + step.at);
+        membership.SetListed(listed, kStart + step.at);
       } else {
-        known.OnMessage(step.vms.front(), kStart + step.at);
+        membership.OnMessage(step.vms.front(), kStart + step.at);
       }
     }
     const auto now = kStart + row.when;
-    CHECK_TEXT(Names(known.Reachable(now)) == row.told, row.name);
-    CHECK_TEXT(known.MayUseConfirmation(now) == row.mayRest, row.name);
+    CHECK_TEXT(Names(membership.Reachable(now)) == row.reachable, row.name);
+    CHECK_TEXT(membership.MayUseConfirmation(now) == row.mayUse, row.name);
   }
 }
 
-// A holder of duties hears some word from most VMs of a large fleet, and
-// answers those alone that told of a primary.
+// In a large fleet the holder of a failover lock gets messages from most VMs.
+// It must answer only those that sent a reach update.
 TEST(vm_membership,
      only_vms_that_sent_reach_updates_directly_expect_watch_updates)
 {
-  vm_membership known("self");
-  known.Listed({ Peer("a"), Peer("b") }, kStart);
-  known.OnMessage("a", kStart);
-  known.OnMessage("b", kStart);
-  known.OnDirectReachUpdate("b", kStart);
-  CHECK_FALSE(known.SendsDirectReachUpdates("a", kStart + 1s));
-  CHECK(known.SendsDirectReachUpdates("b", kStart + 1s));
-  CHECK_FALSE(known.SendsDirectReachUpdates("b", kStart + 4500ms));
+  vm_membership membership("self");
+  membership.SetListed({ Peer("a"), Peer("b") }, kStart);
+  membership.OnMessage("a", kStart);
+  membership.OnMessage("b", kStart);
+  membership.OnDirectReachUpdate("b", kStart);
+  CHECK_FALSE(membership.SendsDirectReachUpdates("a", kStart + 1s));
+  CHECK(membership.SendsDirectReachUpdates("b", kStart + 1s));
+  CHECK_FALSE(membership.SendsDirectReachUpdates("b", kStart + 4500ms));
 }
