--- a/src/currantshed/store/backoff.cpp
+++ b/src/currantshed/store/backoff.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Already the first wait is spread: a platform that restarts cuts all its
-/// callers off at the same moment.
+/// The first delay is random too: a restart of the platform disconnects all of
+/// its callers at the same moment.
 std::chrono::milliseconds
 FirstBound(const backoff_settings& aSettings)
 {
--- a/src/currantshed/store/backoff.hpp
+++ b/src/currantshed/store/backoff.hpp
@@ -7,28 +7,28 @@
 
 namespace currantshed::store {
 
-/// How long to wait after failed calls.
+/// Bounds of the delay after failed calls.
 struct backoff_settings
 {
-  /// The shortest wait; the first one may be up to twice as long.
+  /// Minimum delay. The first delay may be up to twice as long.
   std::chrono::milliseconds shortest{ 200 };
-  /// The bound after many failures. Also what callers are spread over when
-  /// the platform comes back, so it follows the fleet's size.
+  /// Maximum delay. The calls of all VMs spread over this time when the
+  /// platform recovers, so it should grow with the size of the fleet.
   std::chrono::milliseconds longest{ 5000 };
 };
 
-/// Waits that grow with each failure, each drawn evenly between the shortest
-/// and a bound that doubles, so that many callers don't come back together.
+/// Exponential backoff with jitter. Each delay is drawn uniformly between the
+/// minimum and a bound that doubles with each failure, so that callers do not
+/// retry simultaneously.
 class backoff
 {
 public:
   explicit backoff(backoff_settings aSettings);
 
-  /// The wait after one more failure. The random number is at least zero and
-  /// below one.
+  /// Returns the delay after another failure. The random number is in [0, 1).
   [[nodiscard]] clock::duration Next(double aRandom);
 
-  /// A call succeeded.
+  /// Resets the bound after a successful call.
   void Reset() noexcept;
 
 private:
@@ -36,8 +36,7 @@
   std::chrono::milliseconds mBound;
 };
 
-/// A point between two durations, for a random number at least zero and below
-/// one.
+/// Interpolates linearly between two durations. The random number is in [0, 1).
 [[nodiscard]] clock::duration
 Between(clock::duration aLow, clock::duration aHigh, double aRandom);
 
--- a/src/currantshed/store/client.hpp
+++ b/src/currantshed/store/client.hpp
@@ -13,38 +13,38 @@
 
 namespace currantshed::store {
 
-/// Version of one key; zero stands for a key that does not exist.
+/// The version of one key; zero for a key that does not exist.
 using index = std::uint64_t;
 
-/// One key as the store holds it.
+/// A key's value and version.
 struct entry
 {
   std::string value;
-  /// Zero where the key does not exist; the value is empty then.
+  /// Zero if the key does not exist; the value is empty then.
   index version = 0;
 };
 
-/// How a compare-and-swap ended.
+/// The outcome of a compare-and-swap.
 enum class swap_outcome
 {
   /// The store holds the new value.
   kApplied,
   /// The key had another version; nothing was changed.
   kConflict,
-  /// No answer came: the change may have been made or not.
+  /// No response arrived: the change may or may not have been made.
   kUnknown,
 };
 
-/// One VM of the system's own.
+/// A VM that runs this system.
 struct vm
 {
   std::string id;
-  /// IP number.
+  /// IP address.
   std::string address;
   std::string failureDomain;
-  /// Port of the pooler's socket for requests.
+  /// Port on which the pooler accepts requests.
   std::uint16_t poolerPort = 0;
-  /// Port of the pooler's socket for heartbeats of its peers.
+  /// Port on which the pooler receives heartbeats of its peers.
   std::uint16_t peerPort = 0;
   /// Port of the pooler's HTTP server for metrics, health and status.
   std::uint16_t statusPort = 0;
@@ -53,15 +53,16 @@
   [[nodiscard]] friend bool operator==(const vm&, const vm&) = default;
 };
 
-/// The platform's list of VMs; it lags behind.
+/// The platform's list of VMs and groups. It may lag behind the actual state.
 struct listing
 {
   std::vector<vm> vms;
   std::vector<group::description> groups;
 };
 
-/// The platform's service. Calls return at once; each callback runs once, on
-/// the thread that drives the client. Errors are of the platform's category.
+/// A client of the platform. Calls return immediately. Each callback runs
+/// exactly once, on the thread that drives the client. Errors are of
+/// StoreCategory().
 class client
 {
 public:
@@ -74,15 +75,16 @@
   /// Reads a key.
   virtual void Get(std::string aKey, entry_callback aDone) = 0;
 
-  /// Waits until the key's version differs from the given one, at most for
-  /// the given time, then reads it. Counts as one call of the platform.
+  /// Waits until the key's version differs from the known one, for at most the
+  /// given time, then reads the key. Counts as one call towards the platform's
+  /// rate limit.
   virtual void Watch(std::string aKey,
                      index aKnown,
                      std::chrono::milliseconds aAtMost,
                      entry_callback aDone) = 0;
 
-  /// Writes a key if its version is still the expected one; zero expects
-  /// that the key does not exist.
+  /// Writes a key if it still has the expected version; zero expects that the
+  /// key does not exist.
   virtual void Swap(std::string aKey,
                     std::string aValue,
                     index aExpected,
--- a/src/currantshed/store/errors.hpp
+++ b/src/currantshed/store/errors.hpp
@@ -7,37 +7,37 @@
 
 namespace currantshed::store {
 
-/// What may go wrong between a process and the platform.
+/// Errors of calls to the store and to the platform.
 enum class errc
 {
   /// No connection could be made, or it broke.
   kUnreachable = 1,
-  /// No whole answer came in time.
+  /// No complete response arrived in time.
   kTimeout,
-  /// The platform answered that it can't serve at the moment.
+  /// The platform responded that it cannot serve at the moment.
   kUnavailable,
-  /// The platform's limit on calls a second was passed.
+  /// The platform's limit on calls per second was exceeded.
   kRateLimited,
-  /// The platform refused the call itself.
+  /// The platform rejected the request.
   kRejected,
-  /// The answer passed the limit on its size.
+  /// The response exceeds the size limit.
   kTooLarge,
-  /// The answer isn't what the interface lays down.
+  /// The response does not conform to the interface.
   kMalformed,
-  /// The lease has ended.
+  /// The lease does not exist any more.
   kNoLease,
-  /// The changes that a watch asks for are no longer kept.
+  /// The store no longer has the changes after the requested revision.
   kHistoryGone,
-  /// The store has come back from an older copy since: the answer, or what the
-  /// call refers to, is of an earlier era.
+  /// The store has been restored from an older snapshot: the response, or the
+  /// revision or lease that the call refers to, belongs to an earlier era.
   kEraEnded,
 };
 
-/// The category of the platform's errors.
+/// The category of the errors above.
 [[nodiscard]] const std::error_category&
 StoreCategory() noexcept;
 
-/// Makes std::error_code take the enumerators as they are.
+/// Lets the enumerators convert to std::error_code implicitly.
 [[nodiscard]] std::error_code
 make_error_code(errc aError) noexcept;
 
--- a/src/currantshed/store/key_value.hpp
+++ b/src/currantshed/store/key_value.hpp
@@ -14,13 +14,13 @@
 
 namespace currantshed::store {
 
-/// Counts the times that the store has come back from an older copy of itself.
-/// States of a store that tells nothing of that are all of era zero.
+/// Counts how often the store has been restored from an older snapshot of
+/// itself. A store that does not report an era is in era zero throughout.
 using era_id = std::uint64_t;
 
-/// A state of the whole store. Numbers count changes within an era and are
-/// given out again in the next one, so a state of a later era is the newer one
-/// whatever the numbers. All zero stands for none.
+/// A state of the whole store. Numbers increase with each change within an era.
+/// A new era issues numbers of the previous one again, so a state of a later
+/// era is newer regardless of its number. All zero means none.
 struct revision
 {
   era_id era = 0;
@@ -29,8 +29,8 @@
   friend auto operator<=>(const revision&, const revision&) = default;
 };
 
-/// Names a lease. A number may be given to another VM in a later era, where it
-/// names another lease. All zero stands for none.
+/// Identifies a lease. In a later era the store may issue the same number
+/// again, for another VM's lease. All zero means none.
 struct lease_id
 {
   era_id era = 0;
@@ -39,36 +39,36 @@
   friend bool operator==(const lease_id&, const lease_id&) = default;
 };
 
-/// What goes with the end of each call.
+/// Passed to the callback of every call.
 struct call_answer
 {
-  /// When the answer came, or the lack of one was noticed.
+  /// When the response arrived, or when the call was found to have failed.
   clock::time_point at;
-  /// The era that the answer was given in; none without an answer, or where the
-  /// store tells none.
+  /// The era in which the store responded; none without a response, or if the
+  /// store does not report its era.
   std::optional<era_id> era = {};
 };
 
-/// One key with its value.
+/// A key with its value.
 struct item
 {
   std::string key;
   std::string value;
-  /// The key's last change, in the era in which it was read.
+  /// The last change of the key, with the era in which it was read.
   revision changed;
   lease_id lease;
 };
 
-/// One change of a key.
+/// A change of a key.
 struct key_change
 {
-  /// The key as it was written; without value when it was removed.
+  /// The key after the change; without a value if it was removed.
   item now;
   bool removed = false;
 };
 
-/// A condition of a transaction: the key's last change is still this one;
-/// number zero for a key that does not exist. The store compares numbers alone;
+/// A precondition of a transaction: the key was last changed at this revision,
+/// or does not exist if the number is zero. The store compares numbers only;
 /// the era is the one in which the key was read.
 struct condition
 {
@@ -76,11 +76,11 @@
   revision changed;
 };
 
-/// Takes effect as a whole or not at all.
+/// Applied as a whole or not at all.
 struct transaction
 {
   std::vector<condition> conditions;
-  /// The revisions of these are not read.
+  /// `item::changed` is ignored.
   std::vector<item> puts;
   std::vector<std::string> removals;
 };
@@ -92,15 +92,17 @@
   kConflict,
   /// The lease does not exist; nothing was changed.
   kNoLease,
-  /// Nothing was done.
+  /// The transaction was not sent, or the store refused it; nothing was
+  /// changed.
   kNotDone,
-  /// No answer came: it may have been applied, or may yet be.
+  /// No response arrived: the transaction may have been applied, or may still
+  /// be.
   kUnknown,
 };
 
-/// A store of keys that all VMs share, with leases and watches. Calls return
-/// at once; each callback comes once, later, on the thread that drives the
-/// store. Errors are of the store's category.
+/// A key-value store shared by all VMs, with leases and watches. Calls return
+/// immediately. Each callback runs exactly once, later, on the thread that
+/// drives the store. Errors are of StoreCategory().
 class key_value
 {
 public:
@@ -118,35 +120,37 @@
 
   virtual ~key_value() = default;
 
-  /// How long calls that begin from now on wait for their answers, but for
-  /// watches.
+  /// Sets the timeout of calls that start from now on, except for watches.
   virtual void SetPatience(std::chrono::milliseconds aPatience) = 0;
 
   virtual void Get(std::string aKey, item_callback aDone) = 0;
 
-  /// Reads all keys with the prefix, and the store's revision before.
+  /// Reads all keys with the prefix. The revision passed to the callback is the
+  /// store's as of the start of the read.
   virtual void Range(std::string aPrefix, range_callback aDone) = 0;
 
-  /// Waits for changes after the revision, at most for the given time. Each
-  /// watch of a prefix uses a connection of its own.
+  /// Waits until the prefix has changes after the revision, for at most the
+  /// given time, and returns them. Each watched prefix uses a connection of its
+  /// own.
   virtual void Watch(std::string aPrefix,
                      revision aAfter,
                      std::chrono::milliseconds aAtMost,
                      watch_callback aDone) = 0;
 
-  /// The changes after the revision, at once; beside a watch of the prefix.
+  /// Returns the changes after the revision without waiting. May run alongside
+  /// a watch of the same prefix.
   virtual void ChangesSince(std::string aPrefix,
                             revision aAfter,
                             watch_callback aDone) = 0;
 
-  /// Gives a watch up: its callback comes with an error.
+  /// Cancels the watch of the prefix; its callback runs with an error.
   virtual void CancelWatch(const std::string& aPrefix) = 0;
 
   virtual void Commit(transaction aWhat, commit_callback aDone) = 0;
 
   virtual void Grant(std::chrono::milliseconds aTtl, grant_callback aDone) = 0;
 
-  /// Renews a lease; errc::kNoLease when it has ended.
+  /// Renews a lease. Fails with errc::kLeaseNotFound if it has ended.
   virtual void Keep(lease_id aLease, keep_callback aDone) = 0;
 
   /// Ends a lease and removes its keys.
--- a/src/currantshed/store/lister.cpp
+++ b/src/currantshed/store/lister.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The part of the interval by which calls are spread to either side.
+/// The jitter is the interval divided by this, in either direction.
 constexpr int kSpreadPart = 5;
 
 } // namespace
--- a/src/currantshed/store/lister.hpp
+++ b/src/currantshed/store/lister.hpp
@@ -13,31 +13,33 @@
 
 struct lister_settings
 {
-  /// Time between the starts of two calls; each is drawn up to a fifth
-  /// shorter or longer.
+  /// Time between the starts of two calls. Each interval varies randomly by up
+  /// to a fifth in either direction.
   std::chrono::milliseconds interval{ 5000 };
   backoff_settings afterFailure;
 };
 
-/// Decides when to read the platform's list: at regular times that many
-/// callers don't share, one call at a time, and more rarely in an outage.
-/// Does no I/O. Random numbers are at least zero and below one.
+/// Schedules the calls that read the platform's list of VMs: periodically with
+/// jitter, one call at a time, and with backoff during an outage. Performs no
+/// I/O. Random numbers are in [0, 1).
 class lister
 {
 public:
-  /// The first call is due at once.
+  /// The first call is due immediately.
   lister(lister_settings aSettings, clock::time_point aNow);
 
-  /// Whether to call client::List now; says so once, until Ended.
+  /// Returns whether to call client::List now. Returns true once per call, and
+  /// not again before Ended.
   [[nodiscard]] bool Tick(clock::time_point aNow);
 
-  /// The call has ended.
+  /// Reports the end of the call.
   void Ended(std::error_code aError, clock::time_point aNow, double aRandom);
 
-  /// When Tick is due at the latest; none while a call is under way.
+  /// When Tick must be called next; none while a call is in progress.
   [[nodiscard]] std::optional<clock::time_point> NextTick() const noexcept;
 
-  /// When the platform last answered; none before its first answer.
+  /// When the platform last responded successfully; none before the first
+  /// response.
   [[nodiscard]] std::optional<clock::time_point> LastAnswer() const noexcept;
 
 private:
--- a/src/currantshed/store/patience.cpp
+++ b/src/currantshed/store/patience.cpp
@@ -8,10 +8,9 @@
 
 using std::chrono::milliseconds;
 
-// The store answers within milliseconds, or within a quarter of a second when
-// it is slow.
+// The store responds within milliseconds, or within 250 ms when it is slow.
 constexpr milliseconds kUsual{ 1000 };
-// A quarter of a second, and the way of a large configuration.
+// 250 ms for a slow store, plus the transfer time of a large configuration.
 constexpr milliseconds kAtFirst{ 400 };
 constexpr milliseconds kLongest{ 4000 };
 
--- a/src/currantshed/store/patience.hpp
+++ b/src/currantshed/store/patience.hpp
@@ -7,12 +7,11 @@
 
 namespace currantshed::store {
 
-/// How long a call of the store waits for its answer. A VM that has started
-/// and has read nothing yet serves nobody: its first calls give a store that is
-/// silent less time than usual, since a call that began while the store was
-/// away is never answered, and the next one may be. With each they give it
-/// more, so that a slow store, or a large document on a slow link, gets
-/// through.
+/// Returns the timeout of a call to the store. A VM that has not read the store
+/// since its start cannot serve. A call sent while the store was down is never
+/// answered, but a retry may be, so the first calls after a start time out
+/// early. The timeout then grows with the time since the start, so that a slow
+/// store, or a large document on a slow link, succeeds eventually.
 [[nodiscard]] std::chrono::milliseconds
 Patience(clock::duration aSinceStart, bool aHasRead) noexcept;
 
--- a/src/currantshed/store/transport.hpp
+++ b/src/currantshed/store/transport.hpp
@@ -15,42 +15,43 @@
 
 namespace currantshed::store {
 
-/// The methods of HTTP that the platform's interface uses.
+/// HTTP methods that the platform's interface uses.
 enum class http_method
 {
   kGet,
   kPut,
 };
 
-/// One call of the platform's HTTP interface.
+/// A request to the platform's HTTP interface.
 struct http_request
 {
   http_method method = http_method::kGet;
   /// Path and query, percent-encoded.
   std::string target;
   std::string body;
-  /// Time until the whole answer must be there.
+  /// Time limit for the complete response.
   std::chrono::milliseconds timeout{ 0 };
 };
 
-/// The answer to one call.
+/// The response to a request.
 struct http_answer
 {
-  /// Set when no whole answer came; all else is empty then. Of the
-  /// platform's category.
+  /// Set if no complete response arrived; all other members are empty then. Of
+  /// StoreCategory().
   std::error_code error;
   int status = 0;
-  /// The header X-Consul-Index, or zero where there is none.
+  /// Value of the header X-Consul-Index; zero if it is absent.
   std::uint64_t index = 0;
   std::string body;
 };
 
-/// Largest answer that is taken: a value of a megabyte in base64, with room
-/// for what surrounds it.
+/// Maximum size of a response body: a value of 1 MiB in base64, with room for
+/// the surrounding JSON.
 constexpr std::size_t kAnswerLimitBytes = 4U << 20U;
 
-/// Carries calls to the platform. A call is sent at most once: nothing below
-/// this interface repeats one whose answer is missing.
+/// Sends HTTP requests to the platform. Each request is sent at most once:
+/// neither the transport nor anything below it retries a request whose response
+/// is missing.
 class transport
 {
 public:
@@ -58,13 +59,13 @@
 
   virtual ~transport() = default;
 
-  /// Starts a call and returns at once. The callback runs once, later, unless
-  /// the transport is destroyed before.
+  /// Starts a request and returns immediately. The callback runs once, later,
+  /// unless the transport is destroyed first.
   virtual void Send(http_request aRequest, callback aDone) = 0;
 };
 
-/// Makes a transport over libcurl on the given event loop. The base is scheme,
-/// address and port, as in http://127.0.0.1:8500.
+/// Makes a transport over libcurl on the given event loop. The base URL
+/// consists of scheme, address and port, as in http://127.0.0.1:8500.
 [[nodiscard]] std::unique_ptr<transport>
 MakeCurlTransport(boost::asio::io_context& aLoop, std::string aBaseUrl);
 
--- a/src/currantshed/store/watcher.cpp
+++ b/src/currantshed/store/watcher.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// The pause is drawn between itself and this many times itself.
+/// The pause is random between watcher_settings::pause and this multiple of it.
 constexpr int kPauseSpread = 2;
 
 } // namespace
--- a/src/currantshed/store/watcher.hpp
+++ b/src/currantshed/store/watcher.hpp
@@ -16,23 +16,24 @@
 
 struct watcher_settings
 {
-  /// How long one call of the platform waits for a change.
+  /// How long one call waits for a change.
   std::chrono::milliseconds wait{ 10000 };
-  /// Time between the starts of two calls that bring nothing new, at the
-  /// least: a platform that ends each wait at once is not called in a loop.
+  /// Minimum time between the starts of two calls that return nothing new, so
+  /// that a platform which ends each wait immediately is not polled in a tight
+  /// loop.
   std::chrono::milliseconds pause{ 1000 };
   backoff_settings afterFailure;
 };
 
-/// Calls client::Watch; answered by Ended.
+/// Requests a call of client::Watch; completed by Ended.
 struct start_watch
 {
   index known = 0;
   std::chrono::milliseconds atMost{ 0 };
 };
 
-/// Hands over what the key holds now: the first time in any case, and later
-/// only what is newer than all that was handed over before.
+/// Delivers the key's current content: always the first time, and afterwards
+/// only if it is newer than everything delivered before.
 struct deliver_entry
 {
   entry content;
@@ -40,15 +41,15 @@
 
 using watcher_action = std::variant<start_watch, deliver_entry>;
 
-/// Keeps one key watched: one call at a time, through outages, and without
-/// ever going back. Does no I/O. Random numbers are at least zero and below
-/// one.
+/// Keeps a watch on one key: one call at a time, retried through outages. Never
+/// delivers an older version after a newer one. Performs no I/O. Random numbers
+/// are in [0, 1).
 class watcher
 {
 public:
   watcher(watcher_settings aSettings, clock::time_point aNow);
 
-  /// The call that start_watch asked for has ended.
+  /// Reports the end of the call that start_watch requested.
   void Ended(std::error_code aError,
              const entry& aEntry,
              clock::time_point aNow,
@@ -56,13 +57,14 @@
 
   void Tick(clock::time_point aNow);
 
-  /// When Tick is due at the latest; none while a call is under way.
+  /// When Tick must be called next; none while a call is in progress.
   [[nodiscard]] std::optional<clock::time_point> NextTick() const noexcept;
 
-  /// Hands over the actions since the last call, oldest first.
+  /// Returns the actions since the last call, oldest first.
   [[nodiscard]] std::vector<watcher_action> TakeActions();
 
-  /// When the platform last answered; none before its first answer.
+  /// When the platform last responded successfully; none before the first
+  /// response.
   [[nodiscard]] std::optional<clock::time_point> LastAnswer() const noexcept;
 
 private:
@@ -71,13 +73,13 @@
 
   watcher_settings mSettings;
   backoff mBackoff;
-  /// When the next call begins; none while one is under way.
+  /// When the next call starts; none while one is in progress.
   std::optional<clock::time_point> mStartAt;
   clock::time_point mStartedAt;
-  /// The version that the platform told last; it may be older than what was
-  /// handed over, and is what the next wait refers to.
+  /// The version in the platform's last response, to which the next watch
+  /// refers. May be older than the version delivered.
   index mSeen = 0;
-  /// The newest version handed over.
+  /// The newest version delivered.
   std::optional<index> mDelivered;
   std::optional<clock::time_point> mLastAnswer;
   std::vector<watcher_action> mActions;
