--- a/src/currantshed/store/apply.cpp
+++ b/src/currantshed/store/apply.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Pause after a call that failed, so that a platform in trouble is spared.
+/// Delay before a retry, so that a failing platform is not overloaded.
 constexpr std::chrono::milliseconds kReadAgainAfter{ 200 };
 
 } // namespace
@@ -118,8 +118,8 @@
     JudgeLater(aFound);
     return;
   }
-  // The store has gone back behind what the operator saw. A write under way
-  // expects a version of the key that will not come again.
+  // The store holds an older version than the operator saw. A write in progress
+  // expects a version of the key that will not occur again.
   Finish(mInDoubt ? apply_outcome::kUnknown : apply_outcome::kLostRace);
 }
 
--- a/src/currantshed/store/apply.hpp
+++ b/src/currantshed/store/apply.hpp
@@ -16,55 +16,57 @@
 
 namespace currantshed::store {
 
-/// What an operator asks for.
+/// A change of the configuration that an operator requests.
 struct apply_request
 {
   std::string declaration;
-  /// Names this change and no other.
+  /// Unique name of this change.
   std::string change;
-  /// Whether the same change was asked for before, with no known end. It is
-  /// made at most once all the same.
+  /// Whether the same change was requested before and its outcome is unknown.
+  /// It is still made at most once.
   bool askedBefore = false;
-  /// The version that the operator saw; zero for none.
+  /// The version that the operator saw; zero if there was none.
   std::uint64_t expectedVersion = 0;
-  /// For people to read.
+  /// Informational.
   std::string appliedBy;
   std::string appliedAt;
-  /// How long the platform may fail before the operator gets an answer.
+  /// How long to retry while the platform fails before reporting a result.
   std::chrono::milliseconds giveUpAfter{ 15000 };
 };
 
-/// What became of a change.
+/// The outcome of a change.
 enum class apply_outcome
 {
-  /// It was made.
+  /// The change was made.
   kApplied,
-  /// Another change came first; this one was not made, and won't be.
+  /// Another change was made first; this one was not made and will not be.
   kLostRace,
-  /// The platform couldn't be reached; this one was not made, and won't be.
+  /// The platform could not be reached; the change was not made and will not
+  /// be.
   kNotReached,
-  /// It may have been made, or may still be.
+  /// The change may have been made, or may still be.
   kUnknown,
-  /// What the store holds is no configuration; nothing was written over it.
+  /// The store does not hold a valid configuration; it was not overwritten.
   kUnreadable,
-  /// It is larger than the platform's largest value, and was not made.
+  /// The change exceeds the platform's maximum value size and was not made.
   kTooLarge,
 };
 
 struct apply_result
 {
   apply_outcome outcome = apply_outcome::kUnknown;
-  /// The version that the change became, or would have become.
+  /// The version that the change has, or would have had.
   std::uint64_t version = 0;
-  /// The version last seen in force; zero if there is none or none was seen.
+  /// The version last seen in the store; zero if there is none or none was
+  /// seen.
   std::uint64_t inForce = 0;
 };
 
-/// Reads the key of the configuration; answered by ConfigurationRead.
+/// Reads the configuration key; completed by ConfigurationRead.
 struct read_configuration
 {};
 
-/// Writes the key if its version is still the expected one; answered by
+/// Writes the key if it still has the expected version; completed by
 /// ConfigurationSwapped.
 struct swap_configuration
 {
@@ -74,14 +76,15 @@
 
 using apply_action = std::variant<read_configuration, swap_configuration>;
 
-/// Largest value that the platform takes.
+/// Maximum size of a value in the platform's store.
 constexpr std::size_t kLargestValueBytes = 1U << 20U;
 
-/// Puts one change in force by compare-and-swap against the version that the
-/// operator saw, and tells truthfully what became of it. A lost answer is
-/// resolved by reading back. Writing again is safe meanwhile, since every try
-/// expects the same version of the key, and at most one can succeed. Does no
-/// I/O; one call is under way at a time.
+/// Makes one change of the configuration by compare-and-swap against the
+/// version that the operator saw, and reports its outcome accurately. If a
+/// response is lost, the key is read again to resolve the outcome. Retrying the
+/// write is safe meanwhile: every attempt expects the same version of the key,
+/// so at most one can succeed. Performs no I/O; at most one call is in progress
+/// at a time.
 class applier
 {
 public:
@@ -95,13 +98,13 @@
 
   void Tick(clock::time_point aNow);
 
-  /// When Tick is due at the latest.
+  /// When Tick must be called next.
   [[nodiscard]] clock::time_point NextTick() const noexcept;
 
-  /// Hands over the actions since the last call.
+  /// Returns the actions since the last call.
   [[nodiscard]] std::vector<apply_action> TakeActions();
 
-  /// Set once at the end; no action follows.
+  /// Set once, at the end; no action follows.
   [[nodiscard]] const std::optional<apply_result>& Result() const noexcept;
 
 private:
@@ -117,9 +120,9 @@
   /// When to read again after a failure.
   std::optional<clock::time_point> mReadAt;
   std::uint64_t mInForce = 0;
-  /// Whether a write may have taken effect, or still may, without an answer.
+  /// Whether a write without a response may have been applied, or may still be.
   bool mInDoubt = false;
-  /// Whether a write is under way.
+  /// Whether a write is in progress.
   bool mWriting = false;
   std::optional<apply_result> mResult;
   std::vector<apply_action> mActions;
--- a/src/currantshed/store/consul_answers.cpp
+++ b/src/currantshed/store/consul_answers.cpp
@@ -26,7 +26,7 @@
 constexpr int kServerErrors = 500;
 constexpr char kHexDigits[] = "0123456789ABCDEF";
 
-/// Parses an answer's body as a list of objects.
+/// Parses a response body as a JSON array.
 std::optional<json::array>
 ParseList(const std::string& aBody)
 {
@@ -48,7 +48,7 @@
   return object->if_contains(json::string_view(aName.data(), aName.size()));
 }
 
-/// Reads a text that must be there and not be empty.
+/// Reads a string that must exist and not be empty.
 bool
 ReadText(const json::value& aObject, absl::string_view aName, std::string& aTo)
 {
@@ -85,7 +85,7 @@
   return !failure && FitsPort(number, aTo);
 }
 
-/// Reads a number above zero; the catalogue's metadata holds texts only.
+/// Reads a number above zero. All metadata values in the catalog are strings.
 bool
 ReadMetaNumber(const json::value& aMeta,
                absl::string_view aName,
@@ -147,7 +147,7 @@
          ReadMetaNumber(*meta, "connections", aMember.connections);
 }
 
-/// Checks the status of an answer for which 404 is no success.
+/// Checks the status of a response for which 404 is an error as well.
 std::error_code
 FoundError(const http_answer& aAnswer)
 {
--- a/src/currantshed/store/consul_answers.hpp
+++ b/src/currantshed/store/consul_answers.hpp
@@ -10,34 +10,34 @@
 
 namespace currantshed::store {
 
-/// Turns an answer that isn't a success into the platform's error; none for
-/// a success, and none for 404, which each call reads in its own way.
+/// Maps an unsuccessful response to an errc. Returns no error for status 200,
+/// nor for 404, whose meaning depends on the call.
 [[nodiscard]] std::error_code
 StatusError(const http_answer& aAnswer);
 
-/// Reads the answer to GET /v1/kv/{key}; an absent key is an empty entry of
-/// version zero.
+/// Parses the response to GET /v1/kv/{key}. A key that does not exist yields an
+/// empty entry of version zero.
 [[nodiscard]] std::error_code
 ReadEntry(const http_answer& aAnswer, entry& aEntry);
 
-/// Reads the answer to a PUT /v1/kv/{key}?cas=N. All but the two answers
-/// that the interface lays down leave the outcome unknown.
+/// Parses the response to PUT /v1/kv/{key}?cas=N. Anything but the two
+/// responses that the interface defines means that the outcome is unknown.
 [[nodiscard]] swap_outcome
 ReadSwap(const http_answer& aAnswer);
 
-/// Reads the answer to GET /v1/catalog/service/currantshed. One entry that is
-/// wrong makes the whole list wrong.
+/// Parses the response to GET /v1/catalog/service/currantshed. A single invalid
+/// entry makes the whole list invalid.
 [[nodiscard]] std::error_code
 ReadVms(const http_answer& aAnswer, std::vector<vm>& aVms);
 
-/// Reads the answer to GET /v1/catalog/service/upstream, gathered by group.
-/// One entry that is wrong makes the whole list wrong: a group short of a
-/// member would have its majority counted over too few.
+/// Parses the response to GET /v1/catalog/service/upstream, sorted into groups.
+/// A single invalid entry makes the whole list invalid: if a group lacked a
+/// member, its majority would be computed over too few.
 [[nodiscard]] std::error_code
 ReadGroups(const http_answer& aAnswer,
            std::vector<group::description>& aGroups);
 
-/// The path of a key, percent-encoded segment by segment.
+/// The path of a key, percent-encoded except for slashes.
 [[nodiscard]] std::string
 KeyTarget(const std::string& aKey);
 
--- a/src/currantshed/store/curl_transport.cpp
+++ b/src/currantshed/store/curl_transport.cpp
@@ -37,7 +37,7 @@
 using easy_ptr = std::unique_ptr<CURL, easy_deleter>;
 using list_ptr = std::unique_ptr<curl_slist, list_deleter>;
 
-/// One call under way.
+/// A request in progress.
 struct transfer
 {
   easy_ptr easy;
@@ -49,7 +49,7 @@
   transport::callback done;
 };
 
-/// A socket of libcurl's that the event loop watches for it.
+/// A socket of libcurl that the event loop watches.
 struct watched_socket
 {
   explicit watched_socket(boost::asio::io_context& aLoop)
@@ -58,7 +58,7 @@
   }
 
   boost::asio::posix::stream_descriptor descriptor;
-  /// CURL_POLL_IN, CURL_POLL_OUT, both, or CURL_POLL_REMOVE.
+  /// CURL_POLL_IN, CURL_POLL_OUT, CURL_POLL_INOUT or CURL_POLL_REMOVE.
   int interest = CURL_POLL_NONE;
   bool readArmed = false;
   bool writeArmed = false;
@@ -66,7 +66,7 @@
 
 using socket_ptr = std::shared_ptr<watched_socket>;
 
-/// libcurl must be set up once before the first use.
+/// libcurl requires global initialization once, before its first use.
 void
 InitializeCurl()
 {
@@ -74,7 +74,7 @@
   static_cast<void>(sResult);
 }
 
-/// Turns libcurl's errors into the platform's.
+/// Maps libcurl's error codes to errc.
 std::error_code
 FromCurl(CURLcode aCode, bool aOverLimit)
 {
@@ -123,10 +123,10 @@
   return length;
 }
 
-/// Sets up one call. A PUT always takes a connection of its own: on one that
-/// was used before, libcurl would send the request a second time when the
-/// connection ends without an answer, and a compare-and-swap sent twice tells
-/// the writer that it lost against itself.
+/// Sets the options of a request. A PUT always uses a new connection: on a
+/// reused one, libcurl would send the request a second time if the connection
+/// closed without a response, and a compare-and-swap that is sent twice reports
+/// a conflict with itself.
 void
 Prepare(transfer& aCall, const http_request& aRequest)
 {
@@ -190,7 +190,7 @@
     curl_multi_add_handle(mMulti, easy);
   }
 
-  /// Ends all calls without running their callbacks.
+  /// Aborts all requests without running their callbacks.
   void Stop()
   {
     mStopped = true;
@@ -225,7 +225,7 @@
     return 0;
   }
 
-  /// Hands the socket back to libcurl, which closes it itself.
+  /// Releases the socket to libcurl, which closes it.
   static void Release(watched_socket& aSocket)
   {
     aSocket.interest = CURL_POLL_REMOVE;
@@ -316,7 +316,8 @@
     });
   }
 
-  /// Lets libcurl act on an event, then runs the callbacks of ended calls.
+  /// Lets libcurl handle an event, then runs the callbacks of completed
+  /// requests.
   void Proceed(curl_socket_t aNumber, int aEvents)
   {
     int running = 0;
@@ -386,7 +387,7 @@
     try {
       mDriver->Stop();
     } catch (const std::exception&) {
-      // A descriptor that can't be released; there is nobody left to tell.
+      // A descriptor could not be released; a destructor cannot report that.
       mDriver.reset();
     }
   }
--- a/src/currantshed/store/era_guard.cpp
+++ b/src/currantshed/store/era_guard.cpp
@@ -14,7 +14,8 @@
 {
 }
 
-// Returns the call's error, or that its answer is of an earlier era.
+// Records the era of a response. Returns the call's error, or errc::kStaleEra
+// if the response is of an earlier era.
 std::error_code
 era_guard::Heard(std::error_code aError, const call_answer& aAnswer)
 {
@@ -41,7 +42,8 @@
     });
 }
 
-// Why a transaction is not to be sent, if it is not.
+// Returns the outcome of a transaction that must not be sent; none if it may
+// be.
 std::optional<commit_outcome>
 era_guard::RefusalOf(const transaction& aWhat) const
 {
--- a/src/currantshed/store/era_guard.hpp
+++ b/src/currantshed/store/era_guard.hpp
@@ -11,32 +11,32 @@
 
 namespace currantshed::store {
 
-/// A store that may come back from an older copy of itself. Notes the newest
-/// era that any answer tells, and keeps answers and positions of earlier ones
-/// from whoever calls: revisions are given out again, so in the present era
-/// they stand for something else. Belongs to one thread.
+/// Decorates a store that may be restored from an older snapshot. Tracks the
+/// newest era that any response reports, and rejects responses, revisions and
+/// leases of earlier eras: the store issues their numbers again, so in the
+/// current era they refer to something else. Not thread-safe.
 class era_guard final : public key_value
 {
 public:
   struct listener
   {
-    /// Calls the function later, on the same thread.
+    /// Runs the function later, on the same thread.
     std::function<void(std::function<void()>)> later;
-    /// The store has come back, or told its era for the first time: the era
-    /// before, if any, and the present one.
+    /// Called with the previous era, if any, and the new one when the store has
+    /// been restored or reports its era for the first time.
     std::function<void(std::optional<era_id>, era_id)> began;
   };
 
   era_guard(key_value& aStore, listener aListener);
 
-  /// The newest era that an answer has told.
+  /// The newest era that a response has reported.
   [[nodiscard]] std::optional<era_id> Era() const noexcept { return mEra; }
 
   void SetPatience(std::chrono::milliseconds aPatience) override;
   void Get(std::string aKey, item_callback aDone) override;
   void Range(std::string aPrefix, range_callback aDone) override;
 
-  /// Ends with errc::kEraEnded where the revision is of an earlier era.
+  /// Fails with errc::kStaleEra if the revision is of an earlier era.
   void Watch(std::string aPrefix,
              revision aAfter,
              std::chrono::milliseconds aAtMost,
@@ -47,15 +47,17 @@
 
   void CancelWatch(const std::string& aPrefix) override;
 
-  /// Is in conflict where a condition is of an earlier era, has no lease where
-  /// a key is to be written under one of an earlier era, and is not sent then.
-  /// What is done only in a later one may have held by accident: its outcome is
-  /// unknown.
+  /// A transaction is not sent if a condition is of an earlier era (kConflict)
+  /// or if a key is to be written under a lease of an earlier era
+  /// (kLeaseNotFound). If the transaction was sent in one era and applied in a
+  /// later one, its conditions may have held by coincidence, so the outcome is
+  /// kUnknown.
   void Commit(transaction aWhat, commit_callback aDone) override;
 
   void Grant(std::chrono::milliseconds aTtl, grant_callback aDone) override;
 
-  /// A lease of an earlier era has ended, whatever its number names now.
+  /// Fails with errc::kLeaseNotFound if the lease is of an earlier era, even if
+  /// its number now identifies another lease.
   void Keep(lease_id aLease, keep_callback aDone) override;
   void End(lease_id aLease) override;
 
--- a/src/currantshed/store/http_client.cpp
+++ b/src/currantshed/store/http_client.cpp
@@ -14,7 +14,7 @@
 constexpr char kVmsTarget[] = "/v1/catalog/service/currantshed";
 constexpr char kGroupsTarget[] = "/v1/catalog/service/upstream";
 
-/// The two halves of a list, as their answers come in.
+/// Combines the two responses that make up a listing.
 struct listing_call
 {
   listing value;
@@ -22,7 +22,7 @@
   int missing = 2;
   client::listing_callback done;
 
-  /// Takes the verdict on one half; tells the caller after the second.
+  /// Records the result of one response, and calls back after the second.
   void Arrived(std::error_code aError)
   {
     if (!error) {
@@ -125,8 +125,8 @@
                      });
   }
 
-  /// A key that isn't there has no version to wait on; the store's index at
-  /// its last answer takes that place.
+  /// A key that does not exist has no version to wait on, so the store's index
+  /// in the last response is used instead.
   void Remember(const std::string& aKey, const entry& aFound, index aIndex)
   {
     if (aFound.version != 0) {
@@ -144,7 +144,8 @@
 
   std::chrono::milliseconds mTimeout;
   absl::flat_hash_map<std::string, index> mAbsentSince;
-  /// Last, so that it goes first and runs no callback on what is gone.
+  /// Declared last, so that it is destroyed first and no callback runs on
+  /// destroyed members.
   std::unique_ptr<transport> mTransport;
 };
 
--- a/src/currantshed/store/http_client.hpp
+++ b/src/currantshed/store/http_client.hpp
@@ -13,14 +13,14 @@
 namespace currantshed::store {
 
 /// Makes a client of the platform's HTTP interface over any transport. The
-/// timeout bounds each call; a watch may last for its own time beside it. A
-/// client that is destroyed runs no callback any more.
+/// timeout bounds each call; a watch may additionally last for its own wait
+/// time. No callback runs after the client is destroyed.
 [[nodiscard]] std::unique_ptr<client>
 MakeClient(std::unique_ptr<transport> aTransport,
            std::chrono::milliseconds aTimeout);
 
 /// Makes a client over libcurl on the given event loop, whose thread runs the
-/// callbacks. The base is scheme, address and port.
+/// callbacks. The base URL consists of scheme, address and port.
 [[nodiscard]] std::unique_ptr<client>
 MakeHttpClient(boost::asio::io_context& aLoop,
                std::string aBaseUrl,
--- a/src/currantshed/store/prefix_view.cpp
+++ b/src/currantshed/store/prefix_view.cpp
@@ -15,19 +15,19 @@
 
 namespace {
 
-// Pause for each unit of time that a change keeps the link busy, so that
-// changes which never stop take at most a seventh of it.
+// Length of the pause in multiples of the transfer time of all keys. Continuous
+// changes then use at most a seventh of the link.
 constexpr int kPauseByWay = 6;
-// Removals that are kept for others. A VM that lacks more gets all keys.
+// Number of removals kept for updates. A VM that lacks more is sent all keys.
 constexpr std::size_t kMostRemovals = 1024;
-// Changes that are kept for others, of whatever kind. A VM that lacks more is
-// told by a look at all keys.
+// Number of changes of any kind kept for updates. For a VM that lacks more, the
+// update is computed by scanning all keys.
 constexpr std::size_t kMostRecent = 1024;
-// How long a store that has come back may lack what others wrote before: they
-// write it again within two seconds.
+// How long a restored store may lack acknowledged changes: their writers write
+// them again within 2 s.
 constexpr std::chrono::milliseconds kWrittenAgain{ 3000 };
-// Pause after a reading that was left out: the watch from what is known is
-// refused at once, and the next reading is likely to be left out too.
+// Pause after a read that was discarded: a watch from the known revision is
+// rejected immediately, and the next read is likely to be discarded too.
 constexpr std::chrono::milliseconds kIgnoredPause{ 500 };
 
 std::size_t
@@ -36,7 +36,8 @@
   return aItem.key.size() + aItem.value.size();
 }
 
-// The changes as they were made: updates name keys first and removals last.
+// Sorts the changes by revision: an update lists keys by name, with removals
+// last.
 std::vector<const key_change*>
 InOrder(const std::vector<key_change>& aChanges)
 {
@@ -52,7 +53,7 @@
   return ordered;
 }
 
-// Whether the store can't tell the changes after what is known.
+// Whether the store cannot return the changes after the known revision.
 bool
 IsPast(std::error_code aError)
 {
@@ -110,14 +111,14 @@
 void
 prefix_view::HeardOf(revision aChange, clock::time_point aNow)
 {
-  // One that is behind itself proves nothing.
+  // A VM that lags behind this one proves nothing.
   if (aChange <= mSeen || !mIsKnown) {
     return;
   }
   if (!mBehindSince) {
     mBehindSince = aNow;
   }
-  // Whoever passes changes on pauses after each, as this VM would.
+  // The VM that feeds this one pauses after each change as well.
   const auto patience =
     mIsCalling ? mSettings.patience : mSettings.patience + Pause();
   if (aNow - *mBehindSince > patience) {
@@ -224,7 +225,7 @@
   }
 }
 
-// Returns whether there was anything new.
+// Returns whether any change was new.
 bool
 prefix_view::TakeChanges(std::vector<key_change> aChanges, revision aUpTo)
 {
@@ -236,8 +237,8 @@
   return isChanged;
 }
 
-// What another VM has seen before is on its way now: only a watch that says
-// nothing for as long as it may counts as hung.
+// Revisions that other VMs announced before are being fetched now, so the lag
+// starts anew: only a watch that stays silent for maxWatchLag counts as hung.
 void
 prefix_view::Follow(clock::time_point aNow)
 {
@@ -255,13 +256,14 @@
       }
       mIsCalling = false;
       if (aError) {
-        // What was missed while there was no watch may be gone.
+        // Changes made while there was no watch may no longer be available.
         mMustRead = mMustRead || IsPast(aError);
         Failed(aError, aAnswer.at);
         return;
       }
       if (aRevision.era != mSeen.era) {
-        // What was changed up to the watch's beginning is not known.
+        // The changes between the known revision and the start of the watch are
+        // unknown.
         ReadAtOnce(aAnswer.at);
         return;
       }
@@ -278,14 +280,14 @@
     });
 }
 
-// All keys, as a reading of the store or another VM has them. Returns whether
-// they are as new as those known.
+// Replaces all keys by those of a read or of another VM. Returns false if they
+// are older than the known ones.
 bool
 prefix_view::TakeAll(std::vector<item> aItems,
                      revision aRevision,
                      clock::time_point aNow)
 {
-  // Passed on meanwhile: this is an older state.
+  // Another VM has sent a newer state while the read was in progress.
   if (mIsKnown && aRevision < mSeen) {
     return false;
   }
@@ -312,15 +314,15 @@
 void
 prefix_view::EraEnded(clock::time_point aNow)
 {
-  // Also a reading that is under way, the first one perhaps, may be of a store
-  // that lacks what is yet to be written again.
+  // A read in progress, perhaps the first one, may also reflect a store that
+  // lacks changes which are yet to be written again.
   mProvesFrom = std::max(mProvesFrom, aNow + kWrittenAgain);
   if (mIsKnown && aNow >= mFedUntil) {
     ReadAtOnce(aNow);
   }
 }
 
-// The keys are of another era than the store.
+// Called when the keys belong to another era than the store.
 void
 prefix_view::ReadAtOnce(clock::time_point aNow)
 {
@@ -331,7 +333,7 @@
   mNotBefore = aNow;
 }
 
-// The same reading again tells nothing more.
+// Discarding the same revision repeatedly is reported only once.
 void
 prefix_view::NoteIgnored(revision aRead)
 {
@@ -340,7 +342,7 @@
   }
 }
 
-// Returns whether the change is news.
+// Returns whether the change was new.
 bool
 prefix_view::TakeOne(key_change aChange)
 {
@@ -374,9 +376,9 @@
 bool
 prefix_view::Take(const key_update& aUpdate, clock::time_point aNow)
 {
-  // Revisions count the changes of the whole store: another VM's keys may be
-  // those of today though its last call is older than this VM's. Keys of an
-  // earlier era are not.
+  // Revisions count the changes of the whole store, so another VM's keys may be
+  // current although its last call is older than this VM's. Keys of an earlier
+  // era are not.
   if (mIsKnown && aUpdate.upTo < mSeen) {
     return aUpdate.upTo.era == mSeen.era;
   }
@@ -425,7 +427,7 @@
     return;
   }
   mChangedKeys.keys.push_back(aKey);
-  // Nobody asks for them: the list must not grow with the changes.
+  // Bounds the list if TakeChangedKeys is never called.
   if (mChangedKeys.keys.size() > mItems.size() + kMostRecent) {
     mChangedKeys = { true, {} };
   }
@@ -460,8 +462,8 @@
   return made;
 }
 
-// The keys among the last changes, each once, from the newest back to what is
-// known.
+// Adds the recently changed keys, each once, from the newest back to the known
+// revision.
 void
 prefix_view::AddRecent(key_update& aTo, std::size_t aLongest) const
 {
@@ -510,8 +512,8 @@
   AddRemovals(aTo);
 }
 
-// Removals are told last: a key that was removed and written again is among
-// the keys with its later change.
+// Adds the removals, after all other changes: a key that was removed and
+// written again is among the keys with its later change.
 void
 prefix_view::AddRemovals(key_update& aTo) const
 {
--- a/src/currantshed/store/prefix_view.hpp
+++ b/src/currantshed/store/prefix_view.hpp
@@ -23,58 +23,61 @@
 
 struct prefix_view_settings
 {
-  /// How long one watch waits. Long, since each call has its price; a dead
-  /// connection is noticed by the transport.
+  /// How long one watch waits for changes. Long, since every call costs; the
+  /// transport detects dead connections.
   std::chrono::milliseconds wait{ 25000 };
-  /// Pause after a change, and more of it for each key that is followed, so
-  /// that many changes in a row cost few calls: keys of VMs change together
-  /// when a fleet starts.
+  /// Pause between a change and the next watch, plus a part for each key in the
+  /// view, so that a burst of changes takes few calls: the keys of VMs change
+  /// together when a fleet starts.
   std::chrono::milliseconds afterChange{ 100 };
   std::chrono::milliseconds afterChangeByKey{ 15 };
-  /// The longest that this gets, however many keys there are.
+  /// Upper bound of the pause computed from the number of keys.
   std::chrono::milliseconds longestByKeys{ std::chrono::milliseconds::max() };
-  /// How long one byte of the keys takes on the VM's link. After a change the
-  /// pause is so many times the way of all keys, up to the longest: changes in
-  /// quick succession of what is large must leave the link to the callers.
+  /// Transfer time of one byte on the VM's link. After a change the pause is at
+  /// least a multiple of the transfer time of all keys, up to maxPause, so that
+  /// frequent changes of large values leave the link to the callers.
   std::chrono::nanoseconds byteTime{ 0 };
   std::chrono::milliseconds longestPause{ 1500 };
-  /// How long another VM's word that there is more may precede the own watch.
+  /// How long the view may lag behind a revision that another VM has announced
+  /// before its own watch is considered hung.
   std::chrono::milliseconds patience{ 400 };
-  /// Waits after failures, each of which has its price as well; short enough
-  /// that a configuration made during an outage is in force in time after it.
+  /// Backoff after failed calls, since every call costs. Short enough that a
+  /// configuration written during an outage is applied in time after it.
   backoff_settings afterFailure{ std::chrono::milliseconds{ 100 },
                                  std::chrono::milliseconds{ 1500 } };
 };
 
-/// What one VM passes on to another of the keys below a prefix.
+/// The keys below a prefix, or changes of them, as one VM sends them to
+/// another.
 struct key_update
 {
-  /// Whether these are all keys, not changes alone.
+  /// Whether `changes` holds all keys rather than only changes.
   bool isWhole = false;
-  /// The changes are those after this revision, up to the other.
+  /// The changes are those after `after`, up to and including `upTo`.
   revision after;
   revision upTo;
   /// Whether the changes may have been made long before the sender saw them.
   bool mayBeOld = false;
   std::vector<key_change> changes;
-  /// The changes are more than may be told at once, and left out.
+  /// Whether the changes exceed the size limit and were omitted.
   bool isTooLong = false;
 };
 
-/// Which keys are others than when this was last asked.
+/// The keys that have changed since the previous query.
 struct changed_keys
 {
-  /// All of them may be: they were read as a whole.
+  /// Any key may have changed: all keys were read again.
   bool isAll = false;
-  /// Each once, by name, where not all are.
+  /// The names of the changed keys, sorted and without duplicates. Empty if
+  /// isAll.
   std::vector<std::string> keys;
 };
 
-/// The keys below one prefix as the store had them last: read once, then
-/// followed by watches, and read again when the store has dropped the changes
-/// in between or has come back from an older copy. Other VMs may pass the
-/// changes on instead; while they do, the store is not called. Belongs to one
-/// thread.
+/// A local copy of the keys below one prefix. The keys are read once and then
+/// followed by watches. They are read again if the store has dropped the
+/// changes in between or has been restored from an older snapshot. Other VMs
+/// may feed the view with changes instead; while they do, the view does not
+/// call the store. Not thread-safe.
 class prefix_view
 {
 public:
@@ -82,12 +85,12 @@
 
   struct listener
   {
-    /// The keys are others now.
+    /// The keys have changed.
     std::function<void(clock::time_point)> changed;
-    /// The store answers again, or no longer does.
+    /// The store has become reachable or unreachable.
     std::function<void(bool, std::error_code)> reached;
-    /// A reading was left out, since its revision, the first one, is below the
-    /// other, which was seen before.
+    /// A read was discarded because its revision (the first argument) is older
+    /// than one seen before (the second).
     std::function<void(revision, revision)> ignored = {};
   };
 
@@ -102,89 +105,94 @@
   void Tick(clock::time_point aNow, double aRandom);
   [[nodiscard]] clock::time_point NextTick() const noexcept;
 
-  /// Another VM has seen a change of that revision. A watch may hang without
-  /// any sign of it; then it is given up, and the keys are read again.
+  /// Reports that another VM has seen a change of this revision. If the own
+  /// watch does not deliver it in time, the watch is considered hung: it is
+  /// cancelled and the keys are read again.
   void HeardOf(revision aChange, clock::time_point aNow);
 
-  /// The store was away, and is back: a watch made meanwhile may never be
-  /// answered, so the keys are read again, at once.
+  /// Reads the keys again immediately. Called when the store is back after an
+  /// outage, because a watch started during the outage may never be answered.
   void Renew(clock::time_point aNow);
 
-  /// The store has come back from an older copy. A view that is fed learns what
-  /// stands there from those that feed it. Nothing is evidence until all has
-  /// been written again.
+  /// Reports that the store has been restored from an older snapshot. A view
+  /// that is fed learns the new content from its feeders. Reads count as
+  /// verification only after lost changes have had time to be written again.
   void EraEnded(clock::time_point aNow);
 
-  /// Until then other VMs pass the changes on, so that no watch is begun.
+  /// Sets until when other VMs feed the view. No watch is started before then.
   void FedUntil(clock::time_point aUntil) noexcept { mFedUntil = aUntil; }
   [[nodiscard]] clock::time_point FedUntil() const noexcept
   {
     return mFedUntil;
   }
 
-  /// Not before then are the keys read for the first time: other VMs may hand
-  /// all of them over.
+  /// Delays the first read of the keys until then, since other VMs may send all
+  /// of them.
   void FirstReadFrom(clock::time_point aFrom) noexcept
   {
     mFirstReadFrom = aFrom;
   }
 
-  /// Asks the store whether there is anything newer, whatever is under way.
-  /// Calls back with whether it has answered.
+  /// Asks the store for newer changes, regardless of other calls in progress.
+  /// Calls back with whether the store has answered.
   void Check(clock::time_point aNow,
              std::function<void(bool, clock::time_point)> aDone);
 
-  /// Another VM has shown that nothing newer than these keys stood in the store
-  /// at that time. A store that has just come back from an older copy shows
-  /// nothing: it may have lost what was acknowledged and is yet to be written
-  /// again.
+  /// Reports that, according to another VM, the store held nothing newer than
+  /// these keys at that time. Has no effect shortly after the store was
+  /// restored from an older snapshot: it may have lost acknowledged changes
+  /// that are yet to be written again.
   void Prove(clock::time_point aAt) noexcept;
 
-  /// The latest time at which nothing newer than these keys is known to have
-  /// stood in the store.
+  /// The latest time at which the store is known to have held nothing newer
+  /// than these keys.
   [[nodiscard]] clock::time_point ProvedAt() const noexcept
   {
     return mProvedAt;
   }
 
-  /// Another VM passes changes on. What does not follow on what is known here,
-  /// or is no newer, is left out. Returns whether all up to its end is known
-  /// here, so that these keys are as new as the other VM's.
+  /// Applies an update from another VM. Changes that would leave a gap, or that
+  /// are not newer, are ignored. Returns whether the view now includes
+  /// everything up to the end of the update, and so is at least as recent as
+  /// the other VM's.
   bool Take(const key_update& aUpdate, clock::time_point aNow);
 
-  /// What another VM lacks that knows all up to that revision. Costs what is
-  /// told for a VM that is a few changes behind; keys and values of more bytes
-  /// than the longest are left out, and the update says so.
+  /// Returns the update for another VM that knows everything up to the given
+  /// revision. For a VM that is a few changes behind, the cost is proportional
+  /// to the number of these changes. If keys and values exceed the size limit
+  /// in bytes, they are omitted and isTooLarge is set.
   [[nodiscard]] key_update After(
     revision aKnown,
     std::size_t aLongest = std::numeric_limits<std::size_t>::max()) const;
 
-  /// The keys that have changed since this was last called, so that whoever
-  /// reads them need not read all anew.
+  /// Returns the keys that have changed since the last call, so that readers
+  /// can process them incrementally.
   [[nodiscard]] changed_keys TakeChangedKeys();
 
-  /// Keys that were looked at to tell other VMs what they lack; counts work.
+  /// Number of keys examined so far to compute updates for other VMs; a measure
+  /// of their cost.
   [[nodiscard]] std::uint64_t LookedAt() const noexcept { return mLookedAt; }
 
-  /// Whether nothing is asked of the store for now, since calls of this VM
-  /// fail: one kind of call finds out when it answers again.
+  /// Suspends calls to the store while this VM's calls fail; another kind of
+  /// call detects when the store answers again.
   void SetHeld(bool aIsHeld) noexcept { mIsHeld = aIsHeld; }
 
-  /// When the keys were known to be as the store had them: a watch that waits
-  /// tells nothing, so its time is that of the last answer to any call.
+  /// The latest time at which the keys were known to match the store. A pending
+  /// watch reports nothing, so while one is waiting, the time of the last
+  /// response to any call counts.
   [[nodiscard]] clock::time_point CurrentAt(
     clock::time_point aLastAnswer) const noexcept;
 
   /// The newest change seen.
   [[nodiscard]] revision Changed() const noexcept { return mChanged; }
 
-  /// Whether the keys were read at least once.
+  /// Whether the keys have been read at least once.
   [[nodiscard]] bool IsKnown() const noexcept { return mIsKnown; }
   [[nodiscard]] bool IsReached() const noexcept { return mIsReached; }
   /// Whether the last changes may have been made long before they were seen:
-  /// they came with a reading of all keys, or after a watch had failed.
+  /// they came with a read of all keys, or after a watch had failed.
   [[nodiscard]] bool MayBeOld() const noexcept { return mMayBeOld; }
-  /// The revision up to which changes are known.
+  /// The revision up to which all changes are known.
   [[nodiscard]] revision Seen() const noexcept { return mSeen; }
   [[nodiscard]] const items& Items() const noexcept { return mItems; }
 
@@ -221,28 +229,28 @@
   bool mMustRead = true;
   bool mIsReached = false;
   bool mMayBeOld = true;
-  // A watch has failed since the last answer.
+  // Whether a watch has failed since the last response.
   bool mMissedSome = true;
   bool mIsCalling = false;
   bool mIsHeld = false;
   bool mIsChecking = false;
-  // The last reading that was left out.
+  // The revision of the last read that was discarded.
   revision mIgnored;
   clock::time_point mProvedAt{};
-  // From when on the store of the present era counts as evidence.
+  // From when on responses of the current era count as verification.
   clock::time_point mProvesFrom{};
   clock::time_point mFedUntil{};
   clock::time_point mFirstReadFrom{};
-  // When the last answer came of a call for these keys.
+  // When the last response to a call for these keys arrived.
   clock::time_point mAnsweredAt{};
-  // The removals after a revision, oldest first, for others that lack them.
+  // The removals after mRemovalsAfter, oldest first, for updates to other VMs.
   std::deque<key_change> mRemovals;
   revision mRemovalsAfter;
-  // The last changes, oldest first, and the revision from which on they are
-  // complete: what most others lack is among them.
+  // The last changes, oldest first, complete from mRecentAfter on. Most updates
+  // to other VMs are computed from these alone.
   std::deque<std::pair<revision, std::string>> mRecent;
   revision mRecentAfter;
-  // Length of all keys and values.
+  // Total size of all keys and values.
   std::size_t mBytes = 0;
   changed_keys mChangedKeys;
   mutable std::uint64_t mLookedAt = 0;
--- a/src/currantshed/store/registration.cpp
+++ b/src/currantshed/store/registration.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// How long the view may take to show a write that the store has taken.
+// How long the view may take to show a write that the store has applied.
 constexpr std::chrono::milliseconds kViewDelay{ 1500 };
 constexpr std::chrono::milliseconds kCheckInterval{ 200 };
 
@@ -183,7 +183,7 @@
                       Lapsed();
                       break;
                     case commit_outcome::kConflict:
-                      // The view has yet to show what stands there now.
+                      // The view does not yet show the conflicting change.
                       mWriteSeenBy = aAnswer.at + kCheckInterval;
                       break;
                     default:
@@ -194,7 +194,7 @@
                 });
 }
 
-// The lease has ended, and the key is gone with it.
+// The lease has ended, and the key was removed with it.
 void
 registration::Lapsed()
 {
--- a/src/currantshed/store/registration.hpp
+++ b/src/currantshed/store/registration.hpp
@@ -14,12 +14,13 @@
 
 namespace currantshed::store {
 
-/// How long a lease lasts, and how often it is renewed.
+/// Duration of a lease and interval of its renewals.
 struct lease_times
 {
-  /// Life of the lease: how long a VM that has died stays listed.
+  /// Time to live of the lease: how long a VM stays listed after it has died.
   std::chrono::milliseconds ttl{ 2000 };
-  /// Time between renewals: two may fail before the lease ends.
+  /// Interval between renewals. Short enough that two may fail before the lease
+  /// ends.
   std::chrono::milliseconds renewAfter{ 650 };
 
   [[nodiscard]] friend bool operator==(const lease_times&,
@@ -33,14 +34,14 @@
                                  std::chrono::milliseconds{ 500 } };
 };
 
-/// Keeps one key in the store for as long as this process lives: takes a
-/// lease, writes the key under it, renews it, and writes the key again when it
-/// is gone. A write holds only over the key's state as it was seen, so that
-/// one which takes effect late can't replace a newer one.
+/// Keeps one key in the store for the lifetime of this process: takes a lease,
+/// writes the key under it, renews the lease, and rewrites the key if it is
+/// gone. Each write is conditional on the revision of the key that the view
+/// shows, so that a delayed write cannot overwrite a newer one.
 class registration
 {
 public:
-  /// The view must hold the key's prefix.
+  /// The view must cover the key.
   registration(key_value& aStore,
                const prefix_view& aView,
                std::string aKey,
@@ -49,50 +50,51 @@
   registration(const registration&) = delete;
   registration& operator=(const registration&) = delete;
 
-  /// What the key is to hold.
+  /// Sets the value to be written.
   void SetValue(std::string aValue);
 
-  /// Takes a lease with other times, and moves the key to it; the former lease
-  /// is left to end by itself.
+  /// Takes a lease with other times and moves the key to it. The previous lease
+  /// is left to expire.
   void SetLease(const lease_times& aLease);
 
-  /// Whether the store has taken the key under a lease with these times.
+  /// Whether the store has accepted the key under a lease with these times.
   [[nodiscard]] bool IsWrittenWith(const lease_times& aLease) const;
 
-  /// Whether the last call failed: the store, or this VM's way to it, is away.
+  /// Whether the last call failed: the store is down or unreachable from this
+  /// VM.
   [[nodiscard]] bool IsFailing() const noexcept { return mIsFailing; }
 
-  /// When the last call that was answered was sent.
+  /// When the most recent call that was answered had been sent.
   [[nodiscard]] clock::time_point AnsweredFor() const noexcept
   {
     return mAnsweredFor;
   }
 
-  /// Has the callback called whenever the store answers again after calls
-  /// that failed.
+  /// Sets the callback that runs when the store answers again after failed
+  /// calls.
   void OnRegained(std::function<void()> aRegained);
 
-  /// Has the callback called whenever the store has taken the key.
+  /// Sets the callback that runs whenever the store has accepted the key.
   void OnWritten(std::function<void()> aWritten);
 
-  /// Ends the lease, and with it the key.
+  /// Ends the lease, which removes the key.
   void End();
 
   void Tick(clock::time_point aNow, double aRandom);
   [[nodiscard]] clock::time_point NextTick() const noexcept;
 
-  /// Until when the lease lasts at the least; the past while there is none.
+  /// Until when the lease lasts at least; in the past if there is none.
   [[nodiscard]] clock::time_point ValidUntil() const noexcept
   {
     return mValidUntil;
   }
 
-  /// Whether the key stands in the store with the value wanted, as far as the
-  /// view tells.
+  /// Whether the view shows the key with the wanted value under the current
+  /// lease.
   [[nodiscard]] bool IsListed() const;
 
-  /// Whether the store has taken the key under the present lease: by its
-  /// answer, or, where that was lost, by the view.
+  /// Whether the store has accepted the key under the current lease, according
+  /// to its response or, if that was lost, to the view.
   [[nodiscard]] bool IsWritten() const { return mIsWritten || IsListed(); }
 
 private:
@@ -110,16 +112,17 @@
   backoff mBackoff;
   std::string mValue;
   lease_id mLease;
-  /// The lease under which the store last took the key.
+  /// The lease under which the store last accepted the key.
   lease_id mWrittenLease;
   clock::time_point mValidUntil{};
   clock::time_point mRenewAt{};
   clock::time_point mNotBefore{};
-  /// Until when a write under way is waited for to show in the view.
+  /// Until when to wait for the view to show the last write before writing
+  /// again.
   clock::time_point mWriteSeenBy{};
   bool mIsCalling = false;
   bool mIsEnded = false;
-  /// The lease that the key has is not the one that is wanted.
+  /// Whether a new lease is needed: there is none, or its times have changed.
   bool mMustGrant = true;
   bool mIsWritten = false;
   std::function<void()> mWritten;
