--- a/src/currantshed/store/prefix_view.hpp
+++ b/src/currantshed/store/prefix_view.hpp
@@ -66,7 +66,7 @@
 /// The keys that have changed since the previous query.
 struct changed_keys
 {
-  /// Any key may have changed: all keys were read again.
+  /// Any key may have changed, for instance because all keys were read again.
   bool isAll = false;
   /// The names of the changed keys, sorted and without duplicates. Empty if
   /// isAll.
