--- a/test/currantshed/store/apply.cpp
+++ b/test/currantshed/store/apply.cpp
@@ -36,20 +36,20 @@
 constexpr time_point kStart{ 1h };
 constexpr auto kLongWait = 1min;
 
-/// What happens next: to the call under way, or around it.
+/// A simulated event, of the call in progress or outside of it.
 enum class step
 {
-  /// The call is carried out and answered.
+  /// The call is executed, and its response arrives.
   kAnswer,
-  /// The call fails without effect; a write may still arrive later.
+  /// The call fails without effect; a write may still take effect later.
   kLose,
-  /// The call takes effect, and its answer is lost.
+  /// The call takes effect, but its response is lost.
   kLoseAnswer,
-  /// The first write that was lost arrives after all.
+  /// The first lost write takes effect after all.
   kArriveLate,
   /// Another operator makes a change.
   kOther,
-  /// The key is overwritten by what is no record.
+  /// The key is overwritten with an invalid record.
   kGarble,
 };
 
@@ -57,7 +57,7 @@
                                    step::kLoseAnswer, step::kArriveLate,
                                    step::kOther,      step::kGarble };
 
-/// The store, other operators, and the way between.
+/// The store, other operators, and the network in between.
 class world
 {
 public:
@@ -112,7 +112,7 @@
     }
   }
 
-  /// How often the change under test was put in force.
+  /// How many times the change under test was made.
   [[nodiscard]] int TimesMine() const { return mTimesMine; }
 
 private:
@@ -128,7 +128,7 @@
   int mTimesMine = 0;
 };
 
-/// Runs an applier through the steps.
+/// Runs an applier through a sequence of steps.
 class trial
 {
 public:
@@ -157,7 +157,7 @@
     }
   }
 
-  /// Lets the time run out, and all that is on its way arrive.
+  /// Lets the time run out and all lost writes take effect.
   void End()
   {
     if (mCall && std::holds_alternative<swap_configuration>(*mCall)) {
@@ -265,67 +265,67 @@
 }
 
 const apply_row kRows[] = {
-  { "no fault",
+  { "no faults",
     kSeen,
     { step::kAnswer, step::kAnswer },
     apply_outcome::kApplied,
     4,
     1 },
-  { "race lost before the start",
+  { "another change was made before the start",
     5,
     { step::kAnswer },
     apply_outcome::kLostRace,
     5,
     0 },
-  { "race lost to the write of another",
+  { "another change is made between read and write",
     kSeen,
     { step::kAnswer, step::kOther, step::kAnswer, step::kAnswer },
     apply_outcome::kLostRace,
     4,
     0 },
-  { "answer lost after the effect",
+  { "the response to an applied write is lost",
     kSeen,
     { step::kAnswer, step::kLoseAnswer, step::kAnswer },
     apply_outcome::kApplied,
     4,
     1 },
-  { "answer lost, others build on it",
+  { "response lost, then changes by others",
     kSeen,
     LostAnswerThenOthers(2),
     apply_outcome::kApplied,
     6,
     1 },
-  { "answer lost, as many build on it as a record names",
+  { "response lost, then as many changes by others as a record lists",
     kSeen,
     LostAnswerThenOthers(kEarlierChanges),
     apply_outcome::kApplied,
     4 + kEarlierChanges,
     1 },
-  { "answer lost, more build on it than a record names",
+  { "response lost, then more changes by others than a record lists",
     kSeen,
     LostAnswerThenOthers(kEarlierChanges + 1),
     apply_outcome::kUnknown,
     5 + kEarlierChanges,
     1 },
-  { "answer lost, race lost",
+  { "response lost, after a change by another operator",
     kSeen,
     { step::kAnswer, step::kOther, step::kLoseAnswer, step::kAnswer },
     apply_outcome::kLostRace,
     4,
     0 },
-  { "lost before the effect, written again",
+  { "write lost, then retried",
     kSeen,
     { step::kAnswer, step::kLose, step::kAnswer, step::kAnswer },
     apply_outcome::kApplied,
     4,
     1 },
-  { "lost before the effect, race lost",
+  { "write lost, then a change by another operator",
     kSeen,
     { step::kAnswer, step::kLose, step::kOther, step::kAnswer },
     apply_outcome::kLostRace,
     4,
     0 },
-  { "arrives late, between reading back and writing again",
+  { "a lost write takes effect between the read and the retry",
     kSeen,
     { step::kAnswer,
       step::kLose,
@@ -336,7 +336,7 @@
     apply_outcome::kApplied,
     4,
     1 },
-  { "lost twice after the effect",
+  { "write lost, then the response to its retry lost",
     kSeen,
     { step::kAnswer,
       step::kLose,
@@ -346,49 +346,49 @@
     apply_outcome::kApplied,
     4,
     1 },
-  { "outage from the start",
+  { "an outage from the start",
     kSeen,
     { step::kLose, step::kLose },
     apply_outcome::kNotReached,
     0,
     0 },
-  { "outage in the middle, effect made",
+  { "an outage after an applied write",
     kSeen,
     { step::kAnswer, step::kLoseAnswer, step::kLose, step::kLose },
     apply_outcome::kUnknown,
     3,
     1 },
-  { "outage in the middle, ends in time",
+  { "an outage after an applied write that ends in time",
     kSeen,
     { step::kAnswer, step::kLoseAnswer, step::kLose, step::kAnswer },
     apply_outcome::kApplied,
     4,
     1 },
-  { "outage after a refused write",
+  { "an outage after a rejected write",
     kSeen,
     { step::kAnswer, step::kOther, step::kAnswer, step::kLose },
     apply_outcome::kNotReached,
     3,
     0 },
-  { "a write without an answer when the time is up",
+  { "a write without a response at the timeout",
     kSeen,
     { step::kAnswer },
     apply_outcome::kUnknown,
     3,
     0 },
-  { "garbled at the start",
+  { "an invalid record at the start",
     kSeen,
     { step::kGarble, step::kAnswer },
     apply_outcome::kUnreadable,
     0,
     0 },
-  { "garbled while in doubt",
+  { "an invalid record while a write is in doubt",
     kSeen,
     { step::kAnswer, step::kLoseAnswer, step::kGarble, step::kAnswer },
     apply_outcome::kUnknown,
     3,
     1 },
-  { "the store went back",
+  { "the store was restored from an older snapshot",
     2,
     { step::kAnswer },
     apply_outcome::kLostRace,
@@ -403,7 +403,7 @@
   int most;
 };
 
-/// How often the change may have been made for each word to the operator.
+/// How many times the change may have been made for each reported outcome.
 constexpr truth kTruths[] = {
   { apply_outcome::kApplied, 1, 1 },    { apply_outcome::kLostRace, 0, 0 },
   { apply_outcome::kNotReached, 0, 0 }, { apply_outcome::kUnknown, 0, 1 },
@@ -489,8 +489,8 @@
   CHECK(subject.TakeActions().size() == 1);
 }
 
-/// Every order of steps up to a length: whatever happens, the operator is
-/// told the truth, also about what arrives afterwards.
+/// For every sequence of steps up to a length, the reported outcome is
+/// accurate, also with regard to writes that take effect afterwards.
 TEST(apply, every_interleaving_is_told_truthfully)
 {
   constexpr std::size_t kLength = 6;
--- a/test/currantshed/store/curl_transport.cpp
+++ b/test/currantshed/store/curl_transport.cpp
@@ -36,10 +36,11 @@
 constexpr std::uint16_t kPort = 22999;
 constexpr std::uint32_t kLoopbackNet = 127U << 24U;
 constexpr char kHeadEnd[] = "\r\n\r\n";
-/// Bounds a test that goes wrong; no test waits for it otherwise.
+/// Only bounds the duration of a failing test.
 constexpr auto kLongTimeout = 10s;
 
-/// A loopback address of this process's own: tests may run side by side.
+/// A loopback address unique to this process, so that tests can run in
+/// parallel.
 boost::asio::ip::address_v4
 OwnAddress()
 {
@@ -47,17 +48,17 @@
                                      static_cast<std::uint32_t>(getpid()));
 }
 
-/// What the server does with a request, once its head is there.
+/// How the server reacts to a request after having read its header.
 struct reaction
 {
-  /// Sent as it is.
+  /// Sent unchanged.
   std::string bytes;
-  /// Whether the connection is then closed, or kept for the next request.
+  /// Whether the connection is then closed or kept for the next request.
   bool closes = false;
 };
 
-/// Serves connections with the reactions in their order, and closes a
-/// connection once there are none left.
+/// Answers requests with the scripted reactions in order, and closes a
+/// connection when none are left.
 class scripted_server
 {
 public:
@@ -68,7 +69,7 @@
     Accept();
   }
 
-  /// The first lines of all requests, as they came.
+  /// The request lines of all requests, in order.
   [[nodiscard]] const std::vector<std::string>& Requests() const
   {
     return mRequests;
@@ -173,14 +174,14 @@
     200,
     42,
     "text" },
-  { "the header's name in lower case",
+  { "header name in lower case",
     { WithLength("x-consul-index:7\r\n", ""), false },
     kLongTimeout,
     {},
     200,
     7,
     "" },
-  { "an index that is no number",
+  { "an index that is not a number",
     { WithLength("X-Consul-Index: x\r\n", ""), false },
     kLongTimeout,
     {},
@@ -201,7 +202,7 @@
     0,
     0,
     "" },
-  { "closed without an answer",
+  { "closed without a response",
     { "", true },
     kLongTimeout,
     errc::kUnreachable,
@@ -215,14 +216,14 @@
     0,
     0,
     "" },
-  { "announced above the limit",
+  { "a Content-Length above the limit",
     { WithLength("", std::string(kAnswerLimitBytes + 1, 'x')), true },
     kLongTimeout,
     errc::kTooLarge,
     0,
     0,
     "" },
-  { "above the limit, without a length",
+  { "a body above the limit without a Content-Length",
     { "HTTP/1.1 200 OK\r\n\r\n" + std::string(kAnswerLimitBytes + 1, 'x'),
       true },
     kLongTimeout,
@@ -230,7 +231,7 @@
     0,
     0,
     "" },
-  { "never answered", { "", false }, 20ms, errc::kTimeout, 0, 0, "" },
+  { "no response", { "", false }, 20ms, errc::kTimeout, 0, 0, "" },
 };
 
 http_request
@@ -243,7 +244,7 @@
   return request;
 }
 
-/// Sends one request and runs the loop until its answer is there.
+/// Sends a request and runs the loop until its response has arrived.
 http_answer
 Ask(boost::asio::io_context& aLoop,
     transport& aTransport,
@@ -277,8 +278,8 @@
   }
 }
 
-/// libcurl repeats a request when a connection used before ends without an
-/// answer; a compare-and-swap must not be repeated.
+/// libcurl repeats a request if a reused connection closes without a response;
+/// a compare-and-swap must not be repeated.
 TEST(curl_transport, a_write_is_sent_once_though_a_used_connection_is_there)
 {
   boost::asio::io_context loop;
--- a/test/currantshed/store/era_guard.cpp
+++ b/test/currantshed/store/era_guard.cpp
@@ -18,7 +18,7 @@
 /// A guarded store, and how the last call ended.
 struct guarded
 {
-  /// Has the guard hear of an era by the answer of another call.
+  /// Lets the guard learn of an era from the response to another call.
   void Hear(std::optional<store::era_id> aEra)
   {
     below.era = aEra;
@@ -54,7 +54,7 @@
 struct guard_row
 {
   const char* name;
-  /// The era that is known, that of the call, and that of its answer.
+  /// The eras that the guard knows, of the call, and of its response.
   std::optional<store::era_id> known;
   store::era_id asked;
   std::optional<store::era_id> answered;
@@ -62,12 +62,16 @@
 };
 
 const guard_row kRows[] = {
-  { "a store that tells no era", {}, 0, {}, {} },
+  { "a store that reports no era", {}, 0, {}, {} },
   { "the first era", {}, 0, 3, {} },
-  { "the present era", 3, 3, 3, {} },
-  { "the answer tells of a new era", 3, 3, 4, {} },
-  { "the answer is of an earlier era", 4, 4, 3, store::errc::kEraEnded },
-  { "what it refers to is of an earlier era", 4, 3, 4, store::errc::kEraEnded },
+  { "the current era", 3, 3, 3, {} },
+  { "the response reports a new era", 3, 3, 4, {} },
+  { "the response is of an earlier era", 4, 4, 3, store::errc::kEraEnded },
+  { "the call's revision is of an earlier era",
+    4,
+    3,
+    4,
+    store::errc::kEraEnded },
 };
 
 } // namespace
@@ -131,23 +135,23 @@
 struct commit_row
 {
   const char* name;
-  /// The era that is known, that of the condition, and that of the answer.
+  /// The eras that the guard knows, of the condition, and of the response.
   std::optional<store::era_id> known;
   store::era_id read;
   std::optional<store::era_id> answered;
   store::commit_outcome expect;
-  /// Whether the store is asked at all.
+  /// Whether the transaction is sent to the store.
   bool isSent;
 };
 
 const commit_row kCommits[] = {
-  { "a store that tells no era",
+  { "a store that reports no era",
     {},
     0,
     {},
     store::commit_outcome::kApplied,
     true },
-  { "read and done in one era",
+  { "read and applied in one era",
     3,
     3,
     3,
@@ -159,7 +163,7 @@
     4,
     store::commit_outcome::kConflict,
     false },
-  { "sent in one era and done in the next",
+  { "sent in one era and applied in the next",
     3,
     3,
     4,
@@ -169,8 +173,8 @@
 
 } // namespace
 
-// Revisions are given out again, so that a condition may hold over what the
-// sender has not read.
+// A new era issues revisions again, so a condition may hold although the key
+// holds a value that the sender has not read.
 TEST(era_guard, takes_no_change_as_done_that_was_read_in_an_earlier_era)
 {
   for (const auto& row : kCommits) {
--- a/test/currantshed/store/era_model.cpp
+++ b/test/currantshed/store/era_model.cpp
@@ -19,16 +19,16 @@
 constexpr auto kStep = 10ms;
 constexpr const char* kConfiguration = "op/config";
 constexpr const char* kGroup = "group";
-// How soon an acknowledged configuration must be in force where nothing is
-// wrong.
+// Time within which an acknowledged configuration must be applied in the
+// absence of faults.
 constexpr auto kInForce = 3000ms;
 constexpr auto kCopyInterval = 200ms;
 constexpr auto kCopiesReach = 6000ms;
-// When the operator writes again what was lost.
+// Time after which the operator writes lost changes again.
 constexpr auto kWrittenAgain = 1500ms;
 constexpr auto kLeaseTime = 2000ms;
 constexpr auto kCallTime = 1000ms;
-// An order goes out this soon after the reading that allows it.
+// Maximum time between an order and the read that permits it.
 constexpr auto kOrderLife = 300ms;
 
 std::string
@@ -39,12 +39,12 @@
 
 } // namespace
 
-/// One VM: the real parts, as control wires them.
+/// A VM: the real components, connected as in node::control.
 struct era_model::modelled_vm
 {
   modelled_vm(era_model& aModel, std::size_t aNumber, std::uint64_t aLife);
 
-  // Callbacks of a VM that has ended are left out.
+  // Callbacks of a VM that has stopped are ignored.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
   std::size_t number;
   std::uint64_t life;
@@ -63,7 +63,7 @@
   clock::time_point calmSince;
 };
 
-/// A VM's way to the store.
+/// The connection of a VM to the store.
 class era_model::store_link final : public store::key_value
 {
 public:
@@ -207,7 +207,7 @@
     return { mModel.mTime.Now() };
   }
 
-  // What the VM knows of eras as it sends a call.
+  // The era that the VM knows when it sends a call.
   [[nodiscard]] store::era_id Known() const
   {
     return mModel.mVms[mVm]->guard.Era().value_or(0);
@@ -238,8 +238,8 @@
     return aItem;
   }
 
-  // Has the store do something after a while, and calls back once: with its
-  // answer, which may come late, or as lost.
+  // Has the store execute a call after a delay, and calls back once: with its
+  // response, which may be late, or with a failure.
   void Call(const std::function<std::function<void()>(bool)>& aWhat)
   {
     auto ended = std::make_shared<bool>(false);
@@ -274,7 +274,7 @@
     });
   }
 
-  // Waits for changes; returns how to give that up.
+  // Waits for changes. Returns a function that cancels the watch.
   std::function<void()> Follow(const std::string& aPrefix,
                                store::revision aAfter,
                                std::chrono::milliseconds aAtMost,
@@ -290,7 +290,7 @@
       end([&] { aDone(store::errc::kTimeout, {}, {}, None()); });
     };
     const auto until = mModel.mTime.Now() + aAtMost;
-    // Answers where there is something to tell, or its time is up.
+    // Responds if there are changes or the wait time is over.
     const auto tryOnce =
       [this, ended, end, alive = mAlive, aPrefix, aAfter, aDone, until](
         bool aIsCut) {
@@ -522,7 +522,7 @@
   }
 }
 
-// The store is away for a moment, and comes back from an older copy.
+// The store is down for a moment, then restored from an older snapshot.
 void
 era_model::Lose()
 {
@@ -548,7 +548,7 @@
     until = std::max(until, mTime.Now() + kLeaseTime);
   }
   ++mEra;
-  // Watches go on waiting, or are cut.
+  // Pending watches continue to wait, or fail.
   const bool areCut = Chance(500);
   std::erase_if(mWaiting,
                 [areCut](const auto& aOne) { return areCut && aOne(true); });
@@ -654,8 +654,8 @@
   TryToOrder(aVm);
 }
 
-// As control does: whoever holds the lock from an earlier era claims it anew,
-// and one of the others what nobody holds.
+// As in node::control: a holder from an earlier era claims the duty again, and
+// a duty without holder is claimed by one of the VMs.
 void
 era_model::TryToClaim(std::size_t aVm)
 {
@@ -692,7 +692,7 @@
                           store::call_answer) { one.isClaiming = false; });
 }
 
-// The record is read before each order.
+// The duty's record is read before each order.
 void
 era_model::TryToOrder(std::size_t aVm)
 {
@@ -720,8 +720,8 @@
                 });
 }
 
-// A token names one holder, and whoever has read the lock later has none that
-// is lower.
+// An epoch identifies one holder, and a holder that has read the record later
+// has no lower epoch.
 void
 era_model::Ordered(const order& aOrder)
 {
@@ -731,28 +731,28 @@
       continue;
     }
     if (before.epoch == aOrder.epoch) {
-      Fault("an epoch for two holders");
+      Fault("two holders have the same epoch");
     }
     const bool isLater = aOrder.readAt > before.readAt + 2 * kOrderLife;
     if (isLater && aOrder.epoch < before.epoch) {
-      Fault("a lower epoch after a higher one");
+      Fault("a later order has a lower epoch");
     }
   }
   mOrders.push_back(aOrder);
 }
 
-// A VM that knows the present era leaves others' leases alone.
+// A VM that knows the current era does not touch the leases of others.
 void
 era_model::Touched(std::size_t aVm, std::uint64_t aLease, store::era_id aKnown)
 {
   const bool isOther = mStore.owners[aLease] != aVm;
   const bool couldKnow = aKnown == mEra || mMistake == era_mistake::kEraIgnored;
   if (isOther && couldKnow) {
-    Fault("a lease of another VM was renewed or written under");
+    Fault("a lease of another VM was renewed or used for a write");
   }
 }
 
-// The newest configuration that was acknowledged by then.
+// The newest version that had been acknowledged by then.
 std::uint64_t
 era_model::WrittenBy(clock::time_point aAt) const
 {
@@ -769,18 +769,19 @@
   const auto& one = *mVms[aVm];
   const auto now = mTime.Now();
   const auto calm = std::max(mCalmSince, one.calmSince);
-  // A call may be lost as well, and is found out after its time.
+  // Calls may also be lost, which is detected after their timeout.
   const auto bound = kInForce + kCallTime;
   if (one.isCut || now < mAwayUntil || now < calm + bound) {
     return;
   }
   if (one.version < WrittenBy(now - bound)) {
-    Fault("an acknowledged configuration is not in force");
+    Fault("an acknowledged configuration is not applied");
   }
 }
 
-// Nothing newer was acknowledged up to the time that a VM has evidence for. One
-// that has started since the return can't know of it.
+// No newer version had been acknowledged at the time as of which a VM's
+// configuration is verified. VMs that have started since the restore are
+// exempt, since they cannot know of it.
 void
 era_model::CheckEvidence(std::size_t aVm)
 {
@@ -794,7 +795,8 @@
   }
   const bool startedSince = one.calmSince + 500ms >= mCalmSince - 4s;
   if (!startedSince && one.version < WrittenBy(one.provedAt - 1ms)) {
-    Fault("evidence that a newer configuration contradicts");
+    Fault("a configuration was verified although a newer one had been "
+          "acknowledged");
   }
 }
 
--- a/test/currantshed/store/era_model.hpp
+++ b/test/currantshed/store/era_model.hpp
@@ -18,26 +18,27 @@
 
 namespace currantshed::test {
 
-/// A mistake that the model must find.
+/// A bug seeded into the model, which the test must detect.
 enum class era_mistake
 {
   kNone,
-  /// All answers count as of one era.
+  /// All responses report the same era.
   kEraIgnored,
-  /// An answer counts as of the era in which it comes, not of the one in which
-  /// it was given.
+  /// A response reports the era in which it arrives instead of the one in which
+  /// the store sent it.
   kEraOfArrival,
-  /// An epoch is the store's revision.
+  /// The epoch of a duty is the store's revision.
   kEpochFromRevision,
-  /// A reading proves that nothing newer was written, whatever the store lost.
+  /// Any read counts as verification, even if the store has lost changes.
   kEvidenceCarriedOver,
 };
 
-/// VMs with the real views, leases and claims before one store that loses its
-/// last seconds at any moment, also twice in a row, in virtual time: calls are
-/// done late, in another era than they were sent in, their answers come late or
-/// are lost, and VMs are cut off and start again. The operator writes a newer
-/// configuration now and then, and again what was lost.
+/// Model of several VMs, with the real views, registrations and claims of
+/// duties, on a store that may lose its last seconds at any moment, also twice
+/// in a row. Runs in virtual time. Calls are delayed and may be executed in a
+/// later era than they were sent in; responses are delayed or lost; VMs are
+/// disconnected and restarted. The operator occasionally writes a newer
+/// configuration, and writes again what was lost.
 class era_model
 {
 public:
@@ -48,7 +49,7 @@
 
   void Run(std::chrono::seconds aSpan);
 
-  /// What is wrong, a line each.
+  /// Violations found, one per line.
   std::vector<std::string> wrong;
   std::uint64_t steps = 0;
   std::uint64_t returns = 0;
@@ -58,7 +59,7 @@
   class store_link;
   struct modelled_vm;
 
-  /// What the store holds.
+  /// The content of the store.
   struct content
   {
     std::map<std::string, store::item> items;
@@ -75,14 +76,15 @@
     content kept;
   };
 
-  /// A configuration that the operator wrote.
+  /// A version of the configuration that the operator wrote.
   struct written
   {
     std::uint64_t version = 0;
     clock::time_point at;
   };
 
-  /// An order that a holder gave, by the reading that allowed it.
+  /// An order sent by the holder of a duty, with the time of the read that
+  /// permitted it.
   struct order
   {
     std::size_t holder = 0;
--- a/test/currantshed/store/era_model_test.cpp
+++ b/test/currantshed/store/era_model_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::uint32_t kSeeds = 30;
-// Some mistakes need rare troubles to meet.
+// Some bugs show only if rare faults coincide.
 constexpr std::uint32_t kMistakeSeeds = 600;
 constexpr auto kSpan = 60s;
 
@@ -30,10 +30,11 @@
 };
 
 constexpr mistake_row kMistakes[] = {
-  { "the era ignored", era_mistake::kEraIgnored },
-  { "the era of an answer's arrival", era_mistake::kEraOfArrival },
-  { "the epoch from the revision", era_mistake::kEpochFromRevision },
-  { "evidence carried over an era", era_mistake::kEvidenceCarriedOver },
+  { "the era is ignored", era_mistake::kEraIgnored },
+  { "the era in which a response arrives", era_mistake::kEraOfArrival },
+  { "the epoch is the revision", era_mistake::kEpochFromRevision },
+  { "verification is carried over to a new era",
+    era_mistake::kEvidenceCarriedOver },
 };
 
 } // namespace
@@ -53,7 +54,7 @@
     returns += model.returns;
     orders += model.orders;
   }
-  // Not by standing still.
+  // The model must have made progress.
   CHECK(returns > Seeds() * 3ULL);
   CHECK(orders > Seeds() * 20ULL);
 }
--- a/test/currantshed/store/fake_client.hpp
+++ b/test/currantshed/store/fake_client.hpp
@@ -16,13 +16,13 @@
 
 namespace currantshed::store {
 
-/// A platform in memory for tests, in the test's own time. A call takes effect
-/// and is answered within Run, once its delay has passed; no callback runs
-/// outside Run. Faults hold for calls as they take effect.
+/// An in-memory platform on virtual time. A call takes effect and is answered
+/// during Run once its delay has passed; callbacks run only during Run. Faults
+/// apply to calls at the time when they take effect.
 class fake_client final : public client
 {
 public:
-  /// Calls made so far, by kind.
+  /// Number of calls made so far, by kind.
   struct call_counts
   {
     std::uint64_t gets = 0;
@@ -95,7 +95,7 @@
     });
   }
 
-  /// Writes a key as somebody else would.
+  /// Writes a key as another client would.
   void Put(const std::string& aKey, std::string aValue)
   {
     mEntries[aKey] = entry{ std::move(aValue), ++mIndex };
@@ -107,7 +107,7 @@
     mEntries.erase(aKey);
   }
 
-  /// The key as the store holds it, without a call.
+  /// The key's current entry, without a call.
   [[nodiscard]] entry Peek(const std::string& aKey) const
   {
     const auto found = mEntries.find(aKey);
@@ -116,24 +116,24 @@
 
   void SetListing(listing aListing) { mListing = std::move(aListing); }
 
-  /// While it lasts, calls fail, and watches end.
+  /// During an outage calls fail and watches end with an error.
   void SetOutage(bool aOutage) { mOutage = aOutage; }
 
-  /// Delay of each call made from now on.
+  /// Sets the delay of calls made from now on.
   void SetDelay(std::chrono::milliseconds aDelay) { mDelay = aDelay; }
 
-  /// The next swaps do nothing, and their answers are lost.
+  /// The next calls of Swap have no effect and get no response.
   void LoseBeforeEffect(unsigned aCount) { mLostBefore = aCount; }
 
-  /// The next swaps take effect, and their answers are lost.
+  /// The next calls of Swap take effect and get no response.
   void LoseAfterEffect(unsigned aCount) { mLostAfter = aCount; }
 
   [[nodiscard]] const call_counts& Counts() const { return mCounts; }
 
   [[nodiscard]] std::size_t WaitingWatches() const { return mWatches.size(); }
 
-  /// Takes the time to the given point and runs, oldest first, all callbacks
-  /// that are due by then, those of calls made meanwhile included.
+  /// Advances the time and runs all callbacks due by then in order, including
+  /// those of calls made meanwhile.
   void Run(clock::time_point aNow)
   {
     mNow = aNow;
--- a/test/currantshed/store/fake_key_value.hpp
+++ b/test/currantshed/store/fake_key_value.hpp
@@ -15,8 +15,8 @@
 
 namespace currantshed::test {
 
-/// A store in memory. Calls are kept until they are answered one by one, as
-/// well or as badly as a test wants.
+/// An in-memory store. Calls are queued until a test has them answered; tests
+/// set the errors and outcomes of the responses.
 class fake_key_value final : public store::key_value
 {
 public:
@@ -33,26 +33,26 @@
   std::uint64_t revision = 1;
   std::set<std::uint64_t> leases;
   std::uint64_t lastLease = 0;
-  /// Calls that fail from now on, with this error.
+  /// Error with which calls are answered; none if they succeed.
   std::error_code failing;
   store::commit_outcome commitOutcome = store::commit_outcome::kApplied;
-  /// Whether commits are done, but their answers lost.
+  /// Whether commits are applied but their responses lost.
   bool losesAnswers = false;
   std::vector<watch> watches;
   std::chrono::milliseconds patience{ 0 };
-  /// The era that answers tell, if they tell one.
+  /// The era that responses report; none if they report no era.
   std::optional<store::era_id> era;
-  /// Leases that were renewed or ended by a call.
+  /// Leases that a call has renewed or ended.
   std::set<std::uint64_t> touched;
   int ranges = 0;
   int checks = 0;
   int commits = 0;
 
-  /// Makes the copy that Return goes back to.
+  /// Takes the snapshot that RestoreSnapshot goes back to.
   void Copy() { mCopy = { items, history, revision, leases, lastLease }; }
 
-  /// Comes back from the copy: what was written since is gone, revisions and
-  /// leases are given out again, and watches are cut.
+  /// Restores the snapshot: later writes are lost, revisions and lease numbers
+  /// are issued again, and watches fail.
   void Return()
   {
     CutWatches(store::errc::kTimeout);
@@ -64,7 +64,7 @@
     SetEra(era ? std::optional(*era + 1) : std::nullopt);
   }
 
-  /// Answers tell this era from now on, also of what was written before.
+  /// From now on responses report this era, also for keys written before.
   void SetEra(std::optional<store::era_id> aEra)
   {
     era = aEra;
@@ -78,7 +78,7 @@
     }
   }
 
-  /// The store's present state.
+  /// The store's current state.
   [[nodiscard]] store::revision At() const
   {
     return { era.value_or(0), revision };
@@ -114,7 +114,8 @@
     }
   }
 
-  /// Answers what can be answered, also calls that this leads to.
+  /// Answers all queued calls, including those made by their callbacks, and
+  /// watches with changes.
   void Answer()
   {
     while (!mCalls.empty()) {
@@ -125,7 +126,7 @@
     AnswerWatches();
   }
 
-  /// Ends every watch with an error.
+  /// Fails all watches.
   void CutWatches(std::error_code aError)
   {
     for (auto& one : std::exchange(watches, {})) {
@@ -259,7 +260,8 @@
     return changes;
   }
 
-  // What a call ends with; the store does not have revisions above its own.
+  // The error of a call that asks for changes after a revision: the store
+  // rejects revisions above its own.
   [[nodiscard]] std::error_code ErrorAt(store::revision aAfter) const
   {
     return !failing && aAfter.number > revision
--- a/test/currantshed/store/fed_view.cpp
+++ b/test/currantshed/store/fed_view.cpp
@@ -38,7 +38,7 @@
   int changes = 0;
 };
 
-/// One VM that follows the store, and another that it passes changes on to.
+/// A VM that follows the store, and another one that it feeds with changes.
 struct pair
 {
   pair()
@@ -57,7 +57,7 @@
     }
   }
 
-  /// Passes on what the other lacks.
+  /// Sends the other VM the changes that it lacks.
   bool Feed(std::chrono::milliseconds aFor = 2000ms)
   {
     const bool taken =
@@ -68,7 +68,7 @@
     return taken;
   }
 
-  /// Both know the keys, and only the one follows the store from now on.
+  /// Both read the keys; from now on only the feeder follows the store.
   void Begin()
   {
     fed.view.FedUntil(store.now + 1h);
@@ -95,7 +95,7 @@
   { "a new key",
     [](pair& aPair) { aPair.store.Put("a/3", "three"); },
     "a/1=one a/2=two a/3=three " },
-  { "a key written again and again",
+  { "a key overwritten repeatedly",
     [](pair& aPair) {
       aPair.store.Put("a/1", "uno");
       aPair.store.Put("a/1", "ein");
@@ -110,7 +110,7 @@
       aPair.store.Put("a/1", "uno");
     },
     "a/1=uno a/2=two " },
-  { "more removals than are kept",
+  { "more removals than are retained",
     [](pair& aPair) {
       for (int i = 0; i < 1200; ++i) {
         const auto key = "a/x" + std::to_string(i);
@@ -121,7 +121,7 @@
     },
     "a/1=one ",
     true },
-  { "the other has read all keys anew meanwhile",
+  { "the feeder has read all keys again",
     [](pair& aPair) {
       aPair.store.Remove("a/1");
       aPair.store.history.clear();
@@ -129,7 +129,7 @@
     },
     "a/2=two ",
     true },
-  { "the other had lost its watch",
+  { "the feeder's watch had failed",
     [](pair& aPair) {
       aPair.store.CutWatches(store::errc::kTimeout);
       aPair.store.Put("a/1", "uno");
@@ -201,16 +201,16 @@
   made.store.Remove("a/2");
   made.Run(800ms);
   CHECK(made.Feed());
-  // What took a detour comes late, and all of it is known.
+  // Delayed updates are accepted as known and change nothing.
   CHECK(made.fed.view.Take(old, made.store.now));
   CHECK(made.fed.view.Take(oldChanges, made.store.now));
   STRCMP_EQUAL("a/1=uno ", made.fed.Keys().c_str());
-  // So does a reading of the store that began before.
+  // The feeder has nothing newer to send.
   oldChanges = made.feeder.view.After(made.fed.view.Seen());
   CHECK(oldChanges.changes.empty());
 }
 
-// A VM that has called the store later than its feeder knows as much, as long
+// A VM that called the store later than its feeder has the same content as long
 // as nothing has changed below the prefix.
 TEST(fed_view, is_fed_by_one_whose_last_call_is_older)
 {
@@ -248,7 +248,7 @@
   pair made;
   made.Run(100ms);
   made.fed.view.Renew(made.store.now);
-  // The reading is on its way when the change is passed on.
+  // The change arrives from another VM while the read is in progress.
   made.fed.view.Tick(made.store.now, 0.5);
   made.store.Put("a/1", "uno");
   store::key_update update{ false, { 0, 1 }, made.store.At(), false, {} };
@@ -263,14 +263,13 @@
 {
   const char* name;
   std::function<void(pair&)> given;
-  /// How long ago the keys were surely those of the store, if any call of the
-  /// VM was answered just now.
+  /// Expected age of the keys if another call of the VM was answered just now.
   std::chrono::milliseconds age;
 };
 
 const current_row kCurrent[] = {
   { "a watch waits", [](pair& aPair) { aPair.Run(2000ms); }, 0ms },
-  { "the watch was cut",
+  { "the watch failed",
     [](pair& aPair) {
       aPair.store.failing = store::errc::kUnavailable;
       aPair.store.CutWatches(store::errc::kUnavailable);
@@ -345,8 +344,8 @@
 
 namespace {
 
-/// What a VM that knows all keys but the last changes is told costs, with so
-/// many keys in all, counted as keys looked at.
+/// Returns how many keys are examined to compute the update for a VM that lacks
+/// only the last changes, with so many keys in all.
 std::uint64_t
 LookedAtFor(std::size_t aKeys, std::size_t aChanges)
 {
@@ -375,8 +374,9 @@
 
 } // namespace
 
-// A VM that follows the store for a hundred others is asked by each several
-// times a second: an answer may cost what has changed, not what there is.
+// A VM that feeds a hundred others is queried by each of them several times per
+// second, so the cost of a response must depend on the number of changes, not
+// on the number of keys.
 TEST(fed_view, an_answer_costs_the_changes_not_the_keys)
 {
   for (const std::size_t keys : { 50, 100, 200 }) {
--- a/test/currantshed/store/http_client.cpp
+++ b/test/currantshed/store/http_client.cpp
@@ -33,7 +33,7 @@
   transport::callback done;
 };
 
-/// Keeps the calls for the test to answer.
+/// Records the requests for the test to answer.
 class fake_transport final : public transport
 {
 public:
@@ -73,12 +73,15 @@
 
 const list_row kListRows[] = {
   { "both", Answer(200, "[]"), Answer(200, "[]"), {} },
-  { "first lost", Failure(errc::kTimeout), Answer(200, "[]"), errc::kTimeout },
-  { "second lost",
+  { "first response lost",
+    Failure(errc::kTimeout),
+    Answer(200, "[]"),
+    errc::kTimeout },
+  { "second response lost",
     Answer(200, "[]"),
     Failure(errc::kUnreachable),
     errc::kUnreachable },
-  { "the first error counts",
+  { "both lost: the first error is reported",
     Failure(errc::kTimeout),
     Failure(errc::kUnreachable),
     errc::kTimeout },
--- a/test/currantshed/store/lister.cpp
+++ b/test/currantshed/store/lister.cpp
@@ -21,7 +21,7 @@
 struct call_step
 {
   std::error_code error;
-  /// Time from the start of the call to its end.
+  /// Duration of the call.
   std::chrono::milliseconds took;
   double random;
   /// Time from the end of the call to the start of the next one.
@@ -35,13 +35,13 @@
 };
 
 const lister_row kRows[] = {
-  { "the interval counts from start to start",
+  { "the interval is measured from start to start",
     { { {}, 0ms, kHalf, 5s }, { {}, 2s, kHalf, 3s } } },
-  { "spread to either side",
+  { "jitter in both directions",
     { { {}, 0ms, kLowest, 4s }, { {}, 0ms, 0.75, 5500ms } } },
-  { "a call longer than the interval is followed at once",
+  { "a call longer than the interval is followed immediately",
     { { {}, 7s, kHalf, 0ms } } },
-  { "rarer in an outage, regular again after it",
+  { "backoff during an outage, periodic again afterwards",
     { { errc::kUnreachable, 0ms, kHalf, 300ms },
       { errc::kTimeout, 0ms, kHalf, 500ms },
       { errc::kUnavailable, 0ms, kHalf, 900ms },
--- a/test/currantshed/store/patience.cpp
+++ b/test/currantshed/store/patience.cpp
@@ -19,11 +19,11 @@
 
 const patience_row kRows[] = {
   { "the first call", 0ms, false, 400ms },
-  { "after one in vain", 500ms, false, 400ms },
-  { "after some", 3000ms, false, 1500ms },
-  { "never without end", 60000ms, false, 4000ms },
-  { "once all is known", 0ms, true, 1000ms },
-  { "and later", 60000ms, true, 1000ms },
+  { "after one failed call", 500ms, false, 400ms },
+  { "after several failed calls", 3000ms, false, 1500ms },
+  { "the maximum", 60000ms, false, 4000ms },
+  { "once the store was read", 0ms, true, 1000ms },
+  { "read, long after the start", 60000ms, true, 1000ms },
 };
 
 } // namespace
--- a/test/currantshed/store/prefix_view.cpp
+++ b/test/currantshed/store/prefix_view.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// A reading that was left out.
+/// A read that was discarded.
 struct ignored_reading
 {
   store::revision read;
@@ -58,7 +58,7 @@
 {
   const char* name;
   std::function<void(follower&)> given;
-  /// The keys in the end.
+  /// The expected keys at the end.
   std::string keys;
   /// Whether the last change may have been made long before it was seen.
   bool mayBeOld = false;
@@ -69,13 +69,13 @@
   { "a new key",
     [](follower& aFollower) { aFollower.store.Put("a/2", "two"); },
     "a/1=one a/2=two " },
-  { "a key written again",
+  { "a key overwritten",
     [](follower& aFollower) { aFollower.store.Put("a/1", "uno"); },
     "a/1=uno " },
   { "a key removed",
     [](follower& aFollower) { aFollower.store.Remove("a/1"); },
     "" },
-  { "changes while the watch was cut",
+  { "changes after the watch failed",
     [](follower& aFollower) {
       aFollower.store.CutWatches(store::errc::kTimeout);
       aFollower.store.Put("a/2", "two");
@@ -164,14 +164,14 @@
   follower made;
   made.Run(100ms);
   const auto ranges = made.store.ranges;
-  // The change never comes through the watch.
+  // The watch does not deliver this change.
   made.store.Put("a/2", "two");
   made.store.history.clear();
   const auto change = made.store.At();
   made.Run(1000ms);
   CHECK(Print(made.view) == "a/1=one ");
   made.view.HeardOf(change, made.store.now);
-  // One that is behind itself takes nothing back.
+  // An announcement by a VM that lags behind does not reset the wait.
   made.view.HeardOf({ 0, 1 }, made.store.now);
   made.Run(500ms);
   made.view.HeardOf(change, made.store.now);
@@ -187,7 +187,8 @@
   const char* name;
   std::size_t bytes;
   std::chrono::nanoseconds byteTime;
-  /// Watches in three seconds of a change every 50 ms, at most.
+  /// Maximum number of changes reported within 3 s while the key is written
+  /// every 50 ms.
   std::size_t atMost;
   std::size_t atLeast;
 };
@@ -262,7 +263,7 @@
          store.now += 10ms) {
       view.HeardOf(store.At(), store.now);
       view.Tick(store.now, 0.5);
-      // The answer is still on its way when the others' words come.
+      // The response is still in transit when other VMs announce the revision.
       view.HeardOf(store.At(), store.now);
       store.Answer();
     }
@@ -284,7 +285,7 @@
   made.Run(100ms);
   const auto before = made.store.At();
   made.store.Put("b/2", "other");
-  // The reading is on its way as another VM passes on what came after it.
+  // While the read is in progress, another VM sends a later change.
   made.view.Renew(made.store.now);
   made.view.Tick(made.store.now, 0.5);
   const auto read = made.store.At();
--- a/test/currantshed/store/proved_view.cpp
+++ b/test/currantshed/store/proved_view.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// A view of one key, and what it was told.
+/// A view of one key after its first read, with the results of its callbacks.
 struct proved
 {
   proved()
@@ -88,7 +88,7 @@
   CHECK(one.view.ProvedAt() == before);
 }
 
-// The watch that is under way brings the same change a second time.
+// The watch in progress delivers the same change a second time.
 TEST(proved_view, A_change_counts_once_beside_a_watch)
 {
   proved one;
@@ -109,9 +109,9 @@
   CHECK(one.view.ProvedAt() == before + 1s);
 }
 
-// A store that has come back from an older copy may have lost a configuration
-// that was acknowledged, and a key that it takes away; operators write it again
-// within two seconds.
+// A store restored from an older snapshot may have lost an acknowledged
+// configuration, and with it the revocation of an API key; operators write it
+// again within 2 s.
 TEST(proved_view, A_store_that_has_just_lost_changes_proves_nothing)
 {
   proved one;
@@ -137,10 +137,9 @@
   STRCMP_EQUAL("y", one.view.Items().at("a/1").value.c_str());
 }
 
-// A VM started and asked for its first reading; the store returned from an
-// older copy meanwhile, of which the VM heard by its lease, and the reading
-// came without a configuration that had been acknowledged two seconds before:
-// "24800 ms: evidence that a newer configuration contradicts".
+// The store is restored while a VM that has just started waits for its first
+// read. The VM learns of the restore from its lease. The read lacks a
+// configuration acknowledged 2 s before, so it must not count as verification.
 TEST(proved_view, A_first_reading_beside_a_return_proves_nothing)
 {
   test::fake_key_value store;
--- a/test/currantshed/store/registration.cpp
+++ b/test/currantshed/store/registration.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// A VM's key, kept in a store.
+/// A VM's registered key, with its view and its store.
 struct keeper
 {
   keeper()
@@ -57,11 +57,11 @@
 
 const trouble_row kRows[] = {
   { "none", [](keeper&) {} },
-  { "the key of an earlier life stands there",
+  { "the key of a previous process exists",
     [](keeper& aKeeper) { aKeeper.store.Put("vm/a", "before", 99); } },
-  { "the lease ended unseen",
+  { "the lease ended unnoticed",
     [](keeper& aKeeper) { aKeeper.store.EndLease(aKeeper.store.lastLease); } },
-  { "the key was taken away, the lease not",
+  { "the key was removed, the lease was not",
     [](keeper& aKeeper) { aKeeper.store.Remove("vm/a"); } },
   { "an outage longer than the lease",
     [](keeper& aKeeper) {
@@ -71,14 +71,14 @@
       aKeeper.store.EndLease(aKeeper.store.lastLease);
       aKeeper.store.failing = {};
     } },
-  { "writes whose fate is unknown",
+  { "writes with unknown outcome",
     [](keeper& aKeeper) {
       aKeeper.store.commitOutcome = store::commit_outcome::kUnknown;
       aKeeper.store.Remove("vm/a");
       aKeeper.Run(1000ms);
       aKeeper.store.commitOutcome = store::commit_outcome::kApplied;
     } },
-  { "a write that was done, and its answer lost",
+  { "a write that was applied but its response lost",
     [](keeper& aKeeper) {
       aKeeper.store.losesAnswers = true;
       aKeeper.store.EndLease(aKeeper.store.lastLease);
@@ -156,20 +156,20 @@
   CHECK_FALSE(moved.IsWrittenWith(longer));
   run(500ms, true);
   CHECK(moved.IsWrittenWith(shorter));
-  // The former lease ends in its own time.
+  // The previous lease expires later.
   store.EndLease(first);
   run(3000ms, true);
   CHECK(moved.IsWrittenWith(shorter));
   CHECK(moved.ValidUntil() <= store.now + 2000ms);
-  // The same times again change nothing.
+  // Setting the same times again has no effect.
   const auto second = store.lastLease;
   moved.SetLease(shorter);
   run(500ms, true);
   CHECK_EQUAL(second, store.lastLease);
 }
 
-// After a return from an older copy the number of this VM's lease may name
-// another VM's.
+// After the store was restored from an older snapshot, the number of this VM's
+// lease may identify another VM's lease.
 TEST(registration, leaves_a_lease_alone_that_another_vm_was_given)
 {
   for (const bool endsThere : { false, true }) {
@@ -201,7 +201,8 @@
     const auto others = ++store.lastLease;
     store.leases.insert(others);
     store.Put("vm/b", "there", others);
-    // The renewal that shows the new era can't know better.
+    // The first renewal afterwards reports the new era, so it may still touch
+    // the other lease.
     run(700ms);
     store.touched.clear();
     run(1000ms);
--- a/test/currantshed/store/returned_store.cpp
+++ b/test/currantshed/store/returned_store.cpp
@@ -1,15 +1,10 @@
-// The store was away for two seconds and came back from a copy some seconds
-// old. For the next twelve seconds, four acknowledged configurations long, no
-// VM put a newer one in force: revisions were given out a second time, and each
-// VM took what it read for a state older than the one that it knew, left it
-// out, and asked again at once for changes after a revision that the store did
-// not have.
-//
-//   reading_ignored what=configuration revision=17 store_era=2 seen=45
-//   configuration_ignored version=23 in_force=23    6 to 14 times a second and
-//   VM
-//
-// It ended when the store had counted past the revision that the VMs had seen.
+// Guards against a fleet that stalls after the store has been restored from a
+// snapshot some seconds old. The store issued revisions a second time, so each
+// VM took what it read for a state older than the known one, discarded it, and
+// immediately requested changes after a revision that the store did not have.
+// No VM applied a newer configuration for 12 s, until the store's revisions
+// exceeded the known one. Meanwhile each VM called the store 6 to 14 times per
+// second.
 #include <chrono>
 #include <functional>
 #include <optional>
@@ -28,11 +23,12 @@
 
 namespace {
 
-// How soon an acknowledged change must be in force.
+// Time within which an acknowledged change must be applied.
 constexpr auto kInForce = 3000ms;
-// Calls that may be made in that time: a reading, watches and their changes.
+// Maximum number of reads in that time.
 constexpr int kMostReadings = 3;
-// The same while readings are left out: two a second.
+// The same for a store that reports no era, whose reads are discarded: two per
+// second.
 constexpr int kMostReadingsUntold = 6;
 
 std::string
@@ -45,10 +41,10 @@
   return text;
 }
 
-/// Time between two renewals of a VM's lease.
+/// Interval between renewals of a VM's lease.
 constexpr auto kRenewal = 650ms;
 
-/// A VM that follows the store, and another that it passes changes on to.
+/// A VM that follows the store, and another one that it feeds with changes.
 struct two_vms
 {
   two_vms()
@@ -113,17 +109,17 @@
 };
 
 const return_row kRows[] = {
-  { "nothing is written again",
+  { "nothing is written afterwards",
     [](two_vms& aVms) { aVms.store.Return(); },
     "a/1=one a/2=two " },
-  { "a key is written at a revision below the one seen",
+  { "a key is written at a revision below the known one",
     [](two_vms& aVms) {
       aVms.store.Return();
       aVms.Run(200ms);
       aVms.store.Put("a/1", "trois");
     },
     "a/1=trois a/2=two " },
-  { "keys are written before the VM's next call, past the revision seen",
+  { "keys are written before the VM's next call, beyond the known revision",
     [](two_vms& aVms) {
       aVms.store.Return();
       for (int i = 0; i < 9; ++i) {
@@ -131,7 +127,7 @@
       }
     },
     "a/1=one a/2=two a/4=8 " },
-  { "it comes back twice",
+  { "it is restored twice",
     [](two_vms& aVms) {
       aVms.store.Return();
       aVms.Run(200ms);
@@ -141,7 +137,7 @@
       aVms.store.Put("a/2", "deux");
     },
     "a/1=one a/2=deux " },
-  { "it does not answer at first",
+  { "it does not respond at first",
     [](two_vms& aVms) {
       aVms.store.Return();
       aVms.store.failing = store::errc::kTimeout;
@@ -167,8 +163,9 @@
   }
 }
 
-// A store that tells no era can't be told from one that lags. What it reads is
-// left out until it has counted on, at a bounded number of calls.
+// A store that reports no era cannot be distinguished from one that lags
+// behind. Its reads are discarded until its revisions exceed the known one, at
+// a bounded call rate.
 TEST(returned_store, is_not_called_in_a_loop_where_it_tells_no_era)
 {
   test::fake_key_value silent;
--- a/test/currantshed/store/watcher.cpp
+++ b/test/currantshed/store/watcher.cpp
@@ -35,19 +35,19 @@
   return { 10s, kPause, { kShortest, kLongest } };
 }
 
-/// How one call ended, and what is to follow.
+/// The result of one call, and the expected reaction.
 struct answer_step
 {
   std::error_code error;
   std::uint64_t version;
-  /// Time from the start of the call.
+  /// Time since the start of the call.
   std::chrono::milliseconds after;
   double random;
-  /// Whether the entry is handed over.
+  /// Whether the entry is delivered.
   bool delivered;
-  /// Time from this answer to the start of the next call.
+  /// Time from this response to the start of the next call.
   std::chrono::milliseconds wait;
-  /// What the next call refers to.
+  /// The version that the next call refers to.
   std::uint64_t known;
 };
 
@@ -58,37 +58,37 @@
 };
 
 const watcher_row kRows[] = {
-  { "a change is handed over, and the watch goes on at once",
+  { "a change is delivered, and the next watch starts immediately",
     { { {}, 7, 5s, kHalf, true, 0ms, 7 },
       { {}, 9, 1ms, kHalf, true, 0ms, 9 } } },
-  { "an absent key is handed over once",
+  { "an absent key is delivered once",
     { { {}, 0, 0ms, kLowest, true, 0ms, 0 },
       { {}, 0, 10s, kLowest, false, 0ms, 0 },
       { {}, 4, 1s, kLowest, true, 0ms, 4 } } },
-  { "time over with nothing new",
+  { "the wait ends without a change",
     { { {}, 7, 1s, kHalf, true, 0ms, 7 },
       { {}, 7, 10s, kHalf, false, 0ms, 7 } } },
-  { "a wait that ends at once brings a pause",
+  { "a wait that ends immediately is followed by a pause",
     { { {}, 7, 0ms, kLowest, true, 0ms, 7 },
       { {}, 7, 0ms, kLowest, false, kPause, 7 },
       { {}, 7, 400ms, kHalf, false, 1100ms, 7 } } },
-  { "never back: an older version is not handed over",
+  { "an older version is not delivered",
     { { {}, 7, 0ms, kHalf, true, 0ms, 7 },
       { {}, 3, 5s, kHalf, false, 0ms, 3 },
       { {}, 6, 5s, kHalf, false, 0ms, 6 },
       { {}, 8, 5s, kHalf, true, 0ms, 8 } } },
-  { "never back: a key that is gone is not handed over",
+  { "the removal of the key is not delivered",
     { { {}, 7, 0ms, kHalf, true, 0ms, 7 },
       { {}, 0, 5s, kHalf, false, 0ms, 0 },
       { {}, 9, 5s, kHalf, true, 0ms, 9 } } },
-  { "backoff doubles up to its bound",
+  { "the backoff doubles up to its bound",
     { { errc::kUnreachable, 0, 0ms, kLowest, false, kShortest, 0 },
       { errc::kUnreachable, 0, 0ms, kHalf, false, 500ms, 0 },
       { errc::kTimeout, 0, 0ms, kHalf, false, 900ms, 0 },
       { errc::kUnavailable, 0, 0ms, kHalf, false, 900ms, 0 },
       { errc::kRateLimited, 0, 0ms, kHalf, false, 900ms, 0 },
       { errc::kMalformed, 0, 0ms, kLowest, false, kShortest, 0 } } },
-  { "an answer ends the backoff, and what was known stays known",
+  { "a response resets the backoff; a failure keeps the known version",
     { { {}, 7, 0ms, kHalf, true, 0ms, 7 },
       { errc::kUnreachable, 0, 0ms, kHalf, false, 300ms, 7 },
       { errc::kUnreachable, 0, 0ms, kHalf, false, 500ms, 7 },
@@ -96,7 +96,8 @@
       { errc::kUnreachable, 0, 0ms, kHalf, false, 300ms, 8 } } },
 };
 
-/// The one start among the actions; more than one is a fault.
+/// Returns the start among the actions, if any, and counts the starts: more
+/// than one is an error.
 std::optional<start_watch>
 TakeStart(watcher& aSubject, std::vector<entry>& aDelivered, int& aStarts)
 {
@@ -168,7 +169,8 @@
   CHECK(*subject.LastAnswer() == kStart + 1s);
 }
 
-/// After a long outage, callers come back spread over the backoff's bound.
+/// After a long outage, the callers' retries are spread evenly over the range
+/// of the backoff.
 TEST(watcher, callers_come_back_spread)
 {
   constexpr int kCallers = 100;
--- a/test/platform/corpus_replay.cpp
+++ b/test/platform/corpus_replay.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-/// Hands each file of the folder to the check. Returns how many there were.
+/// Runs the check on each file of the folder. Returns the number of files.
 std::size_t
 Play(const char* aFolder, void (*aCheck)(std::string_view))
 {
--- a/test/platform/documents.cpp
+++ b/test/platform/documents.cpp
@@ -26,7 +26,7 @@
 "platform":{"address":"10.200.1.7:8783","ttl_min_ms":1000},
 "cloud_api":{"address":"10.200.0.160:8783"}})";
 
-/// Replaces one part of a text.
+/// Replaces a part of a text.
 std::string
 With(std::string aText, const std::string& aOld, const std::string& aNew)
 {
@@ -46,20 +46,20 @@
   { "no version", "\"version\":7,", "" },
   { "a negative version", "\"version\":7", "\"version\":-7" },
   { "an unknown policy", "read_your_writes", "eventual" },
-  { "a time that is a text", "\"timeout_ms\":800", "\"timeout_ms\":\"800\"" },
+  { "a time that is a string", "\"timeout_ms\":800", "\"timeout_ms\":\"800\"" },
   { "a negative time", "\"timeout_ms\":800", "\"timeout_ms\":-1" },
-  { "routes that are none", "\"routes\":[", "\"routes\":3,\"x\":[" },
+  { "routes that are not an array", "\"routes\":[", "\"routes\":3,\"x\":[" },
   { "an array", "{\"version\":7", "[{\"version\":7" },
 };
 
 constexpr broken_row kBrokenSettings[] = {
   { "no name", "\"node_name\":\"front-1\",", "" },
   { "no ports", "[7440,7455]", "[]" },
-  { "a bound on keys without a time",
+  { "enforced revocation without a time limit",
     "\"bounds\":{",
     "\"bounds\":{\"enforce_revoke_all\":true," },
-  { "ports the wrong way round", "[7440,7455]", "[7455,7440]" },
-  { "a port that is none", "10.1.0.8:8784", "10.1.0.8:x" },
+  { "ports in reverse order", "[7440,7455]", "[7455,7440]" },
+  { "a port that is not a number", "10.1.0.8:8784", "10.1.0.8:x" },
   { "torn", "\"cloud_api\"", "\"cloud" },
 };
 
@@ -99,51 +99,51 @@
   const char* name;
   const char* customers;
   const char* key;
-  /// Null where the key is nobody's.
+  /// Null if the key belongs to no customer.
   const char* customer;
   double perSecond;
   double burst;
 };
 
 constexpr customers_row kCustomersRows[] = {
-  { "a limited one",
+  { "a customer with a rate limit",
     R"([{"name":"a","api_keys":["k","l"],"priority":1,"rate_per_s":18.5,"burst":20}])",
     "l",
     "a",
     18.5,
     20 },
-  { "a burst as large as the rate",
+  { "the burst defaults to the rate",
     R"([{"name":"a","api_keys":["k"],"rate_per_s":18}])",
     "k",
     "a",
     18,
     18 },
-  { "one without limit",
+  { "a customer without a rate limit",
     R"([{"name":"a","api_keys":["k"]}])",
     "k",
     "a",
     -1,
     0 },
   { "nobody", "[]", "k", nullptr, 0, 0 },
-  { "a name of two words is left out",
+  { "a customer whose name has two words is skipped",
     R"([{"name":"a b","api_keys":["k"]}])",
     "k",
     nullptr,
     0,
     0 },
-  { "one without a name is left out, the others are not",
+  { "a customer without a name is skipped, the others are not",
     R"([{"api_keys":["k"]},{"name":"b","api_keys":["l"]}])",
     "l",
     "b",
     -1,
     0 },
-  { "a negative rate is left out",
+  { "a customer with a negative rate is skipped",
     R"([{"name":"a","api_keys":["k"],"rate_per_s":-1}])",
     "k",
     nullptr,
     0,
     0 },
-  { "keys that are none",
+  { "a key that is not a string",
     R"([{"name":"a","api_keys":[7]}])",
     "7",
     nullptr,
--- a/test/platform/fuzz_entry.cpp
+++ b/test/platform/fuzz_entry.cpp
@@ -21,7 +21,7 @@
   }
 }
 
-// Blanks and ends of lines would make more of a command than was meant.
+// Blanks and ends of lines would add fields or lines to a command.
 bool
 IsWord(const std::string& aText)
 {
@@ -44,16 +44,16 @@
   before.id = "before";
   auto read = before;
   if (platform::ReadServerEntry(id, value, read)) {
-    Require(read == before, "an entry that was refused left traces", aText);
+    Require(read == before, "a rejected entry modified its output", aText);
     return;
   }
-  Require(read.id == id, "another id", aText);
+  Require(read.id == id, "the id has changed", aText);
   Require(IsWord(read.id) && IsWord(read.service) && IsWord(read.failureDomain),
-          "a name that is no word",
+          "a name is not a single word",
           aText);
-  Require(!read.address.empty() && read.port != 0, "no address", aText);
+  Require(!read.address.empty() && read.port != 0, "no address or port", aText);
   Require(read.startedAt.time_since_epoch().count() >= 0,
-          "a start before all time",
+          "the start time is negative",
           aText);
 }
 
--- a/test/platform/fuzz_entry.hpp
+++ b/test/platform/fuzz_entry.hpp
@@ -5,10 +5,9 @@
 
 namespace currantshed::test {
 
-/// Reads an entry of the list of servers, the id before the first end of line
-/// and the value after it, and ends the process when what was read is not what
-/// a reader may rely on. Shared by the fuzzer and by the test that plays its
-/// corpus.
+/// Parses an entry of the list of servers and aborts the process if the result
+/// violates a guarantee to its readers. The text holds the id, an end of line,
+/// and the value. Shared by the fuzzer and by the test that replays its corpus.
 void
 CheckEntry(std::string_view aText);
 
--- a/test/platform/fuzz_line.cpp
+++ b/test/platform/fuzz_line.cpp
@@ -21,7 +21,8 @@
   }
 }
 
-// A caller's text reaches the server as it came, so it must stand in the line.
+// A caller's text is sent to the server unchanged, so it must be part of the
+// line.
 void
 CheckCaller(std::string_view aLine)
 {
@@ -31,16 +32,18 @@
   }
   const auto& asked = read->asked;
   Require(aLine.find(asked.text) != std::string_view::npos,
-          "the text is not the caller's",
+          "the text is not part of the caller's line",
+          aLine);
+  Require(aLine.find(asked.id) != std::string_view::npos,
+          "the id is not part of the caller's line",
           aLine);
-  Require(
-    aLine.find(asked.id) != std::string_view::npos, "nor is the id", aLine);
   if (read->isKnown) {
-    Require(!asked.floor, "a caller must not choose the floor", aLine);
+    Require(!asked.floor, "a caller has set the minimum position", aLine);
   }
 }
 
-// What was read from another VM is written as it can be read again.
+// A command forwarded by another VM is written in a form that is parsed as the
+// same command.
 void
 CheckRelayed(std::string_view aLine)
 {
@@ -54,12 +57,12 @@
   sent.text = read->asked.text;
   std::string out;
   kCodec.WriteCommand(sent, out);
-  Require(out.ends_with("\r\n"), "no end of the line", aLine);
+  Require(out.ends_with("\r\n"), "the line has no end", aLine);
   const auto again =
     kCodec.ReadRelayed(std::string_view(out).substr(0, out.size() - 2));
   Require(again && again->asked.text == read->asked.text &&
             again->asked.id == read->asked.id,
-          "it comes back as another command",
+          "the command is parsed differently",
           aLine);
 }
 
@@ -69,7 +72,7 @@
   if (const auto position = platform::ReadPosition(aLine)) {
     Require(platform::ReadPosition(platform::WritePosition(*position)) ==
               position,
-            "the position comes back as another one",
+            "the position is parsed differently",
             aLine);
   }
 }
--- a/test/platform/fuzz_line.hpp
+++ b/test/platform/fuzz_line.hpp
@@ -5,9 +5,9 @@
 
 namespace currantshed::test {
 
-/// Reads a line in every way that the line protocol has, and ends the process
-/// when what was read is not what a reader may rely on. Shared by the fuzzer
-/// and by the test that plays its corpus.
+/// Parses a line with every parser of the line protocol and aborts the process
+/// if a result violates a guarantee to its readers. Shared by the fuzzer and by
+/// the test that replays its corpus.
 void
 CheckLine(std::string_view aLine);
 
--- a/test/platform/statement_line.cpp
+++ b/test/platform/statement_line.cpp
@@ -16,7 +16,7 @@
 struct caller_row
 {
   const char* line;
-  /// None: no message at all.
+  /// Whether the statement is known; none if the line is not a message.
   std::optional<bool> known;
   statement_kind kind = statement_kind::kRead;
   const char* id = "";
@@ -156,8 +156,8 @@
   STRCMP_EQUAL("ERROR INDOUBT why\r\nREADY E -\r\n", out.c_str());
 }
 
-// Servers are told the customer's name; what the system asks itself has a word
-// of its own.
+// Servers receive the customer's name; sessions of this system itself use a
+// fixed word.
 TEST(statement_line, sessions_at_servers_name_the_customer)
 {
   proxy::server server;
@@ -210,7 +210,8 @@
   STRCMP_EQUAL("ERROR NOAUTH why\r\n", out.c_str());
 }
 
-// What one VM sends to another as to a server, the other reads as the same.
+// Commands that a VM sends to another VM in place of a server are parsed as the
+// same commands.
 TEST(statement_line, relayed_commands_come_back)
 {
   const std::pair<proxy::command, statement_kind> rows[] = {
