--- a/test/platform/server_entry.cpp
+++ b/test/platform/server_entry.cpp
@@ -60,7 +60,7 @@
     entry_errc::kFieldWrong },
   { "no state", "\"state\":\"ready\",", "", entry_errc::kFieldMissing },
   { "an unknown state", "\"ready\"", "\"resting\"", entry_errc::kUnknownState },
-  { "a state in upper case",
+  { "a capitalized state",
     "\"ready\"",
     "\"Draining\"",
     entry_errc::kUnknownState },
