--- a/src/currantshed/store/prefix_view.cpp
+++ b/src/currantshed/store/prefix_view.cpp
@@ -118,7 +118,8 @@
   if (!mBehindSince) {
     mBehindSince = aNow;
   }
-  // The VM that feeds this one pauses after each change as well.
+  // The VM that watches the store on behalf of this one pauses after each
+  // change as well.
   const auto patience =
     mIsCalling ? mSettings.patience : mSettings.patience + Pause();
   if (aNow - *mBehindSince > patience) {
--- a/src/currantshed/store/prefix_view.hpp
+++ b/src/currantshed/store/prefix_view.hpp
@@ -75,9 +75,9 @@
 
 /// A local copy of the keys below one prefix. The keys are read once and then
 /// followed by watches. They are read again if the store has dropped the
-/// changes in between or has been restored from an older snapshot. Other VMs
-/// may feed the view with changes instead; while they do, the view does not
-/// call the store. Not thread-safe.
+/// changes in between or has been restored from an older snapshot. Another VM
+/// may watch the store on behalf of this one and forward the changes; while it
+/// does, the view does not call the store. Not thread-safe.
 class prefix_view
 {
 public:
@@ -115,11 +115,13 @@
   void Renew(clock::time_point aNow);
 
   /// Reports that the store has been restored from an older snapshot. A view
-  /// that is fed learns the new content from its feeders. Reads count as
-  /// verification only after lost changes have had time to be written again.
+  /// whose changes are forwarded by another VM receives the new content from
+  /// there. Reads count as verification only after lost changes have had time
+  /// to be written again.
   void EraEnded(clock::time_point aNow);
 
-  /// Sets until when other VMs feed the view. No watch is started before then.
+  /// Sets until when another VM forwards the changes. No watch is started
+  /// before then.
   void FedUntil(clock::time_point aUntil) noexcept { mFedUntil = aUntil; }
   [[nodiscard]] clock::time_point FedUntil() const noexcept
   {
--- a/test/currantshed/store/fed_view.cpp
+++ b/test/currantshed/store/fed_view.cpp
@@ -38,7 +38,8 @@
   int changes = 0;
 };
 
-/// A VM that follows the store, and another one that it feeds with changes.
+/// A VM that watches the store, and another one to which it forwards the
+/// changes.
 struct pair
 {
   pair()
@@ -68,7 +69,7 @@
     return taken;
   }
 
-  /// Both read the keys; from now on only the feeder follows the store.
+  /// Both read the keys; from now on only the first one watches the store.
   void Begin()
   {
     fed.view.FedUntil(store.now + 1h);
@@ -121,7 +122,7 @@
     },
     "a/1=one ",
     true },
-  { "the feeder has read all keys again",
+  { "the watching VM has read all keys again",
     [](pair& aPair) {
       aPair.store.Remove("a/1");
       aPair.store.history.clear();
@@ -129,7 +130,7 @@
     },
     "a/2=two ",
     true },
-  { "the feeder's watch had failed",
+  { "the watch had failed before the change",
     [](pair& aPair) {
       aPair.store.CutWatches(store::errc::kTimeout);
       aPair.store.Put("a/1", "uno");
@@ -205,13 +206,13 @@
   CHECK(made.fed.view.Take(old, made.store.now));
   CHECK(made.fed.view.Take(oldChanges, made.store.now));
   STRCMP_EQUAL("a/1=uno ", made.fed.Keys().c_str());
-  // The feeder has nothing newer to send.
+  // There is nothing newer to forward.
   oldChanges = made.feeder.view.After(made.fed.view.Seen());
   CHECK(oldChanges.changes.empty());
 }
 
-// A VM that called the store later than its feeder has the same content as long
-// as nothing has changed below the prefix.
+// A VM that called the store later than the one that forwards changes to it has
+// the same content as long as nothing has changed below the prefix.
 TEST(fed_view, is_fed_by_one_whose_last_call_is_older)
 {
   pair made;
@@ -374,9 +375,9 @@
 
 } // namespace
 
-// A VM that feeds a hundred others is queried by each of them several times per
-// second, so the cost of a response must depend on the number of changes, not
-// on the number of keys.
+// A VM that watches the store on behalf of a hundred others is queried by each
+// of them several times per second, so the cost of a response must depend on
+// the number of changes, not on the number of keys.
 TEST(fed_view, an_answer_costs_the_changes_not_the_keys)
 {
   for (const std::size_t keys : { 50, 100, 200 }) {
--- a/test/currantshed/store/returned_store.cpp
+++ b/test/currantshed/store/returned_store.cpp
@@ -44,7 +44,8 @@
 /// Interval between renewals of a VM's lease.
 constexpr auto kRenewal = 650ms;
 
-/// A VM that follows the store, and another one that it feeds with changes.
+/// A VM that watches the store, and another one to which it forwards the
+/// changes.
 struct two_vms
 {
   two_vms()
