--- a/src/currantshed/store/prefix_view.cpp
+++ b/src/currantshed/store/prefix_view.cpp
@@ -111,7 +111,7 @@
 void
 prefix_view::HeardOf(revision aChange, clock::time_point aNow)
 {
-  // A VM that lags behind this one proves nothing.
+  // Ignores announcements by VMs that lag behind this one.
   if (aChange <= mSeen || !mIsKnown) {
     return;
   }
--- a/src/currantshed/store/prefix_view.hpp
+++ b/src/currantshed/store/prefix_view.hpp
@@ -23,8 +23,8 @@
 
 struct prefix_view_settings
 {
-  /// How long one watch waits for changes. Long, since every call costs; the
-  /// transport detects dead connections.
+  /// How long one watch waits for changes. Long, since every call has a cost;
+  /// the transport detects dead connections.
   std::chrono::milliseconds wait{ 25000 };
   /// Pause between a change and the next watch, plus a part for each key in the
   /// view, so that a burst of changes takes few calls: the keys of VMs change
@@ -41,8 +41,8 @@
   /// How long the view may lag behind a revision that another VM has announced
   /// before its own watch is considered hung.
   std::chrono::milliseconds patience{ 400 };
-  /// Backoff after failed calls, since every call costs. Short enough that a
-  /// configuration written during an outage is applied in time after it.
+  /// Backoff after failed calls, since every call has a cost. Short enough that
+  /// a configuration written during an outage is applied in time after it.
   backoff_settings afterFailure{ std::chrono::milliseconds{ 100 },
                                  std::chrono::milliseconds{ 1500 } };
 };
