--- a/src/currantshed/store/apply.hpp
+++ b/src/currantshed/store/apply.hpp
@@ -90,12 +90,15 @@
 public:
   applier(apply_request aRequest, clock::time_point aNow);
 
+  /// Reports the result of read_configuration.
   void ConfigurationRead(std::error_code aError,
                          const entry& aEntry,
                          clock::time_point aNow);
 
+  /// Reports the result of swap_configuration.
   void ConfigurationSwapped(swap_outcome aOutcome, clock::time_point aNow);
 
+  /// Performs what is due: a retry, or giving up.
   void Tick(clock::time_point aNow);
 
   /// When Tick must be called next.
--- a/src/currantshed/store/key_value.hpp
+++ b/src/currantshed/store/key_value.hpp
@@ -85,6 +85,7 @@
   std::vector<std::string> removals;
 };
 
+/// The outcome of a transaction.
 enum class commit_outcome
 {
   kApplied,
@@ -123,6 +124,7 @@
   /// Sets the timeout of calls that start from now on, except for watches.
   virtual void SetPatience(std::chrono::milliseconds aPatience) = 0;
 
+  /// Reads a key; the item is none if the key does not exist.
   virtual void Get(std::string aKey, item_callback aDone) = 0;
 
   /// Reads all keys with the prefix. The revision passed to the callback is the
@@ -148,6 +150,7 @@
 
   virtual void Commit(transaction aWhat, commit_callback aDone) = 0;
 
+  /// Creates a lease with the given time to live.
   virtual void Grant(std::chrono::milliseconds aTtl, grant_callback aDone) = 0;
 
   /// Renews a lease. Fails with errc::kLeaseNotFound if it has ended.
--- a/src/currantshed/store/prefix_view.hpp
+++ b/src/currantshed/store/prefix_view.hpp
@@ -102,7 +102,11 @@
   prefix_view(const prefix_view&) = delete;
   prefix_view& operator=(const prefix_view&) = delete;
 
+  /// Makes the call that is due, if any. The random number is in [0, 1).
   void Tick(clock::time_point aNow, double aRandom);
+
+  /// When Tick must be called next; time_point::max() while no call may be
+  /// made.
   [[nodiscard]] clock::time_point NextTick() const noexcept;
 
   /// Reports that another VM has seen a change of this revision. If the own
@@ -190,6 +194,8 @@
 
   /// Whether the keys have been read at least once.
   [[nodiscard]] bool IsKnown() const noexcept { return mIsKnown; }
+  /// Whether the store is reachable, as last told to
+  /// listener::reachabilityChanged.
   [[nodiscard]] bool IsReached() const noexcept { return mIsReached; }
   /// Whether the last changes may have been made long before they were seen:
   /// they came with a read of all keys, or after a watch had failed.
--- a/src/currantshed/store/registration.hpp
+++ b/src/currantshed/store/registration.hpp
@@ -80,7 +80,11 @@
   /// Ends the lease, which removes the key.
   void End();
 
+  /// Makes the call that is due, if any. The random number is in [0, 1).
   void Tick(clock::time_point aNow, double aRandom);
+
+  /// When Tick must be called next; time_point::max() while no call may be
+  /// made.
   [[nodiscard]] clock::time_point NextTick() const noexcept;
 
   /// Until when the lease lasts at least; in the past if there is none.
--- a/src/currantshed/store/watcher.hpp
+++ b/src/currantshed/store/watcher.hpp
@@ -55,6 +55,7 @@
              clock::time_point aNow,
              double aRandom);
 
+  /// Starts the next call if it is due.
   void Tick(clock::time_point aNow);
 
   /// When Tick must be called next; none while a call is in progress.
