--- a/src/currantshed/store/prefix_view.hpp
+++ b/src/currantshed/store/prefix_view.hpp
@@ -194,7 +194,7 @@
 
   /// Whether the keys have been read at least once.
   [[nodiscard]] bool IsKnown() const noexcept { return mIsKnown; }
-  /// Whether the store is reachable, as last told to
+  /// Whether the store is reachable, as last reported to
   /// listener::reachabilityChanged.
   [[nodiscard]] bool IsReached() const noexcept { return mIsReached; }
   /// Whether the last changes may have been made long before they were seen:
--- a/test/currantshed/store/apply.cpp
+++ b/test/currantshed/store/apply.cpp
@@ -205,7 +205,7 @@
       mSubject.ConfigurationRead(errc::kTimeout, {}, mNow);
     }
     Take();
-    CHECK_FALSE_TEXT(mTooMany, "more than one call under way");
+    CHECK_FALSE_TEXT(mTooMany, "more than one call in progress");
   }
 
   swap_outcome EndSwap(const swap_configuration& aSwap, step aStep)
