--- a/bench/currantshed/control/fleet.cpp
+++ b/bench/currantshed/control/fleet.cpp
@@ -44,7 +44,7 @@
   : mDomains(aDomains)
   , mVms(MakeVms(aVms, aDomains))
   , mGroups(MakeGroups(aGroups))
-  , mRosters(aVms)
+  , mMemberships(aVms)
   , mRuns(aVms, true)
 {
   for (std::size_t number = 0; number < aVms; ++number) {
@@ -59,9 +59,9 @@
   const auto end = mNow + aTime;
   while (mNow < end) {
     mNow += kStep;
-    for (std::size_t number = 0; number < mRosters.size(); ++number) {
+    for (std::size_t number = 0; number < mMemberships.size(); ++number) {
       if (mRuns[number]) {
-        mRosters[number]->Tick(mNow);
+        mMemberships[number]->Tick(mNow);
         Send(number);
       }
     }
@@ -91,8 +91,8 @@
 fleet::Counts() const
 {
   auto counts = mCounts;
-  for (const auto& roster : mRosters) {
-    counts.views += roster->Version();
+  for (const auto& membership : mMemberships) {
+    counts.views += membership->Version();
   }
   return counts;
 }
@@ -100,25 +100,25 @@
 void
 fleet::Start(std::size_t aNumber)
 {
-  member::roster_settings settings;
+  member::membership_settings settings;
   settings.self = mVms[aNumber];
   settings.incarnation =
     mVms[aNumber].id + "/1790000000000/" + std::to_string(++mStarts);
-  mRosters[aNumber] = member::MakeRoster(settings, mStarts);
-  mRosters[aNumber]->Listed(mVms, mNow);
-  mRosters[aNumber]->SetGroups(mGroups);
+  mMemberships[aNumber] = member::MakeMembership(settings, mStarts);
+  mMemberships[aNumber]->Listed(mVms, mNow);
+  mMemberships[aNumber]->SetGroups(mGroups);
 }
 
 // Messages arrive at once; answers go out at the receiver's next turn.
 void
 fleet::Send(std::size_t aNumber)
 {
-  for (const auto& send : mRosters[aNumber]->TakeHeartbeats()) {
+  for (const auto& send : mMemberships[aNumber]->TakeHeartbeats()) {
     ++mCounts.sent;
     mCounts.bytes += wire::Encode(send.message, mNow).size();
     const auto to = mNumbers.at(send.to.id);
     if (mRuns[to]) {
-      mRosters[to]->HeartbeatArrived(send.message, mNow);
+      mMemberships[to]->HeartbeatArrived(send.message, mNow);
     }
   }
 }
--- a/bench/currantshed/control/fleet.hpp
+++ b/bench/currantshed/control/fleet.hpp
@@ -10,7 +10,7 @@
 
 #include <absl/container/flat_hash_map.h>
 
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 
 namespace currantshed::control_bench {
 
@@ -56,7 +56,7 @@
   std::vector<store::vm> mVms;
   std::vector<group::group_name> mGroups;
   absl::flat_hash_map<std::string, std::size_t> mNumbers;
-  std::vector<std::unique_ptr<member::roster>> mRosters;
+  std::vector<std::unique_ptr<member::membership>> mMemberships;
   std::vector<bool> mRuns;
   fleet_counts mCounts;
   std::uint64_t mStarts = 0;
--- a/bench/currantshed/control/planned_size.cpp
+++ b/bench/currantshed/control/planned_size.cpp
@@ -6,7 +6,7 @@
 #include <absl/strings/str_cat.h>
 #include <benchmark/benchmark.h>
 
-#include "currantshed/store/consul_answers.hpp"
+#include "currantshed/store/consul_responses.hpp"
 #include "currantshed/wire/codec.hpp"
 #include "fleet.hpp"
 
@@ -27,16 +27,16 @@
 constexpr double kBytesPerKilobyte = 1024;
 
 /// The platform's answers, as the catalogue's interface words them.
-store::http_answer
+store::http_response
 Answer(const std::string& aList)
 {
-  store::http_answer answer;
+  store::http_response answer;
   answer.status = 200;
   answer.body = "[" + aList + "]";
   return answer;
 }
 
-store::http_answer
+store::http_response
 VmList()
 {
   std::string list;
@@ -55,7 +55,7 @@
   return Answer(list);
 }
 
-store::http_answer
+store::http_response
 ServerList()
 {
   std::string list;
--- a/bench/currantshed/member/roster.cpp
+++ b/bench/currantshed/member/membership.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 
 #include <chrono>
 #include <string>
@@ -52,16 +52,16 @@
 }
 
 // A roster, and heartbeats of all its peers to feed it.
-class running_roster
+class running_membership
 {
 public:
-  explicit running_roster(std::int64_t aVms)
+  explicit running_membership(std::int64_t aVms)
     : mVms(MakeFleet(aVms))
   {
-    member::roster_settings settings;
+    member::membership_settings settings;
     settings.self = mVms.front();
     settings.incarnation = "vm-0/1796229257718/ff178768";
-    subject = member::MakeRoster(settings, 1);
+    subject = member::MakeMembership(settings, 1);
     subject->Listed(mVms, now);
     subject->SetGroups(MakeGroups(aVms));
   }
@@ -84,7 +84,7 @@
     }
   }
 
-  std::unique_ptr<member::roster> subject;
+  std::unique_ptr<member::membership> subject;
   clock::time_point now{ milliseconds{ 1000 } };
 
 private:
@@ -96,7 +96,7 @@
 void
 HeartbeatArrives(benchmark::State& aState)
 {
-  running_roster given(aState.range(0));
+  running_membership given(aState.range(0));
   given.HearAll();
   for (auto step : aState) {
     static_cast<void>(step);
@@ -107,7 +107,7 @@
 void
 HeartbeatsGoOut(benchmark::State& aState)
 {
-  running_roster given(aState.range(0));
+  running_membership given(aState.range(0));
   given.HearAll();
   double messages = 0;
   double bytes = 0;
@@ -132,7 +132,7 @@
 void
 ViewChanges(benchmark::State& aState)
 {
-  running_roster given(aState.range(0));
+  running_membership given(aState.range(0));
   auto vms = MakeFleet(aState.range(0));
   for (auto step : aState) {
     static_cast<void>(step);
--- a/bench/currantshed/node/whole_fleet.cpp
+++ b/bench/currantshed/node/whole_fleet.cpp
@@ -5,9 +5,9 @@
 
 #include <benchmark/benchmark.h>
 
-#include "currantshed/node/duty.hpp"
-#include "currantshed/node/duty_board.hpp"
-#include "currantshed/proxy/holders.hpp"
+#include "currantshed/node/cluster_state.hpp"
+#include "currantshed/node/lock_assignments.hpp"
+#include "currantshed/proxy/access_planner.hpp"
 
 namespace {
 
@@ -27,7 +27,7 @@
                    "10.0.0.1",
                    7440 };
   record.failureDomain = "domain-" + std::to_string(aNumber % kDomains);
-  record.processorShare =
+  record.cpuMillicores =
     aNumber / kDomains % kStrongEach == 0 ? kStrongShare : kWeakShare;
   return record;
 }
@@ -40,11 +40,12 @@
   for (std::size_t i = 0; i < aSize; ++i) {
     const auto vm = MakeVm(i);
     const auto key = node::VmKey(vm.where.vm);
-    items[key] = { key, node::PrintVm(vm), { 0, ++revision }, {} };
-    const auto duty = node::DutyKey("group-" + std::to_string(i));
-    items[duty] = {
-      duty, node::PrintDuty({ vm.where.vm, 0, revision }), { 0, ++revision }, {}
-    };
+    items[key] = { key, node::SerializeVm(vm), { 0, ++revision }, {} };
+    const auto duty = node::FailoverLockKey("group-" + std::to_string(i));
+    items[duty] = { duty,
+                    node::SerializeFailoverLock({ vm.where.vm, 0, revision }),
+                    { 0, ++revision },
+                    {} };
   }
   return items;
 }
@@ -55,7 +56,7 @@
 {
   const auto items = MakeKeys(static_cast<std::size_t>(aState.range(0)));
   for (auto _ : aState) {
-    benchmark::DoNotOptimize(node::ReadOwnKeys(items));
+    benchmark::DoNotOptimize(node::ReadClusterState(items));
   }
 }
 
@@ -64,11 +65,11 @@
 ReadOneKey(benchmark::State& aState)
 {
   auto items = MakeKeys(static_cast<std::size_t>(aState.range(0)));
-  auto keys = node::ReadOwnKeys(items);
+  auto keys = node::ReadClusterState(items);
   const auto key = items.begin()->first;
   for (auto _ : aState) {
     benchmark::DoNotOptimize(
-      node::UpdateOwnKeys(keys, items, { false, { key } }));
+      node::UpdateClusterState(keys, items, { false, { key } }));
   }
 }
 
@@ -77,18 +78,18 @@
 OneVmGoesAndComes(benchmark::State& aState)
 {
   const auto size = static_cast<std::size_t>(aState.range(0));
-  auto keys = node::ReadOwnKeys(MakeKeys(size));
-  node::duty_board board(MakeVm(0).where.vm);
-  board.SetCandidates(keys, node::Candidates(keys));
+  auto keys = node::ReadClusterState(MakeKeys(size));
+  node::lock_assignments board(MakeVm(0).where.vm);
+  board.SetCandidates(keys, node::LockCandidates(keys));
   for (std::size_t i = 0; i < size; ++i) {
     board.AddService(keys, "group-" + std::to_string(i));
   }
   const auto gone = keys.vms.find(MakeVm(0).where.vm)->second;
   for (auto _ : aState) {
     keys.vms.erase(gone.record.where.vm);
-    board.SetCandidates(keys, node::Candidates(keys));
+    board.SetCandidates(keys, node::LockCandidates(keys));
     keys.vms[gone.record.where.vm] = gone;
-    board.SetCandidates(keys, node::Candidates(keys));
+    board.SetCandidates(keys, node::LockCandidates(keys));
   }
 }
 
--- a/bench/currantshed/place/rendezvous.cpp
+++ b/bench/currantshed/place/rendezvous.cpp
@@ -1,6 +1,6 @@
 #include "placement.hpp"
 
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 
 namespace currantshed::place {
 
--- a/bench/currantshed/proxy/holders.cpp
+++ b/bench/currantshed/proxy/access_planner.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/proxy/holders.hpp"
+#include "currantshed/proxy/access_planner.hpp"
 
 #include <string>
 #include <vector>
@@ -11,7 +11,7 @@
 
 constexpr unsigned kDomains = 5;
 constexpr unsigned kServers = 60;
-constexpr std::size_t kMostConnections = 88;
+constexpr std::size_t kMaxConnections = 88;
 
 std::vector<proxy::fleet_vm>
 MakeFleet(std::size_t aCount)
@@ -38,7 +38,7 @@
     planner.SetFleet(fleet);
     for (unsigned server = 0; server < kServers; ++server) {
       benchmark::DoNotOptimize(
-        planner.Plan("i-" + std::to_string(server), kMostConnections));
+        planner.Plan("i-" + std::to_string(server), kMaxConnections));
     }
   }
 }
--- a/bin/currantshed-node/options.cpp
+++ b/bin/currantshed-node/options.cpp
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 
 void
-DeclareLead(settings::parser& aParser, lead::lead_settings& aLead)
+DeclareLead(settings::parser& aParser, lead::monitor_settings& aLead)
 {
   aParser.Milliseconds(aLead.validity,
                        "proof-validity-ms",
--- a/bin/currantshed-node/options.hpp
+++ b/bin/currantshed-node/options.hpp
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "currantshed/lead/group_lead.hpp"
+#include "currantshed/lead/group_monitor.hpp"
 #include "currantshed/log/log.hpp"
 #include "currantshed/settings/parser.hpp"
 
@@ -15,7 +15,7 @@
 {
   std::string settingsPath;
   log::level logLevel = log::level::kInfo;
-  lead::lead_settings lead;
+  lead::monitor_settings lead;
 };
 
 /// Reads flags and environment, and says whether to go on.
--- a/src/currantshed/admit/deadline_queue.cpp
+++ b/src/currantshed/admit/deadline_queue.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 // Stated when nothing was measured yet.
-constexpr std::chrono::milliseconds kUnmeasuredRetry{ 50 };
-constexpr std::chrono::milliseconds kLongestRetry{ 5000 };
+constexpr std::chrono::milliseconds kDefaultRetryAfter{ 50 };
+constexpr std::chrono::milliseconds kMaxRetryAfter{ 5000 };
 // A part of the wait that is added to it, for what the mean rate leaves out.
 constexpr int kWaitMargin = 4;
 // Weight of the newest time that a server took, in the mean.
-constexpr double kNewest = 0.05;
+constexpr double kNewestWeight = 0.05;
 
 using seconds = std::chrono::duration<double>;
 
@@ -32,7 +32,7 @@
 }
 
 admission
-deadline_queue::Offer(const waiting& aRequest, clock::time_point aNow)
+deadline_queue::TryAdmit(const waiting& aRequest, clock::time_point aNow)
 {
   const entries::const_iterator behind = mEntries.lower_bound(aRequest);
   const auto isFull = mEntries.size() >= mLimit;
@@ -44,7 +44,7 @@
   if (!IsInTime(aRequest, place, aNow)) {
     return {};
   }
-  auto delayed = Delayed(aRequest, place, aNow);
+  auto delayed = FindDelayed(aRequest, place, aNow);
   if (!delayed) {
     return {};
   }
@@ -62,7 +62,7 @@
 }
 
 void
-deadline_queue::Put(const waiting& aRequest)
+deadline_queue::Requeue(const waiting& aRequest)
 {
   mEntries.insert(aRequest);
 }
@@ -88,13 +88,13 @@
     return;
   }
   const auto error = time - mService;
-  mService += kNewest * error;
-  mDeviation += kNewest * (std::chrono::abs(error) - mDeviation);
+  mService += kNewestWeight * error;
+  mDeviation += kNewestWeight * (std::chrono::abs(error) - mDeviation);
 }
 
 bool
-deadline_queue::CanEndInTime(const waiting& aRequest,
-                             clock::time_point aNow) const
+deadline_queue::CanMeetDeadline(const waiting& aRequest,
+                                clock::time_point aNow) const
 {
   return aNow + Service() <= aRequest.deadline;
 }
@@ -102,14 +102,14 @@
 std::chrono::milliseconds
 deadline_queue::RetryAfter(std::uint64_t aRequest, clock::time_point aNow)
 {
-  const auto gap = mDrain.TimeFor(1);
+  const auto gap = mDrain.TimeToDrain(1);
   if (!gap) {
-    return Spread(kUnmeasuredRetry, aRequest);
+    return AddJitter(kDefaultRetryAfter, aRequest);
   }
-  const auto drained = aNow + *mDrain.TimeFor(mEntries.size());
-  mLastReturn = std::min(std::max(mLastReturn, drained) + *gap,
-                         std::max(aNow + kLongestRetry, drained));
-  return Spread(mLastReturn - aNow, aRequest);
+  const auto drained = aNow + *mDrain.TimeToDrain(mEntries.size());
+  mLastRetryAt = std::min(std::max(mLastRetryAt, drained) + *gap,
+                          std::max(aNow + kMaxRetryAfter, drained));
+  return AddJitter(mLastRetryAt - aNow, aRequest);
 }
 
 const deadline_queue::entries&
@@ -129,7 +129,7 @@
                          std::size_t aPlace,
                          clock::time_point aNow) const
 {
-  const auto wait = mDrain.TimeFor(aPlace);
+  const auto wait = mDrain.TimeToDrain(aPlace);
   if (aPlace == 0 || !wait) {
     return true;
   }
@@ -137,9 +137,9 @@
 }
 
 std::optional<std::vector<waiting>>
-deadline_queue::Delayed(const waiting& aRequest,
-                        std::size_t aPlace,
-                        clock::time_point aNow) const
+deadline_queue::FindDelayed(const waiting& aRequest,
+                            std::size_t aPlace,
+                            clock::time_point aNow) const
 {
   std::vector<waiting> delayed;
   auto place = aPlace + 1;
--- a/src/currantshed/admit/deadline_queue.hpp
+++ b/src/currantshed/admit/deadline_queue.hpp
@@ -59,11 +59,11 @@
   explicit deadline_queue(std::size_t aLimit);
 
   /// Asks for a place at the given time.
-  [[nodiscard]] admission Offer(const waiting& aRequest,
-                                clock::time_point aNow);
+  [[nodiscard]] admission TryAdmit(const waiting& aRequest,
+                                   clock::time_point aNow);
 
   /// Puts a request that was admitted before back, whatever waits.
-  void Put(const waiting& aRequest);
+  void Requeue(const waiting& aRequest);
 
   /// Takes a request out, for a server or not.
   void Remove(const waiting& aRequest);
@@ -75,8 +75,8 @@
   void Served(clock::duration aTime);
 
   /// Whether a request that would be sent now is likely to end in time.
-  [[nodiscard]] bool CanEndInTime(const waiting& aRequest,
-                                  clock::time_point aNow) const;
+  [[nodiscard]] bool CanMeetDeadline(const waiting& aRequest,
+                                     clock::time_point aNow) const;
 
   /// When a refused request should come back: once those that wait now, and
   /// those that were told to come back before, are gone at the measured rate;
@@ -96,7 +96,7 @@
                               clock::time_point aNow) const;
   /// Requests behind that would miss their deadlines with it admitted; none
   /// when one of a class as strict is among them.
-  [[nodiscard]] std::optional<std::vector<waiting>> Delayed(
+  [[nodiscard]] std::optional<std::vector<waiting>> FindDelayed(
     const waiting& aRequest,
     std::size_t aPlace,
     clock::time_point aNow) const;
@@ -108,7 +108,7 @@
   std::chrono::duration<double> mService{ 0 };
   std::chrono::duration<double> mDeviation{ 0 };
   // When the last one that was refused should come back.
-  clock::time_point mLastReturn{};
+  clock::time_point mLastRetryAt{};
 };
 
 } // namespace currantshed::admit
--- a/src/currantshed/admit/drain_meter.hpp
+++ b/src/currantshed/admit/drain_meter.hpp
@@ -22,7 +22,7 @@
 
   /// Time until so many requests have left, at the measured rate; none
   /// before anything was measured.
-  [[nodiscard]] std::optional<clock::duration> TimeFor(
+  [[nodiscard]] std::optional<clock::duration> TimeToDrain(
     std::size_t aRequests) const;
 
 private:
@@ -36,7 +36,7 @@
 /// Spreads times to come back: the time given, lengthened by up to a half of
 /// it, by a hash of the request's number.
 [[nodiscard]] std::chrono::milliseconds
-Spread(clock::duration aTime, std::uint64_t aRequest);
+AddJitter(clock::duration aTime, std::uint64_t aRequest);
 
 } // namespace currantshed::admit
 
--- a/src/currantshed/admit/retry_budget.cpp
+++ b/src/currantshed/admit/retry_budget.cpp
@@ -4,25 +4,25 @@
 
 namespace currantshed::admit {
 
-retry_budget::retry_budget(double aStore) noexcept
-  : mMost(aStore)
-  , mRetries(aStore)
+retry_budget::retry_budget(double aCapacity) noexcept
+  : mCapacity(aCapacity)
+  , mBalance(aCapacity)
 {
 }
 
 void
-retry_budget::Earn() noexcept
+retry_budget::Deposit() noexcept
 {
-  mRetries = std::min(mRetries + kEarned, mMost);
+  mBalance = std::min(mBalance + kDepositPerAttempt, mCapacity);
 }
 
 bool
-retry_budget::Spend() noexcept
+retry_budget::TryWithdraw() noexcept
 {
-  if (mRetries < 1.0) {
+  if (mBalance < 1.0) {
     return false;
   }
-  mRetries -= 1.0;
+  mBalance -= 1.0;
   return true;
 }
 
--- a/src/currantshed/admit/retry_budget.hpp
+++ b/src/currantshed/admit/retry_budget.hpp
@@ -13,21 +13,21 @@
 public:
   /// Retries in store at first and at most, for a sender that makes some
   /// thousand first tries a second.
-  static constexpr double kUsualStore = 50.0;
+  static constexpr double kDefaultCapacity = 50.0;
 
-  explicit retry_budget(double aStore = kUsualStore) noexcept;
+  explicit retry_budget(double aCapacity = kDefaultCapacity) noexcept;
 
   /// A first try was made.
-  void Earn() noexcept;
+  void Deposit() noexcept;
 
   /// Takes one retry if there is one.
-  [[nodiscard]] bool Spend() noexcept;
+  [[nodiscard]] bool TryWithdraw() noexcept;
 
 private:
-  static constexpr double kEarned = 0.1;
+  static constexpr double kDepositPerAttempt = 0.1;
 
-  double mMost;
-  double mRetries;
+  double mCapacity;
+  double mBalance;
 };
 
 } // namespace currantshed::admit
--- a/src/currantshed/confirm/fwd.hpp
+++ b/src/currantshed/confirm/fwd.hpp
@@ -4,8 +4,8 @@
 namespace currantshed::confirm {
 
 class position_samples;
-class status_board;
-struct dated_status;
+class status_tracker;
+struct timestamped_status;
 struct known_primary;
 struct majority_term;
 
--- a/src/currantshed/confirm/position_samples.cpp
+++ b/src/currantshed/confirm/position_samples.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t kMostSamples = 1024;
+constexpr std::size_t kMaxSamples = 1024;
 
 } // namespace
 
@@ -27,8 +27,8 @@
     return;
   }
   mSamples.push_back({ aPosition, aDate, aDate });
-  if (mSamples.size() > kMostSamples) {
-    Thin();
+  if (mSamples.size() > kMaxSamples) {
+    ThinOut();
   }
 }
 
@@ -90,7 +90,7 @@
 }
 
 void
-position_samples::Thin()
+position_samples::ThinOut()
 {
   // Every second sample of the older half goes.
   const auto half = mSamples.size() / 2;
--- a/src/currantshed/confirm/position_samples.hpp
+++ b/src/currantshed/confirm/position_samples.hpp
@@ -49,7 +49,7 @@
     clock::time_point date;
   };
 
-  void Thin();
+  void ThinOut();
 
   // Both position and date go up.
   std::vector<sample> mSamples;
--- a/src/currantshed/confirm/status_board.cpp
+++ b/src/currantshed/confirm/status_tracker.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/confirm/status_board.hpp"
+#include "currantshed/confirm/status_tracker.hpp"
 
 #include <algorithm>
 #include <functional>
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr std::size_t kUsualMembers = 5;
+constexpr std::size_t kInlineMembers = 5;
 // Terms whose confirmed index is kept.
-constexpr std::size_t kMostTerms = 16;
+constexpr std::size_t kMaxTerms = 16;
 
-using dates = absl::InlinedVector<clock::time_point, kUsualMembers>;
+using dates = absl::InlinedVector<clock::time_point, kInlineMembers>;
 
 // The oldest date among the newest ones that make up the majority.
 std::optional<clock::time_point>
@@ -36,13 +36,13 @@
 
 } // namespace
 
-status_board::status_board(std::chrono::milliseconds aValidity)
+status_tracker::status_tracker(std::chrono::milliseconds aValidity)
   : mValidity(aValidity)
 {
 }
 
 void
-status_board::SetMembers(const std::vector<upstream::server_id>& aServers)
+status_tracker::SetMembers(const std::vector<upstream::server_id>& aServers)
 {
   members kept;
   for (const auto& server : aServers) {
@@ -55,9 +55,9 @@
 }
 
 void
-status_board::Record(const upstream::server_id& aServer,
-                     const upstream::server_status& aStatus,
-                     clock::time_point aAskedAt)
+status_tracker::Record(const upstream::server_id& aServer,
+                       const upstream::server_status& aStatus,
+                       clock::time_point aAskedAt)
 {
   const auto found = mMembers.find(aServer);
   if (found == mMembers.end()) {
@@ -66,7 +66,7 @@
   auto& member = found->second;
   if (aStatus.stored.term == aStatus.term) {
     member.highest = std::max(member.highest, aStatus.stored);
-    NoteConfirmed(aStatus.term);
+    UpdateConfirmed(aStatus.term);
   }
   if (member.heard && aAskedAt < member.latest.askedAt) {
     return;
@@ -75,11 +75,11 @@
   member.heard = true;
   member.latest = { aStatus, aAskedAt };
   mTerm = FindTerm();
-  NoteSample();
+  AddSample();
 }
 
-const dated_status*
-status_board::Find(const upstream::server_id& aServer) const
+const timestamped_status*
+status_tracker::Find(const upstream::server_id& aServer) const
 {
   const auto found = mMembers.find(aServer);
   if (found == mMembers.end() || !found->second.heard) {
@@ -89,13 +89,13 @@
 }
 
 const std::optional<majority_term>&
-status_board::Term() const noexcept
+status_tracker::Term() const noexcept
 {
   return mTerm;
 }
 
 std::optional<majority_term>
-status_board::FindTerm() const
+status_tracker::FindTerm() const
 {
   std::optional<majority_term> highest;
   for (const auto& [server, candidate] : mMembers) {
@@ -117,7 +117,7 @@
 }
 
 std::optional<known_primary>
-status_board::Primary(clock::time_point aNow) const
+status_tracker::Primary(clock::time_point aNow) const
 {
   const auto& term = mTerm;
   if (!term || term->askedAt + mValidity < aNow) {
@@ -131,7 +131,8 @@
 }
 
 std::optional<clock::time_point>
-status_board::HeldSince(const position::log_position& aPosition) const
+status_tracker::HeldByMajorityAsOf(
+  const position::log_position& aPosition) const
 {
   dates asked;
   for (const auto& [server, member] : mMembers) {
@@ -143,16 +144,16 @@
 }
 
 bool
-status_board::Holds(const position::log_position& aPosition,
-                    clock::time_point aAskedSince,
-                    clock::time_point aNow) const
+status_tracker::IsHeldByMajority(const position::log_position& aPosition,
+                                 clock::time_point aAskedSince,
+                                 clock::time_point aNow) const
 {
-  const auto since = HeldSince(aPosition);
+  const auto since = HeldByMajorityAsOf(aPosition);
   return since && *since >= aAskedSince && *since + mValidity >= aNow;
 }
 
 bool
-status_board::WasConfirmed(const position::log_position& aPosition) const
+status_tracker::WasConfirmed(const position::log_position& aPosition) const
 {
   if (aPosition == position::log_position{}) {
     // The empty log is a part of every history.
@@ -163,25 +164,25 @@
 }
 
 std::uint64_t
-status_board::Version() const noexcept
+status_tracker::Version() const noexcept
 {
   return mVersion;
 }
 
 const position_samples&
-status_board::Samples() const noexcept
+status_tracker::Samples() const noexcept
 {
   return mSamples;
 }
 
 std::size_t
-status_board::Majority() const noexcept
+status_tracker::Majority() const noexcept
 {
   return mMembers.empty() ? 0 : mMembers.size() / 2 + 1;
 }
 
-const status_board::members::value_type*
-status_board::PrimaryOf(position::term_id aTerm) const
+const status_tracker::members::value_type*
+status_tracker::PrimaryOf(position::term_id aTerm) const
 {
   for (const auto& entry : mMembers) {
     const auto& status = entry.second.latest.status;
@@ -194,9 +195,9 @@
 }
 
 void
-status_board::NoteConfirmed(position::term_id aTerm)
+status_tracker::UpdateConfirmed(position::term_id aTerm)
 {
-  absl::InlinedVector<position::log_index, kUsualMembers> held;
+  absl::InlinedVector<position::log_index, kInlineMembers> held;
   for (const auto& [server, member] : mMembers) {
     if (member.highest.term == aTerm) {
       held.push_back(member.highest.index);
@@ -212,13 +213,13 @@
   }
   confirmed = held[Majority() - 1];
   ++mVersion;
-  if (mConfirmed.size() > kMostTerms) {
+  if (mConfirmed.size() > kMaxTerms) {
     mConfirmed.erase(mConfirmed.begin());
   }
 }
 
 void
-status_board::NoteSample()
+status_tracker::AddSample()
 {
   if (!mTerm) {
     return;
--- a/src/currantshed/confirm/status_board.hpp
+++ b/src/currantshed/confirm/status_tracker.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_CONFIRM_STATUS_BOARD_HPP
-#define CURRANTSHED_CONFIRM_STATUS_BOARD_HPP
+#ifndef CURRANTSHED_CONFIRM_STATUS_TRACKER_HPP
+#define CURRANTSHED_CONFIRM_STATUS_TRACKER_HPP
 
 #include <chrono>
 #include <cstddef>
@@ -19,7 +19,7 @@
 namespace currantshed::confirm {
 
 /// A server's word about itself, dated by when it was asked.
-struct dated_status
+struct timestamped_status
 {
   upstream::server_status status;
   clock::time_point askedAt;
@@ -47,10 +47,10 @@
 /// A position is confirmed once a majority, each in the position's own term,
 /// holds a record of that term at or beyond it: any majority that a later
 /// primary is chosen from then has a member that holds it.
-class status_board
+class status_tracker
 {
 public:
-  explicit status_board(std::chrono::milliseconds aValidity);
+  explicit status_tracker(std::chrono::milliseconds aValidity);
 
   /// Sets the servers that the majority is counted over.
   void SetMembers(const std::vector<upstream::server_id>& aServers);
@@ -62,7 +62,7 @@
               clock::time_point aAskedAt);
 
   /// The server's latest word; null when it has said nothing yet.
-  [[nodiscard]] const dated_status* Find(
+  [[nodiscard]] const timestamped_status* Find(
     const upstream::server_id& aServer) const;
 
   /// The highest term that a majority is in, by their latest words.
@@ -75,14 +75,14 @@
   /// When the majority that holds the position in its own term was asked:
   /// the oldest question of the newest such majority. None when no majority
   /// holds it by their latest words.
-  [[nodiscard]] std::optional<clock::time_point> HeldSince(
+  [[nodiscard]] std::optional<clock::time_point> HeldByMajorityAsOf(
     const position::log_position& aPosition) const;
 
   /// Whether a majority, each asked no earlier than given, holds the position
   /// in its own term, and their word is still valid.
-  [[nodiscard]] bool Holds(const position::log_position& aPosition,
-                           clock::time_point aAskedSince,
-                           clock::time_point aNow) const;
+  [[nodiscard]] bool IsHeldByMajority(const position::log_position& aPosition,
+                                      clock::time_point aAskedSince,
+                                      clock::time_point aNow) const;
 
   /// Whether the position was confirmed at any time. It then is part of the
   /// history of every later term.
@@ -99,7 +99,7 @@
   struct member
   {
     bool heard = false;
-    dated_status latest;
+    timestamped_status latest;
     /// The highest record stored in the server's own term at the time.
     position::log_position highest;
   };
@@ -110,8 +110,8 @@
   [[nodiscard]] const members::value_type* PrimaryOf(
     position::term_id aTerm) const;
   [[nodiscard]] std::optional<majority_term> FindTerm() const;
-  void NoteConfirmed(position::term_id aTerm);
-  void NoteSample();
+  void UpdateConfirmed(position::term_id aTerm);
+  void AddSample();
 
   std::chrono::milliseconds mValidity;
   members mMembers;
--- a/src/currantshed/ctl/program.cpp
+++ b/src/currantshed/ctl/program.cpp
@@ -52,7 +52,7 @@
     }
   }
   std::istream& stream = aName == "-" ? std::cin : file;
-  std::string text(policy::kLargestDeclarationBytes + 1, '\0');
+  std::string text(policy::kMaxDeclarationBytes + 1, '\0');
   stream.read(text.data(), static_cast<std::streamsize>(text.size()));
   if (stream.bad()) {
     return std::nullopt;
--- a/src/currantshed/currantshed.hpp
+++ b/src/currantshed/currantshed.hpp
@@ -12,7 +12,7 @@
 #include "currantshed/group/description.hpp"
 #include "currantshed/group/engine.hpp"
 #include "currantshed/group/request.hpp"
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 #include "currantshed/outcome/idempotency_key.hpp"
 #include "currantshed/outcome/verdict.hpp"
 #include "currantshed/policy/configuration_record.hpp"
--- a/src/currantshed/customer/directory.cpp
+++ b/src/currantshed/customer/directory.cpp
@@ -22,21 +22,21 @@
 }
 
 std::shared_ptr<const customer>
-directory::Find(const std::string& aKey) const
+directory::FindByKey(const std::string& aKey) const
 {
   const auto found = mByKey.find(aKey);
   return found == mByKey.end() ? nullptr : found->second;
 }
 
 std::shared_ptr<const customer>
-directory::Named(const std::string& aName) const
+directory::FindByName(const std::string& aName) const
 {
   const auto found = mByName.find(aName);
   return found == mByName.end() ? nullptr : found->second;
 }
 
 std::string
-KeyTag(std::string_view aKey)
+KeyFingerprint(std::string_view aKey)
 {
   constexpr unsigned kKeptBits = 24;
   const auto hash = XXH3_64bits(aKey.data(), aKey.size());
--- a/src/currantshed/customer/directory.hpp
+++ b/src/currantshed/customer/directory.hpp
@@ -40,11 +40,11 @@
   void Add(customer aCustomer, const std::vector<std::string>& aKeys);
 
   /// The customer that holds the key, or null.
-  [[nodiscard]] std::shared_ptr<const customer> Find(
+  [[nodiscard]] std::shared_ptr<const customer> FindByKey(
     const std::string& aKey) const;
 
   /// The customer of that name, or null.
-  [[nodiscard]] std::shared_ptr<const customer> Named(
+  [[nodiscard]] std::shared_ptr<const customer> FindByName(
     const std::string& aName) const;
 
   [[nodiscard]] std::size_t Size() const noexcept { return mByName.size(); }
@@ -59,7 +59,7 @@
 
 /// What stands for a key in logs: short, and no help to whoever wants the key.
 [[nodiscard]] std::string
-KeyTag(std::string_view aKey);
+KeyFingerprint(std::string_view aKey);
 
 } // namespace currantshed::customer
 
--- a/src/currantshed/customer/freshness.cpp
+++ b/src/currantshed/customer/freshness.cpp
@@ -18,7 +18,7 @@
 }
 
 void
-freshness::Prove(clock::time_point aAt) noexcept
+freshness::MarkVerified(clock::time_point aAt) noexcept
 {
   mProvedAt = std::max(mProvedAt, aAt);
 }
--- a/src/currantshed/customer/freshness.hpp
+++ b/src/currantshed/customer/freshness.hpp
@@ -22,7 +22,7 @@
   explicit freshness(std::chrono::milliseconds aBound) noexcept;
 
   /// Nothing newer than what is in force stood in the store at that time.
-  void Prove(clock::time_point aAt) noexcept;
+  void MarkVerified(clock::time_point aAt) noexcept;
 
   /// Whether keys may be trusted now.
   [[nodiscard]] bool Holds(clock::time_point aNow) const noexcept;
@@ -34,7 +34,7 @@
   }
 
   [[nodiscard]] bool IsBounded() const noexcept { return mBound.count() != 0; }
-  [[nodiscard]] clock::time_point ProvedAt() const noexcept
+  [[nodiscard]] clock::time_point VerifiedAt() const noexcept
   {
     return mProvedAt;
   }
--- a/src/currantshed/customer/part.cpp
+++ b/src/currantshed/customer/partition.cpp
@@ -1,13 +1,13 @@
-#include "currantshed/customer/part.hpp"
+#include "currantshed/customer/partition.hpp"
 
 #include <xxhash.h>
 
 namespace currantshed::customer {
 
 std::size_t
-PartOf(const std::string& aCustomer)
+PartitionOf(const std::string& aCustomer)
 {
-  return XXH3_64bits(aCustomer.data(), aCustomer.size()) % kParts;
+  return XXH3_64bits(aCustomer.data(), aCustomer.size()) % kPartitions;
 }
 
 } // namespace currantshed::customer
--- a/src/currantshed/customer/part.hpp
+++ b/src/currantshed/customer/partition.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_CUSTOMER_PART_HPP
-#define CURRANTSHED_CUSTOMER_PART_HPP
+#ifndef CURRANTSHED_CUSTOMER_PARTITION_HPP
+#define CURRANTSHED_CUSTOMER_PARTITION_HPP
 
 #include <cstddef>
 #include <string>
@@ -8,11 +8,11 @@
 
 /// Customers fall into so many parts, each collected by one VM of a failure
 /// domain, so that none has to collect for all: the same for every VM.
-constexpr std::size_t kParts = 16;
+constexpr std::size_t kPartitions = 16;
 
 /// The part that the customer belongs to.
 [[nodiscard]] std::size_t
-PartOf(const std::string& aCustomer);
+PartitionOf(const std::string& aCustomer);
 
 } // namespace currantshed::customer
 
--- a/src/currantshed/customer/time_share.cpp
+++ b/src/currantshed/customer/token_accrual.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/customer/time_share.hpp"
+#include "currantshed/customer/token_accrual.hpp"
 
 #include <algorithm>
 
@@ -17,7 +17,7 @@
 } // namespace
 
 void
-time_share::Begin(clock::time_point aStartedAt) noexcept
+token_accrual::Begin(clock::time_point aStartedAt) noexcept
 {
   if (!mTakenAt) {
     mTakenAt = aStartedAt - kRestart;
@@ -25,7 +25,7 @@
 }
 
 share
-time_share::Take(std::size_t aVms, clock::time_point aNow) noexcept
+token_accrual::Take(std::size_t aVms, clock::time_point aNow) noexcept
 {
   if (!mTakenAt || aVms == 0 || aNow <= *mTakenAt) {
     return share{ 0 };
--- a/src/currantshed/customer/time_share.hpp
+++ b/src/currantshed/customer/token_accrual.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_CUSTOMER_TIME_SHARE_HPP
-#define CURRANTSHED_CUSTOMER_TIME_SHARE_HPP
+#ifndef CURRANTSHED_CUSTOMER_TOKEN_ACCRUAL_HPP
+#define CURRANTSHED_CUSTOMER_TOKEN_ACCRUAL_HPP
 
 #include <chrono>
 #include <cstddef>
@@ -18,7 +18,7 @@
 /// handed on once and never made twice, so that whatever VMs believe of each
 /// other, all together make no more tokens than the rate allows; a VM that
 /// counts the fleet wrongly is wrong about its own share alone.
-class time_share
+class token_accrual
 {
 public:
   /// The process has started at that time: shares are made from then on, and
--- a/src/currantshed/customer/token_bank.cpp
+++ b/src/currantshed/customer/token_buckets.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/customer/token_bank.hpp"
+#include "currantshed/customer/token_buckets.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -21,19 +21,19 @@
 
 } // namespace
 
-token_bank::token_bank(milliseconds aWindow) noexcept
+token_buckets::token_buckets(milliseconds aWindow) noexcept
   : mWindow(aWindow)
 {
 }
 
 void
-token_bank::Deposit(const std::string& aVm,
-                    std::uint64_t aIncarnation,
-                    std::chrono::microseconds aSentAt,
-                    std::size_t aPart,
-                    share aShare)
+token_buckets::AddShare(const std::string& aVm,
+                        std::uint64_t aIncarnation,
+                        std::chrono::microseconds aSentAt,
+                        std::size_t aPart,
+                        share aShare)
 {
-  if (aPart >= kParts) {
+  if (aPart >= kPartitions) {
     return;
   }
   auto& from = mDepositors[aVm][aPart];
@@ -46,28 +46,28 @@
 
 // What can be saved up.
 double
-token_bank::Most(const quota& aLimit) const noexcept
+token_buckets::Most(const quota& aLimit) const noexcept
 {
   const double part = mWindow.count() > 0 ? kSavedPart : 1.0;
   return (aLimit.burst * part + kBeyondBurst) / static_cast<double>(mBanks);
 }
 
 double
-token_bank::Rate(const quota& aLimit) const noexcept
+token_buckets::Rate(const quota& aLimit) const noexcept
 {
   return mWindow.count() > 0 ? aLimit.perSecond + aLimit.burst / mWindow.count()
                              : aLimit.perSecond;
 }
 
 token_grant
-token_bank::Withdraw(const std::string& aCustomer,
-                     const quota& aLimit,
-                     unsigned aWanted)
+token_buckets::GrantTokens(const std::string& aCustomer,
+                           const quota& aLimit,
+                           unsigned aWanted)
 {
   // A customer that was not seen here before has what a rest would have left
   // it, as far as shares came in.
   auto& held = mAccounts[aCustomer];
-  const auto deposited = mDeposited[PartOf(aCustomer)];
+  const auto deposited = mDeposited[PartitionOf(aCustomer)];
   const auto since = (deposited - held.counted).count();
   held.counted = deposited;
   held.tokens = std::min(held.tokens + Rate(aLimit) * since, Most(aLimit));
--- a/src/currantshed/customer/token_bank.hpp
+++ b/src/currantshed/customer/token_buckets.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_CUSTOMER_TOKEN_BANK_HPP
-#define CURRANTSHED_CUSTOMER_TOKEN_BANK_HPP
+#ifndef CURRANTSHED_CUSTOMER_TOKEN_BUCKETS_HPP
+#define CURRANTSHED_CUSTOMER_TOKEN_BUCKETS_HPP
 
 #include <array>
 #include <chrono>
@@ -11,8 +11,8 @@
 
 #include "currantshed/clock/time.hpp"
 #include "currantshed/customer/directory.hpp"
-#include "currantshed/customer/part.hpp"
-#include "currantshed/customer/time_share.hpp"
+#include "currantshed/customer/partition.hpp"
+#include "currantshed/customer/token_accrual.hpp"
 
 namespace currantshed::customer {
 
@@ -30,28 +30,28 @@
 /// operations than the customer's rate over it and its burst. A customer that
 /// asks for more all the time gets as much in every window; one that comes
 /// after a rest finds part of its burst. Asks for no time.
-class token_bank
+class token_buckets
 {
 public:
   /// The window in which operations are counted; zero where a customer's burst
   /// is what it may save up.
-  explicit token_bank(std::chrono::milliseconds aWindow) noexcept;
+  explicit token_buckets(std::chrono::milliseconds aWindow) noexcept;
 
   /// How many banks hold tokens: each holds that part of a burst.
-  void SetBanks(std::size_t aBanks) noexcept { mBanks = aBanks; }
+  void SetCoordinatorCount(std::size_t aBanks) noexcept { mBanks = aBanks; }
 
   /// A VM hands its share on, of the customers of one part. It counts once: not
   /// a second time when the message comes twice, nor when an older one comes
   /// later. aSentAt is the sender's clock, in its present life.
-  void Deposit(const std::string& aVm,
-               std::uint64_t aIncarnation,
-               std::chrono::microseconds aSentAt,
-               std::size_t aPart,
-               share aShare);
+  void AddShare(const std::string& aVm,
+                std::uint64_t aIncarnation,
+                std::chrono::microseconds aSentAt,
+                std::size_t aPart,
+                share aShare);
 
-  [[nodiscard]] token_grant Withdraw(const std::string& aCustomer,
-                                     const quota& aLimit,
-                                     unsigned aWanted);
+  [[nodiscard]] token_grant GrantTokens(const std::string& aCustomer,
+                                        const quota& aLimit,
+                                        unsigned aWanted);
 
 private:
   struct depositor
@@ -74,9 +74,10 @@
 
   std::chrono::duration<double> mWindow;
   std::size_t mBanks = 1;
-  std::array<share, kParts> mDeposited{};
+  std::array<share, kPartitions> mDeposited{};
   /// By VM, for each part.
-  absl::flat_hash_map<std::string, std::array<depositor, kParts>> mDepositors;
+  absl::flat_hash_map<std::string, std::array<depositor, kPartitions>>
+    mDepositors;
   absl::flat_hash_map<std::string, account> mAccounts;
 };
 
--- a/src/currantshed/customer/token_purse.cpp
+++ b/src/currantshed/customer/token_cache.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/customer/token_purse.hpp"
+#include "currantshed/customer/token_cache.hpp"
 
 #include <chrono>
 
@@ -12,7 +12,7 @@
 } // namespace
 
 void
-token_purse::Put(const std::string& aCustomer,
+token_cache::Put(const std::string& aCustomer,
                  unsigned aCount,
                  clock::time_point aAskedAt)
 {
@@ -22,7 +22,7 @@
 }
 
 bool
-token_purse::Take(const std::string& aCustomer, clock::time_point aNow)
+token_cache::Take(const std::string& aCustomer, clock::time_point aNow)
 {
   const auto found = mBatches.find(aCustomer);
   if (found == mBatches.end()) {
--- a/src/currantshed/customer/token_purse.hpp
+++ b/src/currantshed/customer/token_cache.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_CUSTOMER_TOKEN_PURSE_HPP
-#define CURRANTSHED_CUSTOMER_TOKEN_PURSE_HPP
+#ifndef CURRANTSHED_CUSTOMER_TOKEN_CACHE_HPP
+#define CURRANTSHED_CUSTOMER_TOKEN_CACHE_HPP
 
 #include <deque>
 #include <string>
@@ -14,7 +14,7 @@
 /// moment from when they were asked for, so that a VM that stood still has none
 /// left: those who granted them have counted them as used long ago. Asks for no
 /// time.
-class token_purse
+class token_cache
 {
 public:
   void Put(const std::string& aCustomer,
--- a/src/currantshed/gateway/control.cpp
+++ b/src/currantshed/gateway/control.cpp
@@ -6,7 +6,7 @@
 #include <boost/json.hpp>
 
 #include "currantshed/log/log.hpp"
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 #include "currantshed/policy/declaration.hpp"
 
 namespace currantshed::gateway {
--- a/src/currantshed/gateway/error.cpp
+++ b/src/currantshed/gateway/error.cpp
@@ -185,18 +185,18 @@
 gateway_error
 FromTokenError(std::error_code aError) noexcept
 {
-  if (aError == session::session_error::kForged) {
+  if (aError == session::session_error::kBadSignature) {
     return kForgedToken;
   }
-  return aError == session::session_error::kForeign ? kForeignToken
-                                                    : kMalformedToken;
+  return aError == session::session_error::kUntrusted ? kForeignToken
+                                                      : kMalformedToken;
 }
 
 gateway_error
 FromTransactionError(std::error_code aError) noexcept
 {
-  const bool forged = aError == session::session_error::kForged ||
-                      aError == session::session_error::kForeign;
+  const bool forged = aError == session::session_error::kBadSignature ||
+                      aError == session::session_error::kUntrusted;
   return forged ? kForgedTransaction : kMalformedTransaction;
 }
 
--- a/src/currantshed/gateway/json_codec.cpp
+++ b/src/currantshed/gateway/json_codec.cpp
@@ -168,7 +168,7 @@
   { reason::kNoPrimary,
     "no_primary",
     "the group has no confirmed primary at the moment" },
-  { reason::kNoPlace,
+  { reason::kNoEligibleServer,
     "no_place",
     "no server in the places that the class allows can serve it" },
   { reason::kTooStale,
--- a/src/currantshed/gateway/outcome.cpp
+++ b/src/currantshed/gateway/outcome.cpp
@@ -273,7 +273,7 @@
   void Note(exchange& aExchange, caller_answer& aAnswer) const
   {
     if (ShowsPosition(aExchange)) {
-      aExchange.seen.Raise(aExchange.group, aExchange.reply.position);
+      aExchange.seen.AdvanceTo(aExchange.group, aExchange.reply.position);
     }
     if (aExchange.request.kind == call_kind::kBegin) {
       const transaction_name name{ aExchange.vm,
--- a/src/currantshed/gateway/shared_state.cpp
+++ b/src/currantshed/gateway/shared_state.cpp
@@ -5,7 +5,7 @@
 #include <set>
 #include <utility>
 
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 
 namespace currantshed::gateway {
 
--- a/src/currantshed/gateway/transaction_name.cpp
+++ b/src/currantshed/gateway/transaction_name.cpp
@@ -45,7 +45,7 @@
     aName.workClass, aName.group,       aName.key.Text()
   };
   const std::string separator(1, kSeparator);
-  return aKeys.Seal(session::seal_purpose::kTransaction,
+  return aKeys.Sign(session::token_purpose::kTransaction,
                     absl::StrJoin(fields, separator));
 }
 
@@ -56,7 +56,7 @@
 {
   std::string content;
   if (const auto error =
-        aKeys.Open(session::seal_purpose::kTransaction, aId, content)) {
+        aKeys.Verify(session::token_purpose::kTransaction, aId, content)) {
     return error;
   }
   const std::vector<std::string> fields = absl::StrSplit(content, kSeparator);
--- a/src/currantshed/gateway/verify_token.cpp
+++ b/src/currantshed/gateway/verify_token.cpp
@@ -21,7 +21,7 @@
     const auto& token = aExchange.request.session;
     if (!token) {
       // Whoever sends no token may have seen anything.
-      aExchange.seen.AssumeMore();
+      aExchange.seen.MarkIncomplete();
       return step::kForward;
     }
     if (const auto error =
--- a/src/currantshed/group/begin_flows.cpp
+++ b/src/currantshed/group/begin_flows.cpp
@@ -51,13 +51,13 @@
                         clock::time_point aNow) const
 {
   return route::ChoosePrimary(
-    aCandidates, Request().work.servedIn, Shared().board, aNow);
+    aCandidates, Request().work.servedIn, Shared().tracker, aNow);
 }
 
 std::optional<answer>
 begin_write_flow::GiveUp(reason aWhy, clock::time_point aNow)
 {
-  if (aWhy == reason::kNoPlace || HasWaitedLong(aNow)) {
+  if (aWhy == reason::kNoEligibleServer || HasWaitedLong(aNow)) {
     return NotRun(Request(), aWhy);
   }
   return std::nullopt;
@@ -117,7 +117,7 @@
 step
 begin_write_flow::TryAgain()
 {
-  if (Shared().retries.Spend()) {
+  if (Shared().retries.TryWithdraw()) {
     return queue_again{};
   }
   return finish{ NotRun(Request(), reason::kNoPrimary) };
--- a/src/currantshed/group/changes.cpp
+++ b/src/currantshed/group/changes.cpp
@@ -32,7 +32,7 @@
                    clock::time_point aNow) const
 {
   return route::ChoosePrimary(
-    aCandidates, Request().work.servedIn, Shared().board, aNow);
+    aCandidates, Request().work.servedIn, Shared().tracker, aNow);
 }
 
 std::optional<answer>
@@ -41,7 +41,7 @@
   if (mDoubtful || mPhase != phase::kApply) {
     return std::nullopt;
   }
-  if (aWhy == reason::kNoPlace || HasWaitedLong(aNow)) {
+  if (aWhy == reason::kNoEligibleServer || HasWaitedLong(aNow)) {
     return NotRun(Request(), aWhy);
   }
   return std::nullopt;
@@ -51,7 +51,7 @@
 change_flow::Compose(const dispatch& aDispatch)
 {
   mDispatch = aDispatch;
-  const auto term = Shared().board.Term();
+  const auto term = Shared().tracker.Term();
   mTerm = term ? term->term : 0;
   switch (mPhase) {
     case phase::kLookUp:
@@ -67,7 +67,7 @@
 bool
 change_flow::IsOvertaken(clock::time_point) const
 {
-  const auto term = Shared().board.Term();
+  const auto term = Shared().tracker.Term();
   return term && term->term > mTerm;
 }
 
@@ -92,10 +92,10 @@
     mParked = false;
     return queue_again{};
   }
-  if (Shared().board.Holds(mPosition, mDispatch.sentAt, aNow)) {
+  if (Shared().tracker.IsHeldByMajority(mPosition, mDispatch.sentAt, aNow)) {
     return finish{ std::move(*mAnswer) };
   }
-  const auto term = Shared().board.Term();
+  const auto term = Shared().tracker.Term();
   if (term && term->term > mPosition.term) {
     mAnswer.reset();
     return Doubt();
@@ -260,7 +260,7 @@
   mDoubtful = true;
   const auto resend = MayBeResent() && Request().work.repeatable;
   mPhase = resend && mPhase != phase::kVoid ? phase::kApply : phase::kVoid;
-  if (!Shared().retries.Spend()) {
+  if (!Shared().retries.TryWithdraw()) {
     return finish{ Unknown(Request(), reason::kUnreachable) };
   }
   return queue_again{};
@@ -272,7 +272,7 @@
   if (mPhase == phase::kApply && !MayBeResent()) {
     return finish{ NotRun(Request(), reason::kTransactionLost) };
   }
-  if (Shared().retries.Spend()) {
+  if (Shared().retries.TryWithdraw()) {
     mParked = true;
     return await_word{};
   }
--- a/src/currantshed/group/context.cpp
+++ b/src/currantshed/group/context.cpp
@@ -22,7 +22,7 @@
   switch (aWhy) {
     case reason::kNoPrimary:
       return kAfterFailover;
-    case reason::kNoPlace:
+    case reason::kNoEligibleServer:
       return kAfterRegroup;
     case reason::kLeaving:
     case reason::kUnreachable:
@@ -47,7 +47,7 @@
 context::context(const engine_settings& aSettings)
   : settings(aSettings)
   , dialect(upstream::MakePostgresDialect())
-  , board(aSettings.validity)
+  , tracker(aSettings.validity)
 {
 }
 
@@ -62,7 +62,7 @@
   }
   auto status = aContext.dialect->ReadStatus(aReply.results[aIndex]);
   if (status) {
-    aContext.board.Record(aDispatch.server, *status, aDispatch.sentAt);
+    aContext.tracker.Record(aDispatch.server, *status, aDispatch.sentAt);
   }
   return status;
 }
@@ -71,7 +71,7 @@
 NotRun(const request& aRequest, reason aWhy)
 {
   auto made = Make(aRequest, verdict::kNotRun, aWhy);
-  made.retryAfter = admit::Spread(TimeToComeBack(aWhy), aRequest.id);
+  made.retryAfter = admit::AddJitter(TimeToComeBack(aWhy), aRequest.id);
   return made;
 }
 
--- a/src/currantshed/group/context.hpp
+++ b/src/currantshed/group/context.hpp
@@ -7,7 +7,7 @@
 
 #include "currantshed/admit/retry_budget.hpp"
 #include "currantshed/clock/time.hpp"
-#include "currantshed/confirm/status_board.hpp"
+#include "currantshed/confirm/status_tracker.hpp"
 #include "currantshed/group/engine.hpp"
 #include "currantshed/group/transaction_table.hpp"
 #include "currantshed/outcome/verdict.hpp"
@@ -22,7 +22,7 @@
 
   engine_settings settings;
   std::unique_ptr<upstream::dialect> dialect;
-  confirm::status_board board;
+  confirm::status_tracker tracker;
   admit::retry_budget retries;
   transaction_table transactions;
   /// When there last was a confirmed primary.
--- a/src/currantshed/group/group_engine.cpp
+++ b/src/currantshed/group/group_engine.cpp
@@ -34,7 +34,7 @@
     servers.push_back(member.id);
   }
   mContext.transactionLimit = aGroup.transactionLimit;
-  mContext.board.SetMembers(servers);
+  mContext.tracker.SetMembers(servers);
   mRounds.SetMembers(servers);
   for (const auto request : mLinks.Configure(aGroup)) {
     Tear(request, aNow);
@@ -111,7 +111,7 @@
                             clock::time_point aAskedAt,
                             clock::time_point aNow)
 {
-  mContext.board.Record(aServer, aStatus, aAskedAt);
+  mContext.tracker.Record(aServer, aStatus, aAskedAt);
   mRounds.Answered(aServer);
   SpreadNews(aNow);
   Follow(aNow);
--- a/src/currantshed/group/links.cpp
+++ b/src/currantshed/group/links.cpp
@@ -34,7 +34,7 @@
     if (auto* known = Find(member.id)) {
       next.pool = std::move(known->pool);
     }
-    next.pool.SetLimits(pool::ShareOf(
+    next.pool.SetLimits(pool::ComputePoolLimits(
       member.connections, member.slots, mContext.settings.takeoverReserve));
     servers.push_back(std::move(next));
   }
@@ -145,7 +145,7 @@
   auto& link = found->second;
   link.running = false;
   if (auto* server = Find(link.server)) {
-    server->pool.BatchEnds(aConnection);
+    server->pool.BatchEnded(aConnection);
   }
   const auto request = std::exchange(link.request, std::nullopt);
   if (std::exchange(link.cleaning, false)) {
@@ -174,7 +174,7 @@
     return;
   }
   if (aFate == connection_fate::kKeep) {
-    server->pool.Release(aConnection);
+    server->pool.CheckIn(aConnection);
     return;
   }
   if (aFate == connection_fate::kRollBack) {
@@ -255,7 +255,7 @@
   aLink.running = true;
   aLink.batch = ++mLastBatch;
   if (auto* server = Find(aLink.server)) {
-    server->pool.BatchBegins(aConnection);
+    server->pool.BatchStarted(aConnection);
   }
   mActions.emplace_back(
     run_batch{ aConnection, aLink.batch, std::move(aStatements) });
--- a/src/currantshed/group/links.hpp
+++ b/src/currantshed/group/links.hpp
@@ -10,7 +10,7 @@
 #include "currantshed/group/context.hpp"
 #include "currantshed/group/engine.hpp"
 #include "currantshed/group/flow.hpp"
-#include "currantshed/pool/server_pool.hpp"
+#include "currantshed/pool/connection_pool.hpp"
 #include "currantshed/route/read_route.hpp"
 
 namespace currantshed::group {
@@ -97,7 +97,7 @@
   struct server
   {
     member description;
-    pool::server_pool pool;
+    pool::connection_pool pool;
     /// Requests of this pass that wait for a connection being opened.
     unsigned claimsReadOnly = 0;
     unsigned claimsReadWrite = 0;
--- a/src/currantshed/group/links_supply.cpp
+++ b/src/currantshed/group/links_supply.cpp
@@ -39,8 +39,8 @@
     candidate.inUse =
       pool.Running() + server.claimsReadOnly + server.claimsReadWrite;
     candidate.slots = pool.Limits().slots;
-    candidate.room = hasPlace && candidate.inUse < candidate.slots &&
-                     pool.CanProvide(aReadOnly, aNow);
+    candidate.hasCapacity = hasPlace && candidate.inUse < candidate.slots &&
+                            pool.CanProvide(aReadOnly, aNow);
     candidate.connected = pool.Idle(aReadOnly).has_value();
     candidates.push_back(std::move(candidate));
   }
@@ -70,7 +70,7 @@
 {
   auto& server = mServers[aCandidate];
   if (const auto idle = server.pool.Idle(aReadOnly)) {
-    server.pool.Hold(*idle);
+    server.pool.CheckOut(*idle);
     return idle;
   }
   auto& claims = aReadOnly ? server.claimsReadOnly : server.claimsReadWrite;
@@ -93,7 +93,7 @@
 void
 links::KeepSpares(clock::time_point aNow)
 {
-  const auto primary = mContext.board.Primary(aNow);
+  const auto primary = mContext.tracker.Primary(aNow);
   for (auto& server : mServers) {
     if (server.description.leaving) {
       for (const auto readOnly : { true, false }) {
@@ -103,7 +103,7 @@
       }
       continue;
     }
-    if (mContext.board.Find(server.description.id) == nullptr) {
+    if (mContext.tracker.Find(server.description.id) == nullptr) {
       continue;
     }
     OpenSpare(server, true, aNow);
--- a/src/currantshed/group/progress.cpp
+++ b/src/currantshed/group/progress.cpp
@@ -104,13 +104,13 @@
   const auto isBegin = way.Request().kind == operation::kBegin;
   const auto chosen =
     way.Place(mLinks.Candidates(way.ReadOnly(), isBegin, aNow), aNow);
-  if (chosen.state == route::standing::kNone) {
+  if (chosen.state == route::availability::kNone) {
     if (auto made = way.GiveUp(chosen.why, aNow)) {
       Finish(aRequest, std::move(*made));
     }
     return false;
   }
-  if (chosen.state == route::standing::kBusy) {
+  if (chosen.state == route::availability::kBusy) {
     return false;
   }
   if (IsTooLate(found->second, aNow)) {
@@ -132,8 +132,9 @@
 {
   // What was sent before may have to be resolved, and goes on.
   const auto wasSent = aEntry.sentAt != clock::time_point{};
-  return !wasSent && !QueueOf(aEntry.waitsIn)
-                        .CanEndInTime(WaitingOf(aEntry.way->Request()), aNow);
+  return !wasSent &&
+         !QueueOf(aEntry.waitsIn)
+            .CanMeetDeadline(WaitingOf(aEntry.way->Request()), aNow);
 }
 
 void
@@ -190,7 +191,7 @@
     // A commit in doubt is resolved wherever the primary is.
     entry.waitsIn = lane::kWrites;
   }
-  QueueOf(entry.waitsIn).Put(WaitingOf(entry.way->Request()));
+  QueueOf(entry.waitsIn).Requeue(WaitingOf(entry.way->Request()));
 }
 
 void
--- a/src/currantshed/group/read_verification.cpp
+++ b/src/currantshed/group/read_verification.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-using confirm::status_board;
+using confirm::status_tracker;
 using upstream::server_role;
 using upstream::server_status;
 
@@ -14,39 +14,40 @@
 bool
 HasKeptHistory(const server_status& aBefore,
                const server_status& aAfter,
-               const status_board& aBoard)
+               const status_tracker& aTracker)
 {
   if (aBefore.term != aAfter.term || aAfter.applied < aBefore.applied ||
       aAfter.stored < aBefore.stored) {
     return false;
   }
   return aBefore.stored.term == aAfter.stored.term ||
-         aBoard.WasConfirmed(aBefore.stored);
+         aTracker.WasConfirmed(aBefore.stored);
 }
 
 bool
 IsFreshEnough(const request& aRequest,
               const server_status& aBefore,
-              const status_board& aBoard,
+              const status_tracker& aTracker,
               clock::time_point aNow)
 {
-  const auto asOf = aBoard.Samples().CurrentAsOf(aBefore.applied);
+  const auto asOf = aTracker.Samples().CurrentAsOf(aBefore.applied);
   return asOf && aNow - *asOf <= aRequest.work.maxStaleness;
 }
 
 read_judgement
 JudgeFresh(const read_evidence& aEvidence,
-           const status_board& aBoard,
+           const status_tracker& aTracker,
            clock::time_point aNow)
 {
   if (aEvidence.before.role != server_role::kPrimary ||
       aEvidence.after.role != server_role::kPrimary) {
     return read_judgement::kBad;
   }
-  if (aBoard.Holds(aEvidence.after.applied, aEvidence.sentAt, aNow)) {
+  if (aTracker.IsHeldByMajority(
+        aEvidence.after.applied, aEvidence.sentAt, aNow)) {
     return read_judgement::kGood;
   }
-  const auto term = aBoard.Term();
+  const auto term = aTracker.Term();
   return term && term->term > aEvidence.after.term
            ? read_judgement::kBad
            : read_judgement::kUnconfirmed;
@@ -64,25 +65,25 @@
 read_judgement
 Judge(const request& aRequest,
       const read_evidence& aEvidence,
-      const status_board& aBoard,
+      const status_tracker& aTracker,
       clock::time_point aNow)
 {
   const auto& before = aEvidence.before;
   const auto& after = aEvidence.after;
-  if (!HasKeptHistory(before, after, aBoard) ||
+  if (!HasKeptHistory(before, after, aTracker) ||
       before.applied < aRequest.floor) {
     return read_judgement::kBad;
   }
   if (IsFresh(aRequest)) {
-    return JudgeFresh(aEvidence, aBoard, aNow);
+    return JudgeFresh(aEvidence, aTracker, aNow);
   }
-  if (!IsFreshEnough(aRequest, before, aBoard, aNow)) {
+  if (!IsFreshEnough(aRequest, before, aTracker, aNow)) {
     return read_judgement::kBad;
   }
-  if (aBoard.WasConfirmed(after.applied)) {
+  if (aTracker.WasConfirmed(after.applied)) {
     return read_judgement::kGood;
   }
-  const auto term = aBoard.Term();
+  const auto term = aTracker.Term();
   return term && term->term > after.applied.term ? read_judgement::kBad
                                                  : read_judgement::kUnconfirmed;
 }
--- a/src/currantshed/group/read_verification.hpp
+++ b/src/currantshed/group/read_verification.hpp
@@ -4,7 +4,7 @@
 #include <chrono>
 
 #include "currantshed/clock/time.hpp"
-#include "currantshed/confirm/status_board.hpp"
+#include "currantshed/confirm/status_tracker.hpp"
 #include "currantshed/group/request.hpp"
 #include "currantshed/upstream/status.hpp"
 
@@ -42,7 +42,7 @@
 [[nodiscard]] read_judgement
 Judge(const request& aRequest,
       const read_evidence& aEvidence,
-      const confirm::status_board& aBoard,
+      const confirm::status_tracker& aTracker,
       clock::time_point aNow);
 
 } // namespace currantshed::group
--- a/src/currantshed/group/reads.cpp
+++ b/src/currantshed/group/reads.cpp
@@ -34,13 +34,15 @@
 {
   const auto& request = Request();
   const auto time = request.deadline - Submitted();
-  const route::read_need need{ request.work.servedIn,
-                               request.floor,
-                               request.work.maxStaleness,
-                               IsFresh(request),
-                               mTried,
-                               aNow >= Submitted() + time / kSpillPart };
-  return route::ChooseForRead(aCandidates, need, Shared().board, aNow);
+  const route::read_requirements need{
+    request.work.servedIn,
+    request.floor,
+    request.work.maxStaleness,
+    IsFresh(request),
+    mTried,
+    aNow >= Submitted() + time / kSpillPart
+  };
+  return route::ChooseForRead(aCandidates, need, Shared().tracker, aNow);
 }
 
 std::optional<answer>
@@ -48,7 +50,7 @@
 {
   // Servers that were behind may have caught up when it comes to them again.
   mTried.clear();
-  if (aWhy == reason::kNoPlace || HasWaitedLong(aNow)) {
+  if (aWhy == reason::kNoEligibleServer || HasWaitedLong(aNow)) {
     return NotRun(Request(), aWhy);
   }
   return std::nullopt;
@@ -79,7 +81,7 @@
   const auto least = settings.statusInterval * kLeastSilentIntervals;
   const auto silence = std::clamp<clock::duration>(
     time / 2, least, settings.statusTimeout + least);
-  const auto* word = Shared().board.Find(mDispatch.server);
+  const auto* word = Shared().tracker.Find(mDispatch.server);
   const auto heardAt = word == nullptr
                          ? mDispatch.sentAt
                          : std::max(mDispatch.sentAt, word->askedAt);
@@ -162,7 +164,7 @@
 std::optional<step>
 read_flow::Decide(clock::time_point aNow)
 {
-  switch (Judge(Request(), mEvidence, Shared().board, aNow)) {
+  switch (Judge(Request(), mEvidence, Shared().tracker, aNow)) {
     case read_judgement::kGood:
       return finish{ std::move(mAnswer) };
     case read_judgement::kBad:
@@ -177,7 +179,7 @@
 read_flow::TryElsewhere(reason aWhy)
 {
   mTried.push_back(mDispatch.server);
-  if (!Shared().retries.Spend()) {
+  if (!Shared().retries.TryWithdraw()) {
     return finish{ NotRun(Request(), aWhy) };
   }
   return queue_again{};
--- a/src/currantshed/group/resolve.cpp
+++ b/src/currantshed/group/resolve.cpp
@@ -48,7 +48,7 @@
 reconfirm_flow::Place(const std::vector<route::candidate>&,
                       clock::time_point) const
 {
-  return { route::standing::kNone, 0, reason::kNoPlace };
+  return { route::availability::kNone, 0, reason::kNoEligibleServer };
 }
 
 std::vector<upstream::statement>
@@ -66,16 +66,16 @@
 std::optional<step>
 reconfirm_flow::Heard(clock::time_point aNow)
 {
-  const auto& board = Shared().board;
+  const auto& tracker = Shared().tracker;
   const auto& position = Request().position;
-  if (board.Holds(position, Submitted(), aNow)) {
+  if (tracker.IsHeldByMajority(position, Submitted(), aNow)) {
     answer made;
     made.request = Request().id;
     made.verdict = outcome::verdict::kDone;
     made.position = position;
     return finish{ std::move(made) };
   }
-  const auto term = board.Term();
+  const auto term = tracker.Term();
   if (term && term->term > position.term) {
     return finish{ Unknown(Request(), reason::kNoPrimary) };
   }
--- a/src/currantshed/group/submit.cpp
+++ b/src/currantshed/group/submit.cpp
@@ -206,7 +206,7 @@
     const auto hasRoom =
       mEntries.size() < kEntriesForWaiting * mContext.settings.queueLimit;
     const auto offered =
-      hasRoom ? queue.Offer(waiting, aNow) : admit::admission{};
+      hasRoom ? queue.TryAdmit(waiting, aNow) : admit::admission{};
     if (!offered.admitted) {
       auto made = NotRun(request, reason::kOverloaded);
       made.retryAfter = queue.RetryAfter(id, aNow);
@@ -219,7 +219,7 @@
       made.retryAfter = queue.RetryAfter(displaced, aNow);
       Finish(displaced, std::move(made));
     }
-    mContext.retries.Earn();
+    mContext.retries.Deposit();
   } else {
     mAwaiting.insert(id);
   }
--- a/src/currantshed/group/transaction_flows.cpp
+++ b/src/currantshed/group/transaction_flows.cpp
@@ -23,7 +23,7 @@
 route::choice
 NoPlace()
 {
-  return { route::standing::kNone, 0, reason::kTransactionLost };
+  return { route::availability::kNone, 0, reason::kTransactionLost };
 }
 
 } // namespace
--- a/src/currantshed/group/upkeep.cpp
+++ b/src/currantshed/group/upkeep.cpp
@@ -8,10 +8,10 @@
 void
 group_engine::SpreadNews(clock::time_point aNow)
 {
-  if (mContext.board.Version() == mVersionSeen) {
+  if (mContext.tracker.Version() == mVersionSeen) {
     return;
   }
-  mVersionSeen = mContext.board.Version();
+  mVersionSeen = mContext.tracker.Version();
   const std::vector<request_id> waiting(mAwaiting.begin(), mAwaiting.end());
   for (const auto request : waiting) {
     const auto found = mEntries.find(request);
@@ -22,10 +22,10 @@
       Apply(request, std::move(*next), aNow);
     }
   }
-  if (mContext.board.Primary(aNow)) {
+  if (mContext.tracker.Primary(aNow)) {
     mContext.primarySeenAt = aNow;
   }
-  const auto term = mContext.board.Term();
+  const auto term = mContext.tracker.Term();
   if (term && term->term > mTermSeen) {
     mTermSeen = term->term;
     for (const auto id : mContext.transactions.Outdated(mTermSeen)) {
--- a/src/currantshed/lead/actions.hpp
+++ b/src/currantshed/lead/actions.hpp
@@ -11,10 +11,10 @@
 
 /// Sends a server a question or order; answered by ServerAnswered or
 /// ServerFailed.
-struct ask_server
+struct send_command
 {
   upstream::server_id server;
-  proxy::command what;
+  proxy::command command;
   /// Only on a connection of this VM's own: whoever watches a group must not
   /// take another VM's trouble for the server's.
   bool direct = true;
@@ -22,17 +22,17 @@
 
 /// Asks the platform to make the server primary; answered by
 /// PromotionAnswered. Carried out only while this VM provably holds the duty.
-struct order_promotion
+struct request_promotion
 {
   upstream::server_id server;
   /// The term that ends with it. It is recorded in the store before the
   /// platform is asked, since the platform lifts fences when it promotes.
-  position::term_id replaces = 0;
+  position::term_id replacedTerm = 0;
 };
 
 /// Reads from the store which term was replaced last; answered by
-/// TermsChecked.
-struct check_terms
+/// ReplacedTermRead.
+struct read_replaced_term
 {};
 
 /// Reads anew which VMs there are; answered by VmsListed.
@@ -40,9 +40,9 @@
 {};
 
 /// A newer proof of who leads the group.
-struct publish_proof
+struct publish_confirmation
 {
-  proxy::confirmation proof;
+  proxy::confirmation confirmation;
   /// Whether this VM has put it together itself, and others may lack it.
   bool isOwn = false;
 };
@@ -60,20 +60,20 @@
 };
 
 /// A step of a change of the primary, for logs.
-struct note_step
+struct log_step
 {
   std::string step;
   std::string detail;
 };
 
-using action = std::variant<ask_server,
-                            order_promotion,
-                            check_terms,
+using action = std::variant<send_command,
+                            request_promotion,
+                            read_replaced_term,
                             list_vms,
-                            publish_proof,
+                            publish_confirmation,
                             publish_sample,
                             publish_revocation,
-                            note_step>;
+                            log_step>;
 
 } // namespace currantshed::lead
 
--- a/src/currantshed/lead/clock_offset.cpp
+++ b/src/currantshed/lead/clock_offset.cpp
@@ -13,7 +13,7 @@
 } // namespace
 
 void
-clock_offset::Heard(microseconds aSentAt, clock::time_point aNow)
+clock_offset::AddSample(microseconds aSentAt, clock::time_point aNow)
 {
   const auto bound = aSentAt - ToWire(aNow);
   const auto kept = LowerBound(aNow);
--- a/src/currantshed/lead/clock_offset.hpp
+++ b/src/currantshed/lead/clock_offset.hpp
@@ -17,7 +17,7 @@
 {
 public:
   /// A message sent at that time of the other VM's clock came.
-  void Heard(std::chrono::microseconds aSentAt, clock::time_point aNow);
+  void AddSample(std::chrono::microseconds aSentAt, clock::time_point aNow);
 
   /// The bound, none before the first message.
   [[nodiscard]] std::optional<std::chrono::microseconds> LowerBound(
--- a/src/currantshed/lead/fwd.hpp
+++ b/src/currantshed/lead/fwd.hpp
@@ -4,14 +4,14 @@
 namespace currantshed::lead {
 
 class clock_offset;
-class group_lead;
+class group_monitor;
 class server_table;
 class takeover;
 enum class takeover_step;
-struct lead_news;
-struct lead_settings;
+struct watch_update;
+struct monitor_settings;
 struct member;
-struct reach_news;
+struct reach_update;
 
 } // namespace currantshed::lead
 
--- a/src/currantshed/lead/group_lead.cpp
+++ b/src/currantshed/lead/group_monitor.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/lead/group_lead.hpp"
+#include "currantshed/lead/group_monitor.hpp"
 
 #include <algorithm>
 #include <tuple>
@@ -6,7 +6,7 @@
 
 #include <absl/strings/str_cat.h>
 
-#include "currantshed/lead/internal/group_lead_times.hpp"
+#include "currantshed/lead/internal/group_monitor_timing.hpp"
 
 namespace currantshed::lead {
 
@@ -21,15 +21,15 @@
 
 } // namespace
 
-group_lead::group_lead(const lead_settings& aSettings)
+group_monitor::group_monitor(const monitor_settings& aSettings)
   : mSettings(aSettings)
   , mTakeover(mTable, aSettings.validity)
 {
 }
 
 void
-group_lead::Configure(const std::vector<member>& aMembers,
-                      clock::time_point aNow)
+group_monitor::Configure(const std::vector<member>& aMembers,
+                         clock::time_point aNow)
 {
   mTable.Configure(aMembers, aNow);
   if (IsOfOldLife(mProof)) {
@@ -40,18 +40,20 @@
 }
 
 void
-group_lead::SetDuty(bool aHolds, std::uint64_t aEpoch, clock::time_point aNow)
+group_monitor::SetFailoverLock(bool aHolds,
+                               std::uint64_t aEpoch,
+                               clock::time_point aNow)
 {
-  if (aHolds == mHoldsDuty && aEpoch == mEpoch) {
+  if (aHolds == mHoldsLock && aEpoch == mEpoch) {
     return;
   }
-  if (aHolds && !mHoldsDuty) {
-    mDutySince = aNow;
+  if (aHolds && !mHoldsLock) {
+    mLockHeldSince = aNow;
     mVacantSince.reset();
   }
-  mHoldsDuty = aHolds;
+  mHoldsLock = aHolds;
   mEpoch = aEpoch;
-  if (!aHolds && IsChanging()) {
+  if (!aHolds && IsTakeoverActive()) {
     LiftRevocation(mTakeover.RevokedTerm());
     mTakeover.Abandon(mActions);
   }
@@ -59,12 +61,12 @@
 }
 
 void
-group_lead::VmsListed(std::vector<std::string> aVms,
-                      clock::time_point aAskedAt,
-                      clock::time_point aNow)
+group_monitor::VmsListed(std::vector<std::string> aVms,
+                         clock::time_point aAskedAt,
+                         clock::time_point aNow)
 {
-  if (mTakeover.Step() == takeover_step::kWaitOut &&
-      aAskedAt >= mTakeover.BarredAt()) {
+  if (mTakeover.Step() == takeover_step::kAwaitExpiry &&
+      aAskedAt >= mTakeover.BlockedAt()) {
     mMustObey = std::move(aVms);
   }
   CheckObedience();
@@ -72,13 +74,13 @@
 }
 
 position::term_id
-group_lead::ReplacedTerm() const noexcept
+group_monitor::ReplacedTerm() const noexcept
 {
   return mProof.term > mReplaced ? mProof.term - 1 : mReplaced;
 }
 
 void
-group_lead::SetReplaced(position::term_id aTerm, clock::time_point aNow)
+group_monitor::SetReplacedTerm(position::term_id aTerm, clock::time_point aNow)
 {
   if (aTerm > mReplaced) {
     mReplaced = aTerm;
@@ -87,7 +89,7 @@
 }
 
 void
-group_lead::Wanted(clock::time_point aNow)
+group_monitor::ConfirmationNeeded(clock::time_point aNow)
 {
   if (mWantedAt == clock::time_point{} || aNow >= mWantedAt + kDemandLife) {
     mWantedSince = aNow;
@@ -97,7 +99,7 @@
 }
 
 void
-group_lead::Denied(position::term_id aTerm, clock::time_point aNow)
+group_monitor::LeadershipDenied(position::term_id aTerm, clock::time_point aNow)
 {
   if (aTerm >= mProof.term) {
     mDeniedAt = aNow;
@@ -107,10 +109,11 @@
 }
 
 void
-group_lead::ServerAnswered(const upstream::server_id& aServer,
-                           const std::optional<proxy::server_report>& aReport,
-                           clock::time_point aAskedAt,
-                           clock::time_point aNow)
+group_monitor::ServerAnswered(
+  const upstream::server_id& aServer,
+  const std::optional<proxy::server_report>& aReport,
+  clock::time_point aAskedAt,
+  clock::time_point aNow)
 {
   if (aReport) {
     mTable.Reported(aServer, *aReport, aAskedAt, aNow);
@@ -119,41 +122,42 @@
     }
   } else {
     if (auto* view = mTable.Find(aServer)) {
-      view->asking.reset();
+      view->pendingSince.reset();
     }
-    mTable.Heard(aServer, aNow);
+    mTable.Contacted(aServer, aNow);
   }
   Evaluate(aNow);
 }
 
 void
-group_lead::ServerFailed(const upstream::server_id& aServer,
-                         std::optional<clock::time_point> aHeardAt,
-                         clock::time_point aNow)
+group_monitor::ServerFailed(const upstream::server_id& aServer,
+                            std::optional<clock::time_point> aHeardAt,
+                            clock::time_point aNow)
 {
   // What was heard before the question failed doesn't make up for it.
   if (aHeardAt) {
-    mTable.Heard(aServer, *aHeardAt);
+    mTable.Contacted(aServer, *aHeardAt);
   }
   mTable.Failed(aServer);
   Evaluate(aNow);
 }
 
 void
-group_lead::PromotionAnswered(bool aTaken,
-                              bool aRejected,
-                              clock::time_point aNow)
+group_monitor::PromotionAnswered(bool aTaken,
+                                 bool aRejected,
+                                 clock::time_point aNow)
 {
   mTakeover.PromotionAnswered(aTaken, aRejected, aNow);
   Evaluate(aNow);
 }
 
 void
-group_lead::HeardWatch(const lead_news& aNews, clock::time_point aNow)
+group_monitor::WatchUpdateReceived(const watch_update& aNews,
+                                   clock::time_point aNow)
 {
   const bool isNewest = std::tie(aNews.epoch, aNews.sequence) >=
                         std::tie(mRevokedEpoch, mRevokedSequence);
-  if (isNewest && !mHoldsDuty) {
+  if (isNewest && !mHoldsLock) {
     if (aNews.revokedTerm != mRevoked) {
       mActions.emplace_back(publish_revocation{ aNews.revokedTerm });
     }
@@ -166,7 +170,7 @@
     mRevokedAt = aNow;
   }
   if (mMayAsk) {
-    TakeProof(aNews.proof, false, aNow);
+    TakeProof(aNews.confirmation, false, aNow);
   }
   if (aNews.sample && aNews.sample->term == mProof.term) {
     if (!mSample || aNews.sample->askedAt > mSample->askedAt) {
@@ -178,35 +182,35 @@
 }
 
 void
-group_lead::HeardReach(const std::string& aVm,
-                       const reach_news& aNews,
-                       clock::time_point aNow)
+group_monitor::ReachUpdateReceived(const std::string& aVm,
+                                   const reach_update& aNews,
+                                   clock::time_point aNow)
 {
   mReach[aVm] = { aNews, aNow };
   CheckObedience();
   Evaluate(aNow);
 }
 
-lead_news
-group_lead::Watch() const
+watch_update
+group_monitor::WatchUpdate() const
 {
   // Only the word of who holds the duty revokes and lifts revocations.
-  if (!mHoldsDuty) {
+  if (!mHoldsLock) {
     return { mProof, mSample, 0, 0, 0 };
   }
   return { mProof, mSample, mOwnRevoked, mEpoch, mOwnSequence };
 }
 
-lead_news
-group_lead::Relayed() const
+watch_update
+group_monitor::ForwardedUpdate() const
 {
   return { mProof, mSample, mRevoked, mRevokedEpoch, mRevokedSequence };
 }
 
-reach_news
-group_lead::Reach(std::optional<clock::time_point> aHeardAt) const
+reach_update
+group_monitor::ReachUpdate(std::optional<clock::time_point> aHeardAt) const
 {
-  reach_news news{ mProof.term, mProof.primary, {}, mRevoked };
+  reach_update news{ mProof.term, mProof.primary, {}, mRevoked };
   if (const auto* primary = mTable.Find(mProof.primary)) {
     news.heardAt = primary->report ? primary->heardAt : clock::time_point{};
   }
@@ -217,23 +221,23 @@
 }
 
 void
-group_lead::Tick(clock::time_point aNow)
+group_monitor::Tick(clock::time_point aNow)
 {
-  if (mHoldsDuty && mPlanned) {
-    mLateness.Ran(*mPlanned, aNow);
+  if (mHoldsLock && mPlanned) {
+    mLateness.Record(*mPlanned, aNow);
   }
   Evaluate(aNow);
   mPlanned.reset();
-  if (Speaks()) {
+  if (AnnouncesStatus()) {
     mPlanned = NextTick();
   }
 }
 
 clock::time_point
-group_lead::NextTick() const
+group_monitor::NextTick() const
 {
   auto next = mTakeover.NextTick();
-  if (Speaks() || mNow < mWantedAt + kDemandLife) {
+  if (AnnouncesStatus() || mNow < mWantedAt + kDemandLife) {
     next = std::min(next, mNow + milliseconds{ 50 });
   }
   if (mRevoked != 0) {
@@ -243,24 +247,24 @@
 }
 
 std::vector<action>
-group_lead::TakeActions()
+group_monitor::TakeActions()
 {
   return std::exchange(mActions, {});
 }
 
 void
-group_lead::Evaluate(clock::time_point aNow)
+group_monitor::Evaluate(clock::time_point aNow)
 {
   mNow = std::max(mNow, aNow);
-  if (mRevoked != 0 && !mHoldsDuty && mNow > mRevokedAt + kRevocationLife) {
+  if (mRevoked != 0 && !mHoldsLock && mNow > mRevokedAt + kRevocationLife) {
     mActions.emplace_back(
-      note_step{ "revocation_lapsed", absl::StrCat("term=", mRevoked) });
+      log_step{ "revocation_lapsed", absl::StrCat("term=", mRevoked) });
     LiftRevocation(mRevoked);
     mRevoked = 0;
     mActions.emplace_back(publish_revocation{ 0 });
   }
   TakeOwnProof(mNow);
-  if (mHoldsDuty) {
+  if (mHoldsLock) {
     Judge(mNow);
     mTakeover.Tick(mNow, mActions);
     Repair(mNow);
--- a/src/currantshed/lead/group_lead.hpp
+++ b/src/currantshed/lead/group_monitor.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_LEAD_GROUP_LEAD_HPP
-#define CURRANTSHED_LEAD_GROUP_LEAD_HPP
+#ifndef CURRANTSHED_LEAD_GROUP_MONITOR_HPP
+#define CURRANTSHED_LEAD_GROUP_MONITOR_HPP
 
 #include <chrono>
 #include <cstddef>
@@ -12,14 +12,14 @@
 
 #include "currantshed/clock/time.hpp"
 #include "currantshed/lead/actions.hpp"
-#include "currantshed/lead/lateness.hpp"
+#include "currantshed/lead/scheduling_delay.hpp"
 #include "currantshed/lead/server_table.hpp"
 #include "currantshed/lead/takeover.hpp"
 
 namespace currantshed::lead {
 
 /// Times of one group's lead.
-struct lead_settings
+struct monitor_settings
 {
   /// How long a proof holds, from its asking. Shorter makes a change of the
   /// primary faster, longer spares questions.
@@ -34,9 +34,9 @@
 };
 
 /// What one VM's word on a group says of its watch.
-struct lead_news
+struct watch_update
 {
-  proxy::confirmation proof;
+  proxy::confirmation confirmation;
   std::optional<proxy::position_sample> sample;
   /// The term that no VM may rest on, or zero.
   position::term_id revokedTerm = 0;
@@ -48,36 +48,38 @@
 };
 
 /// What one VM says of its own way to the primary.
-struct reach_news
+struct reach_update
 {
   position::term_id term = 0;
   upstream::server_id primary;
   /// When it last heard the primary.
   clock::time_point heardAt;
   /// The term that it was told not to rest on, and does not.
-  position::term_id obeyedTerm = 0;
+  position::term_id acknowledgedTerm = 0;
   /// When it said so, at the earliest.
-  clock::time_point saidAt;
+  clock::time_point sentAt;
 };
 
 /// One group at one VM: who leads it, with proof; and at the VM that holds the
 /// group's duty, the watch over the primary and its replacement. Does no I/O:
 /// events and the time go in, actions come out.
-class group_lead
+class group_monitor
 {
 public:
-  explicit group_lead(const lead_settings& aSettings);
-  group_lead(const group_lead&) = delete;
-  group_lead& operator=(const group_lead&) = delete;
+  explicit group_monitor(const monitor_settings& aSettings);
+  group_monitor(const group_monitor&) = delete;
+  group_monitor& operator=(const group_monitor&) = delete;
 
   void Configure(const std::vector<member>& aMembers, clock::time_point aNow);
 
   /// Whether this VM holds the group's duty, and its number.
-  void SetDuty(bool aHolds, std::uint64_t aEpoch, clock::time_point aNow);
+  void SetFailoverLock(bool aHolds,
+                       std::uint64_t aEpoch,
+                       clock::time_point aNow);
 
   /// Whether this VM is about to take the duty, which nobody holds: it proves
   /// the primary for the others, but changes nothing.
-  void SetStandsIn(bool aStandsIn) noexcept { mStandsIn = aStandsIn; }
+  void SetIsInterim(bool aStandsIn) noexcept { mStandsIn = aStandsIn; }
 
   /// The other VMs, as read from the store after the given time, and those
   /// known before that may still run. A VM that is not among them began after
@@ -88,7 +90,7 @@
 
   /// The newest term that a change of the primary has replaced, as the store
   /// shows it: no proof of it or an earlier one holds.
-  void SetReplaced(position::term_id aTerm, clock::time_point aNow);
+  void SetReplacedTerm(position::term_id aTerm, clock::time_point aNow);
 
   /// The newest term that this VM knows to be replaced, by the store or since a
   /// later one is proved.
@@ -96,27 +98,30 @@
 
   /// The same, read from the store since the check was asked for; none when
   /// the store could not be read.
-  void TermsChecked(std::optional<position::term_id> aReplaced,
-                    clock::time_point aNow);
+  void ReplacedTermRead(std::optional<position::term_id> aReplaced,
+                        clock::time_point aNow);
 
   /// Whether this VM may have proofs yet: before it stands in the store,
   /// whoever promotes does not know that it may rest on one.
-  void SetMayAsk(bool aMayAsk) { mMayAsk = aMayAsk; }
+  void SetMayConfirm(bool aMayAsk) { mMayAsk = aMayAsk; }
 
   /// How many VMs may ask for proofs of this group, and this VM's place among
   /// them, from 0 to below 1. Without a word of the holder they ask one after
   /// the other and pass on what they learn.
-  void SetPlace(std::size_t aVms, double aPlace);
+  void SetQueryStagger(std::size_t aVms, double aPlace);
 
   /// Whether another VM passes on what is known of the group: it is asked
   /// first, and given time to answer.
-  void SetIsRelayed(bool aIsRelayed) noexcept { mIsRelayed = aIsRelayed; }
+  void SetIsForwarded(bool aIsForwarded) noexcept
+  {
+    mIsForwarded = aIsForwarded;
+  }
 
   /// Requests need a proof.
-  void Wanted(clock::time_point aNow);
+  void ConfirmationNeeded(clock::time_point aNow);
 
   /// A server denied that it leads in that term.
-  void Denied(position::term_id aTerm, clock::time_point aNow);
+  void LeadershipDenied(position::term_id aTerm, clock::time_point aNow);
 
   void ServerAnswered(const upstream::server_id& aServer,
                       const std::optional<proxy::server_report>& aReport,
@@ -128,34 +133,37 @@
   void PromotionAnswered(bool aTaken, bool aRejected, clock::time_point aNow);
 
   /// What another VM says; times are of this VM's clock.
-  void HeardWatch(const lead_news& aNews, clock::time_point aNow);
-  void HeardReach(const std::string& aVm,
-                  const reach_news& aNews,
-                  clock::time_point aNow);
+  void WatchUpdateReceived(const watch_update& aNews, clock::time_point aNow);
+  void ReachUpdateReceived(const std::string& aVm,
+                           const reach_update& aNews,
+                           clock::time_point aNow);
 
   /// What this VM says to others. The reach is when traffic last heard the
   /// primary.
-  [[nodiscard]] lead_news Watch() const;
+  [[nodiscard]] watch_update WatchUpdate() const;
   /// What it passes on of what it was told by whoever holds the duty.
-  [[nodiscard]] lead_news Relayed() const;
-  [[nodiscard]] reach_news Reach(
+  [[nodiscard]] watch_update ForwardedUpdate() const;
+  [[nodiscard]] reach_update ReachUpdate(
     std::optional<clock::time_point> aHeardAt) const;
 
   void Tick(clock::time_point aNow);
   [[nodiscard]] clock::time_point NextTick() const;
   [[nodiscard]] std::vector<action> TakeActions();
 
-  [[nodiscard]] const proxy::confirmation& Proof() const noexcept
+  [[nodiscard]] const proxy::confirmation& Confirmation() const noexcept
   {
     return mProof;
   }
-  [[nodiscard]] bool HoldsDuty() const noexcept { return mHoldsDuty; }
+  [[nodiscard]] bool HoldsFailoverLock() const noexcept { return mHoldsLock; }
   /// Whether its word on the group is for all VMs.
-  [[nodiscard]] bool Speaks() const noexcept { return mHoldsDuty || mStandsIn; }
+  [[nodiscard]] bool AnnouncesStatus() const noexcept
+  {
+    return mHoldsLock || mStandsIn;
+  }
   /// Whether this VM watches the group and lacks the primary's own word, so
   /// that it judges by others'.
-  [[nodiscard]] bool DoubtsPrimary(clock::time_point aNow) const;
-  [[nodiscard]] bool IsChanging() const noexcept
+  [[nodiscard]] bool SuspectsPrimary(clock::time_point aNow) const;
+  [[nodiscard]] bool IsTakeoverActive() const noexcept
   {
     return mTakeover.Step() != takeover_step::kNone;
   }
@@ -163,7 +171,7 @@
 private:
   struct peer_reach
   {
-    reach_news news;
+    reach_update news;
     clock::time_point at;
   };
 
@@ -201,21 +209,21 @@
   [[nodiscard]] bool IsVacant(clock::time_point aNow);
   [[nodiscard]] const member_view* Witness() const;
 
-  lead_settings mSettings;
+  monitor_settings mSettings;
   server_table mTable;
   takeover mTakeover;
   proxy::confirmation mProof;
   std::optional<proxy::position_sample> mSample;
-  bool mHoldsDuty = false;
+  bool mHoldsLock = false;
   bool mStandsIn = false;
   bool mMayAsk = true;
-  bool mIsRelayed = false;
+  bool mIsForwarded = false;
   // How much later than the first VM this one asks, and how long any one VM
   // pauses between questions.
   std::chrono::milliseconds mAskDelay{ 0 };
   std::chrono::milliseconds mAskPause{ 0 };
   std::uint64_t mEpoch = 0;
-  clock::time_point mDutySince;
+  clock::time_point mLockHeldSince;
   // The term that this VM revokes, and how often that has changed.
   position::term_id mOwnRevoked = 0;
   std::uint64_t mOwnSequence = 0;
@@ -236,7 +244,7 @@
   clock::time_point mDeniedAt;
   // Whose word keeps a primary that this VM does not hear.
   std::string mKeptBy;
-  lateness mLateness;
+  scheduling_delay mLateness;
   // When the holder of the duty has planned to look next.
   std::optional<clock::time_point> mPlanned;
   std::optional<clock::time_point> mVacantSince;
--- a/src/currantshed/lead/group_lead_proof.cpp
+++ b/src/currantshed/lead/group_monitor_confirmation.cpp
@@ -1,12 +1,12 @@
 // What one VM may believe about who leads: its own reports, and their checks.
-#include "currantshed/lead/group_lead.hpp"
+#include "currantshed/lead/group_monitor.hpp"
 
 #include <algorithm>
 #include <utility>
 
 #include <absl/strings/str_cat.h>
 
-#include "currantshed/lead/internal/group_lead_times.hpp"
+#include "currantshed/lead/internal/group_monitor_timing.hpp"
 
 namespace currantshed::lead {
 
@@ -31,7 +31,7 @@
 constexpr milliseconds kSpreadByVm{ 2 };
 constexpr milliseconds kLongestSpread{ 150 };
 // How long a VM of the same failure domain is given to tell what it knows.
-constexpr milliseconds kRelayTime{ 30 };
+constexpr milliseconds kForwardingTime{ 30 };
 // Pause of one VM between questions, for each VM that may ask: all together put
 // at most 250 questions a second to a server, each a slot for half a
 // millisecond.
@@ -53,8 +53,8 @@
 } // namespace
 
 void
-group_lead::TermsChecked(std::optional<position::term_id> aReplaced,
-                         clock::time_point aNow)
+group_monitor::ReplacedTermRead(std::optional<position::term_id> aReplaced,
+                                clock::time_point aNow)
 {
   const auto checked = std::exchange(mUnchecked, std::nullopt);
   mNextCheck = aNow + (aReplaced ? kCheckPause : kFailedCheckPause);
@@ -70,23 +70,23 @@
 }
 
 void
-group_lead::TakeProof(const proxy::confirmation& aProof,
-                      bool aIsOwn,
-                      clock::time_point aNow)
+group_monitor::TakeProof(const proxy::confirmation& aProof,
+                         bool aIsOwn,
+                         clock::time_point aNow)
 {
   if (aProof.term <= mReplaced || !IsNewer(aProof) || IsOfOldLife(aProof)) {
     return;
   }
   if (aProof.term > mProof.term) {
     mSample.reset();
-    mActions.emplace_back(note_step{
+    mActions.emplace_back(log_step{
       "primary",
       absl::StrCat("server=", aProof.primary, " term=", aProof.term) });
   }
   const bool isNews = aProof.askedAt >= mProof.askedAt + kWorthTelling;
   mProof = aProof;
   if (aNow < aProof.askedAt + mSettings.validity) {
-    mActions.emplace_back(publish_proof{ mProof, aIsOwn && isNews });
+    mActions.emplace_back(publish_confirmation{ mProof, aIsOwn && isNews });
   }
 }
 
@@ -94,7 +94,7 @@
 // first reports of a term bring the proof, so that their position counts too:
 // without it no replica could be used until the primary has answered again.
 void
-group_lead::TakeSample(clock::time_point aNow)
+group_monitor::TakeSample(clock::time_point aNow)
 {
   const auto* primary = mTable.Find(mProof.primary);
   const bool isSample = primary != nullptr && primary->report &&
@@ -110,26 +110,26 @@
 }
 
 void
-group_lead::TakeOwnProof(clock::time_point aNow)
+group_monitor::TakeOwnProof(clock::time_point aNow)
 {
-  const auto proof = mTable.Proof();
-  if (!proof || !IsNewer(*proof)) {
+  const auto confirmation = mTable.Confirmation();
+  if (!confirmation || !IsNewer(*confirmation)) {
     return;
   }
-  if (proof->term <= EndedTerm()) {
+  if (confirmation->term <= EndedTerm()) {
     return;
   }
-  if (!IsTrusted(*proof)) {
-    CheckTerms(*proof, aNow);
+  if (!IsTrusted(*confirmation)) {
+    CheckTerms(*confirmation, aNow);
     return;
   }
-  if (mTakeover.IsOvertakenBy(proof->primary, aNow)) {
-    mTakeover.Overtaken(*proof, mActions);
+  if (mTakeover.IsSupersededBy(confirmation->primary, aNow)) {
+    mTakeover.Superseded(*confirmation, mActions);
     return;
   }
-  TakeProof(*proof, true, aNow);
+  TakeProof(*confirmation, true, aNow);
   TakeSample(aNow);
-  if (IsChanging() && mProof.term > mTakeover.RevokedTerm()) {
+  if (IsTakeoverActive() && mProof.term > mTakeover.RevokedTerm()) {
     mTakeover.Succeeded(mProof.primary, aNow, mActions);
   }
 }
@@ -137,22 +137,22 @@
 // No own proof of this term or an earlier one counts: it was revoked or
 // replaced.
 position::term_id
-group_lead::EndedTerm() const
+group_monitor::EndedTerm() const
 {
-  const auto revoked = mHoldsDuty ? mTakeover.RevokedTerm() : mRevoked;
+  const auto revoked = mHoldsLock ? mTakeover.RevokedTerm() : mRevoked;
   return std::max(revoked, mReplaced);
 }
 
 // Whether the primary has started again since it was proved.
 bool
-group_lead::IsOfOldLife(const proxy::confirmation& aProof) const
+group_monitor::IsOfOldLife(const proxy::confirmation& aProof) const
 {
   const auto* primary = mTable.Find(aProof.primary);
-  return primary != nullptr && aProof.askedAt < primary->livesSince;
+  return primary != nullptr && aProof.askedAt < primary->restartSeenAt;
 }
 
 bool
-group_lead::IsNewer(const proxy::confirmation& aProof) const noexcept
+group_monitor::IsNewer(const proxy::confirmation& aProof) const noexcept
 {
   return aProof.term > mProof.term ||
          (aProof.term == mProof.term && aProof.askedAt > mProof.askedAt);
@@ -164,13 +164,13 @@
 // until the asking, every member was asked in one round, or this VM has ordered
 // the promotion itself.
 bool
-group_lead::IsTrusted(const proxy::confirmation& aProof) const
+group_monitor::IsTrusted(const proxy::confirmation& aProof) const
 {
   if (aProof.term == mProof.term &&
       aProof.askedAt < mProof.askedAt + mSettings.validity) {
     return true;
   }
-  if (mHoldsDuty && mTakeover.Step() == takeover_step::kPromote) {
+  if (mHoldsLock && mTakeover.Step() == takeover_step::kPromote) {
     return true;
   }
   const auto& all = mTable.All();
@@ -186,27 +186,27 @@
 // A term that was replaced is recorded in the store before the platform is
 // asked to promote: a reading that begins after the servers answered shows it.
 void
-group_lead::CheckTerms(const proxy::confirmation& aProof,
-                       clock::time_point aNow)
+group_monitor::CheckTerms(const proxy::confirmation& aProof,
+                          clock::time_point aNow)
 {
   // The members that have yet to answer may spare the question.
   const auto& all = mTable.All();
   const bool isComplete =
     std::none_of(all.begin(), all.end(), [](const auto& aOne) {
-      return aOne.second.asking.has_value();
+      return aOne.second.pendingSince.has_value();
     });
   if (mUnchecked || !isComplete || aNow < mNextCheck ||
       aNow >= aProof.askedAt + mSettings.validity) {
     return;
   }
   mUnchecked = aProof;
-  mActions.emplace_back(check_terms{});
+  mActions.emplace_back(read_replaced_term{});
 }
 
 // The change was given up. What was proved before it may have been replaced
 // all the same, and must be proved anew.
 void
-group_lead::LiftRevocation(position::term_id aTerm)
+group_monitor::LiftRevocation(position::term_id aTerm)
 {
   if (mProof.term <= aTerm) {
     mProof.askedAt = {};
@@ -214,9 +214,9 @@
 }
 
 bool
-group_lead::WantsProof(clock::time_point aNow) const
+group_monitor::WantsProof(clock::time_point aNow) const
 {
-  if (IsChanging()) {
+  if (IsTakeoverActive()) {
     return true;
   }
   const bool wanted =
@@ -226,7 +226,7 @@
 }
 
 void
-group_lead::SetPlace(std::size_t aVms, double aPlace)
+group_monitor::SetQueryStagger(std::size_t aVms, double aPlace)
 {
   const auto vms = static_cast<int>(aVms);
   const auto spread = std::min(kLongestSpread, kSpreadByVm * vms);
@@ -236,14 +236,14 @@
 
 // Whether this VM asks all the while, also for the others.
 bool
-group_lead::Watches() const noexcept
+group_monitor::Watches() const noexcept
 {
-  return mHoldsDuty || (mStandsIn && mMayAsk);
+  return mHoldsLock || (mStandsIn && mMayAsk);
 }
 
 // From when on the next proof is asked for.
 clock::time_point
-group_lead::AsksFrom() const
+group_monitor::AsksFrom() const
 {
   if (Watches()) {
     return mProof.askedAt + mSettings.askInterval;
@@ -254,15 +254,16 @@
     return mWantedSince;
   }
   const auto ending = mProof.askedAt + mSettings.validity - kOwnAskReserve;
-  const auto wanted = mWantedSince + (mIsRelayed ? kRelayTime : milliseconds{});
+  const auto wanted =
+    mWantedSince + (mIsForwarded ? kForwardingTime : milliseconds{});
   return std::max(ending, wanted) + mAskDelay;
 }
 
 milliseconds
-group_lead::Pause(const member_view& aView) const
+group_monitor::Pause(const member_view& aView) const
 {
   const auto pause = aView.failures > 0 ? kRetryPause : kBusyPause;
-  return Watches() || IsChanging() || mProof.term == 0
+  return Watches() || IsTakeoverActive() || mProof.term == 0
            ? pause
            : std::max(pause, mAskPause);
 }
@@ -270,58 +271,62 @@
 // A proof takes the primary and as many others as make a majority with it;
 // without a primary that answers, all are asked.
 void
-group_lead::Ask(clock::time_point aNow)
+group_monitor::Ask(clock::time_point aNow)
 {
   for (const auto& [id, view] : mTable.All()) {
-    if (view.asking && aNow - *view.asking > 2 * mSettings.askTimeout) {
+    if (view.pendingSince &&
+        aNow - *view.pendingSince > 2 * mSettings.askTimeout) {
       mTable.Failed(id);
     }
   }
   const bool wantsProof = WantsProof(aNow);
   auto* primary = mTable.Find(mProof.primary);
   const bool knows = primary != nullptr && primary->failures == 0 &&
-                     mDeniedAt <= mProof.askedAt && !IsChanging();
+                     mDeniedAt <= mProof.askedAt && !IsTakeoverActive();
   const auto* witness = Witness();
   // One that is busy gives no report: others are asked before time runs out.
   const bool isLate = aNow >= AsksFrom() + kFirstPairTime;
   for (const auto& [id, view] : mTable.All()) {
     const bool inProof =
       !knows || isLate || &view == primary || &view == witness;
-    const bool roundDue = mHoldsDuty && aNow >= view.lastAsked + kRoundPause;
-    const bool paused = aNow < view.lastAsked + Pause(view);
-    if (!view.asking && !paused && ((wantsProof && inProof) || roundDue)) {
+    const bool roundDue =
+      mHoldsLock && aNow >= view.lastQueriedAt + kRoundPause;
+    const bool paused = aNow < view.lastQueriedAt + Pause(view);
+    if (!view.pendingSince && !paused &&
+        ((wantsProof && inProof) || roundDue)) {
       AskOne(*mTable.Find(id), aNow);
     }
   }
 }
 
 void
-group_lead::AskOne(member_view& aView, clock::time_point aNow)
+group_monitor::AskOne(member_view& aView, clock::time_point aNow)
 {
-  aView.asking = aNow;
-  aView.lastAsked = aNow;
+  aView.pendingSince = aNow;
+  aView.lastQueriedAt = aNow;
   const bool cutOff = aView.failures >= kFailuresToLose &&
                       aView.listed.id == mProof.primary &&
                       IsReachedElsewhere(aNow);
   if (cutOff) {
     aView.relayedUntil = aNow + kRelayedTime;
   }
-  const bool direct = mHoldsDuty && aNow >= aView.relayedUntil;
+  const bool direct = mHoldsLock && aNow >= aView.relayedUntil;
   proxy::command question;
   question.kind = proxy::command_kind::kReport;
-  mActions.emplace_back(ask_server{ aView.listed.id, question, direct });
+  mActions.emplace_back(send_command{ aView.listed.id, question, direct });
 }
 
 // The member to ask besides the primary: one that answers, near by preference.
 const member_view*
-group_lead::Witness() const
+group_monitor::Witness() const
 {
   const member_view* best = nullptr;
   for (const auto& [id, view] : mTable.All()) {
     if (id == mProof.primary || view.failures > 0) {
       continue;
     }
-    if (best == nullptr || (view.listed.isNear && !best->listed.isNear)) {
+    if (best == nullptr ||
+        (view.listed.isInSameDomain && !best->listed.isInSameDomain)) {
       best = &view;
     }
   }
--- a/src/currantshed/lead/group_lead_watch.cpp
+++ b/src/currantshed/lead/group_monitor_failover.cpp
@@ -1,12 +1,12 @@
 // What the holder of the duty does: judge the primary, and bring servers back.
-#include "currantshed/lead/group_lead.hpp"
+#include "currantshed/lead/group_monitor.hpp"
 
 #include <algorithm>
 #include <utility>
 
 #include <absl/strings/str_cat.h>
 
-#include "currantshed/lead/internal/group_lead_times.hpp"
+#include "currantshed/lead/internal/group_monitor_timing.hpp"
 
 namespace currantshed::lead {
 
@@ -50,13 +50,13 @@
 } // namespace
 
 void
-group_lead::Judge(clock::time_point aNow)
+group_monitor::Judge(clock::time_point aNow)
 {
-  if (IsChanging()) {
+  if (IsTakeoverActive()) {
     return;
   }
   const bool isVacant = IsVacant(aNow);
-  if (aNow < mDutySince + kFirstLook || aNow < mTakeover.QuietUntil()) {
+  if (aNow < mLockHeldSince + kFirstLook || aNow < mTakeover.HoldOffUntil()) {
     return;
   }
   mMustObey.reset();
@@ -64,7 +64,7 @@
   const auto* primary = mTable.Find(mProof.primary);
   if (mProof.term != 0 && primary != nullptr && IsLost(aNow)) {
     NoteLost(*primary, aNow);
-    mTakeover.Begin(
+    mTakeover.Start(
       takeover_reason::kLost, mProof.primary, mProof.term, aNow, mActions);
     return;
   }
@@ -81,16 +81,17 @@
              !aOne.second.listed.draining;
     });
   if (leaves && canMove) {
-    mTakeover.Begin(
+    mTakeover.Start(
       takeover_reason::kDraining, mProof.primary, mProof.term, aNow, mActions);
     return;
   }
   if (isVacant) {
-    mTakeover.Begin(takeover_reason::kVacant,
-                    mProof.primary,
-                    std::max({ mProof.term, mReplaced, mTable.HighestLog() }),
-                    aNow,
-                    mActions);
+    mTakeover.Start(
+      takeover_reason::kNoPrimary,
+      mProof.primary,
+      std::max({ mProof.term, mReplaced, mTable.HighestLogTerm() }),
+      aNow,
+      mActions);
   }
 }
 
@@ -98,7 +99,7 @@
 // that hears none of the other members either says nothing of the primary, and
 // could not replace it.
 bool
-group_lead::IsLost(clock::time_point aNow) const
+group_monitor::IsLost(clock::time_point aNow) const
 {
   const auto* primary = mTable.Find(mProof.primary);
   const auto silentAfter = mSettings.silentAfter + OwnDelay(aNow);
@@ -119,23 +120,23 @@
 // What this VM's own lateness adds to another one's silence: an answer or a
 // word may have lain unread for as long as the question before it.
 clock::duration
-group_lead::OwnDelay(clock::time_point aNow) const
+group_monitor::OwnDelay(clock::time_point aNow) const
 {
   constexpr int kWays = 2;
   return kWays * mLateness.At(aNow);
 }
 
 bool
-group_lead::DoubtsPrimary(clock::time_point aNow) const
+group_monitor::SuspectsPrimary(clock::time_point aNow) const
 {
   const auto* primary = mTable.Find(mProof.primary);
-  return mHoldsDuty && (primary == nullptr || primary->failures > 0 ||
+  return mHoldsLock && (primary == nullptr || primary->failures > 0 ||
                         aNow >= mProof.askedAt + mSettings.validity);
 }
 
 // Whether another VM has heard the primary lately.
 bool
-group_lead::IsReachedElsewhere(clock::time_point aNow) const
+group_monitor::IsReachedElsewhere(clock::time_point aNow) const
 {
   return !ReachedBy(aNow).empty();
 }
@@ -143,10 +144,10 @@
 // Tells once a second that the group has no primary that anyone could use,
 // since when, and what that may wait for.
 void
-group_lead::NoteUnproved(clock::time_point aNow)
+group_monitor::NoteUnproved(clock::time_point aNow)
 {
   const auto provedUntil =
-    std::max(mProof.askedAt + mSettings.validity, mDutySince);
+    std::max(mProof.askedAt + mSettings.validity, mLockHeldSince);
   if (aNow < std::max(mNextUnproved, provedUntil + kUnprovedPause)) {
     return;
   }
@@ -161,32 +162,32 @@
     fenced += fresh && view.report->fencedAt != 0 ? 1 : 0;
   }
   mActions.emplace_back(
-    note_step{ "unproved",
-               absl::StrCat("since_ms=",
-                            Milliseconds(aNow - provedUntil),
-                            " primary=",
-                            mProof.primary,
-                            " term=",
-                            mProof.term,
-                            " replaced=",
-                            mReplaced,
-                            " change=",
-                            std::string(NameOf(mTakeover.Step())),
-                            " members=",
-                            mTable.All().size(),
-                            " answering=",
-                            answering,
-                            " leading=",
-                            leading,
-                            " fenced=",
-                            fenced,
-                            " heard_by=",
-                            ReachedBy(aNow)) });
+    log_step{ "unproved",
+              absl::StrCat("since_ms=",
+                           Milliseconds(aNow - provedUntil),
+                           " primary=",
+                           mProof.primary,
+                           " term=",
+                           mProof.term,
+                           " replaced=",
+                           mReplaced,
+                           " change=",
+                           std::string(NameOf(mTakeover.Step())),
+                           " members=",
+                           mTable.All().size(),
+                           " answering=",
+                           answering,
+                           " leading=",
+                           leading,
+                           " fenced=",
+                           fenced,
+                           " heard_by=",
+                           ReachedBy(aNow)) });
 }
 
 // What the judgement that a primary is lost rests on.
 void
-group_lead::NoteLost(const member_view& aPrimary, clock::time_point aNow)
+group_monitor::NoteLost(const member_view& aPrimary, clock::time_point aNow)
 {
   clock::time_point told{};
   clock::time_point heard{};
@@ -197,25 +198,25 @@
     }
   }
   mActions.emplace_back(
-    note_step{ "lost",
-               absl::StrCat(mProof.primary,
-                            " silent_ms=",
-                            Milliseconds(aNow - aPrimary.heardAt),
-                            " failures=",
-                            aPrimary.failures,
-                            " members_silent=",
-                            mTable.Silent(),
-                            " last_word_ms=",
-                            Milliseconds(aNow - told),
-                            " heard_elsewhere_ms=",
-                            Milliseconds(aNow - heard),
-                            " late_ms=",
-                            Milliseconds(mLateness.At(aNow))) });
+    log_step{ "lost",
+              absl::StrCat(mProof.primary,
+                           " silent_ms=",
+                           Milliseconds(aNow - aPrimary.heardAt),
+                           " failures=",
+                           aPrimary.failures,
+                           " members_silent=",
+                           mTable.UnresponsiveCount(),
+                           " last_word_ms=",
+                           Milliseconds(aNow - told),
+                           " heard_elsewhere_ms=",
+                           Milliseconds(aNow - heard),
+                           " late_ms=",
+                           Milliseconds(mLateness.At(aNow))) });
 }
 
 // A VM that has heard the primary lately, or an empty name.
 std::string
-group_lead::ReachedBy(clock::time_point aNow) const
+group_monitor::ReachedBy(clock::time_point aNow) const
 {
   if (mProof.term <= mReplaced) {
     return {};
@@ -231,7 +232,7 @@
 
 // Tells once for each silence which VM's word keeps the primary.
 void
-group_lead::NoteKept(clock::time_point aNow)
+group_monitor::NoteKept(clock::time_point aNow)
 {
   const auto* primary = mTable.Find(mProof.primary);
   const bool silent = primary != nullptr && primary->failures > 0 &&
@@ -239,12 +240,12 @@
   const auto by = silent ? ReachedBy(aNow) : std::string();
   if (by != mKeptBy && !by.empty()) {
     mActions.emplace_back(
-      note_step{ "kept",
-                 absl::StrCat(mProof.primary,
-                              " heard_by=",
-                              by,
-                              " late_ms=",
-                              Milliseconds(mLateness.At(aNow))) });
+      log_step{ "kept",
+                absl::StrCat(mProof.primary,
+                             " heard_by=",
+                             by,
+                             " late_ms=",
+                             Milliseconds(mLateness.At(aNow))) });
   }
   mKeptBy = by;
 }
@@ -252,7 +253,8 @@
 // Whether the server has said lately, and since it was proved last, that it
 // does not lead.
 bool
-group_lead::DeniesToLead(const member_view& aView, clock::time_point aNow) const
+group_monitor::DeniesToLead(const member_view& aView,
+                            clock::time_point aNow) const
 {
   return IsFresh(aView, aNow) && !aView.report->isPrimary &&
          aView.askedAt > mProof.askedAt;
@@ -263,7 +265,7 @@
 // it does not say itself that it leads no longer: it may have stepped down on
 // the order of a holder that gave up, and answers reads as ever.
 bool
-group_lead::IsVacant(clock::time_point aNow)
+group_monitor::IsVacant(clock::time_point aNow)
 {
   std::size_t answering = 0;
   bool leads = false;
@@ -287,8 +289,8 @@
   }
   // What the holder before left. Without an order to promote, which it would
   // have recorded first, no server can come to lead.
-  const bool mayBeOrdered = mReplaced >= mTable.HighestLog();
-  const bool isSure = aNow < mDutySince + kInheritance && !mayBeOrdered &&
+  const bool mayBeOrdered = mReplaced >= mTable.HighestLogTerm();
+  const bool isSure = aNow < mLockHeldSince + kInheritance && !mayBeOrdered &&
                       (denies || answering == mTable.All().size());
   return aNow - *mVacantSince > (isSure ? kSurelyVacantAfter : kVacantAfter);
 }
@@ -298,9 +300,9 @@
 // none. Taking the duty over kept that holder from recording the term as
 // replaced later, and unrecorded it may not have the platform promote.
 position::term_id
-group_lead::UnreplacedTerm(clock::time_point aNow) const
+group_monitor::UnreplacedTerm(clock::time_point aNow) const
 {
-  if (aNow < mDutySince + kFirstLook) {
+  if (aNow < mLockHeldSince + kFirstLook) {
     return 0;
   }
   position::term_id led = 0;
@@ -308,24 +310,24 @@
     const bool leads = IsFresh(view, aNow) && view.report->isPrimary;
     led = std::max(led, leads ? view.report->term : 0);
   }
-  return led > mReplaced && led >= mTable.HighestLog() ? led : 0;
+  return led > mReplaced && led >= mTable.HighestLogTerm() ? led : 0;
 }
 
 // Brings servers back that a change of the primary left behind: old primaries
 // step down, fences of a settled term are lifted.
 void
-group_lead::Repair(clock::time_point aNow)
+group_monitor::Repair(clock::time_point aNow)
 {
   const bool isProved = aNow < mProof.askedAt + mSettings.validity;
   const auto settled = isProved ? mProof.term : UnreplacedTerm(aNow);
-  if (IsChanging() || settled == 0) {
+  if (IsTakeoverActive() || settled == 0) {
     return;
   }
   // Without a proof, members are asked at short intervals all the while.
   const auto pause = isProved ? kRetryPause : kBusyPause;
   for (const auto& [id, view] : mTable.All()) {
-    if (id == mProof.primary || !view.report || view.asking ||
-        aNow < view.lastAsked + pause) {
+    if (id == mProof.primary || !view.report || view.pendingSince ||
+        aNow < view.lastQueriedAt + pause) {
       continue;
     }
     proxy::command order;
@@ -338,15 +340,15 @@
       continue;
     }
     auto& asked = *mTable.Find(id);
-    asked.asking = aNow;
-    asked.lastAsked = aNow;
-    mActions.emplace_back(note_step{ "repair", id });
-    mActions.emplace_back(ask_server{ id, order });
+    asked.pendingSince = aNow;
+    asked.lastQueriedAt = aNow;
+    mActions.emplace_back(log_step{ "repair", id });
+    mActions.emplace_back(send_command{ id, order });
   }
 }
 
 void
-group_lead::CheckObedience()
+group_monitor::CheckObedience()
 {
   const auto revoked = mTakeover.RevokedTerm();
   if (revoked == 0 || !mMustObey) {
@@ -356,11 +358,11 @@
     std::all_of(mMustObey->begin(), mMustObey->end(), [&](const auto& aVm) {
       const auto found = mReach.find(aVm);
       return found != mReach.end() &&
-             found->second.news.obeyedTerm >= revoked &&
-             found->second.news.saidAt >= mTakeover.BegunAt();
+             found->second.news.acknowledgedTerm >= revoked &&
+             found->second.news.sentAt >= mTakeover.StartedAt();
     });
   if (all) {
-    mTakeover.AllObeyed();
+    mTakeover.AllAcknowledged();
   }
 }
 
--- a/src/currantshed/lead/internal/group_lead_times.hpp
+++ b/src/currantshed/lead/internal/group_monitor_timing.hpp
@@ -1,9 +1,9 @@
-#ifndef CURRANTSHED_LEAD_INTERNAL_GROUP_LEAD_TIMES_HPP
-#define CURRANTSHED_LEAD_INTERNAL_GROUP_LEAD_TIMES_HPP
+#ifndef CURRANTSHED_LEAD_INTERNAL_GROUP_MONITOR_TIMING_HPP
+#define CURRANTSHED_LEAD_INTERNAL_GROUP_MONITOR_TIMING_HPP
 
 #include <chrono>
 
-/// Times and counts that the parts of group_lead share.
+/// Times and counts that the parts of group_monitor share.
 namespace currantshed::lead::internal {
 
 using std::chrono::milliseconds;
--- a/src/currantshed/lead/lateness.cpp
+++ b/src/currantshed/lead/scheduling_delay.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/lead/lateness.hpp"
+#include "currantshed/lead/scheduling_delay.hpp"
 
 #include <algorithm>
 
@@ -16,7 +16,8 @@
 } // namespace
 
 void
-lateness::Ran(clock::time_point aPlanned, clock::time_point aAt) noexcept
+scheduling_delay::Record(clock::time_point aPlanned,
+                         clock::time_point aAt) noexcept
 {
   const auto late =
     std::clamp<clock::duration>(aAt - aPlanned, clock::duration::zero(), kMost);
@@ -27,7 +28,7 @@
 }
 
 clock::duration
-lateness::At(clock::time_point aNow) const noexcept
+scheduling_delay::At(clock::time_point aNow) const noexcept
 {
   const auto since = aNow - mSeenAt;
   if (since <= kFull) {
--- a/src/currantshed/lead/lateness.hpp
+++ b/src/currantshed/lead/scheduling_delay.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_LEAD_LATENESS_HPP
-#define CURRANTSHED_LEAD_LATENESS_HPP
+#ifndef CURRANTSHED_LEAD_SCHEDULING_DELAY_HPP
+#define CURRANTSHED_LEAD_SCHEDULING_DELAY_HPP
 
 #include "currantshed/clock/time.hpp"
 
@@ -9,11 +9,11 @@
 /// much answers and other VMs' words may lie unread, and what looks like
 /// another one's silence is its own (after Lifeguard: Dadgar, Phillips and
 /// Currey, 2018).
-class lateness
+class scheduling_delay
 {
 public:
   /// Something that was planned for one time has been done at another one.
-  void Ran(clock::time_point aPlanned, clock::time_point aAt) noexcept;
+  void Record(clock::time_point aPlanned, clock::time_point aAt) noexcept;
 
   /// The longest delay; fades over some seconds.
   [[nodiscard]] clock::duration At(clock::time_point aNow) const noexcept;
--- a/src/currantshed/lead/server_table.cpp
+++ b/src/currantshed/lead/server_table.cpp
@@ -19,7 +19,7 @@
     const bool isAnew = !added && view.listed.startedAt != one.startedAt;
     if (isAnew) {
       view = {};
-      view.livesSince = aNow;
+      view.restartSeenAt = aNow;
     }
     view.listed = one;
     if (added || isAnew) {
@@ -38,11 +38,11 @@
                        clock::time_point aNow)
 {
   auto* view = Find(aServer);
-  if (view == nullptr || aAskedAt < view->livesSince) {
+  if (view == nullptr || aAskedAt < view->restartSeenAt) {
     return;
   }
-  view->asking.reset();
-  Heard(aServer, aNow);
+  view->pendingSince.reset();
+  Contacted(aServer, aNow);
   if (aAskedAt >= view->askedAt) {
     view->report = aReport;
     view->askedAt = aAskedAt;
@@ -50,7 +50,8 @@
 }
 
 void
-server_table::Heard(const upstream::server_id& aServer, clock::time_point aAt)
+server_table::Contacted(const upstream::server_id& aServer,
+                        clock::time_point aAt)
 {
   auto* view = Find(aServer);
   if (view != nullptr && aAt > view->heardAt) {
@@ -64,7 +65,7 @@
 {
   auto* view = Find(aServer);
   if (view != nullptr) {
-    view->asking.reset();
+    view->pendingSince.reset();
     ++view->failures;
   }
 }
@@ -90,7 +91,7 @@
 }
 
 std::size_t
-server_table::Silent() const
+server_table::UnresponsiveCount() const
 {
   return static_cast<std::size_t>(
     std::count_if(mViews.begin(), mViews.end(), [](const auto& aEntry) {
@@ -111,7 +112,7 @@
 }
 
 position::term_id
-server_table::HighestLog() const
+server_table::HighestLogTerm() const
 {
   position::term_id highest = 0;
   for (const auto& [id, view] : mViews) {
@@ -121,7 +122,7 @@
 }
 
 std::optional<proxy::confirmation>
-server_table::Proof() const
+server_table::Confirmation() const
 {
   const member_view* primary = nullptr;
   for (const auto& [id, view] : mViews) {
--- a/src/currantshed/lead/server_table.hpp
+++ b/src/currantshed/lead/server_table.hpp
@@ -21,7 +21,7 @@
 {
   upstream::server_id id;
   /// In this VM's failure domain.
-  bool isNear = false;
+  bool isInSameDomain = false;
   /// Leaves soon.
   bool draining = false;
   /// Which of its lives it is.
@@ -36,12 +36,12 @@
   /// When the report was asked for.
   clock::time_point askedAt;
   /// When the question under way was sent.
-  std::optional<clock::time_point> asking;
+  std::optional<clock::time_point> pendingSince;
   /// When it was last asked, answered or not.
-  clock::time_point lastAsked;
+  clock::time_point lastQueriedAt;
   /// When this VM came to know that it has started again: what was asked for
   /// before says nothing of it.
-  clock::time_point livesSince{};
+  clock::time_point restartSeenAt{};
   /// When it last answered anything, also a caller's statement.
   clock::time_point heardAt;
   /// Until when it is asked through other VMs, since only they reach it.
@@ -63,7 +63,7 @@
                 clock::time_point aAskedAt,
                 clock::time_point aNow);
   /// Answered, but without a report.
-  void Heard(const upstream::server_id& aServer, clock::time_point aAt);
+  void Contacted(const upstream::server_id& aServer, clock::time_point aAt);
   void Failed(const upstream::server_id& aServer);
 
   [[nodiscard]] const views& All() const noexcept { return mViews; }
@@ -75,18 +75,18 @@
   [[nodiscard]] std::size_t Majority() const noexcept;
 
   /// Members whose last question had no answer.
-  [[nodiscard]] std::size_t Silent() const;
+  [[nodiscard]] std::size_t UnresponsiveCount() const;
 
   /// The highest term that any member told, of its log or its fence.
   [[nodiscard]] position::term_id HighestTerm() const;
 
   /// The highest term of any member's log: fences may stand above every term
   /// that has begun.
-  [[nodiscard]] position::term_id HighestLog() const;
+  [[nodiscard]] position::term_id HighestLogTerm() const;
 
   /// The primary of the highest term that a majority, itself included, would
   /// follow, and when the oldest of the newest such majority was asked.
-  [[nodiscard]] std::optional<proxy::confirmation> Proof() const;
+  [[nodiscard]] std::optional<proxy::confirmation> Confirmation() const;
 
 private:
   views mViews;
--- a/src/currantshed/lead/takeover.cpp
+++ b/src/currantshed/lead/takeover.cpp
@@ -5,7 +5,7 @@
 
 #include <absl/strings/str_cat.h>
 
-#include "currantshed/lead/internal/group_lead_times.hpp"
+#include "currantshed/lead/internal/group_monitor_timing.hpp"
 
 namespace currantshed::lead {
 
@@ -38,7 +38,7 @@
 }
 
 void
-takeover::Begin(takeover_reason aReason,
+takeover::Start(takeover_reason aReason,
                 upstream::server_id aOld,
                 position::term_id aOldTerm,
                 clock::time_point aNow,
@@ -59,7 +59,7 @@
   mOrders = 0;
   mRejected.clear();
   aOut.emplace_back(publish_revocation{ mOldTerm });
-  aOut.emplace_back(note_step{
+  aOut.emplace_back(log_step{
     "begun",
     absl::StrCat(
       std::string(NameOf(aReason)), " old=", mOld, " term=", mOldTerm) });
@@ -74,7 +74,7 @@
   }
   mStep = takeover_step::kNone;
   aOut.emplace_back(publish_revocation{ 0 });
-  aOut.emplace_back(note_step{ "abandoned", "" });
+  aOut.emplace_back(log_step{ "abandoned", "" });
 }
 
 position::term_id
@@ -114,8 +114,8 @@
     ReadFences(aNow, aOut);
   }
   NoteWait(aNow, aOut);
-  if (mStep == takeover_step::kWaitOut && (mAllObeyed || aNow >= mWaitUntil) &&
-      !Choose(aNow).empty()) {
+  if (mStep == takeover_step::kAwaitExpiry &&
+      (mAllObeyed || aNow >= mWaitUntil) && !Choose(aNow).empty()) {
     mStep = takeover_step::kPromote;
     mNextOrder = aNow;
   }
@@ -142,8 +142,8 @@
   if (mStep == takeover_step::kNone) {
     return clock::time_point::max();
   }
-  return std::min(mNextSend,
-                  mStep == takeover_step::kWaitOut ? mWaitUntil : mNextOrder);
+  return std::min(
+    mNextSend, mStep == takeover_step::kAwaitExpiry ? mWaitUntil : mNextOrder);
 }
 
 void
@@ -158,7 +158,7 @@
     mQuietUntil = mLastOrderAt + kOrderEffect;
   }
   aOut.emplace_back(publish_revocation{ 0 });
-  aOut.emplace_back(note_step{
+  aOut.emplace_back(log_step{
     "done", absl::StrCat("primary=", aPrimary, " took_ms=", took.count()) });
 }
 
@@ -176,24 +176,24 @@
     fenced += IsFenced(view) ? 1 : 0;
   }
   const auto took = std::chrono::duration_cast<milliseconds>(aNow - mBegunAt);
-  aOut.emplace_back(note_step{ "waits",
-                               absl::StrCat("at=",
-                                            std::string(NameOf(mStep)),
-                                            " since_ms=",
-                                            took.count(),
-                                            " old_listed=",
-                                            mTable.Find(mOld) != nullptr,
-                                            " members=",
-                                            mTable.All().size(),
-                                            " fenced=",
-                                            fenced,
-                                            " silent=",
-                                            mTable.Silent()) });
+  aOut.emplace_back(log_step{ "waits",
+                              absl::StrCat("at=",
+                                           std::string(NameOf(mStep)),
+                                           " since_ms=",
+                                           took.count(),
+                                           " old_listed=",
+                                           mTable.Find(mOld) != nullptr,
+                                           " members=",
+                                           mTable.All().size(),
+                                           " fenced=",
+                                           fenced,
+                                           " silent=",
+                                           mTable.UnresponsiveCount()) });
 }
 
 bool
-takeover::IsOvertakenBy(const upstream::server_id& aPrimary,
-                        clock::time_point aNow) const
+takeover::IsSupersededBy(const upstream::server_id& aPrimary,
+                         clock::time_point aNow) const
 {
   return mStep == takeover_step::kPromote && mOrders > 0 &&
          aPrimary != mChosen && aNow < mLastOrderAt + kOrderEffect;
@@ -202,14 +202,14 @@
 // An order of a change before, or of another holder, had its effect late. The
 // server that leads by it is about to be deposed: nobody may rest on it.
 void
-takeover::Overtaken(const proxy::confirmation& aProof,
-                    std::vector<action>& aOut)
+takeover::Superseded(const proxy::confirmation& aProof,
+                     std::vector<action>& aOut)
 {
   mOld = aProof.primary;
   mOldTerm = aProof.term;
   aOut.emplace_back(publish_revocation{ mOldTerm });
   aOut.emplace_back(
-    note_step{ "overtaken", absl::StrCat("by=", mOld, " term=", mOldTerm) });
+    log_step{ "overtaken", absl::StrCat("by=", mOld, " term=", mOldTerm) });
 }
 
 // Whether the chosen server is gone, or has started again since: it would lead
@@ -246,7 +246,7 @@
   mFences = mFences || NeedsFences(aNow);
   for (const auto& [id, view] : mTable.All()) {
     const bool isOld = id == mOld || (view.report && view.report->isPrimary);
-    if (view.asking) {
+    if (view.pendingSince) {
       continue;
     }
     if (isOld) {
@@ -305,7 +305,7 @@
   if (!barred) {
     mStep = takeover_step::kFence;
   } else if (mStep == takeover_step::kFence) {
-    mStep = takeover_step::kWaitOut;
+    mStep = takeover_step::kAwaitExpiry;
     mWaitUntil = aNow + mValidity;
     mBarredAt = aNow;
     aOut.emplace_back(list_vms{});
@@ -327,7 +327,7 @@
 {
   const auto* old = mTable.Find(mOld);
   return old != nullptr && IsUsable(*old) &&
-         aView.livesSince != clock::time_point{} &&
+         aView.restartSeenAt != clock::time_point{} &&
          aView.report->received < old->report->received;
 }
 
@@ -347,7 +347,7 @@
       goal = view.report->received;
     }
     const bool leaves = view.listed.draining ||
-                        (id == mOld && mReason != takeover_reason::kVacant);
+                        (id == mOld && mReason != takeover_reason::kNoPrimary);
     if (!IsUsable(view) || leaves) {
       continue;
     }
@@ -377,7 +377,7 @@
   mNextSend = aNow + kRound;
   const auto* old = mTable.Find(mOld);
   const bool isDone = old == nullptr || mChosen == mOld || DoesNotLead(old);
-  if (!isDone && !old->asking) {
+  if (!isDone && !old->pendingSince) {
     Send(mOld, proxy::command_kind::kDemote, aNow, aOut);
   }
 }
@@ -398,7 +398,7 @@
     return;
   }
   for (const auto& [id, view] : mTable.All()) {
-    if (view.report && view.report->fencedAt > led && !view.asking) {
+    if (view.report && view.report->fencedAt > led && !view.pendingSince) {
       Send(id, proxy::command_kind::kUnfence, aNow, aOut);
     }
   }
@@ -424,8 +424,8 @@
   ++mOrders;
   mLastOrderAt = aNow;
   mNextOrder = aNow + kPromoteRound;
-  aOut.emplace_back(note_step{ "promote", mChosen });
-  aOut.emplace_back(order_promotion{ mChosen, mOldTerm });
+  aOut.emplace_back(log_step{ "promote", mChosen });
+  aOut.emplace_back(request_promotion{ mChosen, mOldTerm });
 }
 
 void
@@ -435,12 +435,12 @@
                std::vector<action>& aOut)
 {
   auto* view = mTable.Find(aServer);
-  view->asking = aNow;
-  view->lastAsked = aNow;
-  proxy::command what;
-  what.kind = aKind;
-  what.term = mFenceTerm;
-  aOut.emplace_back(ask_server{ aServer, what });
+  view->pendingSince = aNow;
+  view->lastQueriedAt = aNow;
+  proxy::command command;
+  command.kind = aKind;
+  command.term = mFenceTerm;
+  aOut.emplace_back(send_command{ aServer, command });
 }
 
 std::string_view
@@ -451,7 +451,7 @@
       return "none";
     case takeover_step::kFence:
       return "fence";
-    case takeover_step::kWaitOut:
+    case takeover_step::kAwaitExpiry:
       return "wait_out";
     case takeover_step::kPromote:
       return "promote";
@@ -467,7 +467,7 @@
       return "lost";
     case takeover_reason::kDraining:
       return "draining";
-    case takeover_reason::kVacant:
+    case takeover_reason::kNoPrimary:
       return "vacant";
   }
   return "unknown";
--- a/src/currantshed/lead/takeover.hpp
+++ b/src/currantshed/lead/takeover.hpp
@@ -22,7 +22,7 @@
   /// A majority of the group is being kept from following the old primary.
   kFence,
   /// Proofs of the old term that other VMs may hold run out.
-  kWaitOut,
+  kAwaitExpiry,
   /// The platform has been asked to promote the chosen server.
   kPromote,
 };
@@ -35,7 +35,7 @@
   /// The primary leaves.
   kDraining,
   /// No server leads.
-  kVacant,
+  kNoPrimary,
 };
 
 /// The change of one group's primary: keeps the old one from being confirmed
@@ -47,7 +47,7 @@
   takeover(server_table& aTable, std::chrono::milliseconds aValidity);
 
   /// Begins. The old primary may be empty.
-  void Begin(takeover_reason aReason,
+  void Start(takeover_reason aReason,
              upstream::server_id aOld,
              position::term_id aOldTerm,
              clock::time_point aNow,
@@ -57,7 +57,7 @@
   void Abandon(std::vector<action>& aOut);
 
   /// Every VM that may hold a proof of the old term has given it up.
-  void AllObeyed() { mAllObeyed = true; }
+  void AllAcknowledged() { mAllObeyed = true; }
 
   /// The platform's answer: whether it took the order, or says that the server
   /// can't be promoted.
@@ -68,19 +68,22 @@
   [[nodiscard]] clock::time_point NextTick() const noexcept;
 
   [[nodiscard]] takeover_step Step() const noexcept { return mStep; }
-  [[nodiscard]] clock::time_point BegunAt() const noexcept { return mBegunAt; }
+  [[nodiscard]] clock::time_point StartedAt() const noexcept
+  {
+    return mBegunAt;
+  }
   /// Until when orders of the last change may still take effect: no other
   /// change begins before.
-  [[nodiscard]] clock::time_point QuietUntil() const noexcept
+  [[nodiscard]] clock::time_point HoldOffUntil() const noexcept
   {
     return mQuietUntil;
   }
   /// Whether a server that leads a newer term will be deposed by an order to
   /// promote another one that is still under way.
-  [[nodiscard]] bool IsOvertakenBy(const upstream::server_id& aPrimary,
-                                   clock::time_point aNow) const;
+  [[nodiscard]] bool IsSupersededBy(const upstream::server_id& aPrimary,
+                                    clock::time_point aNow) const;
   /// When no new proof of the old term could come about any more.
-  [[nodiscard]] clock::time_point BarredAt() const noexcept
+  [[nodiscard]] clock::time_point BlockedAt() const noexcept
   {
     return mBarredAt;
   }
@@ -89,7 +92,7 @@
 
   /// A server leads a newer term, but not for long: the change goes on, to
   /// replace that one.
-  void Overtaken(const proxy::confirmation& aProof, std::vector<action>& aOut);
+  void Superseded(const proxy::confirmation& aProof, std::vector<action>& aOut);
 
   /// A server leads a newer term: the change is done.
   void Succeeded(const upstream::server_id& aPrimary,
--- a/src/currantshed/member/fwd.hpp
+++ b/src/currantshed/member/fwd.hpp
@@ -3,11 +3,11 @@
 
 namespace currantshed::member {
 
-class news_box;
-class roster;
+class gossip_queue;
+class membership;
 struct heartbeat;
 struct lost_vm;
-struct term_news;
+struct term_update;
 
 } // namespace currantshed::member
 
--- a/src/currantshed/member/news_box.cpp
+++ b/src/currantshed/member/gossip_queue.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/member/news_box.hpp"
+#include "currantshed/member/gossip_queue.hpp"
 
 #include <cstddef>
 
@@ -20,37 +20,37 @@
 } // namespace
 
 bool
-news_box::SetTerm(const term_news& aNews)
+gossip_queue::SetTerm(const term_update& aUpdate)
 {
-  auto& entry = mTerms[aNews.group];
-  const bool same =
-    aNews.term == entry.news.term && aNews.primary == entry.news.primary;
-  if (aNews.term < entry.news.term || same) {
+  auto& entry = mTerms[aUpdate.group];
+  const bool same = aUpdate.term == entry.update.term &&
+                    aUpdate.primary == entry.update.primary;
+  if (aUpdate.term < entry.update.term || same) {
     return false;
   }
-  entry = { aNews, kTermRepeats };
+  entry = { aUpdate, kTermRepeats };
   return true;
 }
 
 void
-news_box::SetSuspicion(const failover::suspicion& aWord)
+gossip_queue::SetSuspicion(const failover::suspicion& aWord)
 {
   auto& entry = mSuspicions[aWord.group];
-  entry.word = aWord;
-  entry.left.reset();
+  entry.latest = aWord;
+  entry.remaining.reset();
   if (aWord.primary.empty()) {
-    entry.left = kWithdrawalRepeats;
+    entry.remaining = kWithdrawalRepeats;
   }
 }
 
 void
-news_box::SetLost(const lost_vm& aWord)
+gossip_queue::SetLost(const lost_vm& aWord)
 {
   mLost[aWord.id] = { aWord.incarnation, kLostRepeats };
 }
 
 void
-news_box::Fill(heartbeat& aBeat)
+gossip_queue::Fill(heartbeat& aBeat)
 {
   FillSuspicions(aBeat);
   FillTerms(aBeat);
@@ -58,42 +58,42 @@
 }
 
 void
-news_box::FillSuspicions(heartbeat& aBeat)
+gossip_queue::FillSuspicions(heartbeat& aBeat)
 {
   for (auto& [group, entry] : mSuspicions) {
-    aBeat.suspicions.push_back(entry.word);
-    if (entry.left) {
-      --*entry.left;
+    aBeat.suspicions.push_back(entry.latest);
+    if (entry.remaining) {
+      --*entry.remaining;
     }
   }
   absl::erase_if(mSuspicions, [](const auto& aEntry) {
-    return aEntry.second.left && *aEntry.second.left == 0;
+    return aEntry.second.remaining && *aEntry.second.remaining == 0;
   });
 }
 
 void
-news_box::FillTerms(heartbeat& aBeat)
+gossip_queue::FillTerms(heartbeat& aBeat)
 {
   for (auto& [group, entry] : mTerms) {
-    if (entry.left > 0) {
-      --entry.left;
-      aBeat.terms.push_back(entry.news);
+    if (entry.remaining > 0) {
+      --entry.remaining;
+      aBeat.terms.push_back(entry.update);
     }
   }
 }
 
 void
-news_box::FillLost(heartbeat& aBeat)
+gossip_queue::FillLost(heartbeat& aBeat)
 {
   for (auto& [id, entry] : mLost) {
     if (aBeat.lost.size() == kLostLimit) {
       break;
     }
-    --entry.left;
+    --entry.remaining;
     aBeat.lost.push_back({ id, entry.incarnation });
   }
-  absl::erase_if(mLost,
-                 [](const auto& aEntry) { return aEntry.second.left == 0; });
+  absl::erase_if(
+    mLost, [](const auto& aEntry) { return aEntry.second.remaining == 0; });
 }
 
 } // namespace currantshed::member
--- a/src/currantshed/member/news_box.hpp
+++ b/src/currantshed/member/gossip_queue.hpp
@@ -1,21 +1,21 @@
-#ifndef CURRANTSHED_MEMBER_NEWS_BOX_HPP
-#define CURRANTSHED_MEMBER_NEWS_BOX_HPP
+#ifndef CURRANTSHED_MEMBER_GOSSIP_QUEUE_HPP
+#define CURRANTSHED_MEMBER_GOSSIP_QUEUE_HPP
 
 #include <optional>
 
 #include <absl/container/btree_map.h>
 
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 
 namespace currantshed::member {
 
 /// What the next heartbeats carry besides the sender's own state. Each word
 /// goes out a bounded number of times, a suspicion as long as it lasts.
-class news_box
+class gossip_queue
 {
 public:
   /// Whether the word is news, to be sent at once.
-  bool SetTerm(const term_news& aNews);
+  bool SetTerm(const term_update& aUpdate);
   void SetSuspicion(const failover::suspicion& aWord);
   void SetLost(const lost_vm& aWord);
 
@@ -28,21 +28,21 @@
 private:
   struct repeated_term
   {
-    term_news news;
-    unsigned left = 0;
+    term_update update;
+    unsigned remaining = 0;
   };
 
   struct repeated_suspicion
   {
-    failover::suspicion word;
+    failover::suspicion latest;
     // Set once the suspicion is withdrawn.
-    std::optional<unsigned> left;
+    std::optional<unsigned> remaining;
   };
 
   struct repeated_loss
   {
     failover::incarnation_id incarnation;
-    unsigned left = 0;
+    unsigned remaining = 0;
   };
 
   void FillSuspicions(heartbeat& aBeat);
--- a/src/currantshed/member/roster.cpp
+++ b/src/currantshed/member/membership.cpp
@@ -1,11 +1,11 @@
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 
 #include <algorithm>
 #include <utility>
 
 #include <absl/container/flat_hash_set.h>
 
-#include "currantshed/member/news_box.hpp"
+#include "currantshed/member/gossip_queue.hpp"
 #include "currantshed/member/peer_table.hpp"
 #include "currantshed/member/peers.hpp"
 
@@ -15,12 +15,12 @@
 
 // Heartbeats of which one names a VM heard of: it is a third of their size,
 // and new VMs are few.
-constexpr std::uint64_t kHeardOfEvery = 4;
+constexpr std::uint64_t kPeerSampleInterval = 4;
 
-class hashed_roster final : public roster
+class gossip_membership final : public membership
 {
 public:
-  hashed_roster(const roster_settings& aSettings, std::uint64_t aSeed)
+  gossip_membership(const membership_settings& aSettings, std::uint64_t aSeed)
     : mSettings(aSettings)
     , mSelf(aSettings.self)
     , mSeed(aSeed)
@@ -40,20 +40,20 @@
   void HeartbeatArrived(const heartbeat& aBeat, clock::time_point aNow) override
   {
     Advance(aNow);
-    if (aBeat.sender.id == mSelf.id || !mTable.Heard(aBeat, mNow)) {
+    if (aBeat.sender.id == mSelf.id || !mTable.RecordHeartbeat(aBeat, mNow)) {
       return;
     }
-    mNews.EraseLost(aBeat.sender.id);
+    mGossip.EraseLost(aBeat.sender.id);
     if (aBeat.answer) {
-      mAskers.insert(aBeat.sender.id);
+      mReplyTo.insert(aBeat.sender.id);
     }
-    for (const auto& vm : aBeat.heardOf) {
-      mTable.NoteRumour(vm, mNow);
+    for (const auto& vm : aBeat.peerSample) {
+      mTable.AddUnconfirmed(vm, mNow);
     }
-    bool changed = mTable.NeedsJudgement(aBeat.sender.id);
+    bool changed = mTable.NeedsEvaluation(aBeat.sender.id);
     for (const auto& word : aBeat.lost) {
-      if (mTable.NoteLost(word, mNow)) {
-        mNews.SetLost(word);
+      if (mTable.RecordLost(word, mNow)) {
+        mGossip.SetLost(word);
         changed = true;
       }
     }
@@ -66,19 +66,19 @@
   {
     if (aVersion > mConfiguration) {
       mConfiguration = aVersion;
-      mUrgent = true;
+      mSendNow = true;
     }
   }
 
   void SetSuspicion(const failover::suspicion& aWord) override
   {
-    mNews.SetSuspicion(aWord);
-    mUrgent = true;
+    mGossip.SetSuspicion(aWord);
+    mSendNow = true;
   }
 
-  void SetTerm(const term_news& aNews) override
+  void SetTerm(const term_update& aUpdate) override
   {
-    mUrgent = mNews.SetTerm(aNews) || mUrgent;
+    mSendNow = mGossip.SetTerm(aUpdate) || mSendNow;
   }
 
   void SetGroups(const std::vector<group::group_name>& aGroups) override
@@ -94,7 +94,7 @@
   {
     if (!mSelf.leaving) {
       mSelf.leaving = true;
-      mUrgent = true;
+      mSendNow = true;
       Rebuild();
     }
   }
@@ -103,39 +103,39 @@
   {
     Advance(aNow);
     if (mNow >= std::min(mNextBeat, mNextChange)) {
-      mTable.Forget(mNow);
+      mTable.RemoveExpired(mNow);
       Refresh();
     }
   }
 
   [[nodiscard]] clock::time_point NextTick() const noexcept override
   {
-    const bool atOnce = mUrgent || !mAskers.empty();
+    const bool atOnce = mSendNow || !mReplyTo.empty();
     return atOnce ? mNow : std::min(mNextBeat, mNextChange);
   }
 
-  [[nodiscard]] std::vector<send_heartbeat> TakeHeartbeats() override
+  [[nodiscard]] std::vector<outgoing_heartbeat> TakeHeartbeats() override
   {
     const bool due = mNow >= mNextBeat;
-    const bool toAll = due || mUrgent;
-    if (!toAll && mAskers.empty()) {
+    const bool toAll = due || mSendNow;
+    if (!toAll && mReplyTo.empty()) {
       return {};
     }
     if (due) {
       mNextBeat = mNow + mSettings.interval;
     }
-    mUrgent = false;
+    mSendNow = false;
     ++mSequence;
     const auto beat = Compose();
     const auto receivers = toAll ? Receivers() : std::vector<store::vm>{};
     for (const auto& vm : receivers) {
-      mAskers.erase(vm.id);
+      mReplyTo.erase(vm.id);
     }
     auto sends = Address(beat, receivers);
-    for (auto& send : Address(beat, Askers())) {
+    for (auto& send : Address(beat, ReplyReceivers())) {
       sends.push_back(std::move(send));
     }
-    mAskers.clear();
+    mReplyTo.clear();
     return sends;
   }
 
@@ -158,9 +158,9 @@
   void Refresh()
   {
     Watch();
-    const bool changed = mTable.Judge(mNow);
-    for (const auto& word : mTable.TakeLosses(mNow)) {
-      mNews.SetLost(word);
+    const bool changed = mTable.UpdateLiveness(mNow);
+    for (const auto& word : mTable.TakeNewLosses(mNow)) {
+      mGossip.SetLost(word);
     }
     if (changed) {
       Rebuild();
@@ -217,10 +217,11 @@
     beat.incarnation = mSettings.incarnation;
     beat.sequence = mSequence;
     beat.configuration = mConfiguration;
-    if (mSequence % kHeardOfEvery == 0) {
-      beat.heardOf = mTable.HeardOf(mSequence / kHeardOfEvery, mNow);
+    if (mSequence % kPeerSampleInterval == 0) {
+      beat.peerSample =
+        mTable.SampleRecent(mSequence / kPeerSampleInterval, mNow);
     }
-    mNews.Fill(beat);
+    mGossip.Fill(beat);
     return beat;
   }
 
@@ -236,10 +237,10 @@
                          mSequence });
   }
 
-  [[nodiscard]] std::vector<store::vm> Askers() const
+  [[nodiscard]] std::vector<store::vm> ReplyReceivers() const
   {
     std::vector<store::vm> askers;
-    for (const auto& id : mAskers) {
+    for (const auto& id : mReplyTo) {
       if (const auto vm = mTable.Find(id)) {
         askers.push_back(*vm);
       }
@@ -248,11 +249,11 @@
   }
 
   // A watched VM that does not send by itself is asked to answer.
-  [[nodiscard]] std::vector<send_heartbeat> Address(
+  [[nodiscard]] std::vector<outgoing_heartbeat> Address(
     const heartbeat& aBeat,
     const std::vector<store::vm>& aReceivers) const
   {
-    std::vector<send_heartbeat> sends;
+    std::vector<outgoing_heartbeat> sends;
     sends.reserve(aReceivers.size());
     for (const auto& vm : aReceivers) {
       sends.push_back({ vm, aBeat });
@@ -261,31 +262,31 @@
     return sends;
   }
 
-  roster_settings mSettings;
+  membership_settings mSettings;
   store::vm mSelf;
   std::uint64_t mSeed;
   peer_table mTable;
-  news_box mNews;
+  gossip_queue mGossip;
   clock::time_point mNow;
   clock::time_point mNextBeat;
   clock::time_point mNextChange = clock::time_point::max();
-  bool mUrgent = false;
+  bool mSendNow = false;
   std::uint64_t mSequence = 0;
   std::uint64_t mConfiguration = 0;
   std::uint64_t mVersion = 0;
   std::vector<group::group_name> mGroups;
   absl::flat_hash_set<std::string> mNeighbours;
   absl::flat_hash_set<std::string> mCoOwners;
-  absl::flat_hash_set<std::string> mAskers;
+  absl::flat_hash_set<std::string> mReplyTo;
   std::vector<store::vm> mLive;
 };
 
 } // namespace
 
-std::unique_ptr<roster>
-MakeRoster(const roster_settings& aSettings, std::uint64_t aSeed)
+std::unique_ptr<membership>
+MakeMembership(const membership_settings& aSettings, std::uint64_t aSeed)
 {
-  return std::make_unique<hashed_roster>(aSettings, aSeed);
+  return std::make_unique<gossip_membership>(aSettings, aSeed);
 }
 
 } // namespace currantshed::member
--- a/src/currantshed/member/roster.hpp
+++ b/src/currantshed/member/membership.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_MEMBER_ROSTER_HPP
-#define CURRANTSHED_MEMBER_ROSTER_HPP
+#ifndef CURRANTSHED_MEMBER_MEMBERSHIP_HPP
+#define CURRANTSHED_MEMBER_MEMBERSHIP_HPP
 
 #include <chrono>
 #include <cstdint>
@@ -15,7 +15,7 @@
 namespace currantshed::member {
 
 /// A term of a group and its primary, as passed on between poolers.
-struct term_news
+struct term_update
 {
   group::group_name group;
   position::term_id term = 0;
@@ -42,9 +42,9 @@
   /// Version of the configuration in force at the sender.
   std::uint64_t configuration = 0;
   /// VMs that the sender has heard of lately, a bounded few.
-  std::vector<store::vm> heardOf;
+  std::vector<store::vm> peerSample;
   std::vector<failover::suspicion> suspicions;
-  std::vector<term_news> terms;
+  std::vector<term_update> terms;
   /// Asks the receiver for a heartbeat back.
   bool answer = false;
   /// VMs that were found to be silent, a bounded number.
@@ -52,24 +52,24 @@
 };
 
 /// A heartbeat to be sent to one VM.
-struct send_heartbeat
+struct outgoing_heartbeat
 {
   store::vm to;
   heartbeat message;
 };
 
 /// Bounds and times of a roster.
-struct roster_settings
+struct membership_settings
 {
   store::vm self;
   failover::incarnation_id incarnation;
   std::chrono::milliseconds interval{ 150 };
   /// A watched VM that sent heartbeats and has been silent for this long is
   /// taken for dead.
-  std::chrono::milliseconds silentAfter{ 500 };
+  std::chrono::milliseconds failureTimeout{ 500 };
   /// How long a VM that the platform lists counts as live before it has sent
   /// its first heartbeat.
-  std::chrono::milliseconds grace{ 3000 };
+  std::chrono::milliseconds gracePeriod{ 3000 };
   /// Peers that get each heartbeat.
   unsigned fanout = 8;
   /// Poolers that own a group, in different failure domains where it can be.
@@ -79,10 +79,10 @@
 /// The VMs that one pooler takes for live, from the platform's lagging list
 /// and from heartbeats, and the poolers that own each group. A wrong view
 /// costs speed, never safety. Does no I/O.
-class roster
+class membership
 {
 public:
-  virtual ~roster() = default;
+  virtual ~membership() = default;
 
   /// The platform's list, newly read.
   virtual void Listed(const std::vector<store::vm>& aVms,
@@ -94,7 +94,7 @@
   /// Sets what the next heartbeats carry.
   virtual void SetConfiguration(std::uint64_t aVersion) = 0;
   virtual void SetSuspicion(const failover::suspicion& aWord) = 0;
-  virtual void SetTerm(const term_news& aNews) = 0;
+  virtual void SetTerm(const term_update& aUpdate) = 0;
 
   /// Names the groups that the platform lists: co-owners of a group that this
   /// VM owns always get its heartbeats.
@@ -105,7 +105,7 @@
 
   virtual void Tick(clock::time_point aNow) = 0;
   [[nodiscard]] virtual clock::time_point NextTick() const noexcept = 0;
-  [[nodiscard]] virtual std::vector<send_heartbeat> TakeHeartbeats() = 0;
+  [[nodiscard]] virtual std::vector<outgoing_heartbeat> TakeHeartbeats() = 0;
 
   /// VMs taken for live, this one included, by id.
   [[nodiscard]] virtual std::vector<store::vm> Live() const = 0;
@@ -119,8 +119,8 @@
 };
 
 /// Makes a roster; aSeed drives the choice of the peers that get heartbeats.
-[[nodiscard]] std::unique_ptr<roster>
-MakeRoster(const roster_settings& aSettings, std::uint64_t aSeed);
+[[nodiscard]] std::unique_ptr<membership>
+MakeMembership(const membership_settings& aSettings, std::uint64_t aSeed);
 
 /// Owners of a group among the given VMs, in rank order, by rendezvous
 /// hashing and spread over failure domains first. Every process that sees
--- a/src/currantshed/member/owners.cpp
+++ b/src/currantshed/member/owners.cpp
@@ -10,14 +10,14 @@
 #include <absl/container/inlined_vector.h>
 #include <xxhash.h>
 
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 
 namespace currantshed::member {
 
 namespace {
 
 // Both names usually fit without memory of their own.
-constexpr std::size_t kUsualNames = 128;
+constexpr std::size_t kInlineNameBytes = 128;
 
 struct scored_vm
 {
@@ -26,7 +26,7 @@
 };
 
 bool
-GoesBefore(const scored_vm& aLeft, const scored_vm& aRight)
+RanksBefore(const scored_vm& aLeft, const scored_vm& aRight)
 {
   if (aLeft.score != aRight.score) {
     return aLeft.score > aRight.score;
@@ -35,7 +35,7 @@
 }
 
 std::vector<scored_vm>
-Scored(const group::group_name& aGroup, const std::vector<store::vm>& aVms)
+ScoreVms(const group::group_name& aGroup, const std::vector<store::vm>& aVms)
 {
   std::vector<scored_vm> scored;
   scored.reserve(aVms.size());
@@ -50,13 +50,13 @@
 // Moves the best VM of each failure domain to the front, the best ones first,
 // and tells how many there are.
 std::size_t
-DomainsFirst(std::vector<scored_vm>& aScored)
+MoveBestPerDomainFirst(std::vector<scored_vm>& aScored)
 {
   absl::flat_hash_map<std::string_view, std::size_t> best;
   for (std::size_t index = 0; index < aScored.size(); ++index) {
     const auto [place, added] =
       best.try_emplace(aScored[index].vm->failureDomain, index);
-    if (!added && GoesBefore(aScored[index], aScored[place->second])) {
+    if (!added && RanksBefore(aScored[index], aScored[place->second])) {
       place->second = index;
     }
   }
@@ -70,7 +70,7 @@
     std::swap(aScored[place], aScored[chosen[place]]);
   }
   const auto end = aScored.begin() + static_cast<std::ptrdiff_t>(chosen.size());
-  std::sort(aScored.begin(), end, GoesBefore);
+  std::sort(aScored.begin(), end, RanksBefore);
   return chosen.size();
 }
 
@@ -81,7 +81,8 @@
 std::uint64_t
 OwnerScore(std::string_view aGroup, std::string_view aVm)
 {
-  absl::InlinedVector<char, kUsualNames> text(aGroup.begin(), aGroup.end());
+  absl::InlinedVector<char, kInlineNameBytes> text(aGroup.begin(),
+                                                   aGroup.end());
   text.push_back('\0');
   text.insert(text.end(), aVm.begin(), aVm.end());
   return XXH3_64bits(text.data(), text.size());
@@ -92,14 +93,14 @@
              const std::vector<store::vm>& aVms,
              unsigned aOwners)
 {
-  auto scored = Scored(aGroup, aVms);
-  const auto domains = DomainsFirst(scored);
+  auto scored = ScoreVms(aGroup, aVms);
+  const auto domains = MoveBestPerDomainFirst(scored);
   const auto count = std::min<std::size_t>(aOwners, scored.size());
   if (domains < count) {
     std::partial_sort(scored.begin() + static_cast<std::ptrdiff_t>(domains),
                       scored.begin() + static_cast<std::ptrdiff_t>(count),
                       scored.end(),
-                      GoesBefore);
+                      RanksBefore);
   }
   std::vector<store::vm> owners;
   owners.reserve(count);
--- a/src/currantshed/member/peer_table.cpp
+++ b/src/currantshed/member/peer_table.cpp
@@ -7,13 +7,13 @@
 namespace {
 
 // VMs that one heartbeat names as heard of.
-constexpr std::size_t kHeardOfLimit = 1;
+constexpr std::size_t kPeerSampleLimit = 1;
 // VMs known by hearsay alone that are kept at a time.
-constexpr std::ptrdiff_t kCandidateLimit = 32;
+constexpr std::ptrdiff_t kUnconfirmedLimit = 32;
 constexpr std::size_t kPastIncarnations = 4;
 // How long a word on a lost VM holds unless it is renewed; it may be in the
 // second half of that time.
-constexpr std::chrono::milliseconds kLostFor{ 10000 };
+constexpr std::chrono::milliseconds kLostDuration{ 10000 };
 
 // Takes over the sender's incarnation and sequence; false for a heartbeat that
 // is older than what has been heard.
@@ -21,21 +21,23 @@
 Accept(peer_record& aPeer, const heartbeat& aBeat)
 {
   if (aPeer.incarnation == aBeat.incarnation) {
-    if (aPeer.heard && aBeat.sequence <= aPeer.sequence) {
+    if (aPeer.reported && aBeat.sequence <= aPeer.sequence) {
       return false;
     }
     aPeer.sequence = aBeat.sequence;
     return true;
   }
-  auto& past = aPeer.past;
-  if (std::find(past.begin(), past.end(), aBeat.incarnation) != past.end()) {
+  auto& pastIncarnations = aPeer.pastIncarnations;
+  if (std::find(pastIncarnations.begin(),
+                pastIncarnations.end(),
+                aBeat.incarnation) != pastIncarnations.end()) {
     return false;
   }
   if (!aPeer.incarnation.empty()) {
-    past.push_back(aPeer.incarnation);
+    pastIncarnations.push_back(aPeer.incarnation);
   }
-  if (past.size() > kPastIncarnations) {
-    past.pop_front();
+  if (pastIncarnations.size() > kPastIncarnations) {
+    pastIncarnations.pop_front();
   }
   aPeer.incarnation = aBeat.incarnation;
   aPeer.sequence = aBeat.sequence;
@@ -45,25 +47,25 @@
 bool
 IsRenewable(const peer_record& aPeer, clock::time_point aNow)
 {
-  return !aPeer.lostUntil || *aPeer.lostUntil - aNow <= kLostFor / 2;
+  return !aPeer.lostUntil || *aPeer.lostUntil - aNow <= kLostDuration / 2;
 }
 
 // The sender's own word goes before the lagging list, but leaving is believed
 // from either.
 store::vm
-Described(const peer_record& aPeer)
+Describe(const peer_record& aPeer)
 {
-  if (!aPeer.heard) {
-    return aPeer.listed ? *aPeer.listed : *aPeer.rumoured;
+  if (!aPeer.reported) {
+    return aPeer.listed ? *aPeer.listed : *aPeer.unconfirmed;
   }
-  store::vm vm = *aPeer.heard;
+  store::vm vm = *aPeer.reported;
   vm.leaving = vm.leaving || (aPeer.listed && aPeer.listed->leaving);
   return vm;
 }
 
 } // namespace
 
-peer_table::peer_table(const roster_settings& aSettings)
+peer_table::peer_table(const membership_settings& aSettings)
   : mSettings(aSettings)
 {
 }
@@ -79,67 +81,67 @@
     ids.insert(vm.id);
     auto& peer = mPeers[vm.id];
     if (!peer.listed) {
-      peer.listedSince = aNow;
+      peer.listedAt = aNow;
     }
     peer.listed = vm;
   }
   for (auto& [id, peer] : mPeers) {
     if (!ids.contains(id)) {
       peer.listed.reset();
-      peer.accused = false;
+      peer.suspected = false;
     }
   }
   // A VM that was only listed leaves nothing to describe it by.
-  Forget(aNow);
-  mDirty = true;
+  RemoveExpired(aNow);
+  mChanged = true;
 }
 
 bool
-peer_table::Heard(const heartbeat& aBeat, clock::time_point aNow)
+peer_table::RecordHeartbeat(const heartbeat& aBeat, clock::time_point aNow)
 {
   auto& peer = mPeers[aBeat.sender.id];
   if (!Accept(peer, aBeat)) {
     return false;
   }
-  mDirty = mDirty || peer.heard != aBeat.sender;
-  peer.heard = aBeat.sender;
-  peer.heardAt = aNow;
-  peer.rumoured.reset();
+  mChanged = mChanged || peer.reported != aBeat.sender;
+  peer.reported = aBeat.sender;
+  peer.lastHeartbeatAt = aNow;
+  peer.unconfirmed.reset();
   peer.lostUntil.reset();
-  peer.accused = false;
+  peer.suspected = false;
   return true;
 }
 
 bool
-peer_table::NeedsJudgement(const std::string& aId) const
+peer_table::NeedsEvaluation(const std::string& aId) const
 {
-  return mDirty || !mPeers.at(aId).live;
+  return mChanged || !mPeers.at(aId).live;
 }
 
 void
-peer_table::NoteRumour(const store::vm& aVm, clock::time_point aNow)
+peer_table::AddUnconfirmed(const store::vm& aVm, clock::time_point aNow)
 {
   if (aVm.id == mSettings.self.id || mPeers.contains(aVm.id)) {
     return;
   }
-  const auto rumoured =
+  const auto unconfirmed =
     std::count_if(mPeers.begin(), mPeers.end(), [](const auto& aEntry) {
-      return aEntry.second.rumoured.has_value();
+      return aEntry.second.unconfirmed.has_value();
     });
-  if (rumoured < kCandidateLimit) {
+  if (unconfirmed < kUnconfirmedLimit) {
     auto& peer = mPeers[aVm.id];
-    peer.rumoured = aVm;
-    peer.rumouredAt = aNow;
+    peer.unconfirmed = aVm;
+    peer.unconfirmedSince = aNow;
   }
 }
 
 // A word counts only about the life that is known here, and not against what
 // was heard directly.
 bool
-peer_table::NoteLost(const lost_vm& aWord, clock::time_point aNow)
+peer_table::RecordLost(const lost_vm& aWord, clock::time_point aNow)
 {
   const auto found = mPeers.find(aWord.id);
-  if (found == mPeers.end() || HeardLately(found->second, aNow)) {
+  if (found == mPeers.end() || WasHeardRecently(found->second, aNow)) {
     return false;
   }
   auto& peer = found->second;
@@ -148,7 +150,7 @@
   if (otherLife || !IsRenewable(peer, aNow)) {
     return false;
   }
-  peer.lostUntil = aNow + kLostFor;
+  peer.lostUntil = aNow + kLostDuration;
   return true;
 }
 
@@ -158,19 +160,19 @@
 {
   const bool all = FullMesh();
   for (auto& [id, peer] : mPeers) {
-    if (!all && !peer.accused && !aIds.contains(id)) {
-      peer.watchedSince.reset();
-    } else if (!peer.watchedSince) {
-      peer.watchedSince = aNow;
+    if (!all && !peer.suspected && !aIds.contains(id)) {
+      peer.monitoredSince.reset();
+    } else if (!peer.monitoredSince) {
+      peer.monitoredSince = aNow;
     }
   }
 }
 
 bool
-peer_table::Judge(clock::time_point aNow)
+peer_table::UpdateLiveness(clock::time_point aNow)
 {
-  bool changed = mDirty;
-  mDirty = false;
+  bool changed = mChanged;
+  mChanged = false;
   for (auto& [id, peer] : mPeers) {
     const bool live = IsLive(peer, aNow);
     changed = changed || live != peer.live;
@@ -181,17 +183,17 @@
 
 // In a large fleet most VMs hear of a loss by word only.
 std::vector<lost_vm>
-peer_table::TakeLosses(clock::time_point aNow)
+peer_table::TakeNewLosses(clock::time_point aNow)
 {
   std::vector<lost_vm> losses;
   if (FullMesh()) {
     return losses;
   }
   for (auto& [id, peer] : mPeers) {
-    const bool lost = peer.listed && peer.watchedSince && !peer.live;
+    const bool lost = peer.listed && peer.monitoredSince && !peer.live;
     if (lost && IsRenewable(peer, aNow)) {
-      peer.lostUntil = aNow + kLostFor;
-      peer.accused = true;
+      peer.lostUntil = aNow + kLostDuration;
+      peer.suspected = true;
       losses.push_back({ id, peer.incarnation });
     }
   }
@@ -199,16 +201,17 @@
 }
 
 void
-peer_table::Forget(clock::time_point aNow)
+peer_table::RemoveExpired(clock::time_point aNow)
 {
   const auto gone = absl::erase_if(mPeers, [&](const auto& aEntry) {
     const auto& peer = aEntry.second;
-    const bool rumoured =
-      peer.rumoured && aNow - peer.rumouredAt <= mSettings.grace;
-    const bool heard = peer.heard && aNow - peer.heardAt <= mSettings.grace;
-    return !peer.listed && !heard && !rumoured;
+    const bool unconfirmed =
+      peer.unconfirmed && aNow - peer.unconfirmedSince <= mSettings.gracePeriod;
+    const bool reported =
+      peer.reported && aNow - peer.lastHeartbeatAt <= mSettings.gracePeriod;
+    return !peer.listed && !reported && !unconfirmed;
   });
-  mDirty = mDirty || gone > 0;
+  mChanged = mChanged || gone > 0;
 }
 
 clock::time_point
@@ -217,9 +220,9 @@
   auto next = clock::time_point::max();
   for (const auto& [id, peer] : mPeers) {
     auto bound = aNow - clock::duration{ 1 };
-    if (HeardLately(peer, aNow)) {
-      bound = peer.heardAt + mSettings.silentAfter;
-    } else if (peer.watchedSince && peer.listed) {
+    if (WasHeardRecently(peer, aNow)) {
+      bound = peer.lastHeartbeatAt + mSettings.failureTimeout;
+    } else if (peer.monitoredSince && peer.listed) {
       bound = LiveUntil(peer);
     } else if (peer.lostUntil) {
       bound = *peer.lostUntil;
@@ -238,7 +241,7 @@
   std::vector<store::vm> live;
   for (const auto& [id, peer] : mPeers) {
     if (peer.live) {
-      live.push_back(Described(peer));
+      live.push_back(Describe(peer));
     }
   }
   return live;
@@ -250,24 +253,25 @@
   std::vector<store::vm> all;
   all.reserve(mPeers.size());
   for (const auto& [id, peer] : mPeers) {
-    all.push_back(Described(peer));
+    all.push_back(Describe(peer));
   }
   return all;
 }
 
 std::vector<store::vm>
-peer_table::HeardOf(std::uint64_t aNumber, clock::time_point aNow) const
+peer_table::SampleRecent(std::uint64_t aNumber, clock::time_point aNow) const
 {
-  std::vector<const store::vm*> heard;
+  std::vector<const store::vm*> reported;
   for (const auto& [id, peer] : mPeers) {
-    if (HeardLately(peer, aNow)) {
-      heard.push_back(&*peer.heard);
+    if (WasHeardRecently(peer, aNow)) {
+      reported.push_back(&*peer.reported);
     }
   }
   std::vector<store::vm> few;
-  const auto count = std::min(kHeardOfLimit, heard.size());
+  const auto count = std::min(kPeerSampleLimit, reported.size());
   for (std::size_t place = 0; place < count; ++place) {
-    few.push_back(*heard[(aNumber * kHeardOfLimit + place) % heard.size()]);
+    few.push_back(
+      *reported[(aNumber * kPeerSampleLimit + place) % reported.size()]);
   }
   return few;
 }
@@ -279,7 +283,7 @@
   if (found == mPeers.end()) {
     return std::nullopt;
   }
-  return Described(found->second);
+  return Describe(found->second);
 }
 
 bool
@@ -288,8 +292,9 @@
   const auto& peer = mPeers.at(aId);
   const auto half = mSettings.interval / 2;
   const auto patience = FullMesh() ? mSettings.interval + half : half;
-  const bool heard = peer.heard && aNow - peer.heardAt <= patience;
-  return peer.watchedSince && !heard;
+  const bool reported =
+    peer.reported && aNow - peer.lastHeartbeatAt <= patience;
+  return peer.monitoredSince && !reported;
 }
 
 // Whether every VM sends to every other one.
@@ -300,9 +305,11 @@
 }
 
 bool
-peer_table::HeardLately(const peer_record& aPeer, clock::time_point aNow) const
+peer_table::WasHeardRecently(const peer_record& aPeer,
+                             clock::time_point aNow) const
 {
-  return aPeer.heard && aNow - aPeer.heardAt <= mSettings.silentAfter;
+  return aPeer.reported &&
+         aNow - aPeer.lastHeartbeatAt <= mSettings.failureTimeout;
 }
 
 // Until when a watched VM counts as live without another heartbeat. One that
@@ -310,10 +317,11 @@
 clock::time_point
 peer_table::LiveUntil(const peer_record& aPeer) const
 {
-  if (aPeer.heard && aPeer.heardAt >= *aPeer.watchedSince) {
-    return aPeer.heardAt + mSettings.silentAfter;
+  if (aPeer.reported && aPeer.lastHeartbeatAt >= *aPeer.monitoredSince) {
+    return aPeer.lastHeartbeatAt + mSettings.failureTimeout;
   }
-  return std::max(*aPeer.watchedSince, aPeer.listedSince) + mSettings.grace;
+  return std::max(*aPeer.monitoredSince, aPeer.listedAt) +
+         mSettings.gracePeriod;
 }
 
 // A VM that does not send here regularly is judged by the list and by what the
@@ -321,13 +329,13 @@
 bool
 peer_table::IsLive(const peer_record& aPeer, clock::time_point aNow) const
 {
-  if (HeardLately(aPeer, aNow)) {
+  if (WasHeardRecently(aPeer, aNow)) {
     return true;
   }
   if (!aPeer.listed) {
     return false;
   }
-  if (aPeer.watchedSince) {
+  if (aPeer.monitoredSince) {
     return aNow <= LiveUntil(aPeer);
   }
   return !aPeer.lostUntil || aNow > *aPeer.lostUntil;
--- a/src/currantshed/member/peer_table.hpp
+++ b/src/currantshed/member/peer_table.hpp
@@ -10,7 +10,7 @@
 #include <absl/container/btree_map.h>
 #include <absl/container/flat_hash_set.h>
 
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 
 namespace currantshed::member {
 
@@ -18,22 +18,22 @@
 struct peer_record
 {
   std::optional<store::vm> listed;
-  clock::time_point listedSince;
-  std::optional<store::vm> heard;
-  clock::time_point heardAt;
+  clock::time_point listedAt;
+  std::optional<store::vm> reported;
+  clock::time_point lastHeartbeatAt;
   failover::incarnation_id incarnation;
   std::uint64_t sequence = 0;
   /// Earlier incarnations, whose late heartbeats are told apart.
-  std::deque<failover::incarnation_id> past;
+  std::deque<failover::incarnation_id> pastIncarnations;
   /// Since when it is to be heard here regularly.
-  std::optional<clock::time_point> watchedSince;
+  std::optional<clock::time_point> monitoredSince;
   /// Until when a peer's word that it is lost holds.
   std::optional<clock::time_point> lostUntil;
   /// Known by hearsay, until a heartbeat or the list confirms it.
-  std::optional<store::vm> rumoured;
-  clock::time_point rumouredAt;
+  std::optional<store::vm> unconfirmed;
+  clock::time_point unconfirmedSince;
   /// Found silent here: watched until it is heard or off the list.
-  bool accused = false;
+  bool suspected = false;
   bool live = false;
 };
 
@@ -41,36 +41,36 @@
 class peer_table
 {
 public:
-  explicit peer_table(const roster_settings& aSettings);
+  explicit peer_table(const membership_settings& aSettings);
 
   void Listed(const std::vector<store::vm>& aVms, clock::time_point aNow);
 
   /// Takes over a heartbeat; false for one that is older than what has been
   /// heard.
-  bool Heard(const heartbeat& aBeat, clock::time_point aNow);
+  bool RecordHeartbeat(const heartbeat& aBeat, clock::time_point aNow);
 
   /// Whether the VM's heartbeat changes the view.
-  [[nodiscard]] bool NeedsJudgement(const std::string& aId) const;
+  [[nodiscard]] bool NeedsEvaluation(const std::string& aId) const;
 
   /// Notes a VM known by hearsay: it gets heartbeats, and is live once it
   /// answers.
-  void NoteRumour(const store::vm& aVm, clock::time_point aNow);
+  void AddUnconfirmed(const store::vm& aVm, clock::time_point aNow);
 
   /// Notes a peer's word that a VM is lost; true if it is to be passed on.
-  bool NoteLost(const lost_vm& aWord, clock::time_point aNow);
+  bool RecordLost(const lost_vm& aWord, clock::time_point aNow);
 
   /// Sets the VMs that are to be heard here regularly; in a small fleet all.
   void Watch(const absl::flat_hash_set<std::string>& aIds,
              clock::time_point aNow);
 
   /// Judges all VMs anew; true if the live ones or their data have changed.
-  bool Judge(clock::time_point aNow);
+  bool UpdateLiveness(clock::time_point aNow);
 
   /// Watched VMs that are not live, and of which no word went out lately.
-  [[nodiscard]] std::vector<lost_vm> TakeLosses(clock::time_point aNow);
+  [[nodiscard]] std::vector<lost_vm> TakeNewLosses(clock::time_point aNow);
 
   /// Drops VMs that neither the list nor a heartbeat speaks of any longer.
-  void Forget(clock::time_point aNow);
+  void RemoveExpired(clock::time_point aNow);
 
   /// When time alone changes the view next.
   [[nodiscard]] clock::time_point NextChange(clock::time_point aNow) const;
@@ -80,8 +80,9 @@
   [[nodiscard]] std::vector<store::vm> All() const;
 
   /// A few of the VMs heard directly, others for each number.
-  [[nodiscard]] std::vector<store::vm> HeardOf(std::uint64_t aNumber,
-                                               clock::time_point aNow) const;
+  [[nodiscard]] std::vector<store::vm> SampleRecent(
+    std::uint64_t aNumber,
+    clock::time_point aNow) const;
 
   [[nodiscard]] std::optional<store::vm> Find(const std::string& aId) const;
 
@@ -92,16 +93,16 @@
 
 private:
   [[nodiscard]] bool FullMesh() const;
-  [[nodiscard]] bool HeardLately(const peer_record& aPeer,
-                                 clock::time_point aNow) const;
+  [[nodiscard]] bool WasHeardRecently(const peer_record& aPeer,
+                                      clock::time_point aNow) const;
   [[nodiscard]] clock::time_point LiveUntil(const peer_record& aPeer) const;
   [[nodiscard]] bool IsLive(const peer_record& aPeer,
                             clock::time_point aNow) const;
 
-  roster_settings mSettings;
+  membership_settings mSettings;
   absl::btree_map<std::string, peer_record> mPeers;
   // Whether the data of a VM changed since the last judgement.
-  bool mDirty = false;
+  bool mChanged = false;
 };
 
 } // namespace currantshed::member
--- a/src/currantshed/member/peers.cpp
+++ b/src/currantshed/member/peers.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 // A VM and its place in some order by hash.
-using placed_vm = std::pair<std::uint64_t, const store::vm*>;
+using hashed_vm = std::pair<std::uint64_t, const store::vm*>;
 
 std::uint64_t
-RingPlace(const std::string& aId)
+RingPosition(const std::string& aId)
 {
   return XXH3_64bits(aId.data(), aId.size());
 }
@@ -28,10 +28,10 @@
   return XXH3_64bits_withSeed(aId.data(), aId.size(), seed);
 }
 
-std::vector<placed_vm>
+std::vector<hashed_vm>
 Shuffled(const peer_choice& aChoice)
 {
-  std::vector<placed_vm> drawn;
+  std::vector<hashed_vm> drawn;
   for (const auto& vm : aChoice.others) {
     drawn.emplace_back(Draw(aChoice, vm.id), &vm);
   }
@@ -41,7 +41,7 @@
 
 // Takes VMs that are not taken yet until the limit of the list is reached.
 void
-Take(const std::vector<placed_vm>& aFrom,
+Take(const std::vector<hashed_vm>& aFrom,
      std::size_t aLimit,
      absl::flat_hash_set<std::string>& aTaken,
      std::vector<store::vm>& aPeers)
@@ -63,11 +63,11 @@
                const std::vector<store::vm>& aOthers,
                unsigned aCount)
 {
-  std::vector<placed_vm> ring;
-  const auto own = RingPlace(aSelf.id);
+  std::vector<hashed_vm> ring;
+  const auto own = RingPosition(aSelf.id);
   for (const auto& vm : aOthers) {
     if (vm.failureDomain == aSelf.failureDomain) {
-      ring.emplace_back(RingPlace(vm.id) - own, &vm);
+      ring.emplace_back(RingPosition(vm.id) - own, &vm);
     }
   }
   const auto count = std::min<std::size_t>(aCount, ring.size());
--- a/src/currantshed/news/exchange.cpp
+++ b/src/currantshed/news/exchange.cpp
@@ -110,7 +110,7 @@
 }
 
 bool
-exchange::IsReadable(const std::string& aVm, clock::time_point aNow) const
+exchange::HasClockOffset(const std::string& aVm, clock::time_point aNow) const
 {
   const auto known = mSenders.find(aVm);
   return known != mSenders.end() &&
@@ -143,7 +143,7 @@
 }
 
 std::size_t
-exchange::Links() const noexcept
+exchange::OpenConnectionCount() const noexcept
 {
   return static_cast<std::size_t>(
     std::count_if(mLinks.begin(), mLinks.end(), [](const auto& aEntry) {
@@ -178,8 +178,8 @@
     return;
   }
   from.sentAt = told.sent_at_us();
-  from.offset.Heard(std::chrono::microseconds{ told.sent_at_us() }, now);
-  clock_reader reader;
+  from.offset.AddSample(std::chrono::microseconds{ told.sent_at_us() }, now);
+  clock_converter reader;
   if (told.has_to_your_clock_us() && told.your_incarnation() == mIncarnation) {
     reader = [offset = told.to_your_clock_us()](std::int64_t aTime) {
       return lead::FromWire(std::chrono::microseconds{ aTime + offset });
--- a/src/currantshed/news/exchange.hpp
+++ b/src/currantshed/news/exchange.hpp
@@ -45,10 +45,10 @@
 public:
   /// Turns a time of the sender's clock into one of this VM's, no later than
   /// the true one.
-  using clock_reader = std::function<clock::time_point(std::int64_t)>;
+  using clock_converter = std::function<clock::time_point(std::int64_t)>;
   /// News that came. The reader is empty while the clocks can't be compared.
   using receiver =
-    std::function<void(const News&, const clock_reader&, clock::time_point)>;
+    std::function<void(const News&, const clock_converter&, clock::time_point)>;
 
   exchange(boost::asio::io_context& aContext,
            zmq::context_t& aZmq,
@@ -65,15 +65,15 @@
   void Send(const std::string& aVm, News aNews, clock::time_point aNow);
 
   /// Whether the VM can read the times of what is sent to it now.
-  [[nodiscard]] bool IsReadable(const std::string& aVm,
-                                clock::time_point aNow) const;
+  [[nodiscard]] bool HasClockOffset(const std::string& aVm,
+                                    clock::time_point aNow) const;
 
   /// Closes the links that nothing was sent on for a while. To be called about
   /// once a second.
   void CloseIdle(clock::time_point aNow);
 
   /// How many links to peers are open.
-  [[nodiscard]] std::size_t Links() const noexcept;
+  [[nodiscard]] std::size_t OpenConnectionCount() const noexcept;
 
   void Close();
 
--- a/src/currantshed/node/caller_server.cpp
+++ b/src/currantshed/node/caller_server.cpp
@@ -98,7 +98,10 @@
     mServer.mAfter();
   }
 
-  [[nodiscard]] bool IsRelay() const { return mServer.mDoor == door::kRelays; }
+  [[nodiscard]] bool IsRelay() const
+  {
+    return mServer.mKind == endpoint_kind::kRelays;
+  }
 
   void OpenRelay(std::string_view aLine)
   {
@@ -143,25 +146,27 @@
     const auto now = clock::Now();
     switch (
       mServer.mEngine.Admits(mStart.database, mStart.key, mAskedAt, now)) {
-      case proxy::entry::kGranted:
+      case proxy::session_admission::kGranted:
         Begin();
         return;
-      case proxy::entry::kNoDatabase:
+      case proxy::session_admission::kNoDatabase:
         Refuse(proxy::failure_code::kNoDatabase, mStart.database);
         return;
-      case proxy::entry::kUnknownKey:
+      case proxy::session_admission::kUnknownKey:
         Refuse(proxy::failure_code::kNotAuthorized,
-               "no customer has the key " + customer::KeyTag(mStart.key));
+               "no customer has the key " +
+                 customer::KeyFingerprint(mStart.key));
         return;
-      case proxy::entry::kKeysOld:
+      case proxy::session_admission::kKeysStale:
         Refuse(proxy::failure_code::kBusy, "keys can't be checked; retry");
         return;
-      case proxy::entry::kKeyMayBeNew:
+      case proxy::session_admission::kKeyNotYetKnown:
         break;
     }
     if (now >= mAskedAt + kLongestDoubt || !mServer.Hold(shared_from_this())) {
       Refuse(proxy::failure_code::kBusy,
-             "the key may be new: " + customer::KeyTag(mStart.key) + "; retry");
+             "the key may be new: " + customer::KeyFingerprint(mStart.key) +
+               "; retry");
     }
   }
 
@@ -231,14 +236,14 @@
 };
 
 caller_server::caller_server(boost::asio::io_context& aContext,
-                             door aDoor,
+                             endpoint_kind aKind,
                              const line_codec& aCodec,
                              proxy::engine& aEngine,
                              std::size_t aMostConnections,
                              std::function<bool()> aIsConfigured,
                              std::function<void()> aAfter)
   : mContext(aContext)
-  , mDoor(aDoor)
+  , mKind(aKind)
   , mCodec(aCodec)
   , mEngine(aEngine)
   , mMostConnections(aMostConnections)
@@ -273,7 +278,7 @@
   if (error) {
     return error;
   }
-  if (mDoor == door::kRelays || mIsConfigured()) {
+  if (mKind == endpoint_kind::kRelays || mIsConfigured()) {
     Begin();
     return error;
   }
@@ -287,7 +292,7 @@
 }
 
 void
-caller_server::Configured()
+caller_server::OnConfigured()
 {
   mHold.cancel();
   Begin();
@@ -305,14 +310,14 @@
   mDoubtEnd.expires_at(mDoubted.front()->AskedAt() + kLongestDoubt);
   mDoubtEnd.async_wait([this](boost::system::error_code aStopped) {
     if (!aStopped) {
-      LookAgain();
+      RetryPendingKeys();
     }
   });
   return true;
 }
 
 void
-caller_server::LookAgain()
+caller_server::RetryPendingKeys()
 {
   for (const auto& one : std::exchange(mDoubted, {})) {
     if (!one->IsForgotten()) {
--- a/src/currantshed/node/caller_server.hpp
+++ b/src/currantshed/node/caller_server.hpp
@@ -24,7 +24,7 @@
 {
 public:
   /// Who connects: callers, or other VMs that reach servers through this one.
-  enum class door
+  enum class endpoint_kind
   {
     kCallers,
     kRelays,
@@ -33,7 +33,7 @@
   /// aIsConfigured tells whether databases are known yet; aAfter is called
   /// after each event that the engine got.
   caller_server(boost::asio::io_context& aContext,
-                door aDoor,
+                endpoint_kind aKind,
                 const line_codec& aCodec,
                 proxy::engine& aEngine,
                 std::size_t aMostConnections,
@@ -45,11 +45,11 @@
 
   /// The databases are known now: callers that have connected meanwhile are
   /// taken.
-  void Configured();
+  void OnConfigured();
 
   /// There is word on which customers there are: callers whose key was not
   /// known are looked at again.
-  void LookAgain();
+  void RetryPendingKeys();
 
   /// Takes no more connections.
   void StopListening();
@@ -69,7 +69,7 @@
   void Ended(std::uint64_t aNumber);
 
   boost::asio::io_context& mContext;
-  door mDoor;
+  endpoint_kind mKind;
   const line_codec& mCodec;
   proxy::engine& mEngine;
   std::size_t mMostConnections;
--- a/src/currantshed/node/duty.cpp
+++ b/src/currantshed/node/cluster_state.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/duty.hpp"
+#include "currantshed/node/cluster_state.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -52,7 +52,7 @@
            { "relay_port", aRecord.relayPort },
            { "failure_domain", aRecord.failureDomain },
            { "incarnation", aRecord.incarnation },
-           { "share", aRecord.processorShare },
+           { "share", aRecord.cpuMillicores },
            { "leaving", aRecord.leaving } };
 }
 
@@ -67,7 +67,7 @@
   record.relayPort = aObject.at("relay_port").to_number<std::uint16_t>();
   record.failureDomain = Text(aObject, "failure_domain");
   record.incarnation = Number(aObject, "incarnation");
-  record.processorShare = aObject.at("share").to_number<unsigned>();
+  record.cpuMillicores = aObject.at("share").to_number<unsigned>();
   record.leaving = aObject.at("leaving").as_bool();
   return record;
 }
@@ -83,13 +83,13 @@
                    aRow.at(2).to_number<std::uint16_t>() };
   record.relayPort = aRow.at(3).to_number<std::uint16_t>();
   record.failureDomain = json::value_to<std::string>(aRow.at(4));
-  record.processorShare = aRow.at(5).to_number<unsigned>();
+  record.cpuMillicores = aRow.at(5).to_number<unsigned>();
   return record;
 }
 
 // Whether the holder is listed in the life that took the duty, and stays.
 bool
-IsHeld(const own_keys& aKeys, const duty_record& aDuty)
+IsHeld(const cluster_state& aKeys, const failover_lock& aDuty)
 {
   const auto holder = aKeys.vms.find(aDuty.holder);
   return holder != aKeys.vms.end() &&
@@ -100,12 +100,12 @@
 // Each of these takes over what a key says now; null stands for one that is
 // gone, and one that can't be read is as good as gone.
 void
-ReadVmKey(own_keys& aKeys,
+ReadVmKey(cluster_state& aKeys,
           const std::string& aName,
           const store::item* aItem,
-          own_changes& aChanges)
+          cluster_changes& aChanges)
 {
-  auto record = aItem == nullptr ? std::nullopt : ReadVm(*aItem);
+  auto record = aItem == nullptr ? std::nullopt : ParseVm(*aItem);
   const auto before = aKeys.vms.find(aName);
   const bool wasThere = before != aKeys.vms.end();
   if (!record || record->where.vm != aName) {
@@ -123,34 +123,36 @@
 }
 
 void
-ReadDutyKey(own_keys& aKeys,
+ReadDutyKey(cluster_state& aKeys,
             const std::string& aService,
             const store::item* aItem,
-            own_changes& aChanges)
+            cluster_changes& aChanges)
 {
-  auto record = aItem == nullptr ? std::nullopt : ReadDuty(*aItem);
-  aChanges.duties.push_back(aService);
+  auto record = aItem == nullptr ? std::nullopt : ParseFailoverLock(*aItem);
+  aChanges.locks.push_back(aService);
   if (record) {
-    aKeys.duties[aService] = { std::move(*record), aItem->changed };
+    aKeys.locks[aService] = { std::move(*record), aItem->changed };
   } else {
-    aKeys.duties.erase(aService);
+    aKeys.locks.erase(aService);
   }
 }
 
 void
-ReadFleetKey(own_keys& aKeys, const store::item* aItem, own_changes& aChanges)
+ReadFleetKey(cluster_state& aKeys,
+             const store::item* aItem,
+             cluster_changes& aChanges)
 {
-  auto fleet = aItem == nullptr ? std::nullopt : ReadFleet(*aItem);
+  auto fleet = aItem == nullptr ? std::nullopt : ParseFleet(*aItem);
   aKeys.fleet = fleet ? std::move(*fleet) : std::vector<vm_record>{};
   aKeys.fleetChanged = aItem == nullptr ? store::revision{} : aItem->changed;
   aChanges.isFleetRecorded = true;
 }
 
 void
-ReadKey(own_keys& aKeys,
+ReadKey(cluster_state& aKeys,
         const std::string& aKey,
         const store::item* aItem,
-        own_changes& aChanges)
+        cluster_changes& aChanges)
 {
   if (StartsWith(aKey, kVms)) {
     ReadVmKey(aKeys, aKey.substr(kVms.size()), aItem, aChanges);
@@ -170,7 +172,7 @@
 }
 
 std::string
-DutyKey(const std::string& aService)
+FailoverLockKey(const std::string& aService)
 {
   return std::string(kDuties) + aService;
 }
@@ -182,7 +184,7 @@
 }
 
 std::string
-PrintFleet(const std::vector<vm_record>& aFleet)
+SerializeFleet(const std::vector<vm_record>& aFleet)
 {
   json::array vms;
   for (const auto& one : aFleet) {
@@ -191,13 +193,13 @@
                                one.where.port,
                                one.relayPort,
                                one.failureDomain,
-                               one.processorShare });
+                               one.cpuMillicores });
   }
   return json::serialize(vms);
 }
 
 std::optional<std::vector<vm_record>>
-ReadFleet(const store::item& aItem)
+ParseFleet(const store::item& aItem)
 {
   try {
     std::vector<vm_record> fleet;
@@ -223,18 +225,18 @@
                       return aOne.where == aOther.where &&
                              aOne.relayPort == aOther.relayPort &&
                              aOne.failureDomain == aOther.failureDomain &&
-                             aOne.processorShare == aOther.processorShare;
+                             aOne.cpuMillicores == aOther.cpuMillicores;
                     });
 }
 
 std::string
-PrintVm(const vm_record& aRecord)
+SerializeVm(const vm_record& aRecord)
 {
   return json::serialize(ToObject(aRecord));
 }
 
 std::optional<vm_record>
-ReadVm(const store::item& aItem)
+ParseVm(const store::item& aItem)
 {
   try {
     return FromObject(json::parse(aItem.value).as_object());
@@ -244,7 +246,7 @@
 }
 
 std::vector<vm_record>
-own_keys::Listed() const
+cluster_state::Listed() const
 {
   std::vector<vm_record> listed;
   for (const auto& [name, one] : vms) {
@@ -254,7 +256,7 @@
 }
 
 std::string
-PrintDuty(const duty_record& aRecord)
+SerializeFailoverLock(const failover_lock& aRecord)
 {
   return json::serialize(
     json::object{ { "holder", aRecord.holder },
@@ -263,14 +265,14 @@
                   { "replaced_term", aRecord.replacedTerm } });
 }
 
-std::optional<duty_record>
-ReadDuty(const store::item& aItem)
+std::optional<failover_lock>
+ParseFailoverLock(const store::item& aItem)
 {
   try {
     const auto object = json::parse(aItem.value).as_object();
-    duty_record record{ Text(object, "holder"),
-                        Number(object, "incarnation"),
-                        Number(object, "epoch") };
+    failover_lock record{ Text(object, "holder"),
+                          Number(object, "incarnation"),
+                          Number(object, "epoch") };
     // Versions before the field had no term to tell.
     if (object.contains("replaced_term")) {
       record.replacedTerm = Number(object, "replaced_term");
@@ -281,25 +283,25 @@
   }
 }
 
-own_keys
-ReadOwnKeys(const store::prefix_view::items& aItems)
+cluster_state
+ReadClusterState(const store::prefix_view::items& aItems)
 {
-  own_keys keys;
+  cluster_state keys;
   for (const auto& [key, item] : aItems) {
-    own_changes ignored;
+    cluster_changes ignored;
     ReadKey(keys, key, &item, ignored);
   }
   return keys;
 }
 
-own_changes
-UpdateOwnKeys(own_keys& aKeys,
-              const store::prefix_view::items& aItems,
-              const store::changed_keys& aChanged)
+cluster_changes
+UpdateClusterState(cluster_state& aKeys,
+                   const store::prefix_view::items& aItems,
+                   const store::changed_keys& aChanged)
 {
-  own_changes changes;
+  cluster_changes changes;
   if (aChanged.isAll) {
-    aKeys = ReadOwnKeys(aItems);
+    aKeys = ReadClusterState(aItems);
     changes.isAll = true;
     return changes;
   }
@@ -312,10 +314,10 @@
 }
 
 void
-UpdateFleet(own_keys& aKeys, const store::prefix_view::items& aItems)
+ReloadFleet(cluster_state& aKeys, const store::prefix_view::items& aItems)
 {
   const auto found = aItems.find(FleetKey());
-  own_changes ignored;
+  cluster_changes ignored;
   ReadKey(aKeys,
           FleetKey(),
           found == aItems.end() ? nullptr : &found->second,
@@ -323,7 +325,7 @@
 }
 
 void
-AddRecorded(own_keys& aKeys, const std::vector<vm_record>& aVms)
+MergeIntoFleet(cluster_state& aKeys, const std::vector<vm_record>& aVms)
 {
   absl::btree_map<std::string, vm_record> byName;
   for (const auto* vms : { &std::as_const(aKeys.fleet), &aVms }) {
@@ -338,27 +340,27 @@
 }
 
 bool
-HasHolder(const own_keys& aKeys, const std::string& aService)
+IsLockHeld(const cluster_state& aKeys, const std::string& aService)
 {
-  const auto duty = aKeys.duties.find(aService);
-  return duty != aKeys.duties.end() && IsHeld(aKeys, duty->second.record);
+  const auto duty = aKeys.locks.find(aService);
+  return duty != aKeys.locks.end() && IsHeld(aKeys, duty->second.record);
 }
 
 store::transaction
-ClaimOf(const own_keys& aKeys,
-        const std::string& aService,
-        const vm_record& aSelf,
-        store::revision aSeen,
-        position::term_id aReplaced)
+MakeLockClaim(const cluster_state& aKeys,
+              const std::string& aService,
+              const vm_record& aSelf,
+              store::revision aSeen,
+              position::term_id aReplaced)
 {
-  const auto key = DutyKey(aService);
-  const auto before = aKeys.duties.find(aService);
+  const auto key = FailoverLockKey(aService);
+  const auto before = aKeys.locks.find(aService);
   const store::revision none{ aSeen.era };
-  duty_record made{
+  failover_lock made{
     aSelf.where.vm, aSelf.incarnation, EpochOf(aSeen), aReplaced
   };
   store::transaction claim;
-  if (before == aKeys.duties.end()) {
+  if (before == aKeys.locks.end()) {
     claim.conditions.push_back({ key, none });
   } else {
     const auto& old = before->second.record;
@@ -370,12 +372,12 @@
       { VmKey(old.holder),
         holder == aKeys.vms.end() ? none : holder->second.changed });
   }
-  claim.puts.push_back({ key, PrintDuty(made), {}, {} });
+  claim.puts.push_back({ key, SerializeFailoverLock(made), {}, {} });
   return claim;
 }
 
 bool
-IsOfEra(const duty_record& aDuty, store::era_id aEra)
+IsFromEra(const failover_lock& aDuty, store::era_id aEra)
 {
   return aDuty.epoch >> kNumberBits == aEra;
 }
--- a/src/currantshed/node/control.cpp
+++ b/src/currantshed/node/control.cpp
@@ -7,8 +7,8 @@
 
 #include "currantshed/clock/now.hpp"
 #include "currantshed/log/log.hpp"
-#include "currantshed/node/audience.hpp"
-#include "currantshed/store/patience.hpp"
+#include "currantshed/node/peer_selection.hpp"
+#include "currantshed/store/call_timeout.hpp"
 
 namespace currantshed::node {
 
@@ -64,9 +64,9 @@
 } // namespace
 
 control::control(const node_settings& aSettings,
-                 const lead::lead_settings& aLead,
+                 const lead::monitor_settings& aLead,
                  const document_codec& aDocuments,
-                 const platform_maker& aMaker,
+                 const platform_factory& aFactory,
                  traffic& aTraffic,
                  metrics& aMetrics)
   : mSettings(aSettings)
@@ -79,8 +79,8 @@
            aSettings.relays.port,
            aSettings.failureDomain,
            absl::Uniform<std::uint64_t>(mRandom) >> 1U,
-           aSettings.processorShare }
-  , mPlatform(aMaker(mContext))
+           aSettings.cpuMillicores }
+  , mPlatform(aFactory(mContext))
   , mStore(*mPlatform.store,
            { [this](std::function<void()> aCall) {
               boost::asio::post(mContext, std::move(aCall));
@@ -91,20 +91,21 @@
   , mConfigurationView(
       mStore,
       aDocuments.ConfigurationKey(),
-      { .afterChange = kConfigurationPause, .byteTime = ByteTime(aSettings) },
+      { .pauseAfterChange = kConfigurationPause,
+        .timePerByte = ByteTime(aSettings) },
       Listener("configuration",
                [this](clock::time_point) { ConfigurationChanged(); }))
   , mServersView(
       mStore,
       aDocuments.ServersPrefix(),
-      { .afterChange = kServersPause,
-        .afterChangeByKey = kServersPauseByServer,
-        .longestByKeys = kLongestServersPause },
+      { .pauseAfterChange = kServersPause,
+        .pausePerKey = kServersPauseByServer,
+        .maxPauseByKeys = kLongestServersPause },
       Listener("servers",
                [this](clock::time_point aNow) { ServersChanged(aNow); }))
   , mOwnView(mStore,
-             std::string(kOwnPrefix),
-             { .longestByKeys = kLongestOwnPause },
+             std::string(kClusterPrefix),
+             { .maxPauseByKeys = kLongestOwnPause },
              Listener("own_keys",
                       [this](clock::time_point aNow) { OwnKeysChanged(aNow); }))
   , mRegistration(mStore, mOwnView, VmKey(aSettings.vm), { LongLease() })
@@ -113,10 +114,10 @@
           mSelf.where,
           mSelf.incarnation,
           [this](const news::News& aNews,
-                 const news::exchange::clock_reader& aClock,
+                 const news::exchange::clock_converter& aClock,
                  clock::time_point aNow) { Received(aNews, aClock, aNow); })
   , mTurn(absl::Uniform<std::size_t>(mRandom, 0, 4096))
-  , mFeedTimes(aSettings.configurationBound)
+  , mForwardingTimeouts(aSettings.configurationBound)
   , mKnownVms(aSettings.vm)
   , mFreshness(aSettings.keyBound)
   , mBank(aSettings.quotaWindow)
@@ -126,18 +127,19 @@
 {
   mUseKnownAt = mStartedAt;
   for (auto* view : { &mConfigurationView, &mServersView }) {
-    view->FedUntil(mStartedAt + mFeedTimes.Search());
-    view->FirstReadFrom(mStartedAt + kOwnKeysFirst);
+    view->ForwardedUntil(mStartedAt + mForwardingTimeouts.DiscoveryTimeout());
+    view->DelayFirstReadUntil(mStartedAt + kOwnKeysFirst);
   }
-  mOwnView.FedUntil(mStartedAt + mFeedTimes.OwnSearch());
-  mRegistration.SetValue(PrintVm(mSelf));
+  mOwnView.ForwardedUntil(mStartedAt +
+                          mForwardingTimeouts.ClusterDiscoveryTimeout());
+  mRegistration.SetValue(SerializeVm(mSelf));
   mRegistration.OnWritten([this] { Tick(); });
-  mRegistration.OnRegained([this] {
+  mRegistration.OnRecovered([this] {
     const auto now = clock::Now();
     HoldViews();
     for (auto* view : Views()) {
-      if (now >= view->FedUntil()) {
-        view->Renew(now);
+      if (now >= view->ForwardedUntil()) {
+        view->Refresh(now);
       }
     }
     Schedule();
@@ -163,13 +165,14 @@
   }
   mTraffic.SetListener(
     { [this](const std::string& aService) {
-       boost::asio::post(mContext,
-                         [this, aService] { Wanted(aService, clock::Now()); });
+       boost::asio::post(mContext, [this, aService] {
+         ConfirmationNeeded(aService, clock::Now());
+       });
      },
       [this](const std::string& aService, position::term_id aTerm) {
         boost::asio::post(mContext, [this, aService, aTerm] {
           if (auto* found = Touch(aService)) {
-            found->lead.Denied(aTerm, clock::Now());
+            found->lead.LeadershipDenied(aTerm, clock::Now());
             Perform(clock::Now());
           }
         });
@@ -192,7 +195,7 @@
     mIsLeaving = true;
     mIsReady = false;
     mSelf.leaving = true;
-    mRegistration.SetValue(PrintVm(mSelf));
+    mRegistration.SetValue(SerializeVm(mSelf));
     Tick();
   });
 }
@@ -204,7 +207,7 @@
     return;
   }
   boost::asio::post(mContext, [this] {
-    mRegistration.End();
+    mRegistration.Revoke();
     mNews.Close();
     mWork.reset();
     mContext.stop();
@@ -299,7 +302,7 @@
 {
   NoteEra(aNow);
   const auto changes =
-    UpdateOwnKeys(mOwnKeys, mOwnView.Items(), mOwnView.TakeChangedKeys());
+    UpdateClusterState(mOwnKeys, mOwnView.Items(), mOwnView.TakeChangedKeys());
   NoteDuties(changes);
   if (changes.isAll || changes.isFleetRecorded || !changes.vms.empty()) {
     FleetChanged(aNow);
@@ -317,8 +320,8 @@
     return;
   }
   mListedAt = aNow;
-  auto asked = mFeeders.empty() ? SomeDutyHolders() : mFeeders;
-  AddNew(asked, NextFew(aNow));
+  auto asked = mForwarders.empty() ? SomeDutyHolders() : mForwarders;
+  AppendMissing(asked, NextFew(aNow));
   for (const auto& vm : asked) {
     SendReachTo(vm, true, aNow);
   }
@@ -358,7 +361,7 @@
       { "servers", static_cast<std::int64_t>(mServersView.Seen().number) },
       { "own_keys", static_cast<std::int64_t>(mOwnView.Seen().number) } });
   for (auto* view : Views()) {
-    view->EraEnded(clock::Now());
+    view->OnEraChanged(clock::Now());
   }
   Schedule();
 }
@@ -368,7 +371,7 @@
                      store::revision aRead,
                      store::revision aSeen)
 {
-  mMetrics.StoreCalled("ignored");
+  mMetrics.CountStoreCall("ignored");
   log::Write(log::level::kWarning,
              "reading_ignored",
              { { "what", aWhat },
@@ -383,7 +386,7 @@
                    bool aIsReached,
                    std::error_code aWhy)
 {
-  mMetrics.StoreCalled(aIsReached ? "regained" : "lost");
+  mMetrics.CountStoreCall(aIsReached ? "regained" : "lost");
   log::Write(
     aIsReached ? log::level::kInfo : log::level::kWarning,
     aIsReached ? "store_regained" : "store_lost",
@@ -402,7 +405,7 @@
     ServersChanged(now);
   }
   KeepDuties(now);
-  SetMayAsk();
+  SetMayConfirm();
   for (const auto& service : mAgenda.Due(now)) {
     if (auto* due = Touch(service)) {
       due->lead.Tick(now);
@@ -435,7 +438,7 @@
 {
   const bool hasRead = mConfigurationView.IsKnown() && mServersView.IsKnown() &&
                        mOwnView.IsKnown();
-  mStore.SetPatience(store::Patience(aNow - mStartedAt, hasRead));
+  mStore.SetCallTimeout(store::CallTimeout(aNow - mStartedAt, hasRead));
   HoldViews();
   mConfigurationView.Tick(aNow, absl::Uniform<double>(mRandom, 0, 1));
   mServersView.Tick(aNow, absl::Uniform<double>(mRandom, 0, 1));
@@ -449,7 +452,7 @@
 control::HoldViews()
 {
   for (auto* view : Views()) {
-    view->SetHeld(view->IsKnown() && mRegistration.IsFailing());
+    view->SetPaused(view->IsKnown() && mRegistration.IsFailing());
   }
 }
 
@@ -485,8 +488,8 @@
 {
   return !mGroups.empty() &&
          std::all_of(mGroups.begin(), mGroups.end(), [&](const auto& aEntry) {
-           const auto& proof = aEntry.second->lead.Proof();
-           return aNow < proof.askedAt + mLeadSettings.validity;
+           const auto& confirmation = aEntry.second->lead.Confirmation();
+           return aNow < confirmation.askedAt + mLeadSettings.validity;
          });
 }
 
@@ -502,7 +505,7 @@
                          mAgenda.Next(),
                          mWatches.NextTick(),
                          mNextReach });
-  if (!mFeeders.empty()) {
+  if (!mForwarders.empty()) {
     next = std::min(next, mNextPoll);
   }
   if (KeepsQuotas()) {
