--- a/src/currantshed/node/control.hpp
+++ b/src/currantshed/node/control.hpp
@@ -24,28 +24,28 @@
 
 #include "currantshed/customer/directory.hpp"
 #include "currantshed/customer/freshness.hpp"
-#include "currantshed/customer/part.hpp"
-#include "currantshed/customer/time_share.hpp"
-#include "currantshed/customer/token_bank.hpp"
-#include "currantshed/lead/group_lead.hpp"
+#include "currantshed/customer/partition.hpp"
+#include "currantshed/customer/token_accrual.hpp"
+#include "currantshed/customer/token_buckets.hpp"
+#include "currantshed/lead/group_monitor.hpp"
 #include "currantshed/net/tick_timer.hpp"
 #include "currantshed/news/exchange.hpp"
-#include "currantshed/node/check_schedule.hpp"
+#include "currantshed/node/cluster_state.hpp"
 #include "currantshed/node/document_codec.hpp"
-#include "currantshed/node/duty.hpp"
-#include "currantshed/node/duty_board.hpp"
-#include "currantshed/node/group_agenda.hpp"
-#include "currantshed/node/internal/feed_times.hpp"
-#include "currantshed/node/key_parts.hpp"
-#include "currantshed/node/known_vms.hpp"
+#include "currantshed/node/forwarding_batch.hpp"
+#include "currantshed/node/freshness_check_schedule.hpp"
+#include "currantshed/node/group_scheduler.hpp"
+#include "currantshed/node/internal/forwarding_timeouts.hpp"
+#include "currantshed/node/lock_assignments.hpp"
 #include "currantshed/node/metrics.hpp"
-#include "currantshed/node/question_pace.hpp"
-#include "currantshed/node/relay_box.hpp"
+#include "currantshed/node/request_throttle.hpp"
 #include "currantshed/node/server_list.hpp"
 #include "currantshed/node/settings.hpp"
+#include "currantshed/node/snapshot_chunks.hpp"
 #include "currantshed/node/subscribers.hpp"
-#include "currantshed/node/token_desk.hpp"
+#include "currantshed/node/token_client.hpp"
 #include "currantshed/node/traffic.hpp"
+#include "currantshed/node/vm_membership.hpp"
 #include "currantshed/store/era_guard.hpp"
 #include "currantshed/store/prefix_view.hpp"
 #include "currantshed/store/registration.hpp"
@@ -59,7 +59,8 @@
   std::unique_ptr<promoter> promotion;
 };
 
-using platform_maker = std::function<platform_access(boost::asio::io_context&)>;
+using platform_factory =
+  std::function<platform_access(boost::asio::io_context&)>;
 
 /// The control thread: the store, the other VMs, and who leads each group.
 /// Tells the traffic thread what it needs to know.
@@ -67,9 +68,9 @@
 {
 public:
   control(const node_settings& aSettings,
-          const lead::lead_settings& aLead,
+          const lead::monitor_settings& aLead,
           const document_codec& aDocuments,
-          const platform_maker& aMaker,
+          const platform_factory& aFactory,
           traffic& aTraffic,
           metrics& aMetrics);
   ~control();
@@ -94,12 +95,12 @@
 private:
   struct group
   {
-    explicit group(const lead::lead_settings& aSettings)
+    explicit group(const lead::monitor_settings& aSettings)
       : lead(aSettings)
     {
     }
 
-    lead::group_lead lead;
+    lead::group_monitor lead;
     /// This VM's place among those that ask for proofs of a group that nobody
     /// watches.
     double place = 0;
@@ -116,7 +117,7 @@
     /// Until when the VM that watches the group wants words on the primary, and
     /// the freshest of this VM's subscribers.
     clock::time_point reachWantedUntil{};
-    relayed_reach freshest;
+    forwarded_reach_update freshest;
     position::term_id toldTerm = 0;
     /// The primary's positions that were told last, oldest first, for those
     /// that begin to use the group: a read may be as old as they are.
@@ -132,14 +133,14 @@
                     store::revision aChanged,
                     std::error_code aWhyNot);
   void ReadEntry(const std::string& aKey, const store::item& aItem);
-  void NoteServers(const std::vector<server_news>& aNews,
+  void NoteServers(const std::vector<server_change>& aNews,
                    list_source aSource) const;
   void ConfigureGroups(const absl::flat_hash_set<std::string>& aServices,
                        clock::time_point aNow);
   void ServicesChanged(const proxy::configuration& aConfiguration);
   void OwnKeysChanged(clock::time_point aNow);
   void FleetChanged(clock::time_point aNow);
-  void NoteDuties(const own_changes& aChanges);
+  void NoteDuties(const cluster_changes& aChanges);
   void NoteListed(clock::time_point aNow);
   void NoteStore(const std::string& aWhat,
                  bool aIsReached,
@@ -155,17 +156,18 @@
   void TickStore(clock::time_point aNow);
   void Perform(clock::time_point aNow);
   void PerformOne(const std::string& aService, group& aGroup);
-  void Do(const std::string& aService, const lead::ask_server& aAction);
-  void Do(const std::string& aService, const lead::order_promotion& aAction);
-  void Do(const std::string& aService, const lead::check_terms& aAction);
+  void Do(const std::string& aService, const lead::send_command& aAction);
+  void Do(const std::string& aService, const lead::request_promotion& aAction);
+  void Do(const std::string& aService, const lead::read_replaced_term& aAction);
   void Do(const std::string& aService, const lead::list_vms& aAction);
-  void Do(const std::string& aService, const lead::publish_proof& aAction);
+  void Do(const std::string& aService,
+          const lead::publish_confirmation& aAction);
   void Do(const std::string& aService, const lead::publish_sample& aAction);
   void Do(const std::string& aService, const lead::publish_revocation& aAction);
-  void Do(const std::string& aService, const lead::note_step& aAction);
+  void Do(const std::string& aService, const lead::log_step& aAction);
   void RecordReplaced(const std::string& aService,
                       const upstream::server_id& aServer,
-                      duty_record aDuty,
+                      failover_lock aDuty,
                       store::revision aChanged);
   void Promote(const std::string& aService,
                const upstream::server_id& aServer,
@@ -174,7 +176,7 @@
                   const upstream::server_id& aServer,
                   std::string aReason,
                   clock::time_point aNow);
-  [[nodiscard]] bool HoldsDutySince(const duty_record& aDuty,
+  [[nodiscard]] bool HoldsDutySince(const failover_lock& aDuty,
                                     clock::time_point aAsked) const;
   void PromotionEnded(const std::string& aService,
                       promotion_outcome aOutcome,
@@ -186,21 +188,21 @@
              group& aGroup,
              clock::time_point aNow);
   void KeepDuties(clock::time_point aNow);
-  void SetMayAsk();
+  void SetMayConfirm();
   void SendWatch(clock::time_point aNow);
   void FillChanges(news::News& aOut) const;
   void PassOn(const std::vector<std::string>& aTouched, clock::time_point aNow);
   void AnswerTo(const std::string& aVm, clock::time_point aNow);
   void SendReach(clock::time_point aNow);
   void SendReachTo(const std::string& aVm, bool aAsks, clock::time_point aNow);
-  void HeardServers(const std::vector<proxy::heard_server>& aHeard);
+  void HeardServers(const std::vector<proxy::server_contact>& aHeard);
   [[nodiscard]] std::vector<std::string> ToldGroups() const;
   void Received(const news::News& aNews,
-                const news::exchange::clock_reader& aClock,
+                const news::exchange::clock_converter& aClock,
                 clock::time_point aNow);
   void UpdateReadiness(clock::time_point aNow);
   void NoteCollectors();
-  [[nodiscard]] own_keys WithRecorded() const;
+  [[nodiscard]] cluster_state WithRecorded() const;
   [[nodiscard]] std::size_t FleetSize() const;
   [[nodiscard]] bool KeepsQuotas() const;
   void FillShares(const std::string& aVm,
@@ -212,11 +214,11 @@
   void WantTokens(const std::string& aCustomer,
                   unsigned aCount,
                   clock::time_point aNow);
-  [[nodiscard]] customer::token_grant Withdraw(const std::string& aCustomer,
-                                               unsigned aCount);
+  [[nodiscard]] customer::token_grant GrantTokens(const std::string& aCustomer,
+                                                  unsigned aCount);
   void CarryTokens(clock::time_point aNow);
   void HeardOfTokens(const news::News& aNews,
-                     const news::exchange::clock_reader& aClock,
+                     const news::exchange::clock_converter& aClock,
                      clock::time_point aNow);
   void SetCheckPlace();
   void KeepFresh(clock::time_point aNow);
@@ -247,43 +249,43 @@
   [[nodiscard]] store::lease_times LongLease() const;
   void NoteDomains();
   [[nodiscard]] std::vector<std::string> Audience(clock::time_point aNow) const;
-  [[nodiscard]] bool IsAsking(const std::string& aVm,
-                              clock::time_point aNow) const;
+  [[nodiscard]] bool SendsDirectReachUpdates(const std::string& aVm,
+                                             clock::time_point aNow) const;
   [[nodiscard]] bool IsRelayed(clock::time_point aNow) const;
   [[nodiscard]] std::vector<std::string> ReachAudience(clock::time_point aNow);
   [[nodiscard]] std::vector<std::string> ObedienceAudience(
     const std::string& aService,
     clock::time_point aNow) const;
-  [[nodiscard]] static lead::lead_news WordOn(const group& aGroup);
+  [[nodiscard]] static lead::watch_update WordOn(const group& aGroup);
   void PassWords(clock::time_point aNow);
   void TakeWatches(const news::News& aNews,
-                   const news::exchange::clock_reader& aClock,
+                   const news::exchange::clock_converter& aClock,
                    clock::time_point aNow);
   void TakeReach(const std::string& aFrom,
                  const std::string& aService,
-                 const lead::reach_news& aReach,
+                 const lead::reach_update& aReach,
                  clock::time_point aNow);
   void SendDoubts(const std::vector<std::string>& aTouched,
                   clock::time_point aNow);
   void HeardDoubts(const news::News& aNews, clock::time_point aNow);
   void PassReaches(clock::time_point aNow);
-  [[nodiscard]] bool IsFeeder(const std::string& aVm) const;
-  void EndFeederSearch(bool aIsFeeder, clock::time_point aNow);
-  void NoteFeeders(clock::time_point aNow);
+  [[nodiscard]] bool IsForwarder(const std::string& aVm) const;
+  void EndForwarderDiscovery(bool aIsForwarder, clock::time_point aNow);
+  void UpdateForwarders(clock::time_point aNow);
   void Poll(clock::time_point aNow);
   void AskUse(clock::time_point aNow);
-  void Wanted(const std::string& aService, clock::time_point aNow);
+  void ConfirmationNeeded(const std::string& aService, clock::time_point aNow);
   void SendWanted(const std::string& aVm, clock::time_point aNow);
   void SendRecent(const std::string& aVm,
                   const std::vector<std::string>& aServices,
                   clock::time_point aNow);
   void AnswerWanted(const news::News& aNews, clock::time_point aNow);
   void TakeUpdates(const news::News& aNews,
-                   const news::exchange::clock_reader& aClock,
+                   const news::exchange::clock_converter& aClock,
                    clock::time_point aNow);
   void TakeUpdate(const std::string& aVm,
                   const news::KeysUpdate& aUpdate,
-                  const news::exchange::clock_reader& aClock,
+                  const news::exchange::clock_converter& aClock,
                   clock::time_point aNow);
   void FillUpdate(news::KeysUpdate& aOut,
                   std::size_t aPrefix,
@@ -296,7 +298,7 @@
                       clock::time_point aNow);
   void AnswerParts(const news::News& aNews, clock::time_point aNow);
   void TakeParts(const news::News& aNews, clock::time_point aNow);
-  void HoldFirstReadings(bool aHasFeeders, clock::time_point aNow);
+  void HoldFirstReadings(bool aHasForwarders, clock::time_point aNow);
   void AnswerSender(const std::string& aVm, clock::time_point aNow);
   void HeardChanges(const news::News& aNews, clock::time_point aNow);
   void TellSubscribers(clock::time_point aNow);
@@ -310,10 +312,10 @@
   [[nodiscard]] std::vector<std::string> SomeDutyHolders();
   [[nodiscard]] std::string HolderOf(const std::string& aService) const;
   /// The duty's record, or null.
-  [[nodiscard]] const duty_record* DutyOf(const std::string& aService) const;
+  [[nodiscard]] const failover_lock* DutyOf(const std::string& aService) const;
 
   const node_settings& mSettings;
-  lead::lead_settings mLeadSettings;
+  lead::monitor_settings mLeadSettings;
   const document_codec& mDocuments;
   traffic& mTraffic;
   metrics& mMetrics;
@@ -330,48 +332,48 @@
   store::prefix_view mOwnView;
   store::registration mRegistration;
   news::exchange mNews;
-  own_keys mOwnKeys;
+  cluster_state mOwnKeys;
   // Counts the times that a few of the others were chosen.
   std::size_t mTurn;
   // Who follows the store for this VM, when it last asked them and next does.
-  std::vector<std::string> mFeeders;
+  std::vector<std::string> mForwarders;
   // The feeders of this VM's failure domain, itself perhaps among them, the
   // failure domains that have feeders, and the feeders of all.
-  std::vector<std::string> mOwnFeeders;
-  absl::flat_hash_set<std::string> mFedDomains;
-  absl::flat_hash_set<std::string> mFeedersOfAll;
-  relay_box mRelays;
+  std::vector<std::string> mDomainForwarders;
+  absl::flat_hash_set<std::string> mForwardedDomains;
+  absl::flat_hash_set<std::string> mAllForwarders;
+  forwarding_batch mRelays;
   // The groups that this VM watches and has newer word on.
-  relay_box mWatches;
+  forwarding_batch mWatches;
   // When a feeder last passed words of those that watch groups on to this VM.
   clock::time_point mRelayedAt{};
-  question_pace mPace;
+  request_throttle mPace;
   clock::time_point mNextPoll{};
-  internal::feed_times mFeedTimes;
+  internal::forwarding_timeouts mForwardingTimeouts;
   // Copies of the followed prefixes for VMs that lack much, and what this VM
   // lacks; in the order of the prefixes' numbers.
-  std::array<part_cutter, 3> mCutters;
-  std::array<part_collector, 3> mCollectors;
+  std::array<snapshot_splitter, 3> mCutters;
+  std::array<snapshot_assembler, 3> mCollectors;
   // The VMs that ask this one.
   subscribers mSubscribers;
   // The groups that callers of this VM use, and up to when that is known.
   groups_in_use mInUse;
   clock::time_point mUseKnownAt{};
-  known_vms mKnownVms;
+  vm_membership mKnownVms;
   std::uint64_t mVersion = 0;
   // The change of the store that the configuration in force came with.
   store::revision mInForce;
   // How old it may be, who asks the store about that, and when.
   customer::freshness mFreshness;
-  check_schedule mChecks;
+  freshness_check_schedule mChecks;
   std::vector<std::string> mCheckers;
   bool mWasFresh = false;
   // The customers in force; their tokens, as far as this VM collects them; its
   // own share of them; and whom it asks for some.
   std::shared_ptr<const customer::directory> mCustomers;
-  customer::token_bank mBank;
-  std::array<customer::time_share, customer::kParts> mShares;
-  token_desk mTokens;
+  customer::token_buckets mBank;
+  std::array<customer::token_accrual, customer::kPartitions> mShares;
+  token_client mTokens;
   clock::time_point mNextShare{};
   absl::btree_map<std::string, clock::time_point> mSharedAt;
   clock::time_point mNextEnd{};
@@ -385,8 +387,8 @@
   // Entries that name no server to use, and their last changes.
   absl::btree_map<std::string, store::revision> mUnusable;
   groups mGroups;
-  group_agenda mAgenda;
-  duty_board mDuties;
+  group_scheduler mAgenda;
+  lock_assignments mDuties;
   bool mMayAsk = false;
   // By group, when its primary was last heard by traffic.
   absl::btree_map<std::string, clock::time_point> mHeard;
--- a/src/currantshed/node/control_relay.cpp
+++ b/src/currantshed/node/control_dissemination.cpp
@@ -10,9 +10,9 @@
 #include <absl/container/flat_hash_map.h>
 #include <absl/container/flat_hash_set.h>
 
-#include "currantshed/node/audience.hpp"
-#include "currantshed/node/control_words.hpp"
-#include "currantshed/node/feeders.hpp"
+#include "currantshed/node/forwarders.hpp"
+#include "currantshed/node/message_conversion.hpp"
+#include "currantshed/node/peer_selection.hpp"
 
 namespace currantshed::node {
 
@@ -39,11 +39,11 @@
 constexpr milliseconds kReachWanted{ 1200 };
 
 void
-FillRelayed(news::Reach& aOut, const relayed_reach& aReach)
+FillRelayed(news::Reach& aOut, const forwarded_reach_update& aReach)
 {
   Fill(aOut, aReach.service, aReach.news);
   aOut.set_vm(aReach.vm);
-  aOut.set_said_at_us(lead::ToWire(aReach.news.saidAt).count());
+  aOut.set_said_at_us(lead::ToWire(aReach.news.sentAt).count());
 }
 
 } // namespace
@@ -58,10 +58,11 @@
   mKnownVms.ForEachReachable(aNow, [&](const news::peer& aPeer) {
     const auto found = mOwnKeys.vms.find(aPeer.vm);
     const bool isListed = found != mOwnKeys.vms.end();
-    const bool isFed =
-      isListed && mFedDomains.contains(found->second.record.failureDomain);
-    if (!isFed || mFeedersOfAll.contains(aPeer.vm) ||
-        IsAsking(aPeer.vm, aNow)) {
+    const bool hasForwarders =
+      isListed &&
+      mForwardedDomains.contains(found->second.record.failureDomain);
+    if (!hasForwarders || mAllForwarders.contains(aPeer.vm) ||
+        SendsDirectReachUpdates(aPeer.vm, aNow)) {
       audience.push_back(aPeer.vm);
     }
   });
@@ -73,20 +74,22 @@
 // other word asks for nothing: in a large fleet a holder of duties hears one
 // from most VMs.
 bool
-control::IsAsking(const std::string& aVm, clock::time_point aNow) const
+control::SendsDirectReachUpdates(const std::string& aVm,
+                                 clock::time_point aNow) const
 {
-  return mKnownVms.IsAsking(aVm, aNow) && !mSubscribers.Contains(aVm);
+  return mKnownVms.SendsDirectReachUpdates(aVm, aNow) &&
+         !mSubscribers.Contains(aVm);
 }
 
 // Who feeds which failure domain.
 void
 control::NoteDomains()
 {
-  mFedDomains.clear();
-  mFeedersOfAll.clear();
-  mOwnFeeders.clear();
+  mForwardedDomains.clear();
+  mAllForwarders.clear();
+  mDomainForwarders.clear();
   // While all start, those that are recorded will be back in a moment.
-  std::optional<own_keys> withRecorded;
+  std::optional<cluster_state> withRecorded;
   if (!mIsSettled) {
     withRecorded = WithRecorded();
   }
@@ -96,13 +99,13 @@
     domains.insert(one.record.failureDomain);
   }
   for (const auto& domain : domains) {
-    const auto feeders = Feeders(keys, domain);
-    if (!feeders.empty()) {
-      mFedDomains.insert(domain);
-      mFeedersOfAll.insert(feeders.begin(), feeders.end());
+    const auto forwarders = SelectForwarders(keys, domain);
+    if (!forwarders.empty()) {
+      mForwardedDomains.insert(domain);
+      mAllForwarders.insert(forwarders.begin(), forwarders.end());
     }
     if (domain == mSelf.failureDomain) {
-      mOwnFeeders = feeders;
+      mDomainForwarders = forwarders;
     }
   }
 }
@@ -111,7 +114,7 @@
 bool
 control::IsRelayed(clock::time_point aNow) const
 {
-  return !mFeeders.empty() && aNow < mRelayedAt + kRelayLife &&
+  return !mForwarders.empty() && aNow < mRelayedAt + kRelayLife &&
          !IsOffTheList(aNow);
 }
 
@@ -125,22 +128,22 @@
 control::ReachAudience(clock::time_point aNow)
 {
   if (IsRelayed(aNow)) {
-    return mFeeders;
+    return mForwarders;
   }
   if (IsLongOffTheList(aNow)) {
     auto told = DutyHolders();
-    AddNew(told, NextFew(aNow));
+    AppendMissing(told, NextFew(aNow));
     return told;
   }
   auto told = SomeDutyHolders();
   for (const auto& service : ToldGroups()) {
     auto holder = HolderOf(service);
     if (!holder.empty() && holder != mSelf.where.vm) {
-      AddNew(told, { std::move(holder) });
+      AppendMissing(told, { std::move(holder) });
     }
   }
   if (IsOffTheList(aNow)) {
-    AddNew(told, NextFew(aNow));
+    AppendMissing(told, NextFew(aNow));
   }
   return told;
 }
@@ -151,7 +154,7 @@
                            clock::time_point aNow) const
 {
   if (IsRelayed(aNow)) {
-    return mFeeders;
+    return mForwarders;
   }
   const auto holder = HolderOf(aService);
   if (holder.empty() || holder == mSelf.where.vm) {
@@ -161,11 +164,11 @@
 }
 
 // What this VM says on a group to those that it feeds.
-lead::lead_news
+lead::watch_update
 control::WordOn(const group& aGroup)
 {
   const auto& lead = aGroup.lead;
-  return lead.Speaks() ? lead.Watch() : lead.Relayed();
+  return lead.AnnouncesStatus() ? lead.WatchUpdate() : lead.ForwardedUpdate();
 }
 
 // The same as it was told over the last seconds, to one that has had no word on
@@ -208,11 +211,11 @@
     return;
   }
   const bool isFirst =
-    !mOwnFeeders.empty() && mOwnFeeders.front() == mSelf.where.vm;
-  absl::flat_hash_map<std::string, lead::lead_news> words;
+    !mDomainForwarders.empty() && mDomainForwarders.front() == mSelf.where.vm;
+  absl::flat_hash_map<std::string, lead::watch_update> words;
   absl::flat_hash_set<std::string> forAll;
   for (auto& service :
-       mRelays.TakeWords(isFirst ? kFirstPause : kSecondPause, aNow)) {
+       mRelays.TakeGroups(isFirst ? kFirstPause : kSecondPause, aNow)) {
     auto* found = Find(service);
     if (found == nullptr) {
       continue;
@@ -247,18 +250,18 @@
 void
 control::TakeReach(const std::string& aFrom,
                    const std::string& aService,
-                   const lead::reach_news& aReach,
+                   const lead::reach_update& aReach,
                    clock::time_point aNow)
 {
   const auto holder = HolderOf(aService);
   const bool isSubscriber = mSubscribers.Contains(aFrom);
   if (isSubscriber && !holder.empty() && holder != mSelf.where.vm) {
-    mRelays.Heard({ aService, aFrom, aReach }, aNow);
+    mRelays.AddReachUpdate({ aService, aFrom, aReach }, aNow);
     return;
   }
   mKnownVms.Seen(aFrom, aNow);
   if (auto* found = Touch(aService)) {
-    found->lead.HeardReach(aFrom, aReach, aNow);
+    found->lead.ReachUpdateReceived(aFrom, aReach, aNow);
   }
 }
 
@@ -272,7 +275,7 @@
   news::News told;
   for (const auto& service : aTouched) {
     auto& one = *Find(service);
-    if (one.lead.DoubtsPrimary(aNow) && aNow >= one.doubtedAt + kDoubtPause) {
+    if (one.lead.SuspectsPrimary(aNow) && aNow >= one.doubtedAt + kDoubtPause) {
       one.doubtedAt = aNow;
       told.add_doubted(service);
     }
@@ -281,7 +284,7 @@
     return;
   }
   FillChanges(told);
-  for (const auto& vm : mFeedersOfAll) {
+  for (const auto& vm : mAllForwarders) {
     mNews.Send(vm, told, aNow);
   }
 }
@@ -312,13 +315,13 @@
 control::PassReaches(clock::time_point aNow)
 {
   absl::btree_map<std::string, news::News> told;
-  for (auto& one : mRelays.TakeReaches(aNow)) {
+  for (auto& one : mRelays.TakeReachUpdates(aNow)) {
     const auto holder = HolderOf(one.service);
     auto* found = Find(one.service);
     if (holder.empty() || holder == mSelf.where.vm || found == nullptr) {
       continue;
     }
-    if (one.news.obeyedTerm != 0 || aNow < found->reachWantedUntil) {
+    if (one.news.acknowledgedTerm != 0 || aNow < found->reachWantedUntil) {
       FillRelayed(*told[holder].add_reaches(), one);
     }
     found->freshest = std::move(one);
--- a/src/currantshed/node/control_lead.cpp
+++ b/src/currantshed/node/control_failover.cpp
@@ -32,7 +32,7 @@
 void
 control::Perform(clock::time_point aNow)
 {
-  const auto touched = mAgenda.TakeTouched();
+  const auto touched = mAgenda.TakePending();
   for (const auto& service : touched) {
     PerformOne(service, *Find(service));
   }
@@ -56,15 +56,16 @@
 }
 
 void
-control::Do(const std::string& aService, const lead::ask_server& aAction)
+control::Do(const std::string& aService, const lead::send_command& aAction)
 {
-  mTraffic.Order(
+  mTraffic.SendControl(
     aAction.server,
-    aAction.what,
+    aAction.command,
     aAction.direct,
     mLeadSettings.askTimeout,
     [this, aService, server = aAction.server](
-      proxy::order_result aResult, std::optional<clock::time_point> aHeardAt) {
+      proxy::control_result aResult,
+      std::optional<clock::time_point> aHeardAt) {
       boost::asio::post(mContext, [this, aService, server, aResult, aHeardAt] {
         auto* found = Touch(aService);
         if (found == nullptr) {
@@ -85,22 +86,22 @@
 // The right to order is read from the store first: this VM may have lost it
 // without having noticed. The term that ends is recorded before the order.
 void
-control::Do(const std::string& aService, const lead::order_promotion& aAction)
+control::Do(const std::string& aService, const lead::request_promotion& aAction)
 {
   const auto asked = clock::Now();
-  mStore.Get(DutyKey(aService),
+  mStore.Get(FailoverLockKey(aService),
              [this, aService, asked, aAction](std::error_code aError,
                                               std::optional<store::item> aItem,
-                                              store::call_answer aAnswer) {
-               auto duty = aItem ? ReadDuty(*aItem) : std::nullopt;
+                                              store::response_info aAnswer) {
+               auto duty = aItem ? ParseFailoverLock(*aItem) : std::nullopt;
                if (aError || !duty || !HoldsDutySince(*duty, asked) ||
-                   !IsOfEra(*duty, aItem->changed.era)) {
+                   !IsFromEra(*duty, aItem->changed.era)) {
                  NotOrdered(aService,
                             aAction.server,
                             aError ? aError.message() : "the duty is not held",
                             aAnswer.at);
-               } else if (duty->replacedTerm < aAction.replaces) {
-                 duty->replacedTerm = aAction.replaces;
+               } else if (duty->replacedTerm < aAction.replacedTerm) {
+                 duty->replacedTerm = aAction.replacedTerm;
                  RecordReplaced(
                    aService, aAction.server, *duty, aItem->changed);
                } else {
@@ -111,7 +112,7 @@
 
 // Whether the record, asked for at the given time, lets this VM give orders.
 bool
-control::HoldsDutySince(const duty_record& aDuty,
+control::HoldsDutySince(const failover_lock& aDuty,
                         clock::time_point aAsked) const
 {
   return aDuty.holder == mSelf.where.vm &&
@@ -125,19 +126,19 @@
 void
 control::RecordReplaced(const std::string& aService,
                         const upstream::server_id& aServer,
-                        duty_record aDuty,
+                        failover_lock aDuty,
                         store::revision aChanged)
 {
   const auto asked = clock::Now();
-  const auto key = DutyKey(aService);
+  const auto key = FailoverLockKey(aService);
   store::transaction made;
   made.conditions.push_back({ key, aChanged });
-  made.puts.push_back({ key, PrintDuty(aDuty), {}, {} });
+  made.puts.push_back({ key, SerializeFailoverLock(aDuty), {}, {} });
   mStore.Commit(std::move(made),
                 [this, aService, aServer, duty = std::move(aDuty), asked](
                   store::commit_outcome aOutcome,
                   store::revision,
-                  store::call_answer aAnswer) {
+                  store::response_info aAnswer) {
                   if (aOutcome == store::commit_outcome::kApplied &&
                       HoldsDutySince(duty, asked)) {
                     Promote(aService, aServer, duty.epoch);
@@ -161,47 +162,48 @@
              { { "service", aService },
                { "server", aServer },
                { "reason", std::move(aReason) } });
-  PromotionEnded(aService, promotion_outcome::kLater, aNow);
+  PromotionEnded(aService, promotion_outcome::kRetryLater, aNow);
 }
 
 void
-control::Do(const std::string& aService, const lead::check_terms& /*aAction*/)
+control::Do(const std::string& aService,
+            const lead::read_replaced_term& /*aAction*/)
 {
   if (!ReachesStore()) {
     boost::asio::post(mContext, [this, aService] {
       if (auto* found = Touch(aService)) {
-        found->lead.TermsChecked(std::nullopt, clock::Now());
+        found->lead.ReplacedTermRead(std::nullopt, clock::Now());
         Perform(clock::Now());
       }
     });
     return;
   }
-  mStore.Get(DutyKey(aService),
-             [this, aService](std::error_code aError,
-                              std::optional<store::item> aItem,
-                              store::call_answer aAnswer) {
-               auto* found = Touch(aService);
-               if (found == nullptr) {
-                 return;
-               }
-               const auto duty = aItem ? ReadDuty(*aItem) : std::nullopt;
-               std::optional<position::term_id> replaced;
-               if (!aError && duty && IsOfEra(*duty, aItem->changed.era)) {
-                 replaced = duty->replacedTerm;
-               } else if (!aError && !duty && !mHasReturned) {
-                 replaced = 0;
-               }
-               log::Write(
-                 log::level::kInfo,
+  mStore.Get(
+    FailoverLockKey(aService),
+    [this, aService](std::error_code aError,
+                     std::optional<store::item> aItem,
+                     store::response_info aAnswer) {
+      auto* found = Touch(aService);
+      if (found == nullptr) {
+        return;
+      }
+      const auto duty = aItem ? ParseFailoverLock(*aItem) : std::nullopt;
+      std::optional<position::term_id> replaced;
+      if (!aError && duty && IsFromEra(*duty, aItem->changed.era)) {
+        replaced = duty->replacedTerm;
+      } else if (!aError && !duty && !mHasReturned) {
+        replaced = 0;
+      }
+      log::Write(log::level::kInfo,
                  "terms_checked",
                  { { "service", aService },
                    { "replaced",
                      replaced ? log::value(static_cast<std::int64_t>(*replaced))
                               : log::value(log::unknown{}) },
                    { "reason", aError ? aError.message() : std::string() } });
-               found->lead.TermsChecked(replaced, aAnswer.at);
-               Perform(aAnswer.at);
-             });
+      found->lead.ReplacedTermRead(replaced, aAnswer.at);
+      Perform(aAnswer.at);
+    });
 }
 
 void
@@ -233,7 +235,7 @@
              { { "service", aService },
                { "outcome", static_cast<std::int64_t>(aOutcome) } });
   if (auto* found = Touch(aService)) {
-    found->lead.PromotionAnswered(aOutcome == promotion_outcome::kTaken,
+    found->lead.PromotionAnswered(aOutcome == promotion_outcome::kAccepted,
                                   aOutcome == promotion_outcome::kRejected,
                                   aNow);
     Perform(aNow);
@@ -249,37 +251,39 @@
                [this, aService, asked](std::error_code aError,
                                        const std::vector<store::item>& aItems,
                                        store::revision,
-                                       store::call_answer aAnswer) {
+                                       store::response_info aAnswer) {
                  const auto now = aAnswer.at;
                  auto* found = Touch(aService);
                  if (aError || found == nullptr) {
                    return;
                  }
                  for (const auto& item : aItems) {
-                   if (const auto record = ReadVm(item)) {
+                   if (const auto record = ParseVm(item)) {
                      mKnownVms.Seen(record->where.vm, now);
                    }
                  }
-                 found->lead.VmsListed(mKnownVms.MayRest(now), asked, now);
+                 found->lead.VmsListed(
+                   mKnownVms.MayUseConfirmation(now), asked, now);
                  Perform(now);
                });
 }
 
 void
-control::Do(const std::string& aService, const lead::publish_proof& aAction)
+control::Do(const std::string& aService,
+            const lead::publish_confirmation& aAction)
 {
-  mTraffic.Confirm(aService, aAction.proof);
+  mTraffic.Confirm(aService, aAction.confirmation);
   const auto now = clock::Now();
   if (auto* found = Find(aService)) {
     found->passesOn = found->passesOn || aAction.isOwn;
-    const bool isNewTerm = found->toldTerm != aAction.proof.term;
+    const bool isNewTerm = found->toldTerm != aAction.confirmation.term;
     found->isForAll = found->isForAll || isNewTerm;
-    found->toldTerm = aAction.proof.term;
-    if (found->lead.Speaks()) {
-      mWatches.HasWord(aService, isNewTerm, now);
+    found->toldTerm = aAction.confirmation.term;
+    if (found->lead.AnnouncesStatus()) {
+      mWatches.AddGroup(aService, isNewTerm, now);
     }
   }
-  mRelays.HasWord(aService, false, now);
+  mRelays.AddGroup(aService, false, now);
 }
 
 void
@@ -316,17 +320,17 @@
   const auto now = clock::Now();
   if (auto* found = Find(aService)) {
     found->isForAll = true;
-    if (found->lead.Speaks()) {
-      mWatches.HasWord(aService, true, now);
+    if (found->lead.AnnouncesStatus()) {
+      mWatches.AddGroup(aService, true, now);
     }
   }
-  mRelays.HasWord(aService, true, now);
+  mRelays.AddGroup(aService, true, now);
 }
 
 void
-control::Do(const std::string& aService, const lead::note_step& aAction)
+control::Do(const std::string& aService, const lead::log_step& aAction)
 {
-  mMetrics.LeadChanged(aAction.step);
+  mMetrics.CountLeadStep(aAction.step);
   log::Write(log::level::kInfo,
              "lead",
              { { "service", aService },
@@ -339,8 +343,8 @@
 void
 control::KeepDuties(clock::time_point aNow)
 {
-  auto services = mDuties.TakeChanged();
-  services.insert(mDuties.Own().begin(), mDuties.Own().end());
+  auto services = mDuties.TakeChangedGroups();
+  services.insert(mDuties.OwnGroups().begin(), mDuties.OwnGroups().end());
   for (const auto& service : services) {
     if (auto* one = Touch(service)) {
       KeepDuty(service, *one, aNow);
@@ -349,32 +353,32 @@
 }
 
 void
-control::SetMayAsk()
+control::SetMayConfirm()
 {
   const bool mayAsk = mRegistration.IsWritten();
   if (std::exchange(mMayAsk, mayAsk) == mayAsk) {
     return;
   }
   for (auto& [service, one] : mGroups) {
-    one->lead.SetMayAsk(mayAsk);
+    one->lead.SetMayConfirm(mayAsk);
   }
 }
 
 void
-control::NoteDuties(const own_changes& aChanges)
+control::NoteDuties(const cluster_changes& aChanges)
 {
   if (aChanges.isAll || !aChanges.vms.empty()) {
-    mDuties.SetCandidates(mOwnKeys, Candidates(mOwnKeys));
+    mDuties.SetCandidates(mOwnKeys, LockCandidates(mOwnKeys));
   }
   if (aChanges.isAll) {
-    mDuties.AllChanged(mOwnKeys);
+    mDuties.OnAllChanged(mOwnKeys);
     return;
   }
   for (const auto& vm : aChanges.vms) {
-    mDuties.VmChanged(mOwnKeys, vm);
+    mDuties.OnVmChanged(mOwnKeys, vm);
   }
-  for (const auto& service : aChanges.duties) {
-    mDuties.DutyChanged(mOwnKeys, service);
+  for (const auto& service : aChanges.locks) {
+    mDuties.OnLockChanged(mOwnKeys, service);
   }
 }
 
@@ -388,7 +392,7 @@
                      duty->incarnation == mSelf.incarnation;
   const bool holds = isOwn && !mIsLeaving && mRegistration.IsListed() &&
                      aNow < mRegistration.ValidUntil();
-  if (holds != aGroup.lead.HoldsDuty()) {
+  if (holds != aGroup.lead.HoldsFailoverLock()) {
     log::Write(
       log::level::kInfo,
       holds ? "duty_held" : "duty_lost",
@@ -397,17 +401,17 @@
           static_cast<std::int64_t>(duty == nullptr ? 0 : duty->epoch) } });
   }
   if (duty != nullptr) {
-    aGroup.lead.SetReplaced(duty->replacedTerm, aNow);
+    aGroup.lead.SetReplacedTerm(duty->replacedTerm, aNow);
   }
-  aGroup.lead.SetDuty(holds, duty == nullptr ? 0 : duty->epoch, aNow);
+  aGroup.lead.SetFailoverLock(holds, duty == nullptr ? 0 : duty->epoch, aNow);
   const bool mayCall = !mIsLeaving && mListedAt != clock::time_point{} &&
                        mRegistration.IsListed() && ReachesStore();
-  const bool isNext = !isOwn && mayCall && mDuties.IsNext(aService);
-  const bool isPast = isOwn && !IsOfEra(*duty, mOwnView.Seen().era);
+  const bool isNext = !isOwn && mayCall && mDuties.IsNextHolder(aService);
+  const bool isPast = isOwn && !IsFromEra(*duty, mOwnView.Seen().era);
   // While the store is away the VM that had the duty goes on proving the
   // primary for the others, who would else all ask the servers themselves.
   const bool isLast = isOwn && !holds && !mIsLeaving;
-  aGroup.lead.SetStandsIn(isNext || isLast);
+  aGroup.lead.SetIsInterim(isNext || isLast);
   const bool mayClaim = (isNext || (isPast && mayCall)) && !aGroup.isClaiming &&
                         aNow >= aGroup.claimFrom &&
                         aNow >= mListedAt + kSettleTime;
@@ -427,10 +431,10 @@
   aGroup.isClaiming = true;
   aGroup.claimFrom = aNow + kClaimPause;
   mStore.Commit(
-    ClaimOf(
+    MakeLockClaim(
       mOwnKeys, aService, mSelf, mOwnView.Seen(), aGroup.lead.ReplacedTerm()),
     [this, aService](
-      store::commit_outcome aOutcome, store::revision, store::call_answer) {
+      store::commit_outcome aOutcome, store::revision, store::response_info) {
       log::Write(log::level::kInfo,
                  "duty_claimed",
                  { { "service", aService },
@@ -448,11 +452,11 @@
   return duty == nullptr ? std::string() : duty->holder;
 }
 
-const duty_record*
+const failover_lock*
 control::DutyOf(const std::string& aService) const
 {
-  const auto found = mOwnKeys.duties.find(aService);
-  return found == mOwnKeys.duties.end() ? nullptr : &found->second.record;
+  const auto found = mOwnKeys.locks.find(aService);
+  return found == mOwnKeys.locks.end() ? nullptr : &found->second.record;
 }
 
 } // namespace currantshed::node
--- a/src/currantshed/node/control_fleet.cpp
+++ b/src/currantshed/node/control_fleet.cpp
@@ -6,7 +6,7 @@
 #include <absl/container/flat_hash_set.h>
 
 #include "currantshed/log/log.hpp"
-#include "currantshed/proxy/strength.hpp"
+#include "currantshed/proxy/delegate_selection.hpp"
 
 namespace currantshed::node {
 
@@ -27,10 +27,10 @@
 {
   mIsFleetStale.reset();
   if (!mFormer.empty()) {
-    AddRecorded(mOwnKeys, mFormer);
+    MergeIntoFleet(mOwnKeys, mFormer);
   }
   NoteVms(aNow);
-  NoteFeeders(aNow);
+  UpdateForwarders(aNow);
   SetCheckPlace();
   NoteCollectors();
   TellFleet(aNow);
@@ -53,12 +53,12 @@
       }
     }
   }
-  std::vector<proxy::vm_strength> strengths;
+  std::vector<proxy::vm_capacity> strengths;
   strengths.reserve(vms.size());
   for (const auto& one : vms) {
-    strengths.push_back({ one.failureDomain, one.processorShare, one.leaving });
+    strengths.push_back({ one.failureDomain, one.cpuMillicores, one.leaving });
   }
-  const auto works = proxy::WorkForOthers(strengths);
+  const auto works = proxy::SelectDelegates(strengths);
   std::vector<proxy::fleet_vm> fleet;
   fleet.reserve(vms.size());
   for (std::size_t i = 0; i < vms.size(); ++i) {
@@ -82,7 +82,7 @@
 control::KeepFleet(clock::time_point aNow)
 {
   const bool isDue = !mGroups.empty() &&
-                     mGroups.begin()->second->lead.HoldsDuty() &&
+                     mGroups.begin()->second->lead.HoldsFailoverLock() &&
                      ReachesStore();
   if (!isDue) {
     mFleetStaleSince.reset();
@@ -106,11 +106,11 @@
   store::transaction made;
   made.conditions.push_back(
     { FleetKey(), { mOwnView.Seen().era, mOwnKeys.fleetChanged.number } });
-  made.puts.push_back({ FleetKey(), PrintFleet(listed), {}, {} });
+  made.puts.push_back({ FleetKey(), SerializeFleet(listed), {}, {} });
   mStore.Commit(
     std::move(made),
     [vms = listed.size()](
-      store::commit_outcome aOutcome, store::revision, store::call_answer) {
+      store::commit_outcome aOutcome, store::revision, store::response_info) {
       log::Write(log::level::kInfo,
                  "fleet_recorded",
                  { { "vms", static_cast<std::int64_t>(vms) },
@@ -142,7 +142,7 @@
   mIsSettled = true;
   if (!mFormer.empty()) {
     mFormer.clear();
-    UpdateFleet(mOwnKeys, mOwnView.Items());
+    ReloadFleet(mOwnKeys, mOwnView.Items());
     mIsFleetStale.reset();
   }
   TellFleet(aNow);
@@ -190,8 +190,8 @@
   const auto vms = mKnownVms.CountReachable(aNow) + 1;
   const bool isRelayed = IsRelayed(aNow);
   for (auto& [service, one] : mGroups) {
-    one->lead.SetPlace(vms, one->place);
-    one->lead.SetIsRelayed(isRelayed);
+    one->lead.SetQueryStagger(vms, one->place);
+    one->lead.SetIsForwarded(isRelayed);
   }
 }
 
@@ -208,7 +208,7 @@
 control::IsLongOffTheList(clock::time_point aNow) const
 {
   return IsOffTheList(aNow) &&
-         aNow >= mRegistration.ValidUntil() + known_vms::kMemory / 2;
+         aNow >= mRegistration.ValidUntil() + vm_membership::kRetention / 2;
 }
 
 } // namespace currantshed::node
--- a/src/currantshed/node/control_feed.cpp
+++ b/src/currantshed/node/control_forwarding.cpp
@@ -9,9 +9,9 @@
 #include <boost/asio/post.hpp>
 
 #include "currantshed/log/log.hpp"
-#include "currantshed/node/audience.hpp"
-#include "currantshed/node/control_words.hpp"
-#include "currantshed/node/feeders.hpp"
+#include "currantshed/node/forwarders.hpp"
+#include "currantshed/node/message_conversion.hpp"
+#include "currantshed/node/peer_selection.hpp"
 
 namespace currantshed::node {
 
@@ -48,10 +48,10 @@
 ReadUpdate(const news::KeysUpdate& aUpdate)
 {
   store::key_update made;
-  made.isWhole = aUpdate.whole();
+  made.isSnapshot = aUpdate.whole();
   made.after = { aUpdate.era(), aUpdate.after() };
   made.upTo = { aUpdate.era(), aUpdate.up_to() };
-  made.mayBeOld = aUpdate.may_be_old();
+  made.mayBeStale = aUpdate.may_be_old();
   std::transform(
     aUpdate.keys().begin(),
     aUpdate.keys().end(),
@@ -65,54 +65,56 @@
 // A VM that starts first looks for feeders: most others may not be listed yet.
 // It need not where it is known that there are few VMs, or that it is a feeder.
 void
-control::EndFeederSearch(bool aIsFeeder, clock::time_point aNow)
+control::EndForwarderDiscovery(bool aIsForwarder, clock::time_point aNow)
 {
   const auto recorded = std::count_if(
     mOwnKeys.fleet.begin(), mOwnKeys.fleet.end(), [this](const auto& aVm) {
       return aVm.failureDomain == mSelf.failureDomain;
     });
   const bool areFew =
-    recorded > 0 && static_cast<std::size_t>(recorded) < kFewestFed;
-  if (aIsFeeder || areFew) {
+    recorded > 0 && static_cast<std::size_t>(recorded) < kMinVmsForForwarders;
+  if (aIsForwarder || areFew) {
     for (auto* view : Views()) {
-      view->FedUntil(std::min(view->FedUntil(), aNow));
+      view->ForwardedUntil(std::min(view->ForwardedUntil(), aNow));
     }
   }
 }
 
 // Who feeds this VM: nobody while it is a feeder itself.
 void
-control::NoteFeeders(clock::time_point aNow)
+control::UpdateForwarders(clock::time_point aNow)
 {
   NoteDomains();
-  auto feeders = mOwnFeeders;
-  const bool isFeeder =
-    std::find(feeders.begin(), feeders.end(), mSelf.where.vm) != feeders.end();
-  if (isFeeder) {
+  auto forwarders = mDomainForwarders;
+  const bool isForwarder =
+    std::find(forwarders.begin(), forwarders.end(), mSelf.where.vm) !=
+    forwarders.end();
+  if (isForwarder) {
     mRegistration.SetLease(ShortLease());
-    feeders.clear();
+    forwarders.clear();
   }
-  if (feeders.empty()) {
-    EndFeederSearch(isFeeder, aNow);
+  if (forwarders.empty()) {
+    EndForwarderDiscovery(isForwarder, aNow);
   }
-  HoldFirstReadings(!feeders.empty(), aNow);
-  if (feeders == mFeeders) {
+  HoldFirstReadings(!forwarders.empty(), aNow);
+  if (forwarders == mForwarders) {
     return;
   }
-  log::Write(log::level::kInfo,
-             "feeders",
-             { { "feeds", isFeeder },
-               { "first", feeders.empty() ? std::string() : feeders.front() },
-               { "last", feeders.empty() ? std::string() : feeders.back() } });
-  const bool isNew = mFeeders.empty();
-  mFeeders = std::move(feeders);
-  if (!isNew || mFeeders.empty()) {
+  log::Write(
+    log::level::kInfo,
+    "feeders",
+    { { "feeds", isForwarder },
+      { "first", forwarders.empty() ? std::string() : forwarders.front() },
+      { "last", forwarders.empty() ? std::string() : forwarders.back() } });
+  const bool isNew = mForwarders.empty();
+  mForwarders = std::move(forwarders);
+  if (!isNew || mForwarders.empty()) {
     return;
   }
   for (auto* view : Views()) {
-    view->FedUntil(std::max(view->FedUntil(), aNow + kFirstAnswer));
+    view->ForwardedUntil(std::max(view->ForwardedUntil(), aNow + kFirstAnswer));
   }
-  for (const auto& vm : mFeeders) {
+  for (const auto& vm : mForwarders) {
     SendWanted(vm, aNow);
   }
 }
@@ -121,17 +123,17 @@
 void
 control::Poll(clock::time_point aNow)
 {
-  if (aNow < mNextPoll || (mFeeders.empty() && !LacksProof(aNow))) {
+  if (aNow < mNextPoll || (mForwarders.empty() && !LacksProof(aNow))) {
     return;
   }
   mNextPoll = aNow + kPollInterval;
-  if (!mFeeders.empty()) {
+  if (!mForwarders.empty()) {
     AskUse(aNow);
-    SendWanted(mFeeders[++mTurn % mFeeders.size()], aNow);
+    SendWanted(mForwarders[++mTurn % mForwarders.size()], aNow);
   }
   // The feeders are cut off from the store as well: others may not be.
   const bool areCutOff =
-    mRegistration.IsFailing() && aNow >= mOwnView.FedUntil();
+    mRegistration.IsFailing() && aNow >= mOwnView.ForwardedUntil();
   if (areCutOff || LacksProof(aNow)) {
     for (const auto& vm : NextFew(aNow)) {
       SendWanted(vm, aNow);
@@ -144,30 +146,31 @@
 control::AskUse(clock::time_point aNow)
 {
   const auto since = std::exchange(mUseKnownAt, aNow);
-  mTraffic.AskUsed(since, [this, aNow](std::vector<std::string> aUsed) {
-    boost::asio::post(mContext, [this, aNow, used = std::move(aUsed)] {
-      for (const auto& service : used) {
-        mInUse.Used(service, aNow);
-      }
+  mTraffic.QueryUsedServices(
+    since, [this, aNow](std::vector<std::string> aUsed) {
+      boost::asio::post(mContext, [this, aNow, used = std::move(aUsed)] {
+        for (const auto& service : used) {
+          mInUse.MarkUsed(service, aNow);
+        }
+      });
     });
-  });
 }
 
 // Callers need a proof. A VM that has no words on the group, since nobody used
 // it, asks one that passes words on, which has them.
 void
-control::Wanted(const std::string& aService, clock::time_point aNow)
+control::ConfirmationNeeded(const std::string& aService, clock::time_point aNow)
 {
   auto* found = Touch(aService);
   if (found == nullptr) {
     return;
   }
   const bool isNew = !mInUse.Contains(aService, aNow);
-  mInUse.Used(aService, aNow);
+  mInUse.MarkUsed(aService, aNow);
   if (isNew && IsRelayed(aNow)) {
-    SendWanted(mFeeders[mTurn % mFeeders.size()], aNow);
+    SendWanted(mForwarders[mTurn % mForwarders.size()], aNow);
   }
-  found->lead.Wanted(aNow);
+  found->lead.ConfirmationNeeded(aNow);
   Perform(aNow);
 }
 
@@ -202,7 +205,7 @@
     aNews.vm(), { aNews.groups().begin(), aNews.groups().end() }, aNow);
   SendRecent(aNews.vm(), added, aNow);
   const auto views = Views();
-  const auto longest = LongestAnswer(mSettings.linkMegabits);
+  const auto longest = MaxUpdateBytes(mSettings.linkMegabits);
   news::News told;
   FillChanges(told);
   for (const auto& wanted : aNews.wanted()) {
@@ -211,7 +214,7 @@
     }
     const auto& view = *views[wanted.prefix()];
     const auto update =
-      view.After({ wanted.known_era(), wanted.known() }, longest);
+      view.UpdateSince({ wanted.known_era(), wanted.known() }, longest);
     FillUpdate(*told.add_updates(), wanted.prefix(), update);
   }
   mNews.Send(aNews.vm(), std::move(told), aNow);
@@ -224,17 +227,17 @@
 {
   const auto& view = *Views().at(aPrefix);
   aOut.set_prefix(static_cast<std::uint32_t>(aPrefix));
-  aOut.set_whole(aUpdate.isWhole);
+  aOut.set_whole(aUpdate.isSnapshot);
   aOut.set_after(aUpdate.after.number);
   aOut.set_up_to(aUpdate.upTo.number);
   aOut.set_era(aUpdate.upTo.era);
-  aOut.set_may_be_old(aUpdate.mayBeOld);
+  aOut.set_may_be_old(aUpdate.mayBeStale);
   aOut.set_current_at_us(
-    lead::ToWire(view.CurrentAt(mRegistration.AnsweredFor())).count());
-  if (aPrefix == internal::kConfigurationNumber) {
-    aOut.set_proved_at_us(lead::ToWire(view.ProvedAt()).count());
+    lead::ToWire(view.CurrentAt(mRegistration.LastAnsweredSentAt())).count());
+  if (aPrefix == internal::kConfigurationPrefix) {
+    aOut.set_proved_at_us(lead::ToWire(view.VerifiedAt()).count());
   }
-  aOut.set_too_long(aUpdate.isTooLong);
+  aOut.set_too_long(aUpdate.isTooLarge);
   for (const auto& one : aUpdate.changes) {
     Fill(*aOut.add_keys(), one);
   }
@@ -242,11 +245,11 @@
 
 void
 control::TakeUpdates(const news::News& aNews,
-                     const news::exchange::clock_reader& aClock,
+                     const news::exchange::clock_converter& aClock,
                      clock::time_point aNow)
 {
   if (aNews.updates_size() > 0) {
-    mPace.Answered();
+    mPace.OnResponse();
   }
   for (const auto& update : aNews.updates()) {
     if (update.prefix() < Views().size()) {
@@ -258,7 +261,7 @@
 void
 control::TakeUpdate(const std::string& aVm,
                     const news::KeysUpdate& aUpdate,
-                    const news::exchange::clock_reader& aClock,
+                    const news::exchange::clock_converter& aClock,
                     clock::time_point aNow)
 {
   auto& view = *Views().at(aUpdate.prefix());
@@ -269,16 +272,16 @@
     AskParts(aVm, aUpdate.prefix(), aNow);
     return;
   }
-  if (!view.Take(ReadUpdate(aUpdate), aNow) || !aClock) {
+  if (!view.ApplyUpdate(ReadUpdate(aUpdate), aNow) || !aClock) {
     return;
   }
   if (aUpdate.proved_at_us() != 0) {
-    view.Prove(aClock(aUpdate.proved_at_us()));
+    view.MarkVerified(aClock(aUpdate.proved_at_us()));
     NoteProof(aNow);
   }
-  const auto until = mFeedTimes.FedUntil(
+  const auto until = mForwardingTimeouts.ForwardedUntil(
     &view == &mConfigurationView, aClock(aUpdate.current_at_us()), aNow);
-  view.FedUntil(std::max(view.FedUntil(), until));
+  view.ForwardedUntil(std::max(view.ForwardedUntil(), until));
 }
 
 // Says anything, so that the other VM can put its next times in terms of this
@@ -301,23 +304,24 @@
   for (std::size_t i = 0; i < views.size(); ++i) {
     isNews = isNews || heard[i] > views[i]->Seen();
   }
-  if (isNews && IsFeeder(aNews.vm()) && mPace.MayAsk(aNow)) {
+  if (isNews && IsForwarder(aNews.vm()) && mPace.MayRequest(aNow)) {
     SendWanted(aNews.vm(), aNow);
   }
 }
 
 // Whether the VM is one of those that feed this one.
 bool
-control::IsFeeder(const std::string& aVm) const
+control::IsForwarder(const std::string& aVm) const
 {
-  return std::find(mFeeders.begin(), mFeeders.end(), aVm) != mFeeders.end();
+  return std::find(mForwarders.begin(), mForwarders.end(), aVm) !=
+         mForwarders.end();
 }
 
 // Tells the VMs that ask this one that there is something new.
 void
 control::TellSubscribers(clock::time_point aNow)
 {
-  mSubscribers.Forget(aNow);
+  mSubscribers.RemoveExpired(aNow);
   news::News told;
   FillChanges(told);
   for (const auto& vm : mSubscribers.All()) {
--- a/src/currantshed/node/control_freshness.cpp
+++ b/src/currantshed/node/control_freshness.cpp
@@ -28,7 +28,7 @@
 void
 control::SetCheckPlace()
 {
-  std::vector<std::string> order(mFeedersOfAll.begin(), mFeedersOfAll.end());
+  std::vector<std::string> order(mAllForwarders.begin(), mAllForwarders.end());
   if (order.empty()) {
     std::transform(mOwnKeys.vms.begin(),
                    mOwnKeys.vms.end(),
@@ -37,7 +37,7 @@
   }
   std::sort(order.begin(), order.end());
   const auto self = std::find(order.begin(), order.end(), mSelf.where.vm);
-  mChecks.SetPlace(static_cast<std::size_t>(self - order.begin()));
+  mChecks.SetRank(static_cast<std::size_t>(self - order.begin()));
   mCheckers = std::move(order);
 }
 
@@ -45,13 +45,13 @@
 void
 control::NoteProof(clock::time_point aNow)
 {
-  const auto provedAt = mConfigurationView.ProvedAt();
+  const auto provedAt = mConfigurationView.VerifiedAt();
   if (mInForce != mConfigurationView.Changed() ||
-      provedAt <= mFreshness.ProvedAt()) {
+      provedAt <= mFreshness.VerifiedAt()) {
     return;
   }
   const bool held = mFreshness.Holds(aNow);
-  mFreshness.Prove(provedAt);
+  mFreshness.MarkVerified(provedAt);
   mTraffic.SetFreshness(mFreshness);
   if (!held && mFreshness.Holds(aNow)) {
     NoteFreshness(true, aNow);
@@ -62,12 +62,12 @@
 control::NoteFreshness(bool aHolds, clock::time_point aNow)
 {
   mWasFresh = aHolds;
-  const auto age =
-    mFreshness.ProvedAt() == clock::time_point{}
-      ? log::value(log::unknown{})
-      : log::value(static_cast<std::int64_t>(
-          std::chrono::duration_cast<milliseconds>(aNow - mFreshness.ProvedAt())
-            .count()));
+  const auto age = mFreshness.VerifiedAt() == clock::time_point{}
+                     ? log::value(log::unknown{})
+                     : log::value(static_cast<std::int64_t>(
+                         std::chrono::duration_cast<milliseconds>(
+                           aNow - mFreshness.VerifiedAt())
+                           .count()));
   log::Write(aHolds ? log::level::kInfo : log::level::kWarning,
              aHolds ? "keys_proved" : "keys_unproved",
              { { "version", static_cast<std::int64_t>(mVersion) },
@@ -80,7 +80,7 @@
 control::IsCutOff(clock::time_point aNow) const
 {
   return mFreshness.IsBounded() && mVersion != 0 && !mFreshness.Holds(aNow) &&
-         mKnownVms.Speaking(aNow).empty();
+         mKnownVms.RecentlyHeard(aNow).empty();
 }
 
 void
@@ -95,15 +95,15 @@
   }
   if (IsCutOff(aNow) && aNow >= mNextEnd) {
     mNextEnd = aNow + kEndPause;
-    mTraffic.EndRestingOfCustomers();
+    mTraffic.CloseIdleCustomerSessions();
   }
-  const auto provedAt = mConfigurationView.ProvedAt();
-  if (mRegistration.IsFailing() || aNow < mChecks.Due(provedAt)) {
+  const auto provedAt = mConfigurationView.VerifiedAt();
+  if (mRegistration.IsFailing() || aNow < mChecks.NextCheck(provedAt)) {
     return;
   }
-  mChecks.Asked();
+  mChecks.OnRequestSent();
   mConfigurationView.Check(aNow, [this](bool aIsProof, clock::time_point aAt) {
-    mChecks.Answered(aIsProof, aAt);
+    mChecks.OnResponse(aIsProof, aAt);
     if (aIsProof) {
       SpreadProof(aAt);
     }
@@ -118,11 +118,11 @@
   news::News told;
   FillChanges(told);
   auto& out = *told.add_updates();
-  out.set_prefix(internal::kConfigurationNumber);
+  out.set_prefix(internal::kConfigurationPrefix);
   out.set_after(mConfigurationView.Changed().number);
   out.set_up_to(mConfigurationView.Seen().number);
   out.set_era(mConfigurationView.Seen().era);
-  out.set_proved_at_us(lead::ToWire(mConfigurationView.ProvedAt()).count());
+  out.set_proved_at_us(lead::ToWire(mConfigurationView.VerifiedAt()).count());
   for (const auto& vm : mCheckers) {
     if (vm != mSelf.where.vm) {
       mNews.Send(vm, told, aNow);
@@ -133,7 +133,7 @@
 bool
 control::LacksProof(clock::time_point aNow) const
 {
-  return mFreshness.IsBounded() && aNow >= mFreshness.ProvedAt() + kAskOthers;
+  return mFreshness.IsBounded() && aNow >= mFreshness.VerifiedAt() + kAskOthers;
 }
 
 // When there is something to do about it.
@@ -143,8 +143,9 @@
   if (!mFreshness.IsBounded() || !mConfigurationView.IsKnown()) {
     return clock::time_point::max();
   }
-  return mRegistration.IsFailing() ? clock::time_point::max()
-                                   : mChecks.Due(mConfigurationView.ProvedAt());
+  return mRegistration.IsFailing()
+           ? clock::time_point::max()
+           : mChecks.NextCheck(mConfigurationView.VerifiedAt());
 }
 
 } // namespace currantshed::node
--- a/src/currantshed/node/control_news.cpp
+++ b/src/currantshed/node/control_messages.cpp
@@ -8,8 +8,8 @@
 #include <boost/asio/post.hpp>
 
 #include "currantshed/clock/now.hpp"
-#include "currantshed/node/audience.hpp"
-#include "currantshed/node/control_words.hpp"
+#include "currantshed/node/message_conversion.hpp"
+#include "currantshed/node/peer_selection.hpp"
 
 namespace currantshed::node {
 
@@ -40,10 +40,10 @@
 control::SendWatch(clock::time_point aNow)
 {
   news::News told;
-  for (const auto& service : mWatches.TakeWords(kWatchPause, aNow)) {
+  for (const auto& service : mWatches.TakeGroups(kWatchPause, aNow)) {
     const auto* one = Find(service);
-    if (one != nullptr && one->lead.Speaks()) {
-      Fill(*told.add_watches(), service, one->lead.Watch());
+    if (one != nullptr && one->lead.AnnouncesStatus()) {
+      Fill(*told.add_watches(), service, one->lead.WatchUpdate());
     }
   }
   if (told.watches_size() == 0) {
@@ -65,16 +65,16 @@
   news::News told;
   for (const auto& service : aTouched) {
     auto& one = *Find(service);
-    if (std::exchange(one.passesOn, false) && !one.lead.Speaks()) {
-      Fill(*told.add_watches(), service, one.lead.Watch());
+    if (std::exchange(one.passesOn, false) && !one.lead.AnnouncesStatus()) {
+      Fill(*told.add_watches(), service, one.lead.WatchUpdate());
     }
   }
   if (told.watches_size() == 0) {
     return;
   }
   FillChanges(told);
-  for (const auto& vm :
-       SomeOf(mKnownVms.Speaking(aNow), kMostPassedOn, mTurn++)) {
+  for (const auto& vm : SelectRoundRobin(
+         mKnownVms.RecentlyHeard(aNow), kMostPassedOn, mTurn++)) {
     mNews.Send(vm, told, aNow);
   }
 }
@@ -87,13 +87,13 @@
   std::size_t relayed = 0;
   const bool isSubscriber = mSubscribers.Contains(aVm);
   for (const auto& [service, one] : mGroups) {
-    const auto& proof = one->lead.Proof();
-    const bool holds = aNow < proof.askedAt + mLeadSettings.validity;
-    if (one->lead.Speaks() || (holds && !mDuties.IsHeld(service))) {
-      Fill(*told.add_watches(), service, one->lead.Watch());
+    const auto& confirmation = one->lead.Confirmation();
+    const bool holds = aNow < confirmation.askedAt + mLeadSettings.validity;
+    if (one->lead.AnnouncesStatus() || (holds && !mDuties.IsHeld(service))) {
+      Fill(*told.add_watches(), service, one->lead.WatchUpdate());
     } else if (holds && isSubscriber && relayed < kMostRelayedProofs) {
       ++relayed;
-      Fill(*told.add_watches(), service, one->lead.Relayed());
+      Fill(*told.add_watches(), service, one->lead.ForwardedUpdate());
     }
   }
   FillChanges(told);
@@ -104,21 +104,21 @@
 void
 control::SendReach(clock::time_point aNow)
 {
-  mTraffic.AskHeard(
-    aNow - kToldReach, [this](std::vector<proxy::heard_server> aHeard) {
+  mTraffic.QueryHeardServers(
+    aNow - kToldReach, [this](std::vector<proxy::server_contact> aHeard) {
       boost::asio::post(
         mContext, [this, heard = std::move(aHeard)] { HeardServers(heard); });
     });
 }
 
 void
-control::HeardServers(const std::vector<proxy::heard_server>& aHeard)
+control::HeardServers(const std::vector<proxy::server_contact>& aHeard)
 {
   const auto now = clock::Now();
   mHeard.clear();
   for (const auto& one : aHeard) {
     const auto* found = Find(one.service);
-    if (found != nullptr && found->lead.Proof().primary == one.server) {
+    if (found != nullptr && found->lead.Confirmation().primary == one.server) {
       mHeard[one.service] = one.at;
     }
   }
@@ -132,7 +132,7 @@
 std::vector<std::string>
 control::ToldGroups() const
 {
-  auto told = mAgenda.Awake();
+  auto told = mAgenda.Scheduled();
   for (const auto& [service, at] : mHeard) {
     told.push_back(service);
   }
@@ -158,17 +158,17 @@
   news::News told;
   told.set_answer(aAsks);
   FillChanges(told);
-  const bool isForAll = IsOffTheList(aNow) || IsFeeder(aVm);
+  const bool isForAll = IsOffTheList(aNow) || IsForwarder(aVm);
   for (const auto& service : ToldGroups()) {
     const auto* one = Find(service);
     if (one == nullptr || (!isForAll && HolderOf(service) != aVm)) {
       continue;
     }
     const auto heard = mHeard.find(service);
-    const auto reach = one->lead.Reach(
+    const auto reach = one->lead.ReachUpdate(
       heard == mHeard.end() ? std::nullopt : std::optional(heard->second));
     // A primary that was not heard lately is kept by no such word.
-    if (reach.obeyedTerm != 0 || aNow - reach.heardAt < kToldReach) {
+    if (reach.acknowledgedTerm != 0 || aNow - reach.heardAt < kToldReach) {
       Fill(*told.add_reaches(), service, reach);
     }
   }
@@ -177,14 +177,14 @@
 
 void
 control::Received(const news::News& aNews,
-                  const news::exchange::clock_reader& aClock,
+                  const news::exchange::clock_converter& aClock,
                   clock::time_point aNow)
 {
-  mKnownVms.Heard(aNews.vm(), aNow);
+  mKnownVms.OnMessage(aNews.vm(), aNow);
   const auto heard = ReadChanges(aNews);
   const auto views = Views();
   for (std::size_t i = 0; i < views.size(); ++i) {
-    views[i]->HeardOf(heard[i], aNow);
+    views[i]->NotifyRevision(heard[i], aNow);
   }
   HeardOfTokens(aNews, aClock, aNow);
   AnswerWanted(aNews, aNow);
@@ -200,7 +200,7 @@
     TakeWatches(aNews, aClock, aNow);
     for (const auto& reach : aNews.reaches()) {
       if (reach.vm().empty() && HolderOf(reach.group()) == mSelf.where.vm) {
-        mKnownVms.Asked(aNews.vm(), aNow);
+        mKnownVms.OnDirectReachUpdate(aNews.vm(), aNow);
       }
       TakeReach(reach.vm().empty() ? aNews.vm() : reach.vm(),
                 reach.group(),
@@ -215,7 +215,7 @@
 std::vector<std::string>
 control::NextFew(clock::time_point aNow)
 {
-  return SomeOf(mKnownVms.Reachable(aNow), kFewVms, mTurn++);
+  return SelectRoundRobin(mKnownVms.Reachable(aNow), kFewVms, mTurn++);
 }
 
 // The other VMs that hold duties, as far as this one knows.
@@ -245,15 +245,15 @@
 
 void
 control::TakeWatches(const news::News& aNews,
-                     const news::exchange::clock_reader& aClock,
+                     const news::exchange::clock_converter& aClock,
                      clock::time_point aNow)
 {
-  if (aNews.passes_on() && IsFeeder(aNews.vm())) {
+  if (aNews.passes_on() && IsForwarder(aNews.vm())) {
     mRelayedAt = aNow;
   }
   for (const auto& watch : aNews.watches()) {
     if (auto* found = Touch(watch.group())) {
-      found->lead.HeardWatch(ReadWatch(watch, aClock), aNow);
+      found->lead.WatchUpdateReceived(ReadWatch(watch, aClock), aNow);
     }
   }
 }
--- a/src/currantshed/node/control_quota.cpp
+++ b/src/currantshed/node/control_quota.cpp
@@ -10,7 +10,7 @@
 
 #include "currantshed/clock/now.hpp"
 #include "currantshed/log/log.hpp"
-#include "currantshed/node/collectors.hpp"
+#include "currantshed/node/quota_coordinators.hpp"
 
 namespace currantshed::node {
 
@@ -45,25 +45,25 @@
   for (const auto& [name, one] : keys.vms) {
     domains.insert(one.record.failureDomain);
   }
-  mBank.SetBanks(std::max<std::size_t>(domains.size(), 1));
+  mBank.SetCoordinatorCount(std::max<std::size_t>(domains.size(), 1));
   std::vector<std::vector<std::string>> others;
   for (const auto& domain : domains) {
     if (domain != mSelf.failureDomain) {
-      others.push_back(Collectors(keys, domain));
+      others.push_back(QuotaCoordinators(keys, domain));
     }
   }
-  mTokens.SetCollectors(Collectors(keys, mSelf.failureDomain), others);
+  mTokens.SetCoordinators(QuotaCoordinators(keys, mSelf.failureDomain), others);
 }
 
 // The VMs that are listed and, for a while after the start, those that were:
 // VMs that start together find each other's tokens before the list has them.
-own_keys
+cluster_state
 control::WithRecorded() const
 {
   auto keys = mOwnKeys;
   if (!mIsSettled) {
     for (const auto& one : mOwnKeys.fleet) {
-      keys.vms.try_emplace(one.where.vm, own_keys::listed_vm{ one, {} });
+      keys.vms.try_emplace(one.where.vm, cluster_state::stored_vm{ one, {} });
     }
   }
   return keys;
@@ -98,12 +98,12 @@
   auto& sharedAt = mSharedAt[aVm];
   // One that can't tell how old a share is would leave it out.
   const bool isDue = aNow >= sharedAt + kShortestShare &&
-                     (aVm == mSelf.where.vm || mNews.IsReadable(aVm, aNow));
+                     (aVm == mSelf.where.vm || mNews.HasClockOffset(aVm, aNow));
   if (!isDue || !KeepsQuotas()) {
     return;
   }
-  for (std::size_t part = 0; part < customer::kParts; ++part) {
-    if (mTokens.Current(part, aNow) == aVm) {
+  for (std::size_t part = 0; part < customer::kPartitions; ++part) {
+    if (mTokens.CoordinatorOf(part, aNow) == aVm) {
       auto& out = *aOut.add_shares();
       out.set_part(static_cast<std::uint32_t>(part));
       out.set_seconds(mShares[part].Take(FleetSize(), aNow).count());
@@ -137,8 +137,8 @@
 control::ShareAll(clock::time_point aNow)
 {
   std::set<std::string> collectors;
-  for (std::size_t part = 0; part < customer::kParts; ++part) {
-    collectors.insert(mTokens.Current(part, aNow));
+  for (std::size_t part = 0; part < customer::kPartitions; ++part) {
+    collectors.insert(mTokens.CoordinatorOf(part, aNow));
   }
   for (const auto& vm : collectors) {
     const bool isOld = aNow >= mSharedAt[vm] + kShareInterval;
@@ -162,11 +162,11 @@
 control::TakeShares(const news::News& aNews)
 {
   for (const auto& one : aNews.shares()) {
-    mBank.Deposit(aNews.vm(),
-                  aNews.incarnation(),
-                  std::chrono::microseconds{ aNews.sent_at_us() },
-                  one.part(),
-                  customer::share{ one.seconds() });
+    mBank.AddShare(aNews.vm(),
+                   aNews.incarnation(),
+                   std::chrono::microseconds{ aNews.sent_at_us() },
+                   one.part(),
+                   customer::share{ one.seconds() });
   }
 }
 
@@ -175,20 +175,20 @@
                     unsigned aCount,
                     clock::time_point aNow)
 {
-  mTokens.Want(aCustomer, aCount, aNow);
+  mTokens.Request(aCustomer, aCount, aNow);
   CarryTokens(aNow);
   Schedule();
 }
 
 customer::token_grant
-control::Withdraw(const std::string& aCustomer, unsigned aCount)
+control::GrantTokens(const std::string& aCustomer, unsigned aCount)
 {
   const auto owner =
-    mCustomers == nullptr ? nullptr : mCustomers->Named(aCustomer);
+    mCustomers == nullptr ? nullptr : mCustomers->FindByName(aCustomer);
   if (owner == nullptr || !owner->limit) {
     return {};
   }
-  return mBank.Withdraw(aCustomer, *owner->limit, aCount);
+  return mBank.GrantTokens(aCustomer, *owner->limit, aCount);
 }
 
 // Sends what the desk asks, a message for each VM, and hands its outcomes to
@@ -197,12 +197,12 @@
 control::CarryTokens(clock::time_point aNow)
 {
   absl::btree_map<std::string, news::News> told;
-  for (auto asks = mTokens.TakeAsks(); !asks.empty();
-       asks = mTokens.TakeAsks()) {
+  for (auto asks = mTokens.TakeRequests(); !asks.empty();
+       asks = mTokens.TakeRequests()) {
     for (auto& ask : asks) {
       if (ask.vm == mSelf.where.vm) {
-        const auto got = Withdraw(ask.customer, ask.count);
-        mTokens.Answered(ask.number, got.count, got.retryAfter, aNow);
+        const auto got = GrantTokens(ask.customer, ask.count);
+        mTokens.OnResponse(ask.number, got.count, got.retryAfter, aNow);
         continue;
       }
       auto& out = *told[ask.vm].add_tokens_wanted();
@@ -215,15 +215,15 @@
     FillShares(vm, news, aNow);
     mNews.Send(vm, std::move(news), aNow);
   }
-  auto outcomes = mTokens.TakeOutcomes();
+  auto outcomes = mTokens.TakeResults();
   if (!outcomes.empty()) {
-    mTraffic.TakeTokens(std::move(outcomes));
+    mTraffic.ApplyTokenResults(std::move(outcomes));
   }
 }
 
 void
 control::HeardOfTokens(const news::News& aNews,
-                       const news::exchange::clock_reader& aClock,
+                       const news::exchange::clock_converter& aClock,
                        clock::time_point aNow)
 {
   if (aClock && aNow - aClock(aNews.sent_at_us()) < kLongestWay) {
@@ -231,7 +231,7 @@
   }
   news::News told;
   for (const auto& wanted : aNews.tokens_wanted()) {
-    const auto got = Withdraw(wanted.customer(), wanted.count());
+    const auto got = GrantTokens(wanted.customer(), wanted.count());
     auto& out = *told.add_tokens_granted();
     out.set_number(wanted.number());
     out.set_count(got.count);
@@ -241,10 +241,10 @@
     mNews.Send(aNews.vm(), std::move(told), aNow);
   }
   for (const auto& granted : aNews.tokens_granted()) {
-    mTokens.Answered(granted.number(),
-                     granted.count(),
-                     milliseconds{ granted.retry_after_ms() },
-                     aNow);
+    mTokens.OnResponse(granted.number(),
+                       granted.count(),
+                       milliseconds{ granted.retry_after_ms() },
+                       aNow);
   }
   if (aNews.tokens_granted_size() > 0) {
     CarryTokens(aNow);
--- a/src/currantshed/node/control_servers.cpp
+++ b/src/currantshed/node/control_servers.cpp
@@ -55,11 +55,11 @@
 {
   const auto era = mServersView.Seen().era;
   if (std::exchange(mServersEra, era) != era) {
-    mServers.StoreReturned(aNow);
+    mServers.OnStoreRestored(aNow);
   }
   const auto before = mServers.Servers();
   const auto source =
-    mServersView.MayBeOld() ? list_source::kCatchUp : list_source::kWatch;
+    mServersView.MayBeStale() ? list_source::kResync : list_source::kWatch;
   NoteServers(mServers.Take(ReadServers(), source, aNow), source);
   const auto changed = ChangedServices(before, mServers.Servers());
   if (changed.empty()) {
@@ -141,7 +141,7 @@
   if (std::exchange(noted, aChanged) == aChanged) {
     return;
   }
-  mMetrics.EntryUnusable(aWhyNot.message());
+  mMetrics.CountUnusableEntry(aWhyNot.message());
   log::Write(log::level::kWarning,
              "server_unusable",
              { { "key", aKey },
@@ -153,28 +153,28 @@
 // when this VM knew that a server leaves, and how it came to know. Those that
 // have come are many when all start, and told by their number alone.
 void
-control::NoteServers(const std::vector<server_news>& aNews,
+control::NoteServers(const std::vector<server_change>& aNews,
                      list_source aSource) const
 {
   for (const auto& one : aNews) {
-    if (one.isNew && one.standing == server_standing::kReady) {
+    if (one.isNew && one.standing == listing_state::kReady) {
       continue;
     }
     const auto* lead = Find(one.server.service);
     const bool leads =
-      lead != nullptr && lead->lead.Proof().primary == one.server.id;
-    mMetrics.ServerStands(NameOf(one.standing));
+      lead != nullptr && lead->lead.Confirmation().primary == one.server.id;
+    mMetrics.CountListingState(ToString(one.standing));
     log::Write(
       log::level::kInfo,
       "server_standing",
       { { "server", one.server.id },
         { "service", one.server.service },
-        { "standing", std::string(NameOf(one.standing)) },
+        { "standing", std::string(ToString(one.standing)) },
         { "started_at_ms",
           static_cast<std::int64_t>(
             one.server.startedAt.time_since_epoch().count()) },
         { "is_primary", leads },
-        { "learned_by", std::string(NameOf(aSource)) },
+        { "learned_by", std::string(ToString(aSource)) },
         { "revision", static_cast<std::int64_t>(mServersView.Seen().number) },
         { "store_era", static_cast<std::int64_t>(mServersView.Seen().era) } });
   }
@@ -199,7 +199,7 @@
     if (place == nullptr) {
       place = std::make_unique<group>(mLeadSettings);
       place->place = PlaceOf(service, mSelf.where.vm);
-      place->lead.SetMayAsk(mMayAsk);
+      place->lead.SetMayConfirm(mMayAsk);
       mDuties.AddService(mOwnKeys, service);
     }
     place->lead.Configure(listed, aNow);
--- a/src/currantshed/node/control_parts.cpp
+++ b/src/currantshed/node/control_snapshots.cpp
@@ -9,14 +9,14 @@
 #include <utility>
 
 #include "currantshed/log/log.hpp"
-#include "currantshed/node/feeders.hpp"
+#include "currantshed/node/forwarders.hpp"
 
 namespace currantshed::node {
 
 namespace {
 
 news::KeysPart
-ToWire(std::size_t aPrefix, const key_part& aPart)
+ToWire(std::size_t aPrefix, const snapshot_chunk& aPart)
 {
   news::KeysPart made;
   made.set_prefix(static_cast<std::uint32_t>(aPrefix));
@@ -28,7 +28,7 @@
   return made;
 }
 
-key_part
+snapshot_chunk
 FromWire(const news::KeysPart& aPart)
 {
   return { { aPart.of_era(), aPart.of() },
@@ -59,8 +59,8 @@
 {
   const auto& collector = mCollectors.at(aPrefix);
   auto& view = *Views().at(aPrefix);
-  view.FedUntil(collector.Until());
-  view.FirstReadFrom(collector.Until());
+  view.ForwardedUntil(collector.Until());
+  view.DelayFirstReadUntil(collector.Until());
   news::News told;
   FillChanges(told);
   *told.add_parts_wanted() = ToWire(aPrefix, collector.Wanted());
@@ -76,16 +76,16 @@
       continue;
     }
     const auto& view = *Views().at(prefix);
-    const auto part =
-      mCutters.at(prefix).Cut(FromWire(wanted),
-                              LongestAnswer(mSettings.linkMegabits),
-                              view.Seen(),
-                              aNow,
-                              [this, prefix, &view] {
-                                news::KeysUpdate whole;
-                                FillUpdate(whole, prefix, view.After({}));
-                                return whole.SerializeAsString();
-                              });
+    const auto part = mCutters.at(prefix).GetChunk(
+      FromWire(wanted),
+      MaxUpdateBytes(mSettings.linkMegabits),
+      view.Seen(),
+      aNow,
+      [this, prefix, &view] {
+        news::KeysUpdate whole;
+        FillUpdate(whole, prefix, view.UpdateSince({}));
+        return whole.SerializeAsString();
+      });
     news::News told;
     FillChanges(told);
     *told.add_parts() = ToWire(prefix, part);
@@ -104,7 +104,7 @@
     auto& collector = mCollectors.at(prefix);
     const auto copy = collector.Take(aNews.vm(), FromWire(part), aNow);
     if (!copy) {
-      if (collector.IsUnderWay(aNow) && collector.IsFrom(aNews.vm())) {
+      if (collector.IsInProgress(aNow) && collector.IsFrom(aNews.vm())) {
         SendWantedPart(prefix, aNews.vm(), aNow);
       }
       continue;
@@ -131,11 +131,12 @@
 // A VM that starts learns who is there by the own keys, and the rest from those
 // that follow the store, if there are some.
 void
-control::HoldFirstReadings(bool aHasFeeders, clock::time_point aNow)
+control::HoldFirstReadings(bool aHasForwarders, clock::time_point aNow)
 {
-  const auto until = aHasFeeders ? mStartedAt + mFeedTimes.Search() : aNow;
+  const auto until =
+    aHasForwarders ? mStartedAt + mForwardingTimeouts.DiscoveryTimeout() : aNow;
   for (auto* view : { &mConfigurationView, &mServersView }) {
-    view->FirstReadFrom(until);
+    view->DelayFirstReadUntil(until);
   }
 }
 
--- a/src/currantshed/node/document_codec.hpp
+++ b/src/currantshed/node/document_codec.hpp
@@ -38,11 +38,11 @@
 enum class promotion_outcome
 {
   /// The server will lead.
-  kTaken,
+  kAccepted,
   /// The platform can't promote this server.
   kRejected,
   /// Too many orders; nothing was done.
-  kLater,
+  kRetryLater,
   /// No answer came: the order may have been taken.
   kUnknown,
 };
--- a/src/currantshed/node/feeders.cpp
+++ b/src/currantshed/node/forwarders.cpp
@@ -1,10 +1,10 @@
-#include "currantshed/node/feeders.hpp"
+#include "currantshed/node/forwarders.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "currantshed/member/roster.hpp"
-#include "currantshed/proxy/strength.hpp"
+#include "currantshed/member/membership.hpp"
+#include "currantshed/proxy/delegate_selection.hpp"
 
 namespace currantshed::node {
 
@@ -15,7 +15,7 @@
 // sends, 290 messages a second before 140 groups, is more than a VM with 0.12
 // of a core can take, which then is late for its own callers as well. Without
 // the one, VMs ask the store and the watchers themselves.
-constexpr unsigned kFeeders = 2;
+constexpr unsigned kForwarders = 2;
 // The part of a second for which one answer may keep the feeder's link busy:
 // some sixty VMs may ask at once, and callers' work goes by the same link.
 constexpr double kLinkPart = 0.01;
@@ -28,7 +28,7 @@
 } // namespace
 
 std::vector<std::string>
-Feeders(const own_keys& aKeys, const std::string& aFailureDomain)
+SelectForwarders(const cluster_state& aKeys, const std::string& aFailureDomain)
 {
   std::vector<store::vm> staying;
   std::vector<unsigned> shares;
@@ -39,29 +39,29 @@
       vm.id = name;
       vm.failureDomain = aFailureDomain;
       staying.push_back(std::move(vm));
-      shares.push_back(record.processorShare);
+      shares.push_back(record.cpuMillicores);
     }
   }
-  std::vector<std::string> feeders;
-  if (staying.size() < kFewestFed) {
-    return feeders;
+  std::vector<std::string> forwarders;
+  if (staying.size() < kMinVmsForForwarders) {
+    return forwarders;
   }
   const auto strongest = *std::max_element(shares.begin(), shares.end());
   std::vector<store::vm> strong;
   for (std::size_t i = 0; i < staying.size(); ++i) {
-    if (proxy::IsStrong(shares[i], strongest)) {
+    if (proxy::HasHighCapacity(shares[i], strongest)) {
       strong.push_back(std::move(staying[i]));
     }
   }
-  for (const auto& one :
-       member::ChooseOwners("feeders of " + aFailureDomain, strong, kFeeders)) {
-    feeders.push_back(one.id);
+  for (const auto& one : member::ChooseOwners(
+         "feeders of " + aFailureDomain, strong, kForwarders)) {
+    forwarders.push_back(one.id);
   }
-  return feeders;
+  return forwarders;
 }
 
 std::size_t
-LongestAnswer(double aLinkMegabits) noexcept
+MaxUpdateBytes(double aLinkMegabits) noexcept
 {
   const auto byLink = aLinkMegabits * kBytesByMegabit * kLinkPart;
   return static_cast<std::size_t>(std::min(byLink, kLongestAnswer));
--- a/src/currantshed/node/relay_box.cpp
+++ b/src/currantshed/node/forwarding_batch.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/relay_box.hpp"
+#include "currantshed/node/forwarding_batch.hpp"
 
 #include <algorithm>
 #include <tuple>
@@ -16,7 +16,7 @@
 constexpr milliseconds kObeyedPause{ 15 };
 
 bool
-IsFresher(const lead::reach_news& aLeft, const lead::reach_news& aRight)
+IsFresher(const lead::reach_update& aLeft, const lead::reach_update& aRight)
 {
   return std::tie(aLeft.term, aLeft.heardAt) >
          std::tie(aRight.term, aRight.heardAt);
@@ -25,17 +25,17 @@
 } // namespace
 
 void
-relay_box::HasWord(const std::string& aService,
-                   bool aIsUrgent,
-                   clock::time_point aNow)
+forwarding_batch::AddGroup(const std::string& aService,
+                           bool aIsUrgent,
+                           clock::time_point aNow)
 {
   mWords.insert(aService);
-  // Not urgent words wait for their pause, which TakeWords knows.
+  // Not urgent words wait for their pause, which TakeGroups knows.
   mWordsAt = std::min(mWordsAt, aIsUrgent ? clock::time_point{} : aNow);
 }
 
 std::vector<std::string>
-relay_box::TakeWords(milliseconds aPause, clock::time_point aNow)
+forwarding_batch::TakeGroups(milliseconds aPause, clock::time_point aNow)
 {
   if (mWords.empty()) {
     return {};
@@ -53,9 +53,10 @@
 }
 
 void
-relay_box::Heard(relayed_reach aReach, clock::time_point aNow)
+forwarding_batch::AddReachUpdate(forwarded_reach_update aReach,
+                                 clock::time_point aNow)
 {
-  const bool obeys = aReach.news.obeyedTerm != 0;
+  const bool obeys = aReach.news.acknowledgedTerm != 0;
   mReachesAt =
     std::min(mReachesAt, aNow + (obeys ? kObeyedPause : kReachPause));
   if (obeys) {
@@ -67,10 +68,10 @@
   }
 }
 
-std::vector<relayed_reach>
-relay_box::TakeReaches(clock::time_point aNow)
+std::vector<forwarded_reach_update>
+forwarding_batch::TakeReachUpdates(clock::time_point aNow)
 {
-  std::vector<relayed_reach> taken;
+  std::vector<forwarded_reach_update> taken;
   if (aNow < mReachesAt) {
     return taken;
   }
@@ -89,7 +90,7 @@
 }
 
 clock::time_point
-relay_box::NextTick() const noexcept
+forwarding_batch::NextTick() const noexcept
 {
   return std::min(mWordsAt, mReachesAt);
 }
--- a/src/currantshed/node/check_schedule.cpp
+++ b/src/currantshed/node/freshness_check_schedule.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/check_schedule.hpp"
+#include "currantshed/node/freshness_check_schedule.hpp"
 
 #include <algorithm>
 
@@ -23,7 +23,7 @@
 } // namespace
 
 clock::time_point
-check_schedule::Due(clock::time_point aProvedAt) const noexcept
+freshness_check_schedule::NextCheck(clock::time_point aProvedAt) const noexcept
 {
   if (mIsAsking) {
     return clock::time_point::max();
@@ -33,7 +33,8 @@
 }
 
 void
-check_schedule::Answered(bool aIsProof, clock::time_point aNow) noexcept
+freshness_check_schedule::OnResponse(bool aIsProof,
+                                     clock::time_point aNow) noexcept
 {
   mIsAsking = false;
   if (aIsProof) {
--- a/src/currantshed/node/check_schedule.hpp
+++ b/src/currantshed/node/freshness_check_schedule.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_NODE_CHECK_SCHEDULE_HPP
-#define CURRANTSHED_NODE_CHECK_SCHEDULE_HPP
+#ifndef CURRANTSHED_NODE_FRESHNESS_CHECK_SCHEDULE_HPP
+#define CURRANTSHED_NODE_FRESHNESS_CHECK_SCHEDULE_HPP
 
 #include <chrono>
 #include <cstddef>
@@ -12,18 +12,18 @@
 /// The VMs have an order: the first one asks often enough for all, and tells
 /// the others; a later one asks once no proof has come for longer, since those
 /// before it are gone or cut off. Asks for no time.
-class check_schedule
+class freshness_check_schedule
 {
 public:
   /// The VM's place in the order; zero asks first.
-  void SetPlace(std::size_t aPlace) noexcept { mPlace = aPlace; }
+  void SetRank(std::size_t aPlace) noexcept { mPlace = aPlace; }
 
   /// When to ask, given the latest proof.
-  [[nodiscard]] clock::time_point Due(
+  [[nodiscard]] clock::time_point NextCheck(
     clock::time_point aProvedAt) const noexcept;
 
-  void Asked() noexcept { mIsAsking = true; }
-  void Answered(bool aIsProof, clock::time_point aNow) noexcept;
+  void OnRequestSent() noexcept { mIsAsking = true; }
+  void OnResponse(bool aIsProof, clock::time_point aNow) noexcept;
 
 private:
   std::size_t mPlace = 0;
--- a/src/currantshed/node/fwd.hpp
+++ b/src/currantshed/node/fwd.hpp
@@ -6,7 +6,7 @@
 class caller_server;
 class control;
 class document_codec;
-class known_vms;
+class vm_membership;
 class line_codec;
 class line_stream;
 class metrics;
@@ -15,7 +15,7 @@
 class server_list;
 class traffic;
 struct node_settings;
-struct server_news;
+struct server_change;
 
 } // namespace currantshed::node
 
--- a/src/currantshed/node/group_agenda.cpp
+++ b/src/currantshed/node/group_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/group_agenda.hpp"
+#include "currantshed/node/group_scheduler.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -6,14 +6,14 @@
 namespace currantshed::node {
 
 std::vector<std::string>
-group_agenda::TakeTouched()
+group_scheduler::TakePending()
 {
   const auto taken = std::exchange(mTouched, {});
   return { taken.begin(), taken.end() };
 }
 
 void
-group_agenda::SetDue(const std::string& aService, clock::time_point aAt)
+group_scheduler::SetDue(const std::string& aService, clock::time_point aAt)
 {
   const auto before = mDue.find(aService);
   if (before != mDue.end()) {
@@ -30,7 +30,7 @@
 }
 
 std::vector<std::string>
-group_agenda::Due(clock::time_point aNow) const
+group_scheduler::Due(clock::time_point aNow) const
 {
   std::vector<std::string> due;
   for (const auto& [at, service] : mByTime) {
@@ -44,13 +44,13 @@
 }
 
 clock::time_point
-group_agenda::Next() const noexcept
+group_scheduler::Next() const noexcept
 {
   return mByTime.empty() ? clock::time_point::max() : mByTime.begin()->first;
 }
 
 std::vector<std::string>
-group_agenda::Awake() const
+group_scheduler::Scheduled() const
 {
   std::vector<std::string> awake;
   awake.reserve(mDue.size());
--- a/src/currantshed/node/group_agenda.hpp
+++ b/src/currantshed/node/group_scheduler.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_NODE_GROUP_AGENDA_HPP
-#define CURRANTSHED_NODE_GROUP_AGENDA_HPP
+#ifndef CURRANTSHED_NODE_GROUP_SCHEDULER_HPP
+#define CURRANTSHED_NODE_GROUP_SCHEDULER_HPP
 
 #include <string>
 #include <utility>
@@ -15,14 +15,14 @@
 /// Which groups an event has to do with, and when each of the others next has
 /// something to do, so that an event costs the groups that it concerns, not all
 /// that there are. Asks for no time.
-class group_agenda
+class group_scheduler
 {
 public:
   /// Something was told to the group's lead; what it asks for is to be done.
   void Touch(const std::string& aService) { mTouched.insert(aService); }
 
   /// The groups that were touched since this was last called, by name.
-  [[nodiscard]] std::vector<std::string> TakeTouched();
+  [[nodiscard]] std::vector<std::string> TakePending();
 
   /// When the group next has something to do by itself; the end of time where
   /// it waits for others.
@@ -36,7 +36,7 @@
   [[nodiscard]] clock::time_point Next() const noexcept;
 
   /// The groups that have something to do by themselves at some time.
-  [[nodiscard]] std::vector<std::string> Awake() const;
+  [[nodiscard]] std::vector<std::string> Scheduled() const;
 
 private:
   absl::btree_set<std::string> mTouched;
--- a/src/currantshed/node/internal/feed_times.hpp
+++ b/src/currantshed/node/internal/forwarding_timeouts.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_NODE_INTERNAL_FEED_TIMES_HPP
-#define CURRANTSHED_NODE_INTERNAL_FEED_TIMES_HPP
+#ifndef CURRANTSHED_NODE_INTERNAL_FORWARDING_TIMEOUTS_HPP
+#define CURRANTSHED_NODE_INTERNAL_FORWARDING_TIMEOUTS_HPP
 
 #include <algorithm>
 #include <chrono>
@@ -10,14 +10,15 @@
 namespace currantshed::node::internal {
 
 /// The number of the configuration's keys in messages.
-constexpr std::size_t kConfigurationNumber = 0;
+constexpr std::size_t kConfigurationPrefix = 0;
 
 /// How long what feeders pass on may count, by the time within which a
 /// configuration must be in force.
-class feed_times
+class forwarding_timeouts
 {
 public:
-  explicit constexpr feed_times(std::chrono::milliseconds aBound) noexcept
+  explicit constexpr forwarding_timeouts(
+    std::chrono::milliseconds aBound) noexcept
     : mBound(aBound)
   {
   }
@@ -25,11 +26,13 @@
   /// How long after its start a VM looks for others that follow the store for
   /// it, before it begins to follow what it has read by itself; and the same
   /// for the system's own keys, which tell who does.
-  [[nodiscard]] constexpr std::chrono::milliseconds Search() const noexcept
+  [[nodiscard]] constexpr std::chrono::milliseconds DiscoveryTimeout()
+    const noexcept
   {
     return mBound * 5 / 6;
   }
-  [[nodiscard]] constexpr std::chrono::milliseconds OwnSearch() const noexcept
+  [[nodiscard]] constexpr std::chrono::milliseconds ClusterDiscoveryTimeout()
+    const noexcept
   {
     return mBound / 3;
   }
@@ -38,7 +41,7 @@
   /// surely those of the store at the given time. A feeder that answers but is
   /// behind is one to whom the store is slow: were all that it feeds to ask the
   /// store instead, the store would stay slow.
-  [[nodiscard]] constexpr clock::time_point FedUntil(
+  [[nodiscard]] constexpr clock::time_point ForwardedUntil(
     bool aIsConfiguration,
     clock::time_point aCurrentAt,
     clock::time_point aNow) const noexcept
--- a/src/currantshed/node/line_stream.cpp
+++ b/src/currantshed/node/line_stream.cpp
@@ -168,7 +168,7 @@
     line(text);
     aBytes.remove_prefix(end + 1);
   }
-  if (aBytes.size() >= kLongestLine) {
+  if (aBytes.size() >= kMaxLineBytes) {
     End();
     return;
   }
--- a/src/currantshed/node/line_stream.hpp
+++ b/src/currantshed/node/line_stream.hpp
@@ -13,7 +13,7 @@
 
 /// Longest line that is taken, with its end: what the protocol allows for a
 /// message, in bytes.
-constexpr std::size_t kLongestLine = std::size_t{ 1 } << 20U;
+constexpr std::size_t kMaxLineBytes = std::size_t{ 1 } << 20U;
 
 /// A TCP connection that carries lines. Reads only when there is something,
 /// into a buffer that all streams of a thread share, so that an idle stream
--- a/src/currantshed/node/duty_board.cpp
+++ b/src/currantshed/node/lock_assignments.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/duty_board.hpp"
+#include "currantshed/node/lock_assignments.hpp"
 
 #include <algorithm>
 #include <cstddef>
@@ -6,21 +6,21 @@
 #include <utility>
 
 #include "currantshed/member/owners.hpp"
-#include "currantshed/proxy/strength.hpp"
+#include "currantshed/proxy/delegate_selection.hpp"
 
 namespace currantshed::node {
 
 absl::btree_set<std::string>
-Candidates(const own_keys& aKeys)
+LockCandidates(const cluster_state& aKeys)
 {
-  std::vector<proxy::vm_strength> strengths;
+  std::vector<proxy::vm_capacity> strengths;
   strengths.reserve(aKeys.vms.size());
   for (const auto& [name, one] : aKeys.vms) {
     const auto& record = one.record;
     strengths.push_back(
-      { record.failureDomain, record.processorShare, record.leaving });
+      { record.failureDomain, record.cpuMillicores, record.leaving });
   }
-  const auto works = proxy::WorkForOthers(strengths);
+  const auto works = proxy::SelectDelegates(strengths);
   absl::btree_set<std::string> candidates;
   std::size_t place = 0;
   for (const auto& [name, one] : aKeys.vms) {
@@ -31,13 +31,14 @@
   return candidates;
 }
 
-duty_board::duty_board(std::string aSelf)
+lock_assignments::lock_assignments(std::string aSelf)
   : mSelf(std::move(aSelf))
 {
 }
 
 void
-duty_board::AddService(const own_keys& aKeys, const std::string& aService)
+lock_assignments::AddService(const cluster_state& aKeys,
+                             const std::string& aService)
 {
   const auto [place, isNew] = mGroups.try_emplace(aService);
   if (!isNew) {
@@ -45,12 +46,12 @@
   }
   mVacant.insert(aService);
   Choose(aService, place->second);
-  DutyChanged(aKeys, aService);
+  OnLockChanged(aKeys, aService);
 }
 
 void
-duty_board::SetCandidates(const own_keys& aKeys,
-                          absl::btree_set<std::string> aCandidates)
+lock_assignments::SetCandidates(const cluster_state& aKeys,
+                                absl::btree_set<std::string> aCandidates)
 {
   const auto before = std::exchange(mCandidates, std::move(aCandidates));
   std::vector<std::string> come;
@@ -73,13 +74,14 @@
   }
   for (const auto* vms : { &come, &gone }) {
     for (const auto& vm : *vms) {
-      VmChanged(aKeys, vm);
+      OnVmChanged(aKeys, vm);
     }
   }
 }
 
 void
-duty_board::VmChanged(const own_keys& aKeys, const std::string& aVm)
+lock_assignments::OnVmChanged(const cluster_state& aKeys,
+                              const std::string& aVm)
 {
   const auto held = mByHolder.find(aVm);
   if (held == mByHolder.end()) {
@@ -91,31 +93,32 @@
 }
 
 void
-duty_board::DutyChanged(const own_keys& aKeys, const std::string& aService)
+lock_assignments::OnLockChanged(const cluster_state& aKeys,
+                                const std::string& aService)
 {
   const auto found = mGroups.find(aService);
   if (found == mGroups.end()) {
     return;
   }
-  const auto duty = aKeys.duties.find(aService);
+  const auto duty = aKeys.locks.find(aService);
   SetHolder(aService,
             found->second,
-            duty == aKeys.duties.end() ? std::string()
-                                       : duty->second.record.holder);
+            duty == aKeys.locks.end() ? std::string()
+                                      : duty->second.record.holder);
   Recheck(aKeys, aService, found->second);
   Note(aService, found->second);
 }
 
 void
-duty_board::AllChanged(const own_keys& aKeys)
+lock_assignments::OnAllChanged(const cluster_state& aKeys)
 {
   for (const auto& [service, one] : mGroups) {
-    DutyChanged(aKeys, service);
+    OnLockChanged(aKeys, service);
   }
 }
 
 bool
-duty_board::IsNext(const std::string& aService) const
+lock_assignments::IsNextHolder(const std::string& aService) const
 {
   const auto found = mGroups.find(aService);
   return found != mGroups.end() && found->second.best &&
@@ -123,14 +126,14 @@
 }
 
 bool
-duty_board::IsHeld(const std::string& aService) const
+lock_assignments::IsHeld(const std::string& aService) const
 {
   const auto found = mGroups.find(aService);
   return found != mGroups.end() && found->second.isHeld;
 }
 
 std::vector<std::string>
-duty_board::Holders() const
+lock_assignments::Holders() const
 {
   std::vector<std::string> holders;
   holders.reserve(mByHolder.size());
@@ -141,7 +144,7 @@
 }
 
 absl::btree_set<std::string>
-duty_board::TakeChanged()
+lock_assignments::TakeChangedGroups()
 {
   return std::exchange(mChanged, {});
 }
@@ -149,8 +152,8 @@
 // Who is to take a vacant group now that some VMs have come and others gone:
 // all are looked at only where the one that was to take it has gone.
 void
-duty_board::Reconsider(const std::string& aService,
-                       const std::vector<std::string>& aCome)
+lock_assignments::Reconsider(const std::string& aService,
+                             const std::vector<std::string>& aCome)
 {
   auto& group = mGroups.at(aService);
   const bool isGone = group.best && !mCandidates.contains(group.best->vm);
@@ -167,9 +170,9 @@
 // The better one of the two is to take the duty: the higher score, or the first
 // name among equals.
 void
-duty_board::Compare(const std::string& aService,
-                    group& aGroup,
-                    const std::string& aVm)
+lock_assignments::Compare(const std::string& aService,
+                          group& aGroup,
+                          const std::string& aVm)
 {
   ++mScored;
   const auto score = member::OwnerScore(aService, aVm);
@@ -185,7 +188,7 @@
 }
 
 void
-duty_board::Choose(const std::string& aService, group& aGroup)
+lock_assignments::Choose(const std::string& aService, group& aGroup)
 {
   aGroup.best.reset();
   for (const auto& vm : mCandidates) {
@@ -194,12 +197,12 @@
 }
 
 void
-duty_board::Recheck(const own_keys& aKeys,
-                    const std::string& aService,
-                    group& aGroup)
+lock_assignments::Recheck(const cluster_state& aKeys,
+                          const std::string& aService,
+                          group& aGroup)
 {
   const bool isHeld =
-    mCandidates.contains(aGroup.holder) && HasHolder(aKeys, aService);
+    mCandidates.contains(aGroup.holder) && IsLockHeld(aKeys, aService);
   if (std::exchange(aGroup.isHeld, isHeld) == isHeld) {
     return;
   }
@@ -214,9 +217,9 @@
 }
 
 void
-duty_board::SetHolder(const std::string& aService,
-                      group& aGroup,
-                      const std::string& aHolder)
+lock_assignments::SetHolder(const std::string& aService,
+                            group& aGroup,
+                            const std::string& aHolder)
 {
   if (aGroup.holder == aHolder) {
     return;
@@ -235,7 +238,7 @@
 }
 
 void
-duty_board::Note(const std::string& aService, const group& aGroup)
+lock_assignments::Note(const std::string& aService, const group& aGroup)
 {
   mChanged.insert(aService);
   const bool isNext = aGroup.best && aGroup.best->vm == mSelf;
--- a/src/currantshed/node/duty_board.hpp
+++ b/src/currantshed/node/lock_assignments.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_NODE_DUTY_BOARD_HPP
-#define CURRANTSHED_NODE_DUTY_BOARD_HPP
+#ifndef CURRANTSHED_NODE_LOCK_ASSIGNMENTS_HPP
+#define CURRANTSHED_NODE_LOCK_ASSIGNMENTS_HPP
 
 #include <cstdint>
 #include <optional>
@@ -9,7 +9,7 @@
 #include <absl/container/btree_map.h>
 #include <absl/container/btree_set.h>
 
-#include "currantshed/node/duty.hpp"
+#include "currantshed/node/cluster_state.hpp"
 
 namespace currantshed::node {
 
@@ -17,40 +17,40 @@
 /// others. Few VMs with many groups each tell of them in few messages, keep few
 /// connections to servers, and let all others have leases that cost half.
 [[nodiscard]] absl::btree_set<std::string>
-Candidates(const own_keys& aKeys);
+LockCandidates(const cluster_state& aKeys);
 
 /// Who holds the duty of each group, and which of the candidates is to take
 /// each one that none of them holds: the one that all agree on by hashing. Kept
 /// up change by change, so that a VM that comes costs one hash for each vacant
 /// group, and one that goes a look at the groups that it held or was to take.
 /// Does no I/O.
-class duty_board
+class lock_assignments
 {
 public:
-  explicit duty_board(std::string aSelf);
+  explicit lock_assignments(std::string aSelf);
 
   /// There is such a group.
-  void AddService(const own_keys& aKeys, const std::string& aService);
+  void AddService(const cluster_state& aKeys, const std::string& aService);
 
   /// The VMs that may have duties. What another one holds is taken over.
-  void SetCandidates(const own_keys& aKeys,
+  void SetCandidates(const cluster_state& aKeys,
                      absl::btree_set<std::string> aCandidates);
 
   /// The VM's record, or the duty's, is another one now, or is gone.
-  void VmChanged(const own_keys& aKeys, const std::string& aVm);
-  void DutyChanged(const own_keys& aKeys, const std::string& aService);
+  void OnVmChanged(const cluster_state& aKeys, const std::string& aVm);
+  void OnLockChanged(const cluster_state& aKeys, const std::string& aService);
 
   /// All records may be others.
-  void AllChanged(const own_keys& aKeys);
+  void OnAllChanged(const cluster_state& aKeys);
 
   /// Whether this VM is to take the group's duty, which nobody holds.
-  [[nodiscard]] bool IsNext(const std::string& aService) const;
+  [[nodiscard]] bool IsNextHolder(const std::string& aService) const;
 
   /// Whether a candidate that is listed and stays holds the duty.
   [[nodiscard]] bool IsHeld(const std::string& aService) const;
 
   /// The groups whose duty this VM has by the record, or is to take.
-  [[nodiscard]] const absl::btree_set<std::string>& Own() const noexcept
+  [[nodiscard]] const absl::btree_set<std::string>& OwnGroups() const noexcept
   {
     return mOwn;
   }
@@ -60,10 +60,13 @@
 
   /// The groups whose record, or whose standing by Own or IsHeld, may have
   /// changed since this was last called.
-  [[nodiscard]] absl::btree_set<std::string> TakeChanged();
+  [[nodiscard]] absl::btree_set<std::string> TakeChangedGroups();
 
   /// Hashes that were worked out; counts work.
-  [[nodiscard]] std::uint64_t Scored() const noexcept { return mScored; }
+  [[nodiscard]] std::uint64_t ScoresComputed() const noexcept
+  {
+    return mScored;
+  }
 
 private:
   struct candidate
@@ -89,7 +92,7 @@
                group& aGroup,
                const std::string& aVm);
   void Choose(const std::string& aService, group& aGroup);
-  void Recheck(const own_keys& aKeys,
+  void Recheck(const cluster_state& aKeys,
                const std::string& aService,
                group& aGroup);
   void SetHolder(const std::string& aService,
--- a/src/currantshed/node/control_words.cpp
+++ b/src/currantshed/node/message_conversion.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/control_words.hpp"
+#include "currantshed/node/message_conversion.hpp"
 
 namespace currantshed::node {
 
@@ -17,12 +17,12 @@
 void
 Fill(news::Watch& aOut,
      const std::string& aService,
-     const lead::lead_news& aNews)
+     const lead::watch_update& aNews)
 {
   aOut.set_group(aService);
-  aOut.set_term(aNews.proof.term);
-  aOut.set_primary(aNews.proof.primary);
-  aOut.set_asked_at_us(lead::ToWire(aNews.proof.askedAt).count());
+  aOut.set_term(aNews.confirmation.term);
+  aOut.set_primary(aNews.confirmation.primary);
+  aOut.set_asked_at_us(lead::ToWire(aNews.confirmation.askedAt).count());
   aOut.set_revoked_term(aNews.revokedTerm);
   aOut.set_epoch(aNews.epoch);
   aOut.set_sequence(aNews.sequence);
@@ -36,22 +36,23 @@
 void
 Fill(news::Reach& aOut,
      const std::string& aService,
-     const lead::reach_news& aNews)
+     const lead::reach_update& aNews)
 {
   aOut.set_group(aService);
   aOut.set_term(aNews.term);
   aOut.set_primary(aNews.primary);
   aOut.set_heard_at_us(lead::ToWire(aNews.heardAt).count());
-  aOut.set_obeyed_term(aNews.obeyedTerm);
+  aOut.set_obeyed_term(aNews.acknowledgedTerm);
 }
 
-lead::lead_news
-ReadWatch(const news::Watch& aWatch, const news::exchange::clock_reader& aClock)
+lead::watch_update
+ReadWatch(const news::Watch& aWatch,
+          const news::exchange::clock_converter& aClock)
 {
-  lead::lead_news made;
-  made.proof = { aWatch.term(),
-                 aWatch.primary(),
-                 aClock(aWatch.asked_at_us()) };
+  lead::watch_update made;
+  made.confirmation = { aWatch.term(),
+                        aWatch.primary(),
+                        aClock(aWatch.asked_at_us()) };
   made.revokedTerm = aWatch.revoked_term();
   made.epoch = aWatch.epoch();
   made.sequence = aWatch.sequence();
@@ -63,10 +64,10 @@
   return made;
 }
 
-lead::reach_news
+lead::reach_update
 ReadReach(const news::Reach& aReach,
           std::int64_t aSentAt,
-          const news::exchange::clock_reader& aClock)
+          const news::exchange::clock_converter& aClock)
 {
   const bool isPassedOn = !aReach.vm().empty();
   return { aReach.term(),
--- a/src/currantshed/node/control_words.hpp
+++ b/src/currantshed/node/message_conversion.hpp
@@ -1,11 +1,11 @@
-#ifndef CURRANTSHED_NODE_CONTROL_WORDS_HPP
-#define CURRANTSHED_NODE_CONTROL_WORDS_HPP
+#ifndef CURRANTSHED_NODE_MESSAGE_CONVERSION_HPP
+#define CURRANTSHED_NODE_MESSAGE_CONVERSION_HPP
 
 #include <array>
 #include <cstdint>
 #include <string>
 
-#include "currantshed/lead/group_lead.hpp"
+#include "currantshed/lead/group_monitor.hpp"
 #include "currantshed/news/exchange.hpp"
 #include "currantshed/store/key_value.hpp"
 
@@ -15,25 +15,25 @@
 void
 Fill(news::Watch& aOut,
      const std::string& aService,
-     const lead::lead_news& aNews);
+     const lead::watch_update& aNews);
 
 /// Writes what a VM says of its own way to a group's primary into a message.
 void
 Fill(news::Reach& aOut,
      const std::string& aService,
-     const lead::reach_news& aNews);
+     const lead::reach_update& aNews);
 
 /// Reads what a VM that watches a group said; times become those of this VM.
-[[nodiscard]] lead::lead_news
+[[nodiscard]] lead::watch_update
 ReadWatch(const news::Watch& aWatch,
-          const news::exchange::clock_reader& aClock);
+          const news::exchange::clock_converter& aClock);
 
 /// Reads what a VM said of its way to a primary, in a message sent at the given
 /// time of the sender's clock.
-[[nodiscard]] lead::reach_news
+[[nodiscard]] lead::reach_update
 ReadReach(const news::Reach& aReach,
           std::int64_t aSentAt,
-          const news::exchange::clock_reader& aClock);
+          const news::exchange::clock_converter& aClock);
 
 /// The newest changes that the sender has seen of each followed prefix, in the
 /// order of their numbers in messages.
--- a/src/currantshed/node/metrics.cpp
+++ b/src/currantshed/node/metrics.cpp
@@ -89,7 +89,7 @@
     .Add({ { "outcome", outcome },
            { "reason", isWord ? std::string(reason) : "" } })
     .Increment();
-  if (aDecision.leavingFor) {
+  if (aDecision.drainingFor) {
     mAtLeaving.Add({ { "outcome", outcome } }).Increment();
   }
   if (aDecision.isFinal) {
@@ -99,31 +99,31 @@
 }
 
 void
-metrics::StoreCalled(std::string_view aResult)
+metrics::CountStoreCall(std::string_view aResult)
 {
   mStoreCalls.Add({ { "result", std::string(aResult) } }).Increment();
 }
 
 void
-metrics::ServerReached(bool aIsReached)
+metrics::CountServerReached(bool aIsReached)
 {
   mServers.Add({ { "now", aIsReached ? "reached" : "lost" } }).Increment();
 }
 
 void
-metrics::ServerStands(std::string_view aStanding)
+metrics::CountListingState(std::string_view aStanding)
 {
   mStandings.Add({ { "now", std::string(aStanding) } }).Increment();
 }
 
 void
-metrics::EntryUnusable(const std::string& aReason)
+metrics::CountUnusableEntry(const std::string& aReason)
 {
   mUnusable.Add({ { "reason", aReason } }).Increment();
 }
 
 void
-metrics::LeadChanged(std::string_view aStep)
+metrics::CountLeadStep(std::string_view aStep)
 {
   mLeadSteps.Add({ { "step", std::string(aStep) } }).Increment();
 }
--- a/src/currantshed/node/metrics.hpp
+++ b/src/currantshed/node/metrics.hpp
@@ -25,14 +25,14 @@
   void Decided(const proxy::decision& aDecision);
 
   /// Counts a call of the platform's store by its result.
-  void StoreCalled(std::string_view aResult);
+  void CountStoreCall(std::string_view aResult);
 
-  void ServerReached(bool aIsReached);
+  void CountServerReached(bool aIsReached);
   /// Counts what became of servers on the store's list.
-  void ServerStands(std::string_view aStanding);
+  void CountListingState(std::string_view aStanding);
   /// Counts an entry that names no server to use, by the reason.
-  void EntryUnusable(const std::string& aReason);
-  void LeadChanged(std::string_view aStep);
+  void CountUnusableEntry(const std::string& aReason);
+  void CountLeadStep(std::string_view aStep);
   void SetSessions(std::size_t aCount);
   void SetConfiguration(std::uint64_t aVersion);
   /// Shows how often the store has come back from an older copy.
--- a/src/currantshed/node/audience.cpp
+++ b/src/currantshed/node/peer_selection.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/audience.hpp"
+#include "currantshed/node/peer_selection.hpp"
 
 #include <algorithm>
 
@@ -7,9 +7,9 @@
 namespace currantshed::node {
 
 std::vector<std::string>
-SomeOf(const std::vector<news::peer>& aPeers,
-       std::size_t aCount,
-       std::size_t aTurn)
+SelectRoundRobin(const std::vector<news::peer>& aPeers,
+                 std::size_t aCount,
+                 std::size_t aTurn)
 {
   std::vector<std::string> chosen;
   const auto count = std::min(aCount, aPeers.size());
@@ -20,8 +20,8 @@
 }
 
 void
-AddNew(std::vector<std::string>& aNames,
-       const std::vector<std::string>& aOthers)
+AppendMissing(std::vector<std::string>& aNames,
+              const std::vector<std::string>& aOthers)
 {
   for (const auto& one : aOthers) {
     if (std::find(aNames.begin(), aNames.end(), one) == aNames.end()) {
--- a/src/currantshed/node/audience.hpp
+++ b/src/currantshed/node/peer_selection.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_NODE_AUDIENCE_HPP
-#define CURRANTSHED_NODE_AUDIENCE_HPP
+#ifndef CURRANTSHED_NODE_PEER_SELECTION_HPP
+#define CURRANTSHED_NODE_PEER_SELECTION_HPP
 
 #include <cstddef>
 #include <string>
@@ -12,14 +12,14 @@
 /// A few of the VMs, the next ones at each turn, so that all have been chosen
 /// once before one is chosen again.
 [[nodiscard]] std::vector<std::string>
-SomeOf(const std::vector<news::peer>& aPeers,
-       std::size_t aCount,
-       std::size_t aTurn);
+SelectRoundRobin(const std::vector<news::peer>& aPeers,
+                 std::size_t aCount,
+                 std::size_t aTurn);
 
 /// Adds the names that are not there yet.
 void
-AddNew(std::vector<std::string>& aNames,
-       const std::vector<std::string>& aOthers);
+AppendMissing(std::vector<std::string>& aNames,
+              const std::vector<std::string>& aOthers);
 
 } // namespace currantshed::node
 
--- a/src/currantshed/node/collectors.cpp
+++ b/src/currantshed/node/quota_coordinators.cpp
@@ -1,10 +1,10 @@
-#include "currantshed/node/collectors.hpp"
+#include "currantshed/node/quota_coordinators.hpp"
 
 #include <algorithm>
 #include <utility>
 
-#include "currantshed/member/roster.hpp"
-#include "currantshed/proxy/strength.hpp"
+#include "currantshed/member/membership.hpp"
+#include "currantshed/proxy/delegate_selection.hpp"
 
 namespace currantshed::node {
 
@@ -15,19 +15,19 @@
 } // namespace
 
 std::vector<std::string>
-Collectors(const own_keys& aKeys, const std::string& aFailureDomain)
+QuotaCoordinators(const cluster_state& aKeys, const std::string& aFailureDomain)
 {
   std::vector<const vm_record*> staying;
   unsigned strongest = 0;
   for (const auto& [name, one] : aKeys.vms) {
     if (one.record.failureDomain == aFailureDomain && !one.record.leaving) {
       staying.push_back(&one.record);
-      strongest = std::max(strongest, one.record.processorShare);
+      strongest = std::max(strongest, one.record.cpuMillicores);
     }
   }
   std::vector<store::vm> strong;
   for (const auto* record : staying) {
-    if (proxy::IsStrong(record->processorShare, strongest)) {
+    if (proxy::HasHighCapacity(record->cpuMillicores, strongest)) {
       store::vm vm;
       vm.id = record->where.vm;
       vm.failureDomain = aFailureDomain;
--- a/src/currantshed/node/collectors.hpp
+++ b/src/currantshed/node/quota_coordinators.hpp
@@ -1,10 +1,10 @@
-#ifndef CURRANTSHED_NODE_COLLECTORS_HPP
-#define CURRANTSHED_NODE_COLLECTORS_HPP
+#ifndef CURRANTSHED_NODE_QUOTA_COORDINATORS_HPP
+#define CURRANTSHED_NODE_QUOTA_COORDINATORS_HPP
 
 #include <string>
 #include <vector>
 
-#include "currantshed/node/duty.hpp"
+#include "currantshed/node/cluster_state.hpp"
 
 namespace currantshed::node {
 
@@ -13,7 +13,8 @@
 /// link from each of the others. All VMs come to the same answer from the same
 /// list.
 [[nodiscard]] std::vector<std::string>
-Collectors(const own_keys& aKeys, const std::string& aFailureDomain);
+QuotaCoordinators(const cluster_state& aKeys,
+                  const std::string& aFailureDomain);
 
 } // namespace currantshed::node
 
--- a/src/currantshed/node/question_pace.hpp
+++ b/src/currantshed/node/request_throttle.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_NODE_QUESTION_PACE_HPP
-#define CURRANTSHED_NODE_QUESTION_PACE_HPP
+#ifndef CURRANTSHED_NODE_REQUEST_THROTTLE_HPP
+#define CURRANTSHED_NODE_REQUEST_THROTTLE_HPP
 
 #include <chrono>
 
@@ -11,7 +11,7 @@
 /// words come far oftener than answers, and each answer tells all that has
 /// changed since the question: several questions under way would bring the same
 /// several times, behind a link that is busy with it.
-class question_pace
+class request_throttle
 {
 public:
   void Asked(clock::time_point aNow) noexcept
@@ -20,9 +20,9 @@
     mIsAwaited = true;
   }
 
-  void Answered() noexcept { mIsAwaited = false; }
+  void OnResponse() noexcept { mIsAwaited = false; }
 
-  [[nodiscard]] bool MayAsk(clock::time_point aNow) const noexcept
+  [[nodiscard]] bool MayRequest(clock::time_point aNow) const noexcept
   {
     return aNow >= mAskedAt + (mIsAwaited ? kPatience : kPause);
   }
--- a/src/currantshed/node/server_connector.cpp
+++ b/src/currantshed/node/server_connector.cpp
@@ -43,7 +43,7 @@
     boost::system::error_code error;
     const auto address = boost::asio::ip::make_address(mHost, error);
     if (error) {
-      EndLater(proxy::link_end::kUnreachable);
+      EndLater(proxy::link_close_reason::kUnreachable);
       return;
     }
     mStream->Connect(tcp::endpoint(address, mPort),
@@ -79,14 +79,15 @@
       return;
     }
     if (!aConnected) {
-      End(proxy::link_end::kUnreachable);
+      End(proxy::link_close_reason::kUnreachable);
       return;
     }
-    mStream->Start(
-      { [self = shared_from_this()](std::string_view aLine) {
-         self->Line(aLine);
-       },
-        [self = shared_from_this()] { self->End(proxy::link_end::kBroken); } });
+    mStream->Start({ [self = shared_from_this()](std::string_view aLine) {
+                      self->Line(aLine);
+                    },
+                     [self = shared_from_this()] {
+                       self->End(proxy::link_close_reason::kBroken);
+                     } });
     std::string out;
     mCodec.WriteServerStart(mServer, mCustomer, out);
     mStream->Send(out);
@@ -99,7 +100,7 @@
     }
     auto message = mCodec.ReadServer(aLine);
     if (!message) {
-      End(proxy::link_end::kMalformed);
+      End(proxy::link_close_reason::kMalformed);
       return;
     }
     std::visit([this](auto& aTold) { Take(std::move(aTold)); }, *message);
@@ -159,25 +160,25 @@
     }
   }
 
-  static proxy::link_end ReasonOf(proxy::failure_code aCode)
+  static proxy::link_close_reason ReasonOf(proxy::failure_code aCode)
   {
     switch (aCode) {
       case proxy::failure_code::kTooManyConnections:
-        return proxy::link_end::kServerFull;
+        return proxy::link_close_reason::kServerFull;
       case proxy::failure_code::kMisrouted:
-        return proxy::link_end::kWrongServer;
+        return proxy::link_close_reason::kWrongServer;
       default:
-        return proxy::link_end::kBroken;
+        return proxy::link_close_reason::kBroken;
     }
   }
 
-  void EndLater(proxy::link_end aWhy)
+  void EndLater(proxy::link_close_reason aWhy)
   {
     boost::asio::post(mContext,
                       [self = shared_from_this(), aWhy] { self->End(aWhy); });
   }
 
-  void End(proxy::link_end aWhy)
+  void End(proxy::link_close_reason aWhy)
   {
     mStream->Close();
     if (auto* listener = std::exchange(mListener, nullptr)) {
--- a/src/currantshed/node/server_list.cpp
+++ b/src/currantshed/node/server_list.cpp
@@ -18,20 +18,20 @@
 // Longer than any server takes to leave.
 constexpr std::chrono::hours kLongAgo{ 1 };
 
-server_standing
+listing_state
 StandingOf(const proxy::server& aListed)
 {
-  return aListed.draining ? server_standing::kLeaving : server_standing::kReady;
+  return aListed.draining ? listing_state::kLeaving : listing_state::kReady;
 }
 
 } // namespace
 
-std::vector<server_news>
+std::vector<server_change>
 server_list::Take(std::vector<proxy::server> aListed,
                   list_source aSource,
                   clock::time_point aNow)
 {
-  std::vector<server_news> news;
+  std::vector<server_change> news;
   if (mOlderUntil && aNow >= *mOlderUntil) {
     mOlderUntil.reset();
   }
@@ -41,9 +41,9 @@
     }
     NoteLeaving(one, aSource, aNow);
     const auto* before = Find(one.id);
-    const bool isNews = before == nullptr || before->Life() != one.Life() ||
-                        before->draining != one.draining ||
-                        mMissing.contains(one.id);
+    const bool isNews =
+      before == nullptr || before->Incarnation() != one.Incarnation() ||
+      before->draining != one.draining || mMissing.contains(one.id);
     if (isNews) {
       news.push_back({ one, StandingOf(one), before == nullptr });
     }
@@ -66,7 +66,7 @@
 }
 
 void
-server_list::StoreReturned(clock::time_point aNow) noexcept
+server_list::OnStoreRestored(clock::time_point aNow) noexcept
 {
   mOlderUntil = aNow + kMissingGrace;
 }
@@ -75,7 +75,8 @@
 server_list::KeepLeaving(proxy::server& aListed) const
 {
   const auto* before = Find(aListed.id);
-  const bool livesOn = before != nullptr && before->Life() == aListed.Life();
+  const bool livesOn =
+    before != nullptr && before->Incarnation() == aListed.Incarnation();
   aListed.draining = aListed.draining || (livesOn && before->draining);
 }
 
@@ -90,18 +91,19 @@
     return;
   }
   const auto* before = Find(aListed.id);
-  const bool livesOn = before != nullptr && before->Life() == aListed.Life();
-  if (livesOn && before->leavingSince) {
-    aListed.leavingSince = before->leavingSince;
+  const bool livesOn =
+    before != nullptr && before->Incarnation() == aListed.Incarnation();
+  if (livesOn && before->drainingSince) {
+    aListed.drainingSince = before->drainingSince;
   } else {
-    aListed.leavingSince =
+    aListed.drainingSince =
       aSource == list_source::kWatch ? aNow : aNow - kLongAgo;
   }
 }
 
 void
 server_list::KeepMissing(std::vector<proxy::server>& aListed,
-                         std::vector<server_news>& aNews,
+                         std::vector<server_change>& aNews,
                          clock::time_point aNow)
 {
   absl::flat_hash_set<upstream::server_id> listed;
@@ -114,13 +116,13 @@
     }
     const auto [since, isNew] = mMissing.try_emplace(old.id, aNow);
     if (isNew) {
-      aNews.push_back({ old, server_standing::kMissing });
+      aNews.push_back({ old, listing_state::kMissing });
     }
     if (aNow - since->second < kMissingGrace) {
       aListed.push_back(old);
     } else {
       mMissing.erase(since);
-      aNews.push_back({ old, server_standing::kGone });
+      aNews.push_back({ old, listing_state::kGone });
     }
   }
 }
@@ -137,23 +139,23 @@
 }
 
 std::string_view
-NameOf(server_standing aStanding)
+ToString(listing_state aStanding)
 {
   switch (aStanding) {
-    case server_standing::kReady:
+    case listing_state::kReady:
       return "ready";
-    case server_standing::kLeaving:
+    case listing_state::kLeaving:
       return "leaving";
-    case server_standing::kMissing:
+    case listing_state::kMissing:
       return "missing";
-    case server_standing::kGone:
+    case listing_state::kGone:
       return "gone";
   }
   return "unknown";
 }
 
 std::string_view
-NameOf(list_source aSource)
+ToString(list_source aSource)
 {
   return aSource == list_source::kWatch ? "watch" : "catch_up";
 }
--- a/src/currantshed/node/server_list.hpp
+++ b/src/currantshed/node/server_list.hpp
@@ -15,7 +15,7 @@
 namespace currantshed::node {
 
 /// What a VM comes to believe of one server on the store's list.
-enum class server_standing
+enum class listing_state
 {
   /// Listed, and stays.
   kReady,
@@ -34,14 +34,14 @@
   /// Changes came as they were made.
   kWatch,
   /// What the changes in between were, and when they were made, is not known.
-  kCatchUp,
+  kResync,
 };
 
 /// One belief that has changed, for the log.
-struct server_news
+struct server_change
 {
   proxy::server server;
-  server_standing standing = server_standing::kReady;
+  listing_state standing = listing_state::kReady;
   /// It was not known before.
   bool isNew = false;
 };
@@ -52,14 +52,14 @@
 {
 public:
   /// Takes over what the store lists now. Returns whose standing has changed.
-  std::vector<server_news> Take(std::vector<proxy::server> aListed,
-                                list_source aSource,
-                                clock::time_point aNow);
+  std::vector<server_change> Take(std::vector<proxy::server> aListed,
+                                  list_source aSource,
+                                  clock::time_point aNow);
 
   /// The store has come back from an older copy, which may lack what servers
   /// have said since: until they have written it again, those that leave are
   /// taken to leave on.
-  void StoreReturned(clock::time_point aNow) noexcept;
+  void OnStoreRestored(clock::time_point aNow) noexcept;
 
   /// Whether the time of a missing server is up, or that of an older copy, so
   /// that the list is to be taken anew.
@@ -76,7 +76,7 @@
                    clock::time_point aNow) const;
   void KeepLeaving(proxy::server& aListed) const;
   void KeepMissing(std::vector<proxy::server>& aListed,
-                   std::vector<server_news>& aNews,
+                   std::vector<server_change>& aNews,
                    clock::time_point aNow);
 
   [[nodiscard]] const proxy::server* Find(const upstream::server_id& aId) const;
@@ -92,11 +92,11 @@
 
 /// The standing as one word for logs.
 [[nodiscard]] std::string_view
-NameOf(server_standing aStanding);
+ToString(listing_state aStanding);
 
 /// The source as one word for logs.
 [[nodiscard]] std::string_view
-NameOf(list_source aSource);
+ToString(list_source aSource);
 
 } // namespace currantshed::node
 
--- a/src/currantshed/node/settings.hpp
+++ b/src/currantshed/node/settings.hpp
@@ -55,7 +55,7 @@
   /// What the VM's own link carries in a second.
   double linkMegabits = 1000;
   /// Processor time of the VM, in thousandths of a core.
-  unsigned processorShare = 1000;
+  unsigned cpuMillicores = 1000;
   /// The shortest lease that the store grants.
   std::chrono::milliseconds shortestLease{ 1000 };
 
--- a/src/currantshed/node/key_parts.cpp
+++ b/src/currantshed/node/snapshot_chunks.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/key_parts.hpp"
+#include "currantshed/node/snapshot_chunks.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -19,16 +19,16 @@
 
 } // namespace
 
-key_part
-part_cutter::Cut(const key_part& aAsked,
-                 std::size_t aLongest,
-                 store::revision aNewest,
-                 clock::time_point aNow,
-                 const copy_maker& aMake)
+snapshot_chunk
+snapshot_splitter::GetChunk(const snapshot_chunk& aAsked,
+                            std::size_t aLongest,
+                            store::revision aNewest,
+                            clock::time_point aNow,
+                            const snapshot_factory& aMake)
 {
   const auto* kept = aAsked.from > 0 ? Find(aAsked.of) : nullptr;
   const auto& copy = kept != nullptr ? *kept : Newest(aNewest, aNow, aMake);
-  key_part part;
+  snapshot_chunk part;
   part.of = copy.of;
   part.length = copy.bytes.size();
   part.from = kept != nullptr ? std::min(aAsked.from, part.length) : 0;
@@ -36,8 +36,8 @@
   return part;
 }
 
-const part_cutter::copy*
-part_cutter::Find(store::revision aOf) const
+const snapshot_splitter::copy*
+snapshot_splitter::Find(store::revision aOf) const
 {
   const auto found =
     std::find_if(mCopies.begin(), mCopies.end(), [aOf](const auto& aCopy) {
@@ -46,10 +46,10 @@
   return found == mCopies.end() ? nullptr : &*found;
 }
 
-const part_cutter::copy&
-part_cutter::Newest(store::revision aNewest,
-                    clock::time_point aNow,
-                    const copy_maker& aMake)
+const snapshot_splitter::copy&
+snapshot_splitter::Newest(store::revision aNewest,
+                          clock::time_point aNow,
+                          const snapshot_factory& aMake)
 {
   const bool serves =
     !mCopies.empty() && (mCopies.back().of == aNewest ||
@@ -66,9 +66,9 @@
 }
 
 bool
-part_collector::Begin(const std::string& aVm, clock::time_point aNow)
+snapshot_assembler::Begin(const std::string& aVm, clock::time_point aNow)
 {
-  if (IsUnderWay(aNow)) {
+  if (IsInProgress(aNow)) {
     return false;
   }
   mFrom = aVm;
@@ -79,18 +79,18 @@
   return true;
 }
 
-key_part
-part_collector::Wanted() const
+snapshot_chunk
+snapshot_assembler::Wanted() const
 {
   return { mOf, mBytes.size(), 0, {} };
 }
 
 std::optional<std::string>
-part_collector::Take(const std::string& aVm,
-                     const key_part& aPart,
-                     clock::time_point aNow)
+snapshot_assembler::Take(const std::string& aVm,
+                         const snapshot_chunk& aPart,
+                         clock::time_point aNow)
 {
-  if (!IsUnderWay(aNow) || aVm != mFrom) {
+  if (!IsInProgress(aNow) || aVm != mFrom) {
     return std::nullopt;
   }
   if (aPart.from == 0) {
@@ -110,7 +110,7 @@
 }
 
 bool
-part_collector::IsUnderWay(clock::time_point aNow) const
+snapshot_assembler::IsInProgress(clock::time_point aNow) const
 {
   return aNow < mUntil;
 }
--- a/src/currantshed/node/key_parts.hpp
+++ b/src/currantshed/node/snapshot_chunks.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_NODE_KEY_PARTS_HPP
-#define CURRANTSHED_NODE_KEY_PARTS_HPP
+#ifndef CURRANTSHED_NODE_SNAPSHOT_CHUNKS_HPP
+#define CURRANTSHED_NODE_SNAPSHOT_CHUNKS_HPP
 
 #include <cstddef>
 #include <deque>
@@ -14,7 +14,7 @@
 namespace currantshed::node {
 
 /// A piece of a copy of all keys below one prefix, or the question for it.
-struct key_part
+struct snapshot_chunk
 {
   /// The state of the store that the copy is of; none in a first question.
   store::revision of;
@@ -26,23 +26,23 @@
 
 /// Cuts copies of keys that are too long for one message into parts, for many
 /// VMs that ask at the same time. Asks for no time and does no I/O.
-class part_cutter
+class snapshot_splitter
 {
 public:
-  using copy_maker = std::function<std::string()>;
+  using snapshot_factory = std::function<std::string()>;
 
   /// The part that was asked for, of at most so many bytes. One of a copy that
   /// is not kept any longer is answered by the beginning of the newest. A copy
   /// serves all that begin within a moment: what has changed since it was made
   /// is asked for afterwards.
-  [[nodiscard]] key_part Cut(const key_part& aAsked,
-                             std::size_t aLongest,
-                             store::revision aNewest,
-                             clock::time_point aNow,
-                             const copy_maker& aMake);
+  [[nodiscard]] snapshot_chunk GetChunk(const snapshot_chunk& aAsked,
+                                        std::size_t aLongest,
+                                        store::revision aNewest,
+                                        clock::time_point aNow,
+                                        const snapshot_factory& aMake);
 
   /// Copies that were made; counts work.
-  [[nodiscard]] std::size_t Made() const noexcept { return mMade; }
+  [[nodiscard]] std::size_t SnapshotsMade() const noexcept { return mMade; }
 
 private:
   struct copy
@@ -55,7 +55,7 @@
   [[nodiscard]] const copy* Find(store::revision aOf) const;
   const copy& Newest(store::revision aNewest,
                      clock::time_point aNow,
-                     const copy_maker& aMake);
+                     const snapshot_factory& aMake);
 
   std::deque<copy> mCopies;
   std::size_t mMade = 0;
@@ -63,7 +63,7 @@
 
 /// Puts the parts of a copy together, which come from one VM, one after the
 /// other. Asks for no time and does no I/O.
-class part_collector
+class snapshot_assembler
 {
 public:
   /// Begins to collect from the VM, unless a copy is on its way already.
@@ -71,16 +71,16 @@
   bool Begin(const std::string& aVm, clock::time_point aNow);
 
   /// What to ask for next.
-  [[nodiscard]] key_part Wanted() const;
+  [[nodiscard]] snapshot_chunk Wanted() const;
 
   /// Takes a part over. Returns the copy once it is whole.
   std::optional<std::string> Take(const std::string& aVm,
-                                  const key_part& aPart,
+                                  const snapshot_chunk& aPart,
                                   clock::time_point aNow);
 
   /// Whether parts are on their way from the VM; not any longer when they stay
   /// away, or when all of them take too long.
-  [[nodiscard]] bool IsUnderWay(clock::time_point aNow) const;
+  [[nodiscard]] bool IsInProgress(clock::time_point aNow) const;
   [[nodiscard]] bool IsFrom(const std::string& aVm) const
   {
     return mFrom == aVm;
--- a/src/currantshed/node/subscribers.cpp
+++ b/src/currantshed/node/subscribers.cpp
@@ -37,7 +37,7 @@
 }
 
 void
-subscribers::Forget(clock::time_point aNow)
+subscribers::RemoveExpired(clock::time_point aNow)
 {
   absl::erase_if(mVms, [aNow](const auto& aEntry) {
     return aNow - aEntry.second.askedAt > kSubscriberLife;
@@ -70,7 +70,7 @@
 }
 
 void
-groups_in_use::Used(const std::string& aGroup, clock::time_point aAt)
+groups_in_use::MarkUsed(const std::string& aGroup, clock::time_point aAt)
 {
   auto& usedAt = mUsedAt[aGroup];
   usedAt = std::max(usedAt, aAt);
--- a/src/currantshed/node/subscribers.hpp
+++ b/src/currantshed/node/subscribers.hpp
@@ -25,7 +25,7 @@
                                  clock::time_point aNow);
 
   /// Forgets those that have not asked for a while.
-  void Forget(clock::time_point aNow);
+  void RemoveExpired(clock::time_point aNow);
 
   [[nodiscard]] bool Contains(const std::string& aVm) const;
   [[nodiscard]] bool Empty() const noexcept { return mVms.empty(); }
@@ -51,7 +51,7 @@
 class groups_in_use
 {
 public:
-  void Used(const std::string& aGroup, clock::time_point aAt);
+  void MarkUsed(const std::string& aGroup, clock::time_point aAt);
 
   /// Whether the group counts as used.
   [[nodiscard]] bool Contains(const std::string& aGroup,
--- a/src/currantshed/node/token_desk.cpp
+++ b/src/currantshed/node/token_client.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/token_desk.hpp"
+#include "currantshed/node/token_client.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -41,10 +41,11 @@
 } // namespace
 
 void
-token_desk::SetCollectors(const std::vector<std::string>& aOwn,
-                          const std::vector<std::vector<std::string>>& aOthers)
+token_client::SetCoordinators(
+  const std::vector<std::string>& aOwn,
+  const std::vector<std::vector<std::string>>& aOthers)
 {
-  for (std::size_t part = 0; part < customer::kParts; ++part) {
+  for (std::size_t part = 0; part < customer::kPartitions; ++part) {
     mOwn[part] = InOrder(part, aOwn);
     mOthers[part].clear();
     for (const auto& domain : aOthers) {
@@ -64,14 +65,14 @@
 }
 
 bool
-token_desk::IsSilent(const std::string& aVm, clock::time_point aNow) const
+token_client::IsSilent(const std::string& aVm, clock::time_point aNow) const
 {
   const auto found = mSilentUntil.find(aVm);
   return found != mSilentUntil.end() && aNow < found->second;
 }
 
 std::string
-token_desk::Current(std::size_t aPart, clock::time_point aNow) const
+token_client::CoordinatorOf(std::size_t aPart, clock::time_point aNow) const
 {
   const auto& own = mOwn[aPart];
   const auto& others = mOthers[aPart];
@@ -90,7 +91,7 @@
 
 // The collector to ask next; empty where there is none left.
 std::string
-token_desk::NextFor(const pending& aWhat, clock::time_point aNow) const
+token_client::NextFor(const pending& aWhat, clock::time_point aNow) const
 {
   const auto wasAsked = [&aWhat](const std::string& aVm) {
     return std::find(aWhat.asked.begin(), aWhat.asked.end(), aVm) !=
@@ -99,8 +100,8 @@
   if (aWhat.asked.size() >= kMostAsked) {
     return {};
   }
-  const auto part = customer::PartOf(aWhat.customer);
-  auto current = Current(part, aNow);
+  const auto part = customer::PartitionOf(aWhat.customer);
+  auto current = CoordinatorOf(part, aNow);
   if (!current.empty() && !wasAsked(current)) {
     return current;
   }
@@ -113,9 +114,9 @@
 }
 
 void
-token_desk::Want(const std::string& aCustomer,
-                 unsigned aCount,
-                 clock::time_point aNow)
+token_client::Request(const std::string& aCustomer,
+                      unsigned aCount,
+                      clock::time_point aNow)
 {
   const auto used = mExhausted.find(aCustomer);
   if (used != mExhausted.end() && aNow < used->second.until) {
@@ -135,7 +136,7 @@
 
 // Asks the first collector that was not asked yet, or refuses.
 void
-token_desk::AskNext(pending aWhat, clock::time_point aNow)
+token_client::AskNext(pending aWhat, clock::time_point aNow)
 {
   if (const auto vm = NextFor(aWhat, aNow); !vm.empty()) {
     aWhat.asked.push_back(vm);
@@ -154,10 +155,10 @@
 }
 
 void
-token_desk::Answered(std::uint64_t aNumber,
-                     unsigned aCount,
-                     milliseconds aRetryAfter,
-                     clock::time_point aNow)
+token_client::OnResponse(std::uint64_t aNumber,
+                         unsigned aCount,
+                         milliseconds aRetryAfter,
+                         clock::time_point aNow)
 {
   if (const auto late = mLate.find(aNumber); late != mLate.end()) {
     const auto granted = std::min(aCount, late->second.count);
@@ -192,7 +193,7 @@
 }
 
 void
-token_desk::Tick(clock::time_point aNow)
+token_client::Tick(clock::time_point aNow)
 {
   std::erase_if(mUnasked, [aNow](const auto& aOne) {
     return aNow >= aOne.askedAt + kUnknownRetry;
@@ -211,20 +212,20 @@
 }
 
 clock::time_point
-token_desk::NextTick() const
+token_client::NextTick() const
 {
   return mPending.empty() ? clock::time_point::max()
                           : mPending.begin()->second.askedAt + kPatience;
 }
 
-std::vector<token_ask>
-token_desk::TakeAsks()
+std::vector<token_request>
+token_client::TakeRequests()
 {
   return std::exchange(mAsks, {});
 }
 
-std::vector<token_outcome>
-token_desk::TakeOutcomes()
+std::vector<token_result>
+token_client::TakeResults()
 {
   return std::exchange(mOutcomes, {});
 }
--- a/src/currantshed/node/token_desk.hpp
+++ b/src/currantshed/node/token_client.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_NODE_TOKEN_DESK_HPP
-#define CURRANTSHED_NODE_TOKEN_DESK_HPP
+#ifndef CURRANTSHED_NODE_TOKEN_CLIENT_HPP
+#define CURRANTSHED_NODE_TOKEN_CLIENT_HPP
 
 #include <array>
 #include <chrono>
@@ -12,12 +12,12 @@
 #include <absl/container/btree_map.h>
 
 #include "currantshed/clock/time.hpp"
-#include "currantshed/customer/part.hpp"
+#include "currantshed/customer/partition.hpp"
 
 namespace currantshed::node {
 
 /// Asks a VM that collects tokens for some.
-struct token_ask
+struct token_request
 {
   std::string vm;
   std::uint64_t number = 0;
@@ -26,7 +26,7 @@
 };
 
 /// What became of operations that wait for tokens.
-struct token_outcome
+struct token_result
 {
   std::string customer;
   unsigned granted = 0;
@@ -40,32 +40,32 @@
 /// Whom this VM asks for tokens, and for how long: the VM that collects those
 /// of its own failure domain first, then those of others, where that one has
 /// none or says nothing. Asks for no time and sends nothing itself.
-class token_desk
+class token_client
 {
 public:
   /// The VMs that may collect in the own failure domain, and in each other one.
   /// For each part of the customers it is the first by hashing; in the own
   /// domain the next one stands in while that is silent.
-  void SetCollectors(const std::vector<std::string>& aOwn,
-                     const std::vector<std::vector<std::string>>& aOthers);
+  void SetCoordinators(const std::vector<std::string>& aOwn,
+                       const std::vector<std::vector<std::string>>& aOthers);
 
   /// The collector that this VM's share of a part goes to; empty while there is
   /// none.
-  [[nodiscard]] std::string Current(std::size_t aPart,
-                                    clock::time_point aNow) const;
-
-  void Want(const std::string& aCustomer,
-            unsigned aCount,
-            clock::time_point aNow);
-  void Answered(std::uint64_t aNumber,
-                unsigned aCount,
-                std::chrono::milliseconds aRetryAfter,
-                clock::time_point aNow);
+  [[nodiscard]] std::string CoordinatorOf(std::size_t aPart,
+                                          clock::time_point aNow) const;
+
+  void Request(const std::string& aCustomer,
+               unsigned aCount,
+               clock::time_point aNow);
+  void OnResponse(std::uint64_t aNumber,
+                  unsigned aCount,
+                  std::chrono::milliseconds aRetryAfter,
+                  clock::time_point aNow);
   void Tick(clock::time_point aNow);
   [[nodiscard]] clock::time_point NextTick() const;
 
-  [[nodiscard]] std::vector<token_ask> TakeAsks();
-  [[nodiscard]] std::vector<token_outcome> TakeOutcomes();
+  [[nodiscard]] std::vector<token_request> TakeRequests();
+  [[nodiscard]] std::vector<token_result> TakeResults();
 
 private:
   struct pending
@@ -95,8 +95,8 @@
   }
 
   /// By part, in the order in which they are asked.
-  std::array<std::vector<std::string>, customer::kParts> mOwn;
-  std::array<std::vector<std::string>, customer::kParts> mOthers;
+  std::array<std::vector<std::string>, customer::kPartitions> mOwn;
+  std::array<std::vector<std::string>, customer::kPartitions> mOthers;
   absl::btree_map<std::string, clock::time_point> mSilentUntil;
   absl::btree_map<std::string, exhausted> mExhausted;
   std::map<std::uint64_t, pending> mPending;
@@ -105,8 +105,8 @@
   /// Wait for a collector to be known.
   std::vector<pending> mUnasked;
   std::uint64_t mLastNumber = 0;
-  std::vector<token_ask> mAsks;
-  std::vector<token_outcome> mOutcomes;
+  std::vector<token_request> mAsks;
+  std::vector<token_result> mOutcomes;
 };
 
 } // namespace currantshed::node
--- a/src/currantshed/node/traffic.cpp
+++ b/src/currantshed/node/traffic.cpp
@@ -50,7 +50,7 @@
   , mEngine(aEngine, mConnector, *this)
   , mCallers(
       mContext,
-      caller_server::door::kCallers,
+      caller_server::endpoint_kind::kCallers,
       aCodec,
       mEngine,
       MostCallers(aSettings.descriptors),
@@ -58,7 +58,7 @@
       [this] { After(); })
   , mRelays(
       mContext,
-      caller_server::door::kRelays,
+      caller_server::endpoint_kind::kRelays,
       aCodec,
       mEngine,
       MostCallers(aSettings.descriptors),
@@ -100,8 +100,8 @@
     mContext, [this, configuration = std::move(aConfiguration)]() mutable {
       mIsConfigured = true;
       mEngine.SetConfiguration(std::move(configuration), clock::Now());
-      mCallers.Configured();
-      mCallers.LookAgain();
+      mCallers.OnConfigured();
+      mCallers.RetryPendingKeys();
       After();
     });
 }
@@ -111,13 +111,13 @@
 {
   boost::asio::post(mContext, [this, aFreshness] {
     mEngine.SetFreshness(aFreshness);
-    mCallers.LookAgain();
+    mCallers.RetryPendingKeys();
     After();
   });
 }
 
 void
-traffic::TakeTokens(std::vector<token_outcome> aOutcomes)
+traffic::ApplyTokenResults(std::vector<token_result> aOutcomes)
 {
   boost::asio::post(mContext, [this, outcomes = std::move(aOutcomes)] {
     const auto now = clock::Now();
@@ -133,10 +133,10 @@
 }
 
 void
-traffic::EndRestingOfCustomers()
+traffic::CloseIdleCustomerSessions()
 {
   boost::asio::post(mContext, [this] {
-    mEngine.EndRestingOfCustomers();
+    mEngine.CloseIdleCustomerSessions();
     After();
   });
 }
@@ -189,11 +189,11 @@
 }
 
 void
-traffic::Order(const upstream::server_id& aServer,
-               const proxy::command& aCommand,
-               bool aDirect,
-               milliseconds aTimeout,
-               order_callback aDone)
+traffic::SendControl(const upstream::server_id& aServer,
+                     const proxy::command& aCommand,
+                     bool aDirect,
+                     milliseconds aTimeout,
+                     control_callback aDone)
 {
   boost::asio::post(mContext,
                     [this,
@@ -202,14 +202,14 @@
                      aDirect,
                      aTimeout,
                      done = std::move(aDone)]() mutable {
-                      mEngine.Order(
+                      mEngine.SendControl(
                         aServer,
                         aCommand,
                         aDirect,
                         aTimeout,
                         [this, aServer, done = std::move(done)](
-                          const proxy::order_result& aResult) {
-                          done(aResult, mEngine.HeardAt(aServer));
+                          const proxy::control_result& aResult) {
+                          done(aResult, mEngine.LastContactAt(aServer));
                         },
                         clock::Now());
                       After();
@@ -217,19 +217,19 @@
 }
 
 void
-traffic::AskHeard(clock::time_point aSince, heard_callback aDone)
+traffic::QueryHeardServers(clock::time_point aSince, heard_callback aDone)
 {
   boost::asio::post(mContext, [this, aSince, done = std::move(aDone)] {
-    done(mEngine.HeardSince(aSince));
+    done(mEngine.ContactsSince(aSince));
   });
 }
 
 void
-traffic::AskUsed(clock::time_point aSince,
-                 std::function<void(std::vector<std::string>)> aDone)
+traffic::QueryUsedServices(clock::time_point aSince,
+                           std::function<void(std::vector<std::string>)> aDone)
 {
   boost::asio::post(mContext, [this, aSince, done = std::move(aDone)] {
-    done(mEngine.UsedSince(aSince));
+    done(mEngine.ServicesUsedSince(aSince));
   });
 }
 
@@ -303,7 +303,7 @@
 }
 
 void
-traffic::LeadDenied(const std::string& aService, position::term_id aTerm)
+traffic::LeadershipDenied(const std::string& aService, position::term_id aTerm)
 {
   if (mListener.leadDenied) {
     mListener.leadDenied(aService, aTerm);
@@ -339,9 +339,9 @@
     aDecision.confirmationAge >= clock::duration::zero()
       ? log::value(Milliseconds(aDecision.confirmationAge))
       : log::unknown{};
-  const log::value leavingFor =
-    aDecision.leavingFor ? log::value(Milliseconds(*aDecision.leavingFor))
-                         : log::unknown{};
+  const log::value drainingFor =
+    aDecision.drainingFor ? log::value(Milliseconds(*aDecision.drainingFor))
+                          : log::unknown{};
   log::Write(level,
              "request",
              { { "request", std::string(aDecision.requestId) },
@@ -357,17 +357,17 @@
                { "proof_age_ms", proofAge },
                { "floor", floor },
                { "floor_age_ms", floorAge },
-               { "server_leaving_ms", leavingFor } });
+               { "server_leaving_ms", drainingFor } });
 }
 
 void
-traffic::Reached(const proxy::server& aServer,
-                 bool aIsReached,
-                 std::string_view aReason)
+traffic::ReachabilityChanged(const proxy::server& aServer,
+                             bool aIsReachable,
+                             std::string_view aReason)
 {
-  mMetrics.ServerReached(aIsReached);
-  log::Write(aIsReached ? log::level::kInfo : log::level::kWarning,
-             aIsReached ? "server_reached" : "server_lost",
+  mMetrics.CountServerReached(aIsReachable);
+  log::Write(aIsReachable ? log::level::kInfo : log::level::kWarning,
+             aIsReachable ? "server_reached" : "server_lost",
              { { "server", aServer.id },
                { "service", aServer.service },
                { "address", aServer.address },
--- a/src/currantshed/node/traffic.hpp
+++ b/src/currantshed/node/traffic.hpp
@@ -16,7 +16,7 @@
 #include "currantshed/node/metrics.hpp"
 #include "currantshed/node/server_connector.hpp"
 #include "currantshed/node/settings.hpp"
-#include "currantshed/node/token_desk.hpp"
+#include "currantshed/node/token_client.hpp"
 #include "currantshed/proxy/engine.hpp"
 
 namespace currantshed::node {
@@ -36,10 +36,12 @@
 {
 public:
   /// The answer to an order, with when its server was last heard.
-  using order_callback =
-    std::function<void(proxy::order_result, std::optional<clock::time_point>)>;
+  using control_callback =
+    std::function<void(proxy::control_result,
+                       std::optional<clock::time_point>)>;
 
-  using heard_callback = std::function<void(std::vector<proxy::heard_server>)>;
+  using heard_callback =
+    std::function<void(std::vector<proxy::server_contact>)>;
 
   traffic(const node_settings& aSettings,
           const proxy::engine_settings& aEngine,
@@ -63,9 +65,9 @@
   void SetConfiguration(
     std::shared_ptr<const proxy::configuration> aConfiguration);
   void SetFreshness(const customer::freshness& aFreshness);
-  void TakeTokens(std::vector<token_outcome> aOutcomes);
+  void ApplyTokenResults(std::vector<token_result> aOutcomes);
   /// Ends the sessions of customers that rest.
-  void EndRestingOfCustomers();
+  void CloseIdleCustomerSessions();
   void SetServers(std::vector<proxy::server> aServers);
   void SetFleet(std::vector<proxy::fleet_vm> aFleet);
   void Confirm(const std::string& aService, const proxy::confirmation& aProof);
@@ -76,32 +78,32 @@
               position::term_id aTerm,
               std::function<void()> aDone);
   /// The callback runs on the traffic thread.
-  void Order(const upstream::server_id& aServer,
-             const proxy::command& aCommand,
-             bool aDirect,
-             std::chrono::milliseconds aTimeout,
-             order_callback aDone);
+  void SendControl(const upstream::server_id& aServer,
+                   const proxy::command& aCommand,
+                   bool aDirect,
+                   std::chrono::milliseconds aTimeout,
+                   control_callback aDone);
   /// The servers that were heard since then; the callback runs on the traffic
   /// thread.
-  void AskHeard(clock::time_point aSince, heard_callback aDone);
+  void QueryHeardServers(clock::time_point aSince, heard_callback aDone);
 
   /// The services that callers have used since then; the callback runs on the
   /// traffic thread.
-  void AskUsed(clock::time_point aSince,
-               std::function<void(std::vector<std::string>)> aDone);
+  void QueryUsedServices(clock::time_point aSince,
+                         std::function<void(std::vector<std::string>)> aDone);
 
   /// Lets sessions end and stops after the given time at the latest.
   void Drain(std::chrono::milliseconds aAtMost);
 
 private:
   void NeedsConfirmation(const std::string& aService) override;
-  void LeadDenied(const std::string& aService,
-                  position::term_id aTerm) override;
+  void LeadershipDenied(const std::string& aService,
+                        position::term_id aTerm) override;
   void NeedsTokens(const std::string& aCustomer, unsigned aCount) override;
   void Decided(const proxy::decision& aDecision) override;
-  void Reached(const proxy::server& aServer,
-               bool aIsReached,
-               std::string_view aReason) override;
+  void ReachabilityChanged(const proxy::server& aServer,
+                           bool aIsReachable,
+                           std::string_view aReason) override;
   void After();
   void CloseIdle();
   void EndTransactions();
--- a/src/currantshed/node/known_vms.cpp
+++ b/src/currantshed/node/vm_membership.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/known_vms.hpp"
+#include "currantshed/node/vm_membership.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -18,18 +18,19 @@
 } // namespace
 
 bool
-known_vms::known_vm::IsSpeaking(clock::time_point aNow) const
+vm_membership::known_vm::IsRecentlyHeard(clock::time_point aNow) const
 {
   return heardAt && aNow - *heardAt < kSpeaking;
 }
 
-known_vms::known_vms(std::string aSelf)
+vm_membership::vm_membership(std::string aSelf)
   : mSelf(std::move(aSelf))
 {
 }
 
 void
-known_vms::Listed(const std::vector<news::peer>& aVms, clock::time_point aNow)
+vm_membership::Listed(const std::vector<news::peer>& aVms,
+                      clock::time_point aNow)
 {
   for (auto& [name, one] : mVms) {
     one.seenAt = one.isListed ? aNow : one.seenAt;
@@ -42,33 +43,35 @@
     one.seenAt = aNow;
   }
   absl::erase_if(mVms, [aNow](const auto& aEntry) {
-    return !aEntry.second.isListed && aNow - aEntry.second.seenAt >= kMemory;
+    return !aEntry.second.isListed && aNow - aEntry.second.seenAt >= kRetention;
   });
 }
 
 void
-known_vms::Seen(const std::string& aVm, clock::time_point aNow)
+vm_membership::Seen(const std::string& aVm, clock::time_point aNow)
 {
   auto& one = mVms[aVm];
   one.seenAt = std::max(one.seenAt, aNow);
 }
 
 void
-known_vms::Heard(const std::string& aVm, clock::time_point aNow)
+vm_membership::OnMessage(const std::string& aVm, clock::time_point aNow)
 {
   Seen(aVm, aNow);
   mVms[aVm].heardAt = aNow;
 }
 
 void
-known_vms::Asked(const std::string& aVm, clock::time_point aNow)
+vm_membership::OnDirectReachUpdate(const std::string& aVm,
+                                   clock::time_point aNow)
 {
   Seen(aVm, aNow);
   mVms[aVm].askedAt = aNow;
 }
 
 bool
-known_vms::IsAsking(const std::string& aVm, clock::time_point aNow) const
+vm_membership::SendsDirectReachUpdates(const std::string& aVm,
+                                       clock::time_point aNow) const
 {
   const auto found = mVms.find(aVm);
   return found != mVms.end() && found->second.askedAt &&
@@ -76,7 +79,7 @@
 }
 
 std::vector<news::peer>
-known_vms::Reachable(clock::time_point aNow) const
+vm_membership::Reachable(clock::time_point aNow) const
 {
   std::vector<news::peer> reachable;
   ForEachReachable(aNow, [&reachable](const news::peer& aPeer) {
@@ -86,12 +89,12 @@
 }
 
 void
-known_vms::ForEachReachable(
+vm_membership::ForEachReachable(
   clock::time_point aNow,
   absl::FunctionRef<void(const news::peer&)> aVisit) const
 {
   for (const auto& [name, one] : mVms) {
-    const bool isThere = one.isListed || one.IsSpeaking(aNow);
+    const bool isThere = one.isListed || one.IsRecentlyHeard(aNow);
     if (name != mSelf && one.where && isThere) {
       aVisit(*one.where);
     }
@@ -99,7 +102,7 @@
 }
 
 std::size_t
-known_vms::CountReachable(clock::time_point aNow) const
+vm_membership::CountReachable(clock::time_point aNow) const
 {
   std::size_t count = 0;
   ForEachReachable(aNow, [&count](const news::peer& /*aPeer*/) { ++count; });
@@ -107,28 +110,29 @@
 }
 
 std::vector<news::peer>
-known_vms::Speaking(clock::time_point aNow) const
+vm_membership::RecentlyHeard(clock::time_point aNow) const
 {
   auto speaking = Reachable(aNow);
   std::erase_if(speaking, [&](const auto& aPeer) {
-    return !mVms.at(aPeer.vm).IsSpeaking(aNow);
+    return !mVms.at(aPeer.vm).IsRecentlyHeard(aNow);
   });
   return speaking;
 }
 
 bool
-known_vms::IsSpeaking(const std::string& aVm, clock::time_point aNow) const
+vm_membership::IsRecentlyHeard(const std::string& aVm,
+                               clock::time_point aNow) const
 {
   const auto found = mVms.find(aVm);
-  return found != mVms.end() && found->second.IsSpeaking(aNow);
+  return found != mVms.end() && found->second.IsRecentlyHeard(aNow);
 }
 
 std::vector<std::string>
-known_vms::MayRest(clock::time_point aNow) const
+vm_membership::MayUseConfirmation(clock::time_point aNow) const
 {
   std::vector<std::string> names;
   for (const auto& [name, one] : mVms) {
-    if (name != mSelf && (one.isListed || aNow - one.seenAt < kMemory)) {
+    if (name != mSelf && (one.isListed || aNow - one.seenAt < kRetention)) {
       names.push_back(name);
     }
   }
--- a/src/currantshed/node/known_vms.hpp
+++ b/src/currantshed/node/vm_membership.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_NODE_KNOWN_VMS_HPP
-#define CURRANTSHED_NODE_KNOWN_VMS_HPP
+#ifndef CURRANTSHED_NODE_VM_MEMBERSHIP_HPP
+#define CURRANTSHED_NODE_VM_MEMBERSHIP_HPP
 
 #include <chrono>
 #include <cstddef>
@@ -18,14 +18,14 @@
 /// The other VMs, as the store lists them and as they speak up themselves. A VM
 /// whose way to the store is cut loses its key while it goes on serving: it is
 /// still told who leads, and still asked to give up a term. Asks for no time.
-class known_vms
+class vm_membership
 {
 public:
   /// A VM that was listed or heard this lately may still rest on a proof,
   /// whatever the store says of it: its key may have been taken away unseen.
-  static constexpr std::chrono::milliseconds kMemory{ 15000 };
+  static constexpr std::chrono::milliseconds kRetention{ 15000 };
 
-  explicit known_vms(std::string aSelf);
+  explicit vm_membership(std::string aSelf);
 
   /// The VMs that the store lists now.
   void Listed(const std::vector<news::peer>& aVms, clock::time_point aNow);
@@ -34,10 +34,10 @@
   void Seen(const std::string& aVm, clock::time_point aNow);
 
   /// A VM has spoken, listed or not.
-  void Heard(const std::string& aVm, clock::time_point aNow);
+  void OnMessage(const std::string& aVm, clock::time_point aNow);
 
   /// A VM has told this one something that it expects words for.
-  void Asked(const std::string& aVm, clock::time_point aNow);
+  void OnDirectReachUpdate(const std::string& aVm, clock::time_point aNow);
 
   /// The VMs that can be told something: those that are listed, and those that
   /// spoke a moment ago and whose address is known.
@@ -52,19 +52,21 @@
   [[nodiscard]] std::size_t CountReachable(clock::time_point aNow) const;
 
   /// Those of them that spoke a moment ago.
-  [[nodiscard]] std::vector<news::peer> Speaking(clock::time_point aNow) const;
+  [[nodiscard]] std::vector<news::peer> RecentlyHeard(
+    clock::time_point aNow) const;
 
   /// Whether the VM spoke a moment ago.
-  [[nodiscard]] bool IsSpeaking(const std::string& aVm,
-                                clock::time_point aNow) const;
+  [[nodiscard]] bool IsRecentlyHeard(const std::string& aVm,
+                                     clock::time_point aNow) const;
 
   /// Whether it told something a moment ago that it expects words for.
-  [[nodiscard]] bool IsAsking(const std::string& aVm,
-                              clock::time_point aNow) const;
+  [[nodiscard]] bool SendsDirectReachUpdates(const std::string& aVm,
+                                             clock::time_point aNow) const;
 
   /// The VMs that may rest on a proof of a primary: all that are listed, or
   /// were listed or heard lately.
-  [[nodiscard]] std::vector<std::string> MayRest(clock::time_point aNow) const;
+  [[nodiscard]] std::vector<std::string> MayUseConfirmation(
+    clock::time_point aNow) const;
 
 private:
   struct known_vm
@@ -76,7 +78,7 @@
     std::optional<clock::time_point> heardAt;
     std::optional<clock::time_point> askedAt;
 
-    [[nodiscard]] bool IsSpeaking(clock::time_point aNow) const;
+    [[nodiscard]] bool IsRecentlyHeard(clock::time_point aNow) const;
   };
 
   std::string mSelf;
--- a/src/currantshed/outcome/verdict.hpp
+++ b/src/currantshed/outcome/verdict.hpp
@@ -29,7 +29,7 @@
   /// The group has no confirmed primary at the moment.
   kNoPrimary,
   /// No server in the places that the class allows can serve it.
-  kNoPlace,
+  kNoEligibleServer,
   /// No server with data as new as the session or the class asks for.
   kTooStale,
   /// The transaction ended, or its VM or server was lost.
--- a/src/currantshed/policy/near_word.cpp
+++ b/src/currantshed/policy/closest_match.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/policy/near_word.hpp"
+#include "currantshed/policy/closest_match.hpp"
 
 #include <algorithm>
 #include <cstddef>
@@ -9,7 +9,7 @@
 namespace {
 
 /// Words longer than this are compared by their beginning.
-constexpr std::size_t kLongestWord = 64;
+constexpr std::size_t kMaxWordLength = 64;
 
 /// One edit for each so many letters still counts as near.
 constexpr std::size_t kLettersPerEdit = 3;
@@ -35,9 +35,9 @@
 } // namespace
 
 std::optional<std::string_view>
-NearWord(std::string_view aWord, std::span<const std::string_view> aKnown)
+ClosestMatch(std::string_view aWord, std::span<const std::string_view> aKnown)
 {
-  const auto word = aWord.substr(0, kLongestWord);
+  const auto word = aWord.substr(0, kMaxWordLength);
   std::optional<std::string_view> nearest;
   std::size_t least = word.size() / kLettersPerEdit + 1;
   for (const auto known : aKnown) {
--- a/src/currantshed/policy/near_word.hpp
+++ b/src/currantshed/policy/closest_match.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_POLICY_NEAR_WORD_HPP
-#define CURRANTSHED_POLICY_NEAR_WORD_HPP
+#ifndef CURRANTSHED_POLICY_CLOSEST_MATCH_HPP
+#define CURRANTSHED_POLICY_CLOSEST_MATCH_HPP
 
 #include <optional>
 #include <span>
@@ -10,7 +10,7 @@
 /// The known word nearest to the given one by edit distance; none if all are
 /// too far off to be meant.
 [[nodiscard]] std::optional<std::string_view>
-NearWord(std::string_view aWord, std::span<const std::string_view> aKnown);
+ClosestMatch(std::string_view aWord, std::span<const std::string_view> aKnown);
 
 } // namespace currantshed::policy
 
--- a/src/currantshed/policy/configuration_record.cpp
+++ b/src/currantshed/policy/configuration_record.cpp
@@ -110,17 +110,17 @@
 }
 
 configuration_record
-NextConfigurationRecord(const configuration_record& aFormer,
+NextConfigurationRecord(const configuration_record& aPrevious,
                         std::string aChange,
                         std::string aDeclaration)
 {
   configuration_record next;
-  next.version = aFormer.version + 1;
+  next.version = aPrevious.version + 1;
   next.change = std::move(aChange);
   next.declaration = std::move(aDeclaration);
-  if (aFormer.version > 0) {
-    next.earlierChanges.push_back(aFormer.change);
-    const auto& earlier = aFormer.earlierChanges;
+  if (aPrevious.version > 0) {
+    next.earlierChanges.push_back(aPrevious.change);
+    const auto& earlier = aPrevious.earlierChanges;
     const auto kept = std::min(earlier.size(), kEarlierChanges - 1);
     next.earlierChanges.insert(next.earlierChanges.end(),
                                earlier.begin(),
@@ -130,21 +130,22 @@
   return next;
 }
 
-change_trace
-TraceChange(const configuration_record& aRecord,
-            std::string_view aChange,
-            std::uint64_t aVersion)
+change_status
+FindChange(const configuration_record& aRecord,
+           std::string_view aChange,
+           std::uint64_t aVersion)
 {
   if (aRecord.version < aVersion) {
-    return change_trace::kNotMade;
+    return change_status::kNotIncluded;
   }
   const auto behind = aRecord.version - aVersion;
   if (behind > aRecord.earlierChanges.size()) {
-    return change_trace::kForgotten;
+    return change_status::kTooOld;
   }
   const auto& found =
     behind == 0 ? aRecord.change : aRecord.earlierChanges[behind - 1];
-  return found == aChange ? change_trace::kMade : change_trace::kNotMade;
+  return found == aChange ? change_status::kIncluded
+                          : change_status::kNotIncluded;
 }
 
 } // namespace currantshed::policy
--- a/src/currantshed/policy/configuration_record.hpp
+++ b/src/currantshed/policy/configuration_record.hpp
@@ -51,27 +51,27 @@
 /// Makes the record that follows another one; a record of version zero stands
 /// for none. Who applies it, and when, is left to the caller.
 [[nodiscard]] configuration_record
-NextConfigurationRecord(const configuration_record& aFormer,
+NextConfigurationRecord(const configuration_record& aPrevious,
                         std::string aChange,
                         std::string aDeclaration);
 
 /// What a record tells about one change.
-enum class change_trace
+enum class change_status
 {
   /// The change was made; the record holds it or follows it.
-  kMade,
+  kIncluded,
   /// Another change took the version.
-  kNotMade,
+  kNotIncluded,
   /// The version lies before all that the record names.
-  kForgotten,
+  kTooOld,
 };
 
 /// Says whether a change was made as the given version, at or before which
 /// the record stands.
-[[nodiscard]] change_trace
-TraceChange(const configuration_record& aRecord,
-            std::string_view aChange,
-            std::uint64_t aVersion);
+[[nodiscard]] change_status
+FindChange(const configuration_record& aRecord,
+           std::string_view aChange,
+           std::uint64_t aVersion);
 
 } // namespace currantshed::policy
 
--- a/src/currantshed/policy/declaration.cpp
+++ b/src/currantshed/policy/declaration.cpp
@@ -17,10 +17,10 @@
 using internal::time_bounds;
 using internal::yaml_reader;
 
-constexpr std::size_t kMostClasses = 200;
-constexpr std::size_t kMostGroups = 1000;
-constexpr double kLowestObjective = 0.5;
-constexpr double kHighestObjective = 0.99999;
+constexpr std::size_t kMaxClasses = 200;
+constexpr std::size_t kMaxGroups = 1000;
+constexpr double kMinObjective = 0.5;
+constexpr double kMaxObjective = 0.99999;
 
 constexpr time_bounds kStalenessBounds{ std::chrono::seconds(0),
                                         std::chrono::hours(24) };
@@ -45,13 +45,13 @@
                                  kGroups };
 constexpr std::array kGroupKeys{ kTransactionLimit };
 /// What every class must state; a read must state its staleness as well.
-constexpr std::array kNeededKeys{ kAccess,
-                                  kServedIn,
-                                  kMayBeRepeated,
-                                  kDeadline };
+constexpr std::array kRequiredKeys{ kAccess,
+                                    kServedIn,
+                                    kMayBeRepeated,
+                                    kDeadline };
 
 constexpr std::array<std::string_view, 2> kAccessWords{ "read", "write" };
-constexpr std::array<std::string_view, 2> kTruthWords{ "no", "yes" };
+constexpr std::array<std::string_view, 2> kBooleanWords{ "no", "yes" };
 
 const map_entry*
 Find(const std::vector<map_entry>& aFields, std::string_view aKey)
@@ -71,8 +71,9 @@
   class_reader(yaml_reader& aReader, const map_entry& aEntry)
     : mReader(aReader)
     , mEntry(aEntry)
-    , mWhere(absl::StrCat("class '", aEntry.key, "'"))
-    , mFields(aReader.Fields(aEntry.value, aEntry.place, mWhere, kClassKeys))
+    , mContext(absl::StrCat("class '", aEntry.key, "'"))
+    , mFields(
+        aReader.Fields(aEntry.value, aEntry.location, mContext, kClassKeys))
   {
   }
 
@@ -83,10 +84,10 @@
     if (!mEntry.value.IsMap()) {
       return result;
     }
-    for (const auto key : kNeededKeys) {
+    for (const auto key : kRequiredKeys) {
       Require(key);
     }
-    ReadPlaces(result);
+    ReadScope(result);
     ReadTargets(result);
     ReadAccess(result);
     return result;
@@ -96,12 +97,12 @@
   void Require(std::string_view aKey)
   {
     if (Find(mFields, aKey) == nullptr) {
-      mReader.Add(mEntry.place,
-                  absl::StrCat(mWhere, " lacks ", std::string(aKey)));
+      mReader.Add(mEntry.location,
+                  absl::StrCat(mContext, " lacks ", std::string(aKey)));
     }
   }
 
-  void ReadPlaces(work_class& aResult)
+  void ReadScope(work_class& aResult)
   {
     if (const auto* const field = Find(mFields, kServedIn)) {
       aResult.servedIn = mReader.Names(*field);
@@ -114,7 +115,8 @@
   void ReadTargets(work_class& aResult)
   {
     if (const auto* const field = Find(mFields, kMayBeRepeated)) {
-      aResult.repeatable = mReader.Word(*field, kTruthWords).value_or(0) == 1;
+      aResult.repeatable =
+        mReader.OneOf(*field, kBooleanWords).value_or(0) == 1;
     }
     if (const auto* const field = Find(mFields, kDeadline)) {
       const auto time = mReader.Time(*field, kDeadlineBounds);
@@ -122,7 +124,7 @@
     }
     if (const auto* const field = Find(mFields, kObjective)) {
       const auto share =
-        mReader.Share(*field, kLowestObjective, kHighestObjective);
+        mReader.Percentage(*field, kMinObjective, kMaxObjective);
       aResult.objective = share.value_or(aResult.objective);
     }
   }
@@ -139,20 +141,20 @@
     if (access == nullptr) {
       return;
     }
-    const auto word = mReader.Word(*access, kAccessWords);
+    const auto word = mReader.OneOf(*access, kAccessWords);
     if (!word) {
       return;
     }
     aResult.kind = *word == 0 ? access::kRead : access::kWrite;
     if (aResult.kind == access::kWrite && staleness != nullptr) {
-      mReader.Add(staleness->place,
-                  absl::StrCat(mWhere,
+      mReader.Add(staleness->location,
+                  absl::StrCat(mContext,
                                " writes, so it can't have max_staleness; "
                                "leave it out, or set access: read"));
     }
     if (aResult.kind == access::kRead && staleness == nullptr) {
-      mReader.Add(mEntry.place,
-                  absl::StrCat(mWhere,
+      mReader.Add(mEntry.location,
+                  absl::StrCat(mContext,
                                " reads, so it needs max_staleness; 0s asks "
                                "for fresh data"));
     }
@@ -160,34 +162,34 @@
 
   yaml_reader& mReader;
   const map_entry& mEntry;
-  std::string mWhere;
+  std::string mContext;
   std::vector<map_entry> mFields;
 };
 
 std::vector<work_class>
 ReadClasses(yaml_reader& aReader, const map_entry& aField)
 {
-  const auto entries = aReader.Map(aField.value, aField.place, "classes");
+  const auto entries = aReader.Map(aField.value, aField.location, "classes");
   if (aField.value.IsMap() && entries.empty()) {
-    aReader.Add(aField.place, "classes must have at least one class");
+    aReader.Add(aField.location, "classes must have at least one class");
   }
-  if (entries.size() > kMostClasses) {
+  if (entries.size() > kMaxClasses) {
     aReader.Add(
-      aField.place,
-      absl::StrCat("classes may have at most ", kMostClasses, " classes"));
+      aField.location,
+      absl::StrCat("classes may have at most ", kMaxClasses, " classes"));
     return {};
   }
   std::vector<work_class> classes;
   classes.reserve(entries.size());
   for (const auto& entry : entries) {
-    if (aReader.Name(entry.key, entry.place, "classes")) {
+    if (aReader.Name(entry.key, entry.location, "classes")) {
       classes.push_back(class_reader(aReader, entry).Read());
     }
   }
   std::sort(classes.begin(),
             classes.end(),
-            [](const work_class& aLeft, const work_class& aRight) {
-              return aLeft.name < aRight.name;
+            [](const work_class& aLeft, const work_class& aExpected) {
+              return aLeft.name < aExpected.name;
             });
   return classes;
 }
@@ -198,7 +200,7 @@
   group_settings result;
   result.name = aEntry.key;
   const auto fields = aReader.Fields(aEntry.value,
-                                     aEntry.place,
+                                     aEntry.location,
                                      absl::StrCat("group '", aEntry.key, "'"),
                                      kGroupKeys);
   if (const auto* const field = Find(fields, kTransactionLimit)) {
@@ -211,24 +213,24 @@
 std::vector<group_settings>
 ReadGroups(yaml_reader& aReader, const map_entry& aField)
 {
-  const auto entries = aReader.Map(aField.value, aField.place, "groups");
-  if (entries.size() > kMostGroups) {
+  const auto entries = aReader.Map(aField.value, aField.location, "groups");
+  if (entries.size() > kMaxGroups) {
     aReader.Add(
-      aField.place,
-      absl::StrCat("groups may have at most ", kMostGroups, " groups"));
+      aField.location,
+      absl::StrCat("groups may have at most ", kMaxGroups, " groups"));
     return {};
   }
   std::vector<group_settings> groups;
   groups.reserve(entries.size());
   for (const auto& entry : entries) {
-    if (aReader.Name(entry.key, entry.place, "groups")) {
+    if (aReader.Name(entry.key, entry.location, "groups")) {
       groups.push_back(ReadGroup(aReader, entry));
     }
   }
   std::sort(groups.begin(),
             groups.end(),
-            [](const group_settings& aLeft, const group_settings& aRight) {
-              return aLeft.name < aRight.name;
+            [](const group_settings& aLeft, const group_settings& aExpected) {
+              return aLeft.name < aExpected.name;
             });
   return groups;
 }
@@ -270,25 +272,25 @@
     aFaults.Add(error.mark, "not valid YAML: nested too deeply");
     return std::nullopt;
   } catch (const YAML::Exception& error) {
-    const auto place = error.mark.is_null() ? YAML::Mark() : error.mark;
-    aFaults.Add(place, absl::StrCat("not valid YAML: ", error.msg));
+    const auto location = error.mark.is_null() ? YAML::Mark() : error.mark;
+    aFaults.Add(location, absl::StrCat("not valid YAML: ", error.msg));
     return std::nullopt;
   }
 }
 
 } // namespace
 
-parsed
+parsed_declaration
 ParseDeclaration(std::string_view aYaml)
 {
   fault_list faults;
-  parsed result;
-  if (aYaml.size() > kLargestDeclarationBytes) {
+  parsed_declaration result;
+  if (aYaml.size() > kMaxDeclarationBytes) {
     faults.Add({},
                absl::StrCat("the declaration has ",
                             aYaml.size(),
                             " bytes; at most ",
-                            kLargestDeclarationBytes,
+                            kMaxDeclarationBytes,
                             " are taken"));
     result.faults = faults.Take();
     return result;
--- a/src/currantshed/policy/declaration.hpp
+++ b/src/currantshed/policy/declaration.hpp
@@ -13,7 +13,7 @@
 namespace currantshed::policy {
 
 /// Longest declaration that is read.
-constexpr std::size_t kLargestDeclarationBytes = 256UL * 1024;
+constexpr std::size_t kMaxDeclarationBytes = 256UL * 1024;
 
 /// How long a transaction may stay open where the operators say nothing.
 constexpr std::chrono::milliseconds kDefaultTransactionLimit{ 30'000 };
@@ -53,7 +53,7 @@
 };
 
 /// What was read; the value may be used only where there are no faults.
-struct parsed
+struct parsed_declaration
 {
   declaration value;
   /// Everything that is wrong, in the order of the text.
@@ -61,7 +61,7 @@
 };
 
 /// Reads and checks a declaration as a whole.
-[[nodiscard]] parsed
+[[nodiscard]] parsed_declaration
 ParseDeclaration(std::string_view aYaml);
 
 /// The declaration in its canonical form: reading it again gives the same
--- a/src/currantshed/policy/fwd.hpp
+++ b/src/currantshed/policy/fwd.hpp
@@ -7,7 +7,7 @@
 struct declaration;
 struct fault;
 struct group_settings;
-struct parsed;
+struct parsed_declaration;
 struct work_class;
 
 } // namespace currantshed::policy
--- a/src/currantshed/policy/yaml_reader.cpp
+++ b/src/currantshed/policy/yaml_reader.cpp
@@ -8,16 +8,16 @@
 #include <absl/strings/numbers.h>
 #include <absl/strings/str_cat.h>
 
-#include "currantshed/policy/near_word.hpp"
+#include "currantshed/policy/closest_match.hpp"
 #include "currantshed/settings/duration.hpp"
 
 namespace currantshed::policy::internal {
 namespace {
 
-constexpr std::size_t kMostFaults = 100;
-constexpr std::size_t kLongestName = 64;
-constexpr std::size_t kLongestQuote = 40;
-constexpr std::size_t kMostNames = 64;
+constexpr std::size_t kMaxFaults = 100;
+constexpr std::size_t kMaxNameLength = 64;
+constexpr std::size_t kMaxQuoteLength = 40;
+constexpr std::size_t kMaxNames = 64;
 constexpr double kPercent = 100;
 
 /// Shares are rounded to a millionth of a percent, so that a share that is
@@ -28,9 +28,9 @@
 std::string
 Quote(const std::string& aText)
 {
-  const bool isLong = aText.size() > kLongestQuote;
+  const bool isLong = aText.size() > kMaxQuoteLength;
   return absl::StrCat(
-    "'", aText.substr(0, kLongestQuote), isLong ? "..." : "", "'");
+    "'", aText.substr(0, kMaxQuoteLength), isLong ? "..." : "", "'");
 }
 
 std::string
@@ -45,11 +45,11 @@
 
 /// What an unknown word is told: the near one, or all known ones.
 std::string
-Advice(const std::string& aWord, std::span<const std::string_view> aKnown)
+Suggestion(const std::string& aWord, std::span<const std::string_view> aKnown)
 {
-  const auto near = NearWord(aWord, aKnown);
-  if (near) {
-    return absl::StrCat("did you mean '", std::string(*near), "'?");
+  const auto match = ClosestMatch(aWord, aKnown);
+  if (match) {
+    return absl::StrCat("did you mean '", std::string(*match), "'?");
   }
   return absl::StrCat("known are: ", Join(aKnown));
 }
@@ -64,7 +64,7 @@
 bool
 IsName(const std::string& aText)
 {
-  return !aText.empty() && aText.size() <= kLongestName &&
+  return !aText.empty() && aText.size() <= kMaxNameLength &&
          absl::ascii_isalnum(static_cast<unsigned char>(aText.front())) &&
          std::all_of(aText.begin(), aText.end(), IsNameCharacter);
 }
@@ -82,11 +82,11 @@
 } // namespace
 
 void
-fault_list::Add(const YAML::Mark& aPlace, std::string aMessage)
+fault_list::Add(const YAML::Mark& aLocation, std::string aMessage)
 {
-  if (mFaults.size() < kMostFaults) {
+  if (mFaults.size() < kMaxFaults) {
     mFaults.push_back(
-      { aPlace.line + 1, aPlace.column + 1, std::move(aMessage) });
+      { aLocation.line + 1, aLocation.column + 1, std::move(aMessage) });
   }
 }
 
@@ -95,10 +95,10 @@
 {
   std::stable_sort(mFaults.begin(),
                    mFaults.end(),
-                   [](const fault& aLeft, const fault& aRight) {
-                     return aLeft.line != aRight.line
-                              ? aLeft.line < aRight.line
-                              : aLeft.column < aRight.column;
+                   [](const fault& aLeft, const fault& aExpected) {
+                     return aLeft.line != aExpected.line
+                              ? aLeft.line < aExpected.line
+                              : aLeft.column < aExpected.column;
                    });
   return std::move(mFaults);
 }
@@ -109,78 +109,78 @@
 }
 
 void
-yaml_reader::Add(const YAML::Mark& aPlace, std::string aMessage)
+yaml_reader::Add(const YAML::Mark& aLocation, std::string aMessage)
 {
-  mFaults.Add(aPlace, std::move(aMessage));
+  mFaults.Add(aLocation, std::move(aMessage));
 }
 
 std::vector<map_entry>
 yaml_reader::Map(const YAML::Node& aNode,
-                 const YAML::Mark& aPlace,
-                 const std::string& aWhere)
+                 const YAML::Mark& aLocation,
+                 const std::string& aContext)
 {
   if (!aNode.IsMap()) {
-    const auto place = aNode.IsNull() ? aPlace : aNode.Mark();
-    Add(place, absl::StrCat(aWhere, " must be a map of key: value"));
+    const auto location = aNode.IsNull() ? aLocation : aNode.Mark();
+    Add(location, absl::StrCat(aContext, " must be a map of key: value"));
     return {};
   }
   std::vector<map_entry> entries;
   absl::flat_hash_set<std::string> seen;
   for (const auto& pair : aNode) {
-    const auto place = pair.first.Mark();
+    const auto location = pair.first.Mark();
     if (!pair.first.IsScalar()) {
-      Add(place, absl::StrCat("a key of ", aWhere, " must be a text"));
+      Add(location, absl::StrCat("a key of ", aContext, " must be a text"));
       continue;
     }
     const std::string& key = pair.first.Scalar();
     if (!seen.insert(key).second) {
-      Add(place,
+      Add(location,
           absl::StrCat(
-            Quote(key), " stands twice in ", aWhere, "; keep one of them"));
+            Quote(key), " stands twice in ", aContext, "; keep one of them"));
       continue;
     }
-    entries.push_back({ key, place, pair.second });
+    entries.push_back({ key, location, pair.second });
   }
   return entries;
 }
 
 std::vector<map_entry>
 yaml_reader::Fields(const YAML::Node& aNode,
-                    const YAML::Mark& aPlace,
-                    const std::string& aWhere,
+                    const YAML::Mark& aLocation,
+                    const std::string& aContext,
                     std::span<const std::string_view> aKnown)
 {
   std::vector<map_entry> known;
-  for (const auto& entry : Map(aNode, aPlace, aWhere)) {
+  for (const auto& entry : Map(aNode, aLocation, aContext)) {
     if (std::find(aKnown.begin(), aKnown.end(), entry.key) != aKnown.end()) {
       known.push_back(entry);
       continue;
     }
-    Add(entry.place,
+    Add(entry.location,
         absl::StrCat("unknown key ",
                      Quote(entry.key),
                      " in ",
-                     aWhere,
+                     aContext,
                      "; ",
-                     Advice(entry.key, aKnown)));
+                     Suggestion(entry.key, aKnown)));
   }
   return known;
 }
 
 bool
 yaml_reader::Name(const std::string& aText,
-                  const YAML::Mark& aPlace,
-                  const std::string& aWhere)
+                  const YAML::Mark& aLocation,
+                  const std::string& aContext)
 {
   if (IsName(aText)) {
     return true;
   }
-  Add(aPlace,
+  Add(aLocation,
       absl::StrCat(Quote(aText),
                    " can't be a name in ",
-                   aWhere,
+                   aContext,
                    "; use up to ",
-                   kLongestName,
+                   kMaxNameLength,
                    " letters, digits, dots, dashes and underscores, the first "
                    "a letter or digit"));
   return false;
@@ -191,14 +191,14 @@
 {
   const auto& node = aField.value;
   if (!node.IsSequence() || node.size() == 0) {
-    Add(node.IsNull() ? aField.place : node.Mark(),
+    Add(node.IsNull() ? aField.location : node.Mark(),
         absl::StrCat(aField.key,
                      " must be a list with at least one name, as [a, b]"));
     return {};
   }
-  if (node.size() > kMostNames) {
+  if (node.size() > kMaxNames) {
     Add(node.Mark(),
-        absl::StrCat(aField.key, " may have at most ", kMostNames, " names"));
+        absl::StrCat(aField.key, " may have at most ", kMaxNames, " names"));
     return {};
   }
   std::vector<std::string> names;
@@ -224,29 +224,30 @@
 }
 
 std::optional<std::string>
-yaml_reader::Scalar(const map_entry& aField, const std::string& aRight)
+yaml_reader::Scalar(const map_entry& aField, const std::string& aExpected)
 {
   if (aField.value.IsScalar()) {
     return aField.value.Scalar();
   }
-  const auto place = aField.value.IsNull() ? aField.place : aField.value.Mark();
-  Add(place, absl::StrCat(aField.key, " must be ", aRight));
+  const auto location =
+    aField.value.IsNull() ? aField.location : aField.value.Mark();
+  Add(location, absl::StrCat(aField.key, " must be ", aExpected));
   return std::nullopt;
 }
 
 std::optional<std::size_t>
-yaml_reader::Word(const map_entry& aField,
-                  std::span<const std::string_view> aWords)
+yaml_reader::OneOf(const map_entry& aField,
+                   std::span<const std::string_view> aWords)
 {
-  const std::string right = absl::StrCat("one of: ", Join(aWords));
-  const auto text = Scalar(aField, right);
+  const std::string expected = absl::StrCat("one of: ", Join(aWords));
+  const auto text = Scalar(aField, expected);
   if (!text) {
     return std::nullopt;
   }
   const auto found = std::find(aWords.begin(), aWords.end(), *text);
   if (found == aWords.end()) {
     Add(aField.value.Mark(),
-        absl::StrCat(aField.key, " must be ", right, "; is ", Quote(*text)));
+        absl::StrCat(aField.key, " must be ", expected, "; is ", Quote(*text)));
     return std::nullopt;
   }
   return static_cast<std::size_t>(found - aWords.begin());
@@ -255,13 +256,13 @@
 std::optional<std::chrono::milliseconds>
 yaml_reader::Time(const map_entry& aField, const time_bounds& aBounds)
 {
-  const std::string right =
+  const std::string expected =
     absl::StrCat("a time from ",
                  settings::PrintDuration(aBounds.lowest),
                  " to ",
                  settings::PrintDuration(aBounds.highest),
                  " with its unit (ms, s, m or h)");
-  const auto text = Scalar(aField, right);
+  const auto text = Scalar(aField, expected);
   if (!text) {
     return std::nullopt;
   }
@@ -269,18 +270,20 @@
     settings::ParseDuration(*text, settings::bare_number::kRefused);
   if (!time || *time < aBounds.lowest || *time > aBounds.highest) {
     Add(aField.value.Mark(),
-        absl::StrCat(aField.key, " must be ", right, "; is ", Quote(*text)));
+        absl::StrCat(aField.key, " must be ", expected, "; is ", Quote(*text)));
     return std::nullopt;
   }
   return time;
 }
 
 std::optional<double>
-yaml_reader::Share(const map_entry& aField, double aLowest, double aHighest)
+yaml_reader::Percentage(const map_entry& aField,
+                        double aLowest,
+                        double aHighest)
 {
-  const std::string right = absl::StrCat(
+  const std::string expected = absl::StrCat(
     "a share from ", aLowest * kPercent, "% to ", aHighest * kPercent, "%");
-  const auto text = Scalar(aField, right);
+  const auto text = Scalar(aField, expected);
   if (!text) {
     return std::nullopt;
   }
@@ -293,7 +296,7 @@
     std::round(percent * kSharesPerPercent) / (kPercent * kSharesPerPercent);
   if (!isNumber || share < aLowest || share > aHighest) {
     Add(aField.value.Mark(),
-        absl::StrCat(aField.key, " must be ", right, "; is ", Quote(*text)));
+        absl::StrCat(aField.key, " must be ", expected, "; is ", Quote(*text)));
     return std::nullopt;
   }
   return share;
--- a/src/currantshed/policy/yaml_reader.hpp
+++ b/src/currantshed/policy/yaml_reader.hpp
@@ -18,7 +18,7 @@
 class fault_list
 {
 public:
-  void Add(const YAML::Mark& aPlace, std::string aMessage);
+  void Add(const YAML::Mark& aLocation, std::string aMessage);
 
   /// All faults in the order of the text.
   [[nodiscard]] std::vector<fault> Take();
@@ -38,7 +38,7 @@
 struct map_entry
 {
   std::string key;
-  YAML::Mark place;
+  YAML::Mark location;
   YAML::Node value;
 };
 
@@ -52,26 +52,26 @@
   /// The entries of a map; empty and a fault if it is none or has a key
   /// twice. The place is that of its key.
   [[nodiscard]] std::vector<map_entry> Map(const YAML::Node& aNode,
-                                           const YAML::Mark& aPlace,
-                                           const std::string& aWhere);
+                                           const YAML::Mark& aLocation,
+                                           const std::string& aContext);
 
   /// The same, where only the known keys may stand.
   [[nodiscard]] std::vector<map_entry> Fields(
     const YAML::Node& aNode,
-    const YAML::Mark& aPlace,
-    const std::string& aWhere,
+    const YAML::Mark& aLocation,
+    const std::string& aContext,
     std::span<const std::string_view> aKnown);
 
   /// A name of letters, digits, dots, dashes and underscores.
   [[nodiscard]] bool Name(const std::string& aText,
-                          const YAML::Mark& aPlace,
-                          const std::string& aWhere);
+                          const YAML::Mark& aLocation,
+                          const std::string& aContext);
 
   /// A list of names without doubles, with at least one.
   [[nodiscard]] std::vector<std::string> Names(const map_entry& aField);
 
   /// The place in the list of the word that the field holds.
-  [[nodiscard]] std::optional<std::size_t> Word(
+  [[nodiscard]] std::optional<std::size_t> OneOf(
     const map_entry& aField,
     std::span<const std::string_view> aWords);
 
@@ -81,15 +81,15 @@
     const time_bounds& aBounds);
 
   /// A share such as 99.9%, as a number between 0 and 1.
-  [[nodiscard]] std::optional<double> Share(const map_entry& aField,
-                                            double aLowest,
-                                            double aHighest);
+  [[nodiscard]] std::optional<double> Percentage(const map_entry& aField,
+                                                 double aLowest,
+                                                 double aHighest);
 
-  void Add(const YAML::Mark& aPlace, std::string aMessage);
+  void Add(const YAML::Mark& aLocation, std::string aMessage);
 
 private:
   [[nodiscard]] std::optional<std::string> Scalar(const map_entry& aField,
-                                                  const std::string& aRight);
+                                                  const std::string& aExpected);
 
   fault_list& mFaults;
 };
--- a/src/currantshed/pool/server_pool.cpp
+++ b/src/currantshed/pool/connection_pool.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/pool/server_pool.hpp"
+#include "currantshed/pool/connection_pool.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -9,51 +9,54 @@
 
 // One for status and one for control at the leader, one for control at each
 // of the two standbys.
-constexpr unsigned kOtherConnections = 4;
-constexpr std::chrono::milliseconds kFirstBackoff{ 20 };
-constexpr std::chrono::milliseconds kLongestBackoff{ 1000 };
+constexpr unsigned kReservedConnections = 4;
+constexpr std::chrono::milliseconds kInitialBackoff{ 20 };
+constexpr std::chrono::milliseconds kMaxBackoff{ 1000 };
 
 clock::duration
-Backoff(unsigned aRefusals)
+Backoff(unsigned aFailures)
 {
-  auto backoff = kFirstBackoff;
-  for (unsigned i = 1; i < aRefusals && backoff < kLongestBackoff; ++i) {
+  auto backoff = kInitialBackoff;
+  for (unsigned i = 1; i < aFailures && backoff < kMaxBackoff; ++i) {
     backoff *= 2;
   }
-  return std::min(backoff, kLongestBackoff);
+  return std::min(backoff, kMaxBackoff);
 }
 
 } // namespace
 
 pool_limits
-ShareOf(unsigned aConnections, unsigned aSlots, double aTakeoverReserve)
+ComputePoolLimits(unsigned aConnections,
+                  unsigned aSlots,
+                  double aTakeoverReserve)
 {
   const auto kept =
     static_cast<unsigned>(std::floor(aConnections * (1.0 - aTakeoverReserve)));
-  const auto ours = kept > kOtherConnections ? kept - kOtherConnections : 1;
+  const auto ours =
+    kept > kReservedConnections ? kept - kReservedConnections : 1;
   return { std::max(ours, 1U), std::max(aSlots, 1U) };
 }
 
 void
-server_pool::SetLimits(const pool_limits& aLimits)
+connection_pool::SetLimits(const pool_limits& aLimits)
 {
   mLimits = aLimits;
 }
 
 bool
-server_pool::HasSlot() const noexcept
+connection_pool::HasSlot() const noexcept
 {
   return mRunning < mLimits.slots;
 }
 
 bool
-server_pool::MayOpen(clock::time_point aNow) const noexcept
+connection_pool::MayOpen(clock::time_point aNow) const noexcept
 {
   return mConnections.size() < mLimits.connections && aNow >= mRetryAt;
 }
 
 std::optional<connection_id>
-server_pool::Idle(bool aReadOnly) const noexcept
+connection_pool::Idle(bool aReadOnly) const noexcept
 {
   for (const auto& connection : mConnections) {
     if (connection.now == state::kIdle && connection.readOnly == aReadOnly) {
@@ -64,7 +67,7 @@
 }
 
 std::size_t
-server_pool::Opening(bool aReadOnly) const noexcept
+connection_pool::Opening(bool aReadOnly) const noexcept
 {
   return static_cast<std::size_t>(
     std::count_if(mConnections.begin(),
@@ -76,48 +79,49 @@
 }
 
 bool
-server_pool::CanProvide(bool aReadOnly, clock::time_point aNow) const noexcept
+connection_pool::CanProvide(bool aReadOnly,
+                            clock::time_point aNow) const noexcept
 {
   return Idle(aReadOnly) || Opening(aReadOnly) > 0 || MayOpen(aNow) ||
          (Idle(!aReadOnly) && aNow >= mRetryAt);
 }
 
 void
-server_pool::Add(connection_id aConnection, bool aReadOnly)
+connection_pool::Add(connection_id aConnection, bool aReadOnly)
 {
   mConnections.push_back({ aConnection, aReadOnly, state::kOpening, false });
 }
 
 void
-server_pool::Opened(connection_id aConnection)
+connection_pool::Opened(connection_id aConnection)
 {
   if (auto* connection = Find(aConnection)) {
     connection->now = state::kIdle;
-    mRefusals = 0;
+    mFailures = 0;
   }
 }
 
 void
-server_pool::Failed(connection_id aConnection, clock::time_point aNow)
+connection_pool::Failed(connection_id aConnection, clock::time_point aNow)
 {
   if (Find(aConnection) == nullptr) {
     return;
   }
   Remove(aConnection);
-  ++mRefusals;
-  mRetryAt = aNow + Backoff(mRefusals);
+  ++mFailures;
+  mRetryAt = aNow + Backoff(mFailures);
 }
 
 void
-server_pool::Hold(connection_id aConnection)
+connection_pool::CheckOut(connection_id aConnection)
 {
   if (auto* connection = Find(aConnection)) {
-    connection->now = state::kHeld;
+    connection->now = state::kCheckedOut;
   }
 }
 
 void
-server_pool::Release(connection_id aConnection)
+connection_pool::CheckIn(connection_id aConnection)
 {
   if (auto* connection = Find(aConnection)) {
     connection->now = state::kIdle;
@@ -125,7 +129,7 @@
 }
 
 void
-server_pool::BatchBegins(connection_id aConnection)
+connection_pool::BatchStarted(connection_id aConnection)
 {
   auto* connection = Find(aConnection);
   if (connection != nullptr && !connection->running) {
@@ -135,7 +139,7 @@
 }
 
 void
-server_pool::BatchEnds(connection_id aConnection)
+connection_pool::BatchEnded(connection_id aConnection)
 {
   auto* connection = Find(aConnection);
   if (connection != nullptr && connection->running) {
@@ -145,40 +149,40 @@
 }
 
 void
-server_pool::Remove(connection_id aConnection)
+connection_pool::Remove(connection_id aConnection)
 {
-  BatchEnds(aConnection);
+  BatchEnded(aConnection);
   std::erase_if(mConnections, [aConnection](const connection& aCandidate) {
     return aCandidate.id == aConnection;
   });
 }
 
 unsigned
-server_pool::Running() const noexcept
+connection_pool::Running() const noexcept
 {
   return mRunning;
 }
 
 std::size_t
-server_pool::Connections() const noexcept
+connection_pool::Connections() const noexcept
 {
   return mConnections.size();
 }
 
 const pool_limits&
-server_pool::Limits() const noexcept
+connection_pool::Limits() const noexcept
 {
   return mLimits;
 }
 
 clock::time_point
-server_pool::RetryAt() const noexcept
+connection_pool::RetryAt() const noexcept
 {
   return mRetryAt;
 }
 
-server_pool::connection*
-server_pool::Find(connection_id aConnection) noexcept
+connection_pool::connection*
+connection_pool::Find(connection_id aConnection) noexcept
 {
   const auto found = std::find_if(mConnections.begin(),
                                   mConnections.end(),
--- a/src/currantshed/pool/server_pool.hpp
+++ b/src/currantshed/pool/connection_pool.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_POOL_SERVER_POOL_HPP
-#define CURRANTSHED_POOL_SERVER_POOL_HPP
+#ifndef CURRANTSHED_POOL_CONNECTION_POOL_HPP
+#define CURRANTSHED_POOL_CONNECTION_POOL_HPP
 
 #include <chrono>
 #include <cstddef>
@@ -29,12 +29,14 @@
 /// server has noticed that the last one is gone, the leader's own status and
 /// control connections, and the control connections of the two standbys.
 [[nodiscard]] pool_limits
-ShareOf(unsigned aConnections, unsigned aSlots, double aTakeoverReserve);
+ComputePoolLimits(unsigned aConnections,
+                  unsigned aSlots,
+                  double aTakeoverReserve);
 
 /// The statement connections to one server and their states. A connection is
 /// opening, idle, or held; a held one may be under a batch, which takes a
 /// slot. Opens and closes nothing itself.
-class server_pool
+class connection_pool
 {
 public:
   void SetLimits(const pool_limits& aLimits);
@@ -63,11 +65,11 @@
   /// The connection could not be opened: it is gone, and the next try waits.
   void Failed(connection_id aConnection, clock::time_point aNow);
   /// Takes an idle connection.
-  void Hold(connection_id aConnection);
+  void CheckOut(connection_id aConnection);
   /// Gives a held one back.
-  void Release(connection_id aConnection);
-  void BatchBegins(connection_id aConnection);
-  void BatchEnds(connection_id aConnection);
+  void CheckIn(connection_id aConnection);
+  void BatchStarted(connection_id aConnection);
+  void BatchEnded(connection_id aConnection);
   /// Forgets a connection, whatever its state.
   void Remove(connection_id aConnection);
 
@@ -82,7 +84,7 @@
   {
     kOpening,
     kIdle,
-    kHeld,
+    kCheckedOut,
   };
 
   struct connection
@@ -98,7 +100,7 @@
   pool_limits mLimits;
   std::vector<connection> mConnections;
   unsigned mRunning = 0;
-  unsigned mRefusals = 0;
+  unsigned mFailures = 0;
   clock::time_point mRetryAt{};
 };
 
--- a/src/currantshed/pool/fwd.hpp
+++ b/src/currantshed/pool/fwd.hpp
@@ -3,7 +3,7 @@
 
 namespace currantshed::pool {
 
-class server_pool;
+class connection_pool;
 struct pool_limits;
 
 } // namespace currantshed::pool
--- a/src/currantshed/pooler/control.cpp
+++ b/src/currantshed/pooler/control.cpp
@@ -33,14 +33,14 @@
   return std::chrono::steady_clock::now();
 }
 
-member::roster_settings
-RosterSettings(const settings& aSettings)
+member::membership_settings
+MembershipSettings(const settings& aSettings)
 {
-  member::roster_settings roster;
-  roster.self = aSettings.self;
-  roster.incarnation = aSettings.incarnation;
-  roster.owners = aSettings.owners;
-  return roster;
+  member::membership_settings membership;
+  membership.self = aSettings.self;
+  membership.incarnation = aSettings.incarnation;
+  membership.owners = aSettings.owners;
+  return membership;
 }
 
 /// A seed that differs between processes and is the same for one of them.
@@ -106,11 +106,11 @@
                   const peer_links::responder& aRespond) {
              Received(std::move(aMessage), aBytes, aRespond);
            })
-  , mRoster(member::MakeRoster(RosterSettings(aSettings),
-                               SeedOf(aSettings.incarnation)))
+  , mMembership(member::MakeMembership(MembershipSettings(aSettings),
+                                       SeedOf(aSettings.incarnation)))
   , mGuards({ mContext, aSettings, *mPlatform, *mDialect, aMetrics },
             GuardListener())
-  , mRosterTimer(mContext, [this] { TickRoster(); })
+  , mMembershipTimer(mContext, [this] { TickRoster(); })
   , mHousekeeper(mContext, [this] { Housekeep(); })
 {
 }
@@ -142,7 +142,7 @@
 {
   boost::asio::post(mContext, [this] {
     mIsLeaving = true;
-    mRoster->Leave();
+    mMembership->Leave();
     TickRoster();
     TellBoard();
     log::Write(log::level::kInfo, "leaving");
@@ -183,7 +183,7 @@
 control::Heard(const member::heartbeat& aBeat, std::size_t aBytes)
 {
   mMetrics.HeartbeatReceived(aBytes);
-  mRoster->HeartbeatArrived(aBeat, Now());
+  mMembership->HeartbeatArrived(aBeat, Now());
   mGuards.Heard(aBeat);
   if (aBeat.configuration > mConfiguration.Held().version) {
     AskForConfiguration(AddressOf(aBeat.sender));
@@ -194,7 +194,7 @@
 void
 control::SendHeartbeats()
 {
-  for (const auto& beat : mRoster->TakeHeartbeats()) {
+  for (const auto& beat : mMembership->TakeHeartbeats()) {
     const std::string bytes = wire::Encode(beat.message, Now());
     if (mPeers.Send(AddressOf(beat.to), bytes)) {
       mMetrics.HeartbeatSent(bytes.size());
@@ -224,7 +224,7 @@
     mAskedPeersAt = {};
     AskForConfiguration(peer);
   }
-  for (const auto& vm : mRoster->Live()) {
+  for (const auto& vm : mMembership->Live()) {
     if (vm.id != mSettings.self.id) {
       mAskedPeersAt = {};
       AskForConfiguration(AddressOf(vm));
@@ -236,9 +236,9 @@
 control::Listed(store::listing aListing)
 {
   const bool differs = mListing.Take(std::move(aListing));
-  mRoster->Listed(mListing.Held().vms, Now());
+  mMembership->Listed(mListing.Held().vms, Now());
   if (differs) {
-    mRoster->SetGroups(NamesOf(mListing.Held().groups));
+    mMembership->SetGroups(NamesOf(mListing.Held().groups));
     Reconsider();
   }
   TickRoster();
@@ -284,7 +284,7 @@
                "declaration_faulty",
                { { "version", static_cast<std::int64_t>(version) } });
   }
-  mRoster->SetConfiguration(version);
+  mMembership->SetConfiguration(version);
   TellTraffic();
   TellBoard();
   TickRoster();
@@ -293,28 +293,28 @@
 void
 control::TickRoster()
 {
-  mRoster->Tick(Now());
+  mMembership->Tick(Now());
   SendHeartbeats();
-  if (mRoster->Version() != mSeenRoster) {
+  if (mMembership->Version() != mSeenMembership) {
     Reconsider();
   }
-  mRosterTimer.At(mRoster->NextTick());
+  mMembershipTimer.At(mMembership->NextTick());
 }
 
 void
 control::Reconsider()
 {
-  mSeenRoster = mRoster->Version();
-  mMetrics.SetLiveVms(mRoster->Live().size());
+  mSeenMembership = mMembership->Version();
+  mMetrics.SetLiveVms(mMembership->Live().size());
   mPlatformLink.SetWatching(IsWatcher());
-  mPlatformLink.SetFleet(mRoster->Live().size());
+  mPlatformLink.SetFleet(mMembership->Live().size());
   if (!mListing.HasAny()) {
     TellTraffic();
     return;
   }
   std::vector<owned_group> owned;
   for (const auto& group : mListing.Held().groups) {
-    const auto owners = mRoster->Owners(group.name);
+    const auto owners = mMembership->Owners(group.name);
     const int rank = RankOf(owners);
     if (rank >= 0) {
       owned.push_back({ group,
@@ -330,14 +330,14 @@
 group_guard::listener
 control::GuardListener()
 {
-  return { [this](const member::term_news& aNews) {
-            mRoster->SetTerm(aNews);
-            mRosterTimer.At(Now());
+  return { [this](const member::term_update& aNews) {
+            mMembership->SetTerm(aNews);
+            mMembershipTimer.At(Now());
             TellBoard();
           },
            [this](const failover::suspicion& aWord) {
-             mRoster->SetSuspicion(aWord);
-             mRosterTimer.At(Now());
+             mMembership->SetSuspicion(aWord);
+             mMembershipTimer.At(Now());
            },
            [this](const group::group_name& aGroup, bool aIsCutOff) {
              mTraffic.PassOn(aGroup, aIsCutOff);
@@ -348,7 +348,7 @@
 control::TellTraffic()
 {
   wire::view view;
-  view.live = mRoster->Live();
+  view.live = mMembership->Live();
   view.groups = NamesOf(mListing.Held().groups);
   view.owners = mSettings.owners;
   view.configurationVersion = mConfiguration.Held().version;
@@ -359,7 +359,7 @@
   }
   group_assignment assignment{ mLimits.Apply(mListing.Held().groups), {} };
   for (const auto& group : mListing.Held().groups) {
-    if (RankOf(mRoster->Owners(group.name)) == 0) {
+    if (RankOf(mMembership->Owners(group.name)) == 0) {
       assignment.led.push_back(group.name);
     }
   }
@@ -374,7 +374,7 @@
   status.hasList = mListing.HasAny();
   status.isLeaving = mIsLeaving;
   for (const auto& news : mGuards.News()) {
-    const int rank = RankOf(mRoster->Owners(news.group));
+    const int rank = RankOf(mMembership->Owners(news.group));
     status.groups.push_back({ news, rank });
   }
   mBoard.SetControl(std::move(status));
@@ -395,7 +395,7 @@
 control::IsWatcher() const
 {
   std::vector<store::vm> neighbours;
-  for (const auto& vm : mRoster->Live()) {
+  for (const auto& vm : mMembership->Live()) {
     if (vm.failureDomain == mSettings.self.failureDomain) {
       neighbours.push_back(vm);
     }
--- a/src/currantshed/pooler/control.hpp
+++ b/src/currantshed/pooler/control.hpp
@@ -13,7 +13,7 @@
 #include <boost/asio/io_context.hpp>
 #include <zmq.hpp>
 
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 #include "currantshed/net/tick_timer.hpp"
 #include "currantshed/pooler/configuration_keeper.hpp"
 #include "currantshed/pooler/declared_limits.hpp"
@@ -88,15 +88,15 @@
   std::unique_ptr<store::client> mPlatform;
   platform_link mPlatformLink;
   peer_links mPeers;
-  std::unique_ptr<member::roster> mRoster;
-  std::uint64_t mSeenRoster = 0;
+  std::unique_ptr<member::membership> mMembership;
+  std::uint64_t mSeenMembership = 0;
   configuration_keeper mConfiguration;
   clock::time_point mAskedPeersAt;
   listing_keeper mListing;
   declared_limits mLimits;
   guard_set mGuards;
   bool mIsLeaving = false;
-  net::tick_timer mRosterTimer;
+  net::tick_timer mMembershipTimer;
   net::tick_timer mHousekeeper;
   std::thread mThread;
 };
--- a/src/currantshed/pooler/group_guard.cpp
+++ b/src/currantshed/pooler/group_guard.cpp
@@ -298,7 +298,7 @@
 void
 group_guard::Do(const failover::announce& aAction)
 {
-  const member::term_news news{ mName, aAction.term, aAction.primary };
+  const member::term_update news{ mName, aAction.term, aAction.primary };
   if (news.term == mNews.term && news.primary == mNews.primary) {
     return;
   }
--- a/src/currantshed/pooler/group_guard.hpp
+++ b/src/currantshed/pooler/group_guard.hpp
@@ -10,7 +10,7 @@
 #include <boost/asio/io_context.hpp>
 
 #include "currantshed/failover/coordinator.hpp"
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 #include "currantshed/net/tick_timer.hpp"
 #include "currantshed/pooler/failover_watch.hpp"
 #include "currantshed/pooler/fwd.hpp"
@@ -32,7 +32,7 @@
   /// What the rest of the control thread hears from a guard.
   struct listener
   {
-    std::function<void(const member::term_news&)> announced;
+    std::function<void(const member::term_update&)> announced;
     std::function<void(const failover::suspicion&)> suspected;
     /// Whether only this pooler can't reach the group's primary.
     std::function<void(const group::group_name&, bool)> cutOff;
@@ -65,7 +65,10 @@
   void Heard(const member::heartbeat& aBeat);
 
   /// Who leads the group, as last announced here or heard of.
-  [[nodiscard]] const member::term_news& News() const noexcept { return mNews; }
+  [[nodiscard]] const member::term_update& News() const noexcept
+  {
+    return mNews;
+  }
 
   [[nodiscard]] unsigned Rank() const noexcept { return mRank; }
 
@@ -101,7 +104,7 @@
   group::description mGroup;
   unsigned mRank;
   unsigned mOwners;
-  member::term_news mNews;
+  member::term_update mNews;
   position::term_id mPromotedTerm = 0;
   failover_watch mWatch;
   primary_reach mReach;
--- a/src/currantshed/pooler/guard_set.cpp
+++ b/src/currantshed/pooler/guard_set.cpp
@@ -58,10 +58,10 @@
   }
 }
 
-std::vector<member::term_news>
+std::vector<member::term_update>
 guard_set::News() const
 {
-  std::vector<member::term_news> news;
+  std::vector<member::term_update> news;
   for (const auto& [name, guard] : mGuards) {
     news.push_back(guard->News());
   }
--- a/src/currantshed/pooler/guard_set.hpp
+++ b/src/currantshed/pooler/guard_set.hpp
@@ -8,7 +8,7 @@
 
 #include "currantshed/clock/time.hpp"
 #include "currantshed/group/description.hpp"
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 #include "currantshed/pooler/fwd.hpp"
 #include "currantshed/pooler/group_guard.hpp"
 #include "currantshed/pooler/ownership.hpp"
@@ -43,7 +43,7 @@
   void Release(clock::time_point aNow);
 
   /// Who leads each guarded group, by name.
-  [[nodiscard]] std::vector<member::term_news> News() const;
+  [[nodiscard]] std::vector<member::term_update> News() const;
 
 private:
   group_guard::surroundings mSurroundings;
