--- a/src/currantshed/pooler/platform_link.cpp
+++ b/src/currantshed/pooler/platform_link.cpp
@@ -139,7 +139,7 @@
 {
   mClient.Watch(std::string(policy::kConfigurationKey),
                 aAction.known,
-                mIsWatching ? aAction.atMost : std::chrono::milliseconds(0),
+                mIsWatching ? aAction.maxWait : std::chrono::milliseconds(0),
                 [this](std::error_code aError, const store::entry& aEntry) {
                   WatchEnded(aError, aEntry);
                 });
--- a/src/currantshed/pooler/status_board.hpp
+++ b/src/currantshed/pooler/status_board.hpp
@@ -8,7 +8,7 @@
 
 #include "currantshed/clock/time.hpp"
 #include "currantshed/http/status_answer.hpp"
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 #include "currantshed/pooler/fwd.hpp"
 #include "currantshed/pooler/settings.hpp"
 
@@ -17,7 +17,7 @@
 /// What the status page tells of one group.
 struct group_status
 {
-  member::term_news news;
+  member::term_update news;
   /// This pooler's rank among the owners, or a negative number.
   int rank = -1;
 };
--- a/src/currantshed/proxy/holders.cpp
+++ b/src/currantshed/proxy/access_planner.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/proxy/holders.hpp"
+#include "currantshed/proxy/access_planner.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -16,16 +16,16 @@
 // domain share a pool, half will do: at 83 VMs before 25 connections, two
 // thirds took 8 % of the requests after such a loss of power.
 std::size_t
-UsablePart(std::size_t aMostConnections, bool aIsShared)
+UsableConnections(std::size_t aMaxConnections, bool aIsShared)
 {
   const auto part =
-    aIsShared ? (aMostConnections + 1) / 2 : aMostConnections * 2 / 3;
+    aIsShared ? (aMaxConnections + 1) / 2 : aMaxConnections * 2 / 3;
   return std::max<std::size_t>(part, 1);
 }
 
 // With fewer connections a VM, a transaction that waits for its caller blocks
 // the VM's other work.
-constexpr std::size_t kFewestOfOwn = 3;
+constexpr std::size_t kMinConnectionsPerVm = 3;
 
 struct scored_vm
 {
@@ -34,7 +34,7 @@
 };
 
 bool
-GoesBefore(const scored_vm& aLeft, const scored_vm& aRight)
+RanksHigher(const scored_vm& aLeft, const scored_vm& aRight)
 {
   return aLeft.score != aRight.score ? aLeft.score > aRight.score
                                      : aLeft.vm->name < aRight.vm->name;
@@ -42,7 +42,7 @@
 
 // The VMs, with the hash of their name and the server's.
 std::vector<scored_vm>
-Scored(const upstream::server_id& aServer, const std::vector<fleet_vm>& aVms)
+ScoreVms(const upstream::server_id& aServer, const std::vector<fleet_vm>& aVms)
 {
   std::string text = aServer;
   text.push_back('\0');
@@ -59,12 +59,12 @@
 
 // The best of the others.
 scored_vm
-BestBut(const fleet_vm& aVm, const std::vector<scored_vm>& aScored)
+BestOther(const fleet_vm& aVm, const std::vector<scored_vm>& aScored)
 {
   scored_vm best;
   for (const auto& one : aScored) {
     const bool isOther = one.vm != &aVm;
-    if (isOther && (best.vm == nullptr || GoesBefore(one, best))) {
+    if (isOther && (best.vm == nullptr || RanksHigher(one, best))) {
       best = one;
     }
   }
@@ -90,37 +90,38 @@
   const bool wasEmpty = mVms == 0;
   mVms = aFleet.size();
   const auto domain = std::exchange(mDomain, {});
-  const bool worked = std::exchange(mWorks, false);
-  std::vector<fleet_vm> workers;
+  const bool wasDelegate = std::exchange(mIsDelegate, false);
+  std::vector<fleet_vm> delegates;
   for (auto& vm : aFleet) {
-    const bool works = !vm.leaving && vm.worksForOthers;
+    const bool isDelegate = !vm.draining && vm.isDelegate;
     if (vm.name == mSelf) {
       mDomain = vm.failureDomain;
-      mWorks = works;
+      mIsDelegate = isDelegate;
     }
-    if (works) {
-      workers.push_back(std::move(vm));
+    if (isDelegate) {
+      delegates.push_back(std::move(vm));
     }
   }
-  if (workers == mWorkers && domain == mDomain && worked == mWorks &&
-      wasEmpty == (mVms == 0)) {
+  if (delegates == mDelegates && domain == mDomain &&
+      wasDelegate == mIsDelegate && wasEmpty == (mVms == 0)) {
     return false;
   }
-  mWorkers = std::move(workers);
+  mDelegates = std::move(delegates);
   return true;
 }
 
 bool
-access_planner::IsForEveryone(std::size_t aMostConnections, std::size_t aVms)
+access_planner::EveryVmConnects(std::size_t aMaxConnections, std::size_t aVms)
 {
-  return aVms > 0 && UsablePart(aMostConnections, false) / aVms >= kFewestOfOwn;
+  return aVms > 0 && UsableConnections(aMaxConnections, false) / aVms >=
+                       kMinConnectionsPerVm;
 }
 
 bool
-access_planner::MayHold(std::size_t aMostConnections) const
+access_planner::MayBeHolder(std::size_t aMaxConnections) const
 {
   return mVms > 0 &&
-         (mWorks || mVms == 1 || IsForEveryone(aMostConnections, mVms));
+         (mIsDelegate || mVms == 1 || EveryVmConnects(aMaxConnections, mVms));
 }
 
 // The best VM of each failure domain, the best one first. Only those that may
@@ -129,7 +130,7 @@
 std::vector<const fleet_vm*>
 access_planner::Holders(const upstream::server_id& aServer) const
 {
-  const auto scored = Scored(aServer, mWorkers);
+  const auto scored = ScoreVms(aServer, mDelegates);
   std::vector<scored_vm> best;
   for (const auto& one : scored) {
     const auto found =
@@ -138,14 +139,14 @@
       });
     if (found == best.end()) {
       best.push_back(one);
-    } else if (GoesBefore(one, *found)) {
+    } else if (RanksHigher(one, *found)) {
       *found = one;
     }
   }
-  std::sort(best.begin(), best.end(), GoesBefore);
+  std::sort(best.begin(), best.end(), RanksHigher);
   // In a single failure domain two VMs hold connections.
   if (best.size() == 1 && scored.size() > 1) {
-    best.push_back(BestBut(*best.front().vm, scored));
+    best.push_back(BestOther(*best.front().vm, scored));
   }
   std::vector<const fleet_vm*> holders;
   holders.reserve(best.size());
@@ -157,31 +158,32 @@
 
 access_plan
 access_planner::Plan(const upstream::server_id& aServer,
-                     std::size_t aMostConnections) const
+                     std::size_t aMaxConnections) const
 {
   const auto vms = mVms;
   access_plan plan;
   if (vms == 0) {
     plan.connections = 0;
-    plan.holds = false;
+    plan.isHolder = false;
     return plan;
   }
   if (vms == 1) {
     plan.paths = { path{} };
-    plan.connections = UsablePart(aMostConnections, false);
+    plan.connections = UsableConnections(aMaxConnections, false);
     return plan;
   }
-  const bool everyone = IsForEveryone(aMostConnections, vms);
+  const bool everyVmConnects = EveryVmConnects(aMaxConnections, vms);
   const auto holders = Holders(aServer);
-  plan.holds = everyone ||
-               std::any_of(holders.begin(),
-                           holders.end(),
-                           [&](const auto* aVm) { return aVm->name == mSelf; });
-  const auto sharers = everyone ? vms : holders.size();
-  const auto usable = UsablePart(aMostConnections, !everyone);
+  plan.isHolder =
+    everyVmConnects ||
+    std::any_of(holders.begin(), holders.end(), [&](const auto* aVm) {
+      return aVm->name == mSelf;
+    });
+  const auto holderCount = everyVmConnects ? vms : holders.size();
+  const auto usable = UsableConnections(aMaxConnections, !everyVmConnects);
   plan.connections =
-    plan.holds ? std::max<std::size_t>(usable / sharers, 1) : 1;
-  if (plan.holds) {
+    plan.isHolder ? std::max<std::size_t>(usable / holderCount, 1) : 1;
+  if (plan.isHolder) {
     plan.paths.push_back({});
   }
   for (const bool near : { true, false }) {
@@ -191,7 +193,7 @@
       }
     }
   }
-  if (!plan.holds) {
+  if (!plan.isHolder) {
     plan.paths.push_back({});
   }
   return plan;
@@ -199,13 +201,13 @@
 
 access_plan
 PlanAccess(const upstream::server_id& aServer,
-           std::size_t aMostConnections,
+           std::size_t aMaxConnections,
            const std::vector<fleet_vm>& aFleet,
            const std::string& aSelf)
 {
   access_planner planner(aSelf);
   planner.SetFleet(aFleet);
-  return planner.Plan(aServer, aMostConnections);
+  return planner.Plan(aServer, aMaxConnections);
 }
 
 } // namespace currantshed::proxy
--- a/src/currantshed/proxy/holders.hpp
+++ b/src/currantshed/proxy/access_planner.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_PROXY_HOLDERS_HPP
-#define CURRANTSHED_PROXY_HOLDERS_HPP
+#ifndef CURRANTSHED_PROXY_ACCESS_PLANNER_HPP
+#define CURRANTSHED_PROXY_ACCESS_PLANNER_HPP
 
 #include <cstddef>
 #include <cstdint>
@@ -19,9 +19,9 @@
   std::string address;
   std::uint16_t relayPort = 0;
   /// Stops soon.
-  bool leaving = false;
+  bool draining = false;
   /// Holds connections for others of its failure domain, if it is chosen.
-  bool worksForOthers = true;
+  bool isDelegate = true;
 
   [[nodiscard]] friend bool operator==(const fleet_vm&,
                                        const fleet_vm&) = default;
@@ -45,7 +45,7 @@
   /// Direct connections that this VM may have.
   std::size_t connections = 1;
   /// Whether this VM is meant to have direct connections at all.
-  bool holds = true;
+  bool isHolder = true;
 };
 
 /// Works out who holds the connections to a server that accepts so many in
@@ -72,16 +72,16 @@
   [[nodiscard]] std::size_t Size() const noexcept { return mVms; }
 
   [[nodiscard]] access_plan Plan(const upstream::server_id& aServer,
-                                 std::size_t aMostConnections) const;
+                                 std::size_t aMaxConnections) const;
 
   /// Whether this VM may be meant to hold connections to any server that
   /// accepts so many.
-  [[nodiscard]] bool MayHold(std::size_t aMostConnections) const;
+  [[nodiscard]] bool MayBeHolder(std::size_t aMaxConnections) const;
 
   /// Whether each of so many VMs has connections of its own to a server that
   /// accepts so many. Only then does the number of VMs count for a plan.
-  [[nodiscard]] static bool IsForEveryone(std::size_t aMostConnections,
-                                          std::size_t aVms);
+  [[nodiscard]] static bool EveryVmConnects(std::size_t aMaxConnections,
+                                            std::size_t aVms);
 
 private:
   [[nodiscard]] std::vector<const fleet_vm*> Holders(
@@ -90,15 +90,15 @@
   std::string mSelf;
   std::size_t mVms = 0;
   // Those that may hold connections for others.
-  std::vector<fleet_vm> mWorkers;
+  std::vector<fleet_vm> mDelegates;
   std::string mDomain;
-  bool mWorks = false;
+  bool mIsDelegate = false;
 };
 
 /// The same for a single server.
 [[nodiscard]] access_plan
 PlanAccess(const upstream::server_id& aServer,
-           std::size_t aMostConnections,
+           std::size_t aMaxConnections,
            const std::vector<fleet_vm>& aFleet,
            const std::string& aSelf);
 
--- a/src/currantshed/proxy/lanes.cpp
+++ b/src/currantshed/proxy/blocked_queues.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/proxy/lanes.hpp"
+#include "currantshed/proxy/blocked_queues.hpp"
 
 #include <algorithm>
 #include <cstddef>
@@ -9,12 +9,12 @@
 
 // Reads differ in the position that they must see: one that no replica has
 // reached says little of the next. Each try looks at a group's servers once.
-constexpr unsigned kReadsTried = 4;
+constexpr unsigned kMaxReadAttempts = 4;
 // Customers of one lane that are looked at before the rest waits for the next
 // time: each look costs as much as a request.
-constexpr std::size_t kCustomersTried = 16;
-constexpr std::string_view kPrimaryLane = "primary";
-constexpr std::string_view kReadsLane = "reads";
+constexpr std::size_t kMaxBlockedCustomers = 16;
+constexpr std::string_view kPrimaryQueue = "primary";
+constexpr std::string_view kReadsQueue = "reads";
 
 bool
 NeedsPrimary(const request& aRequest)
@@ -23,56 +23,56 @@
 }
 
 unsigned
-MostTried(const session& aWaiting)
+MaxAttempts(const session& aWaiting)
 {
   const bool isRead = !aWaiting.IsRelay() && !NeedsPrimary(*aWaiting.current);
-  return isRead ? kReadsTried : 1;
+  return isRead ? kMaxReadAttempts : 1;
 }
 
 } // namespace
 
 std::string_view
-blocked_lanes::LaneOf(const session& aWaiting)
+blocked_queues::QueueOf(const session& aWaiting)
 {
   if (aWaiting.IsRelay()) {
-    return aWaiting.relaysTo;
+    return aWaiting.relayTarget;
   }
-  return NeedsPrimary(*aWaiting.current) ? kPrimaryLane : kReadsLane;
+  return NeedsPrimary(*aWaiting.current) ? kPrimaryQueue : kReadsQueue;
 }
 
-const blocked_lanes::blocked_lane*
-blocked_lanes::Find(const session& aWaiting) const
+const blocked_queues::blocked_queue*
+blocked_queues::Find(const session& aWaiting) const
 {
   const auto found =
     std::find_if(mBlocked.begin(), mBlocked.end(), [&](const auto& aOne) {
-      return aOne.lane == LaneOf(aWaiting) &&
+      return aOne.queue == QueueOf(aWaiting) &&
              aOne.customer == aWaiting.current->customer;
     });
   return found == mBlocked.end() ? nullptr : &*found;
 }
 
 bool
-blocked_lanes::Holds(const session& aWaiting) const
+blocked_queues::IsBlocked(const session& aWaiting) const
 {
   if (const auto* found = Find(aWaiting)) {
-    return found->found >= MostTried(aWaiting);
+    return found->found >= MaxAttempts(aWaiting);
   }
   const auto customers =
     std::count_if(mBlocked.begin(), mBlocked.end(), [&](const auto& aOne) {
-      return aOne.lane == LaneOf(aWaiting);
+      return aOne.queue == QueueOf(aWaiting);
     });
-  return static_cast<std::size_t>(customers) >= kCustomersTried;
+  return static_cast<std::size_t>(customers) >= kMaxBlockedCustomers;
 }
 
 void
-blocked_lanes::Add(const session& aWaiting)
+blocked_queues::Add(const session& aWaiting)
 {
   if (const auto* found = Find(aWaiting)) {
     ++mBlocked[static_cast<std::size_t>(found - mBlocked.data())].found;
     return;
   }
   mBlocked.push_back(
-    { std::string(LaneOf(aWaiting)), aWaiting.current->customer, 1 });
+    { std::string(QueueOf(aWaiting)), aWaiting.current->customer, 1 });
 }
 
 } // namespace currantshed::proxy
--- a/src/currantshed/proxy/lanes.hpp
+++ b/src/currantshed/proxy/blocked_queues.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_PROXY_LANES_HPP
-#define CURRANTSHED_PROXY_LANES_HPP
+#ifndef CURRANTSHED_PROXY_BLOCKED_QUEUES_HPP
+#define CURRANTSHED_PROXY_BLOCKED_QUEUES_HPP
 
 #include <string>
 #include <string_view>
@@ -18,12 +18,12 @@
 /// its own requests alone: while one server has none to give, 19 VMs that send
 /// their work through this one still reach the other two. Connections belong to
 /// customers, so that what one customer lacks another may have.
-class blocked_lanes
+class blocked_queues
 {
 public:
   /// Whether the session's request would wait for the same as one that has
   /// just found nothing.
-  [[nodiscard]] bool Holds(const session& aWaiting) const;
+  [[nodiscard]] bool IsBlocked(const session& aWaiting) const;
 
   /// The session's request has found nothing.
   void Add(const session& aWaiting);
@@ -31,17 +31,17 @@
 private:
   /// What a lane's requests lack a connection for, and how often that was
   /// found.
-  struct blocked_lane
+  struct blocked_queue
   {
-    std::string lane;
+    std::string queue;
     std::string customer;
     unsigned found = 0;
   };
 
-  [[nodiscard]] static std::string_view LaneOf(const session& aWaiting);
-  [[nodiscard]] const blocked_lane* Find(const session& aWaiting) const;
+  [[nodiscard]] static std::string_view QueueOf(const session& aWaiting);
+  [[nodiscard]] const blocked_queue* Find(const session& aWaiting) const;
 
-  absl::InlinedVector<blocked_lane, 4> mBlocked;
+  absl::InlinedVector<blocked_queue, 4> mBlocked;
 };
 
 } // namespace currantshed::proxy
--- a/src/currantshed/proxy/configuration.hpp
+++ b/src/currantshed/proxy/configuration.hpp
@@ -102,9 +102,9 @@
   bool draining = false;
   /// Since when it may have said so, at the earliest; none where only the time
   /// at which that was learned is known.
-  std::optional<clock::time_point> leavingSince;
+  std::optional<clock::time_point> drainingSince;
 
-  [[nodiscard]] incarnation Life() const { return { id, startedAt }; }
+  [[nodiscard]] incarnation Incarnation() const { return { id, startedAt }; }
 
   [[nodiscard]] friend bool operator==(const server&, const server&) = default;
 };
--- a/src/currantshed/proxy/connection.cpp
+++ b/src/currantshed/proxy/connection.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 // Statements take some 10 ms to 100 ms; an answer that is lost comes never.
-constexpr std::chrono::milliseconds kOverdue{ 200 };
+constexpr std::chrono::milliseconds kAnswerOverdue{ 200 };
 // Callers that do not pause send the next statement within a round trip.
-constexpr std::chrono::milliseconds kPause{ 30 };
+constexpr std::chrono::milliseconds kCallerPause{ 30 };
 
 } // namespace
 
@@ -18,15 +18,15 @@
                        std::string aService,
                        std::string aVia,
                        std::string aCustomer,
-                       connection_events& aEvents,
+                       connection_listener& aListener,
                        clock::time_point aNow)
   : server(std::move(aServer))
   , service(std::move(aService))
   , via(std::move(aVia))
   , customer(std::move(aCustomer))
   , idleSince(aNow)
-  , mEvents(aEvents)
-  , mMadeAt(aNow)
+  , mListener(aListener)
+  , mCreatedAt(aNow)
 {
 }
 
@@ -38,16 +38,16 @@
 
 void
 connection::Send(const std::vector<command>& aCommands,
-                 const expected_answer& aExpected)
+                 const pending_command& aPending)
 {
   for (std::size_t i = 0; i < aCommands.size(); ++i) {
-    mExpected.push_back(aExpected);
+    mPending.push_back(aPending);
   }
   mLink->Send(aCommands);
 }
 
 std::vector<command>
-connection::Prelude(const session_values& aValues)
+connection::SessionSetup(const session_values& aValues)
 {
   std::vector<command> commands;
   if (HasValues(aValues)) {
@@ -93,19 +93,18 @@
 }
 
 clock::time_point
-connection::OldestSent() const noexcept
+connection::OldestPendingAt() const noexcept
 {
-  return mExpected.empty() ? clock::time_point::max()
-                           : mExpected.front().sentAt;
+  return mPending.empty() ? clock::time_point::max() : mPending.front().sentAt;
 }
 
 bool
-connection::IsHeldUp(clock::time_point aNow) const noexcept
+connection::IsStalled(clock::time_point aNow) const noexcept
 {
-  if (!mExpected.empty()) {
-    return aNow > mExpected.front().sentAt + kOverdue;
+  if (!mPending.empty()) {
+    return aNow > mPending.front().sentAt + kAnswerOverdue;
   }
-  return user != nullptr && aNow > mAnsweredAt + kPause;
+  return user != nullptr && aNow > mAnsweredAt + kCallerPause;
 }
 
 void
@@ -114,27 +113,27 @@
 {
   mIsOpen = true;
   idleSince = aNow;
-  mEvents.Opened(*this, aAt, aNow);
+  mListener.Opened(*this, aAt, aNow);
 }
 
 void
 connection::Answered(answer aAnswer, clock::time_point aNow)
 {
-  if (mExpected.empty()) {
-    mEvents.Ended(*this, link_end::kMalformed, aNow);
+  if (mPending.empty()) {
+    mListener.Ended(*this, link_close_reason::kMalformed, aNow);
     return;
   }
-  const auto expected = mExpected.front();
-  mExpected.pop_front();
+  const auto pending = mPending.front();
+  mPending.pop_front();
   mAnsweredAt = aNow;
-  mEvents.Answered(*this, expected, std::move(aAnswer), aNow);
+  mListener.Answered(*this, pending, std::move(aAnswer), aNow);
 }
 
 void
-connection::Ended(link_end aWhy, clock::time_point aNow)
+connection::Ended(link_close_reason aWhy, clock::time_point aNow)
 {
   mIsOpen = false;
-  mEvents.Ended(*this, aWhy, aNow);
+  mListener.Ended(*this, aWhy, aNow);
 }
 
 } // namespace currantshed::proxy
--- a/src/currantshed/proxy/connection.hpp
+++ b/src/currantshed/proxy/connection.hpp
@@ -19,7 +19,7 @@
 enum class purpose
 {
   /// Brings the session's values to the connection.
-  kPrelude,
+  kSessionSetup,
   kPrepare,
   kBegin,
   /// The caller's own statement.
@@ -31,32 +31,32 @@
 };
 
 /// A command under way.
-struct expected_answer
+struct pending_command
 {
-  purpose why = purpose::kStatement;
+  purpose sentFor = purpose::kStatement;
   clock::time_point sentAt;
   /// The term whose confirmed primary the server was when the command was
   /// sent, or zero.
   position::term_id confirmedTerm = 0;
   /// For kControl: the number of the order.
-  std::uint64_t order = 0;
+  std::uint64_t controlId = 0;
 };
 
 /// What the engine hears from its connections.
-class connection_events
+class connection_listener
 {
 public:
-  virtual ~connection_events() = default;
+  virtual ~connection_listener() = default;
 
   virtual void Opened(connection& aConnection,
                       const std::optional<position::log_position>& aAt,
                       clock::time_point aNow) = 0;
   virtual void Answered(connection& aConnection,
-                        const expected_answer& aExpected,
+                        const pending_command& aPending,
                         answer aAnswer,
                         clock::time_point aNow) = 0;
   virtual void Ended(connection& aConnection,
-                     link_end aWhy,
+                     link_close_reason aWhy,
                      clock::time_point aNow) = 0;
 };
 
@@ -69,7 +69,7 @@
              std::string aService,
              std::string aVia,
              std::string aCustomer,
-             connection_events& aEvents,
+             connection_listener& aListener,
              clock::time_point aNow);
 
   /// Whether it leads to the server itself, not through another VM.
@@ -85,11 +85,12 @@
 
   /// Sends commands, each for the purpose given.
   void Send(const std::vector<command>& aCommands,
-            const expected_answer& aExpected);
+            const pending_command& aPending);
 
   /// The commands that bring the session's values to this connection; none
   /// when they are there.
-  [[nodiscard]] std::vector<command> Prelude(const session_values& aValues);
+  [[nodiscard]] std::vector<command> SessionSetup(
+    const session_values& aValues);
 
   /// The commands that make the prepared statement known here; none when it
   /// is.
@@ -101,20 +102,23 @@
   [[nodiscard]] bool IsOpen() const noexcept { return mIsOpen; }
   [[nodiscard]] bool IsIdle() const noexcept
   {
-    return mIsOpen && user == nullptr && mExpected.empty();
+    return mIsOpen && user == nullptr && mPending.empty();
   }
-  [[nodiscard]] bool IsQuiet() const noexcept { return mExpected.empty(); }
+  [[nodiscard]] bool HasNoPending() const noexcept { return mPending.empty(); }
   /// When the oldest command without an answer was sent.
-  [[nodiscard]] clock::time_point OldestSent() const noexcept;
+  [[nodiscard]] clock::time_point OldestPendingAt() const noexcept;
   /// Whether it has been of no use for a while: its answer is overdue, or the
   /// caller whose transaction it runs is pausing.
-  [[nodiscard]] bool IsHeldUp(clock::time_point aNow) const noexcept;
-  [[nodiscard]] clock::time_point MadeAt() const noexcept { return mMadeAt; }
+  [[nodiscard]] bool IsStalled(clock::time_point aNow) const noexcept;
+  [[nodiscard]] clock::time_point CreatedAt() const noexcept
+  {
+    return mCreatedAt;
+  }
 
   void Opened(const std::optional<position::log_position>& aAt,
               clock::time_point aNow) override;
   void Answered(answer aAnswer, clock::time_point aNow) override;
-  void Ended(link_end aWhy, clock::time_point aNow) override;
+  void Ended(link_close_reason aWhy, clock::time_point aNow) override;
 
   upstream::server_id server;
   std::string service;
@@ -134,14 +138,14 @@
   bool retiring = false;
 
 private:
-  connection_events& mEvents;
+  connection_listener& mListener;
   std::unique_ptr<upstream_link> mLink;
-  clock::time_point mMadeAt;
+  clock::time_point mCreatedAt;
   clock::time_point mAnsweredAt;
   bool mIsOpen = false;
   session_values mValues;
   absl::flat_hash_set<std::string> mPrepared;
-  std::deque<expected_answer> mExpected;
+  std::deque<pending_command> mPending;
 };
 
 } // namespace currantshed::proxy
--- a/src/currantshed/proxy/strength.hpp
+++ b/src/currantshed/proxy/delegate_selection.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_PROXY_STRENGTH_HPP
-#define CURRANTSHED_PROXY_STRENGTH_HPP
+#ifndef CURRANTSHED_PROXY_DELEGATE_SELECTION_HPP
+#define CURRANTSHED_PROXY_DELEGATE_SELECTION_HPP
 
 #include <string>
 #include <vector>
@@ -7,21 +7,21 @@
 namespace currantshed::proxy {
 
 /// What a VM has to work with.
-struct vm_strength
+struct vm_capacity
 {
   std::string failureDomain;
   /// Processor time, in thousandths of a core.
-  unsigned share = 0;
+  unsigned cpuMillicores = 0;
   /// Stops soon.
-  bool leaving = false;
+  bool draining = false;
 };
 
 /// Whether a VM counts as strong beside the strongest of its failure domain:
 /// with half of what that one has.
 [[nodiscard]] constexpr bool
-IsStrong(unsigned aShare, unsigned aStrongest) noexcept
+HasHighCapacity(unsigned aCpuMillicores, unsigned aMaxCpuMillicores) noexcept
 {
-  return 2 * aShare >= aStrongest;
+  return 2 * aCpuMillicores >= aMaxCpuMillicores;
 }
 
 /// Which of the VMs work for others of their failure domain: hold connections
@@ -31,7 +31,7 @@
 /// for others goes by few VMs then, so that each VM finds out soon when one of
 /// them is out of reach, and it takes less time on a fast VM.
 [[nodiscard]] std::vector<bool>
-WorkForOthers(const std::vector<vm_strength>& aVms);
+SelectDelegates(const std::vector<vm_capacity>& aVms);
 
 } // namespace currantshed::proxy
 
--- a/src/currantshed/proxy/engine.cpp
+++ b/src/currantshed/proxy/engine.cpp
@@ -9,7 +9,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kUpkeepInterval{ 250 };
+constexpr milliseconds kMaintenanceInterval{ 250 };
 // How long another VM's statement may take: that VM has its own, shorter
 // bounds.
 constexpr milliseconds kRelayTimeout{ 10000 };
@@ -36,8 +36,8 @@
                          clock::time_point aNow)
 {
   mConfiguration = std::move(aConfiguration);
-  PlansChanged(aNow);
-  EndResting(false);
+  InvalidatePlans(aNow);
+  CloseIdleSessions(false);
 }
 
 void
@@ -51,27 +51,28 @@
     const bool isNear = listed.failureDomain == mSettings.failureDomain;
     const auto [place, added] = mServers.try_emplace(listed.id, listed, isNear);
     auto& state = place->second;
-    state.List(listed, aNow);
+    state.Update(listed, aNow);
     isAnyNew = isAnyNew || added;
   }
   for (const auto& [id, state] : mServers) {
     if (state.unlisted) {
-      mUpkept.insert(id);
+      mMaintained.insert(id);
     }
   }
   IndexServers();
   if (isAnyNew) {
-    mNextUpkeep = aNow;
+    mNextMaintenance = aNow;
   }
   // What proved a server to lead says nothing of it once it has started again.
-  for (auto& [service, lead] : mLeads) {
-    const auto* primary = Find(lead.proof.primary);
-    if (primary != nullptr && !primary->IsOfThisLife(lead.proof.askedAt)) {
-      lead.proof.askedAt = {};
+  for (auto& [service, leadership] : mLeadership) {
+    const auto* primary = Find(leadership.confirmed.primary);
+    if (primary != nullptr &&
+        !primary->IsOfCurrentIncarnation(leadership.confirmed.askedAt)) {
+      leadership.confirmed.askedAt = {};
     }
   }
   for (const auto& [name, queue] : mQueues) {
-    Pump(name, aNow);
+    DispatchQueued(name, aNow);
   }
 }
 
@@ -80,52 +81,53 @@
 {
   const auto before = mPlanner.Size();
   const bool isOther = mPlanner.SetFleet(std::move(aFleet));
-  if (isOther || CountsForPlans(before, mPlanner.Size())) {
-    PlansChanged(aNow);
+  if (isOther || AffectsPlans(before, mPlanner.Size())) {
+    InvalidatePlans(aNow);
   }
 }
 
 void
 engine::Confirm(const std::string& aService,
-                const confirmation& aProof,
+                const confirmation& aConfirmation,
                 clock::time_point aNow)
 {
-  auto& lead = LeadOf(aService);
-  const auto* primary = Find(aProof.primary);
-  const bool isOfOldLife =
-    primary != nullptr && !primary->IsOfThisLife(aProof.askedAt);
-  if (aProof.term < lead.proof.term || aProof.term <= lead.revoked ||
-      isOfOldLife) {
+  auto& leadership = LeadershipOf(aService);
+  const auto* primary = Find(aConfirmation.primary);
+  const bool isOfOldIncarnation =
+    primary != nullptr &&
+    !primary->IsOfCurrentIncarnation(aConfirmation.askedAt);
+  if (aConfirmation.term < leadership.confirmed.term ||
+      aConfirmation.term <= leadership.revoked || isOfOldIncarnation) {
     return;
   }
-  if (aProof.term > lead.proof.term) {
+  if (aConfirmation.term > leadership.confirmed.term) {
     // Positions of the old term may have been rolled back.
-    lead.samples = {};
-  } else if (aProof.askedAt <= lead.proof.askedAt) {
+    leadership.samples = {};
+  } else if (aConfirmation.askedAt <= leadership.confirmed.askedAt) {
     return;
   }
-  lead.proof = aProof;
-  ReleaseHeld(aService, aNow);
-  Pump(aService, aNow);
+  leadership.confirmed = aConfirmation;
+  ReleaseHeldAnswers(aService, aNow);
+  DispatchQueued(aService, aNow);
 }
 
 void
 engine::AddSample(const std::string& aService, const position_sample& aSample)
 {
-  auto& lead = LeadOf(aService);
-  if (aSample.term == lead.proof.term) {
-    lead.samples.Add(aSample.position, aSample.askedAt);
+  auto& leadership = LeadershipOf(aService);
+  if (aSample.term == leadership.confirmed.term) {
+    leadership.samples.Add(aSample.position, aSample.askedAt);
   }
 }
 
 void
 engine::Revoke(const std::string& aService, position::term_id aTerm)
 {
-  auto& lead = LeadOf(aService);
-  if (aTerm == 0 && lead.proof.term <= lead.revoked) {
-    lead.proof.askedAt = {};
+  auto& leadership = LeadershipOf(aService);
+  if (aTerm == 0 && leadership.confirmed.term <= leadership.revoked) {
+    leadership.confirmed.askedAt = {};
   }
-  lead.revoked = aTerm == 0 ? 0 : std::max(lead.revoked, aTerm);
+  leadership.revoked = aTerm == 0 ? 0 : std::max(leadership.revoked, aTerm);
 }
 
 std::optional<engine::session_id>
@@ -150,7 +152,7 @@
   }
   const auto id = ++mLastNumber;
   auto made = std::make_unique<session>(id, std::string(), aCaller);
-  made->relaysTo = aServer;
+  made->relayTarget = aServer;
   route relayed;
   relayed.service = state->listed.service;
   relayed.statementTimeout = kRelayTimeout;
@@ -175,7 +177,7 @@
     from.backlog.push_back(std::move(aAsked));
     return;
   }
-  Take(from, std::move(aAsked), aNow);
+  Accept(from, std::move(aAsked), aNow);
 }
 
 transaction_state
@@ -194,13 +196,13 @@
     return;
   }
   auto& closed = *found->second;
-  closed.gone = true;
+  closed.callerLeft = true;
   closed.backlog.clear();
   if (closed.current && closed.current->at == stage::kAwaitingToken) {
     NoteDecision(closed, "caller_left", "waiting", false, aNow);
     closed.current.reset();
-  } else if (closed.current && closed.current->at == stage::kWaiting) {
-    Unqueue(closed);
+  } else if (closed.current && closed.current->at == stage::kQueued) {
+    Dequeue(closed);
     NoteDecision(closed, "caller_left", "waiting", false, aNow);
     closed.current.reset();
   } else if (closed.current && closed.current->at == stage::kConfirming) {
@@ -220,12 +222,12 @@
   for (const auto& [id, one] : mSessions) {
     const bool isIdle =
       !one->current && !one->transaction && one->backlog.empty();
-    if (isIdle && !one->farEnd.HasUnread()) {
+    if (isIdle && !one->client.HasUnread()) {
       idle.push_back(one.get());
     }
   }
   for (auto* one : idle) {
-    one->farEnd.Close();
+    one->client.Close();
   }
 }
 
@@ -240,7 +242,7 @@
   }
   for (auto* one : open) {
     EndTransaction(*one, aNow);
-    one->farEnd.Close();
+    one->client.Close();
   }
 }
 
@@ -254,11 +256,11 @@
 }
 
 std::vector<std::string>
-engine::UsedSince(clock::time_point aTime) const
+engine::ServicesUsedSince(clock::time_point aTime) const
 {
   std::vector<std::string> used;
-  for (const auto& [service, lead] : mLeads) {
-    if (lead.usedAt >= aTime) {
+  for (const auto& [service, leadership] : mLeadership) {
+    if (leadership.lastUsedAt >= aTime) {
       used.push_back(service);
     }
   }
@@ -266,22 +268,23 @@
 }
 
 std::optional<clock::time_point>
-engine::HeardAt(const upstream::server_id& aServer) const
+engine::LastContactAt(const upstream::server_id& aServer) const
 {
   const auto found = mServers.find(aServer);
-  if (found == mServers.end() || found->second.heardAt == clock::time_point{}) {
+  if (found == mServers.end() ||
+      found->second.lastContactAt == clock::time_point{}) {
     return std::nullopt;
   }
-  return found->second.heardAt;
+  return found->second.lastContactAt;
 }
 
-std::vector<heard_server>
-engine::HeardSince(clock::time_point aTime) const
+std::vector<server_contact>
+engine::ContactsSince(clock::time_point aTime) const
 {
-  std::vector<heard_server> heard;
+  std::vector<server_contact> heard;
   for (const auto& [id, state] : mServers) {
-    if (state.heardAt >= aTime) {
-      heard.push_back({ state.listed.service, id, state.heardAt });
+    if (state.lastContactAt >= aTime) {
+      heard.push_back({ state.listed.service, id, state.lastContactAt });
     }
   }
   return heard;
@@ -291,7 +294,7 @@
 engine::Tick(clock::time_point aNow)
 {
   mDiscarded.clear();
-  ExpireOrders(aNow);
+  ExpireControls(aNow);
   while (!mTimers.empty() && mTimers.begin()->first <= aNow) {
     const auto id = mTimers.begin()->second;
     mTimers.erase(mTimers.begin());
@@ -301,12 +304,12 @@
       DropIfGone(id);
     }
   }
-  if (aNow >= mNextUpkeep) {
-    mNextUpkeep = aNow + kUpkeepInterval;
+  if (aNow >= mNextMaintenance) {
+    mNextMaintenance = aNow + kMaintenanceInterval;
     AvoidSilentRelays(aNow);
     TrimConnections(aNow);
     for (const auto& [name, queue] : mQueues) {
-      Pump(name, aNow);
+      DispatchQueued(name, aNow);
     }
   }
 }
@@ -314,11 +317,11 @@
 clock::time_point
 engine::NextTick() const
 {
-  auto next = mNextUpkeep;
+  auto next = mNextMaintenance;
   if (!mTimers.empty()) {
     next = std::min(next, mTimers.begin()->first);
   }
-  for (const auto& [number, one] : mOrders) {
+  for (const auto& [number, one] : mControls) {
     next = std::min(next, one.deadline);
   }
   return next;
--- a/src/currantshed/proxy/engine.hpp
+++ b/src/currantshed/proxy/engine.hpp
@@ -23,10 +23,10 @@
 #include "currantshed/confirm/position_samples.hpp"
 #include "currantshed/customer/directory.hpp"
 #include "currantshed/customer/freshness.hpp"
-#include "currantshed/customer/token_purse.hpp"
+#include "currantshed/customer/token_cache.hpp"
+#include "currantshed/proxy/blocked_queues.hpp"
 #include "currantshed/proxy/configuration.hpp"
 #include "currantshed/proxy/connection.hpp"
-#include "currantshed/proxy/lanes.hpp"
 #include "currantshed/proxy/server_state.hpp"
 #include "currantshed/proxy/session.hpp"
 
@@ -72,7 +72,7 @@
   /// Age of the floor's position.
   clock::duration floorAge{ 0 };
   /// How long the server may have been leaving, if it does.
-  std::optional<clock::duration> leavingFor;
+  std::optional<clock::duration> drainingFor;
   /// Whether it is one of the ordinary successes.
   bool ordinary = false;
   /// Whether the caller's request ends with it.
@@ -80,7 +80,7 @@
 };
 
 /// Whether a session may begin.
-enum class entry
+enum class session_admission
 {
   kGranted,
   kNoDatabase,
@@ -88,9 +88,9 @@
   kUnknownKey,
   /// No customer is known to have the key; a newer configuration may say
   /// otherwise.
-  kKeyMayBeNew,
+  kKeyNotYetKnown,
   /// The keys that are known may have been taken away.
-  kKeysOld,
+  kKeysStale,
 };
 
 /// What the engine tells the process around it.
@@ -103,8 +103,8 @@
   virtual void NeedsConfirmation(const std::string& aService) = 0;
 
   /// A server refused a write as one that does not lead.
-  virtual void LeadDenied(const std::string& aService,
-                          position::term_id aTerm) = 0;
+  virtual void LeadershipDenied(const std::string& aService,
+                                position::term_id aTerm) = 0;
 
   /// So many operations of a customer wait for tokens.
   virtual void NeedsTokens(const std::string& aCustomer, unsigned aCount) = 0;
@@ -112,9 +112,9 @@
   virtual void Decided(const decision& aDecision) = 0;
 
   /// A server became reachable, or stopped being so.
-  virtual void Reached(const server& aServer,
-                       bool aIsReached,
-                       std::string_view aReason) = 0;
+  virtual void ReachabilityChanged(const server& aServer,
+                                   bool aIsReachable,
+                                   std::string_view aReason) = 0;
 };
 
 struct engine_settings
@@ -125,11 +125,11 @@
   /// How long a confirmation holds.
   std::chrono::milliseconds validity{ 1000 };
   /// How long a server that leaves may be used after it has said so.
-  std::chrono::milliseconds leavingUse{ 3500 };
+  std::chrono::milliseconds drainGracePeriod{ 3500 };
 };
 
 /// When a server of a service last answered anything.
-struct heard_server
+struct server_contact
 {
   std::string service;
   upstream::server_id server;
@@ -138,7 +138,7 @@
 
 /// How an order to a server ended: the server's word, none when it refused
 /// or could not be asked.
-struct order_result
+struct control_result
 {
   std::optional<server_report> report;
   /// The server answered, though perhaps without a report.
@@ -148,11 +148,11 @@
 
 /// Sessions, routing, connections to servers, and what may be told to callers.
 /// Does no I/O of its own and asks for no time. Belongs to one thread.
-class engine final : private connection_events
+class engine final : private connection_listener
 {
 public:
   using session_id = std::uint64_t;
-  using order_callback = std::function<void(const order_result&)>;
+  using control_callback = std::function<void(const control_result&)>;
 
   engine(const engine_settings& aSettings,
          link_opener& aOpener,
@@ -167,7 +167,7 @@
   /// The VMs that share the servers' connections, this one included.
   void SetFleet(std::vector<fleet_vm> aFleet, clock::time_point aNow);
   void Confirm(const std::string& aService,
-               const confirmation& aProof,
+               const confirmation& aConfirmation,
                clock::time_point aNow);
   void AddSample(const std::string& aService, const position_sample& aSample);
   /// Nothing may rest any longer on proof of this term or an earlier one; zero
@@ -191,13 +191,13 @@
 
   /// Ends the sessions of customers that rest: their callers find a VM that can
   /// tell whether their keys are still in force.
-  void EndRestingOfCustomers();
+  void CloseIdleCustomerSessions();
 
   /// Whether a session may begin that was asked for at that time.
-  [[nodiscard]] entry Admits(const std::string& aDatabase,
-                             const std::string& aKey,
-                             clock::time_point aAskedAt,
-                             clock::time_point aNow) const;
+  [[nodiscard]] session_admission Admits(const std::string& aDatabase,
+                                         const std::string& aKey,
+                                         clock::time_point aAskedAt,
+                                         clock::time_point aNow) const;
 
   /// Begins a session; none when no route has that database.
   [[nodiscard]] std::optional<session_id> Open(std::string aDatabase,
@@ -217,12 +217,12 @@
 
   /// Sends a question or order of the system itself to a server, on a direct
   /// connection or on any.
-  void Order(const upstream::server_id& aServer,
-             command aCommand,
-             bool aDirect,
-             std::chrono::milliseconds aTimeout,
-             order_callback aDone,
-             clock::time_point aNow);
+  void SendControl(const upstream::server_id& aServer,
+                   command aCommand,
+                   bool aDirect,
+                   std::chrono::milliseconds aTimeout,
+                   control_callback aDone,
+                   clock::time_point aNow);
 
   /// From now on sessions end as soon as they are idle.
   void Drain();
@@ -236,62 +236,65 @@
   [[nodiscard]] std::size_t Requests() const;
 
   /// The services that callers have used since then.
-  [[nodiscard]] std::vector<std::string> UsedSince(
+  [[nodiscard]] std::vector<std::string> ServicesUsedSince(
     clock::time_point aTime) const;
 
   /// When a server last answered anything; none when it never did.
-  [[nodiscard]] std::optional<clock::time_point> HeardAt(
+  [[nodiscard]] std::optional<clock::time_point> LastContactAt(
     const upstream::server_id& aServer) const;
 
   /// The servers that have answered anything since then.
-  [[nodiscard]] std::vector<heard_server> HeardSince(
+  [[nodiscard]] std::vector<server_contact> ContactsSince(
     clock::time_point aTime) const;
 
   /// Servers that were looked at for a request, and plans that were made; they
   /// count work.
-  [[nodiscard]] std::uint64_t LookedAt() const noexcept { return mLookedAt; }
+  [[nodiscard]] std::uint64_t ServersExamined() const noexcept
+  {
+    return mServersExamined;
+  }
   [[nodiscard]] std::uint64_t PlansMade() const noexcept { return mPlansMade; }
 
   void Tick(clock::time_point aNow);
   [[nodiscard]] clock::time_point NextTick() const;
 
 private:
-  struct lead_state
+  struct leadership_state
   {
-    confirmation proof;
+    confirmation confirmed;
     position::term_id revoked = 0;
     confirm::position_samples samples;
-    clock::time_point wantedAt;
+    clock::time_point requestedAt;
     // When a caller of this VM last sent a request or began a transaction.
-    clock::time_point usedAt;
+    clock::time_point lastUsedAt;
   };
 
-  struct order
+  struct control_command
   {
     upstream::server_id server;
     command what;
     bool direct = true;
     clock::time_point deadline;
-    order_callback done;
-    connection* on = nullptr;
+    control_callback done;
+    connection* serverConnection = nullptr;
     clock::time_point askedAt;
   };
 
   /// The requests of one group that wait, by lane. Lanes stay where they are
   /// while others are added: one may begin while another is being served.
-  using lanes = std::map<std::string, admit::deadline_queue>;
+  using dispatch_queues = std::map<std::string, admit::deadline_queue>;
 
   // States stay where they are while others are added.
   using servers = std::map<upstream::server_id, server_state>;
   using timer = std::pair<clock::time_point, session_id>;
 
   // Sessions and requests.
-  void Take(session& aSession,
-            session_statement aAsked,
-            clock::time_point aNow);
-  void AnswerLost(session& aSession,
-                  const session_statement& aAsked,
-                  clock::time_point aNow);
+  void Accept(session& aSession,
+              session_statement aAsked,
+              clock::time_point aNow);
+  void FailLostTransaction(session& aSession,
+                           const session_statement& aAsked,
+                           clock::time_point aNow);
   [[nodiscard]] std::shared_ptr<const route> RouteOf(
     const session& aSession) const;
   void Finish(session& aSession, answer aAnswer, clock::time_point aNow);
@@ -305,17 +308,17 @@
   void Expire(session& aSession, clock::time_point aNow);
 
   // Customers.
-  [[nodiscard]] bool TellsCustomersApart(const route& aRoute) const;
-  [[nodiscard]] std::optional<failure> WhyNotEntitled(
+  [[nodiscard]] bool RequiresCustomer(const route& aRoute) const;
+  [[nodiscard]] std::optional<failure> AuthorizationFailure(
     const session& aSession,
     const route& aRoute,
     clock::time_point aNow) const;
-  [[nodiscard]] std::shared_ptr<const customer::customer> OwnerOf(
+  [[nodiscard]] std::shared_ptr<const customer::customer> CustomerOf(
     const session& aSession,
     const route& aRoute) const;
-  void EndResting(bool aAll);
-  [[nodiscard]] bool MayBegin(session& aSession, clock::time_point aNow);
-  [[nodiscard]] session* NextForToken(const std::string& aCustomer);
+  void CloseIdleSessions(bool aAll);
+  [[nodiscard]] bool TakeToken(session& aSession, clock::time_point aNow);
+  [[nodiscard]] session* NextAwaitingToken(const std::string& aCustomer);
   void RefuseOverQuota(session& aSession,
                        std::chrono::milliseconds aRetryAfter,
                        clock::time_point aNow);
@@ -324,39 +327,40 @@
   // Dispatch.
   void Dispatch(session& aSession, clock::time_point aNow);
   [[nodiscard]] bool TryStart(session& aSession, clock::time_point aNow);
-  void Wait(session& aSession, clock::time_point aNow);
+  void Enqueue(session& aSession, clock::time_point aNow);
   [[nodiscard]] admit::admission Admit(session& aSession,
                                        clock::time_point aNow);
   [[nodiscard]] bool IsOutage(const session& aSession, clock::time_point aNow);
-  void TurnAway(session& aSession,
-                std::string_view aWhy,
-                clock::time_point aNow);
-  [[nodiscard]] static failure_code RefusalOf(const request& aRequest) noexcept;
-  [[nodiscard]] std::string_view WhatLacks(const session& aSession,
-                                           clock::time_point aNow);
-  [[nodiscard]] admit::deadline_queue& LaneOf(const session& aSession);
+  void Reject(session& aSession, std::string_view aWhy, clock::time_point aNow);
+  [[nodiscard]] static failure_code RefusalCode(
+    const request& aRequest) noexcept;
+  [[nodiscard]] std::string_view MissingResource(const session& aSession,
+                                                 clock::time_point aNow);
+  [[nodiscard]] admit::deadline_queue& QueueOf(const session& aSession);
   [[nodiscard]] admit::retry_budget& RetriesOf(const request& aRequest);
   void Requeue(session& aSession, clock::time_point aNow);
-  void Unqueue(session& aSession);
-  void Start(session& aSession, connection& aOn, clock::time_point aNow);
+  void Dequeue(session& aSession);
+  void Start(session& aSession,
+             connection& aServerConnection,
+             clock::time_point aNow);
   void Advance(session& aSession, clock::time_point aNow);
   void SendBegin(session& aSession, clock::time_point aNow);
   void SendStatement(session& aSession, clock::time_point aNow);
-  [[nodiscard]] expected_answer Expect(purpose aWhy,
-                                       const request& aRequest,
-                                       clock::time_point aNow);
-  void Pump(const std::string& aService, clock::time_point aNow);
-  void PumpLanes(lanes& aLanes, clock::time_point aNow);
-  void PumpLane(admit::deadline_queue& aLane,
-                bool aInTime,
-                blocked_lanes& aBlocked,
-                clock::time_point aNow);
+  [[nodiscard]] pending_command MakePending(purpose aWhy,
+                                            const request& aRequest,
+                                            clock::time_point aNow);
+  void DispatchQueued(const std::string& aService, clock::time_point aNow);
+  void DispatchQueues(dispatch_queues& aQueues, clock::time_point aNow);
+  void DispatchQueue(admit::deadline_queue& aQueue,
+                     bool aInTime,
+                     blocked_queues& aBlocked,
+                     clock::time_point aNow);
 
   // Choice of a server.
-  [[nodiscard]] lead_state& LeadOf(const std::string& aService);
-  [[nodiscard]] bool Leads(const lead_state& aLead,
-                           const upstream::server_id& aServer,
-                           clock::time_point aNow) const;
+  [[nodiscard]] leadership_state& LeadershipOf(const std::string& aService);
+  [[nodiscard]] bool IsConfirmedPrimary(const leadership_state& aLeadership,
+                                        const upstream::server_id& aServer,
+                                        clock::time_point aNow) const;
   [[nodiscard]] read_floor FloorOf(const session& aSession,
                                    clock::time_point aNow);
   [[nodiscard]] connection* ConnectionForWrite(session& aSession,
@@ -367,14 +371,14 @@
                                                clock::time_point aNow);
   [[nodiscard]] bool CanServe(const server_state& aServer,
                               const request& aRequest,
-                              const lead_state& aLead,
+                              const leadership_state& aLeadership,
                               clock::time_point aNow) const;
-  [[nodiscard]] bool TakesWork(const upstream::server_id& aServer,
-                               const request& aRequest,
-                               clock::time_point aNow) const;
-  [[nodiscard]] std::optional<position::log_position> MustHold(
+  [[nodiscard]] bool AcceptsWork(const upstream::server_id& aServer,
+                                 const request& aRequest,
+                                 clock::time_point aNow) const;
+  [[nodiscard]] std::optional<position::log_position> RequiredPosition(
     const request& aRequest);
-  void AskForProof(const std::string& aService, clock::time_point aNow);
+  void RequestConfirmation(const std::string& aService, clock::time_point aNow);
 
   // Connections.
   [[nodiscard]] connection* Acquire(server_state& aServer,
@@ -384,13 +388,12 @@
                       const path& aVia,
                       const std::string& aCustomer,
                       clock::time_point aNow);
-  [[nodiscard]] std::size_t MostConnections(const server_state& aServer) const;
-  server_state& Planned(server_state& aServer);
-  [[nodiscard]] bool CountsForPlans(std::size_t aBefore,
-                                    std::size_t aNow) const;
-  void PlansChanged(clock::time_point aNow);
+  [[nodiscard]] std::size_t MaxConnections(const server_state& aServer) const;
+  server_state& WithPlan(server_state& aServer);
+  [[nodiscard]] bool AffectsPlans(std::size_t aBefore, std::size_t aNow) const;
+  void InvalidatePlans(clock::time_point aNow);
   void IndexServers();
-  void ListHeld();
+  void ListHeldServers();
   void TrimServer(server_state& aState,
                   std::vector<connection*>& aEnded,
                   clock::time_point aNow);
@@ -398,14 +401,14 @@
     const std::string& aService) const;
   void AvoidSilentRelays(clock::time_point aNow);
   void AvoidRelay(const std::string& aVm, clock::time_point aNow);
-  [[nodiscard]] static bool MayMove(const session& aSession);
-  void GiveBack(connection& aConnection, clock::time_point aNow);
+  [[nodiscard]] static bool CanReroute(const session& aSession);
+  void ReturnConnection(connection& aConnection, clock::time_point aNow);
   void Discard(connection& aConnection);
-  void GiveUp(server_state& aState,
-              const connection& aConnection,
-              clock::time_point aNow,
-              std::string_view aReason);
-  [[nodiscard]] static std::chrono::milliseconds LongestIdle(
+  void MarkUnresponsive(server_state& aState,
+                        const connection& aConnection,
+                        clock::time_point aNow,
+                        std::string_view aReason);
+  [[nodiscard]] static std::chrono::milliseconds MaxIdleTime(
     const server_state& aState,
     const connection& aConnection);
   void TrimConnections(clock::time_point aNow);
@@ -416,37 +419,37 @@
               const std::optional<position::log_position>& aAt,
               clock::time_point aNow) override;
   void Answered(connection& aConnection,
-                const expected_answer& aExpected,
+                const pending_command& aPending,
                 answer aAnswer,
                 clock::time_point aNow) override;
   void Ended(connection& aConnection,
-             link_end aWhy,
+             link_close_reason aWhy,
              clock::time_point aNow) override;
-  void Learn(connection& aConnection,
-             const expected_answer& aExpected,
-             const answer& aAnswer,
-             clock::time_point aNow);
-  void PreludeAnswered(session& aSession,
-                       const answer& aAnswer,
-                       clock::time_point aNow);
+  void RecordAnswer(connection& aConnection,
+                    const pending_command& aPending,
+                    const answer& aAnswer,
+                    clock::time_point aNow);
+  void SetupAnswered(session& aSession,
+                     const answer& aAnswer,
+                     clock::time_point aNow);
   void BeginAnswered(session& aSession, answer aAnswer, clock::time_point aNow);
   void StatementAnswered(session& aSession,
                          answer aAnswer,
                          clock::time_point aNow);
   void Succeeded(session& aSession, answer aAnswer, clock::time_point aNow);
   void Refused(session& aSession, answer aAnswer, clock::time_point aNow);
-  [[nodiscard]] bool TryElsewhere(session& aSession,
-                                  const failure& aWhy,
-                                  clock::time_point aNow);
-  void NoteReached(server_state& aState,
-                   bool aIsReached,
-                   std::string_view aReason);
+  [[nodiscard]] bool RetryElsewhere(session& aSession,
+                                    const failure& aWhy,
+                                    clock::time_point aNow);
+  void NoteReachability(server_state& aState,
+                        bool aIsReachable,
+                        std::string_view aReason);
   [[nodiscard]] bool IsConfirmed(const request& aRequest);
   void Acknowledge(session& aSession, answer aAnswer, clock::time_point aNow);
   void AcknowledgeHeld(session& aSession, clock::time_point aNow);
   void ReleaseConnection(session& aSession, clock::time_point aNow);
-  void ReleaseHeld(const std::string& aService, clock::time_point aNow);
-  void LinkLost(session& aSession, clock::time_point aNow);
+  void ReleaseHeldAnswers(const std::string& aService, clock::time_point aNow);
+  void ConnectionLost(session& aSession, clock::time_point aNow);
   void EndRelay(session& aSession);
   void NoteDecision(const session& aSession,
                     std::string_view aOutcome,
@@ -455,13 +458,14 @@
                     clock::time_point aNow);
 
   // Orders.
-  void PumpOrders(const upstream::server_id& aServer, clock::time_point aNow);
-  void OpenForOrder(server_state& aServer,
-                    bool aDirect,
-                    clock::time_point aNow);
-  void EndOrder(std::uint64_t aNumber, const order_result& aResult);
-  void ExpireOrders(clock::time_point aNow);
-  void FailOrdersOn(const connection& aConnection);
+  void DispatchControls(const upstream::server_id& aServer,
+                        clock::time_point aNow);
+  void OpenForControl(server_state& aServer,
+                      bool aDirect,
+                      clock::time_point aNow);
+  void FinishControl(std::uint64_t aNumber, const control_result& aResult);
+  void ExpireControls(clock::time_point aNow);
+  void FailControlsOn(const connection& aConnection);
 
   engine_settings mSettings;
   link_opener& mOpener;
@@ -472,41 +476,41 @@
     std::make_shared<const configuration>();
   customer::freshness mFreshness{ std::chrono::milliseconds{ 0 } };
   // When each VM that work goes through was last heard.
-  absl::btree_map<std::string, clock::time_point> mRelaysHeard;
+  absl::btree_map<std::string, clock::time_point> mRelayContacts;
   access_planner mPlanner;
   // Which state of fleet and configuration plans are to be made for. They are
   // made when a server is used: most VMs use few of all.
-  std::uint64_t mPlansFor = 1;
+  std::uint64_t mPlanEpoch = 1;
   servers mServers;
   // The servers of each service, by id.
   absl::flat_hash_map<std::string, std::vector<server_state*>> mByService;
   // Servers to which there are connections, or were until lately, and those
   // that are not listed any longer.
-  absl::btree_set<upstream::server_id> mUpkept;
+  absl::btree_set<upstream::server_id> mMaintained;
   // Servers to which this VM is meant to hold connections, once it is known.
-  std::optional<std::vector<server_state*>> mHeld;
+  std::optional<std::vector<server_state*>> mHeldServers;
   // References to its values are kept while others are added.
-  std::map<std::string, lead_state> mLeads;
+  std::map<std::string, leadership_state> mLeadership;
   absl::flat_hash_map<session_id, std::unique_ptr<session>> mSessions;
   // Tokens at hand, and the sessions whose requests wait for some, by customer.
-  customer::token_purse mTokens;
+  customer::token_cache mTokens;
   absl::flat_hash_map<std::string, std::deque<session_id>> mTokenQueues;
   // What may be sent again after a server or another VM was too busy for it.
   std::map<std::string, admit::retry_budget> mRetries;
-  std::map<std::string, lanes> mQueues;
+  std::map<std::string, dispatch_queues> mQueues;
   // The sessions whose requests wait, by the request's number.
   absl::flat_hash_map<std::uint64_t, session_id> mWaiting;
   absl::btree_set<timer> mTimers;
-  absl::btree_map<std::uint64_t, order> mOrders;
+  absl::btree_map<std::uint64_t, control_command> mControls;
   // Connections taken out of use that may still be on the call stack.
   std::vector<std::unique_ptr<connection>> mDiscarded;
   std::uint64_t mLastNumber = 0;
-  std::uint64_t mLookedAt = 0;
+  std::uint64_t mServersExamined = 0;
   std::uint64_t mPlansMade = 0;
   bool mIsDraining = false;
   // Whether requests are given connections that stand, and none is opened.
   bool mOnlyIdle = false;
-  clock::time_point mNextUpkeep;
+  clock::time_point mNextMaintenance;
 };
 
 } // namespace currantshed::proxy
--- a/src/currantshed/proxy/engine_answers.cpp
+++ b/src/currantshed/proxy/engine_answers.cpp
@@ -10,7 +10,7 @@
 // Whether the server itself has answered: what another VM on the way answers
 // by itself has no position.
 bool
-IsServersWord(const connection& aConnection, const answer& aAnswer)
+IsFromServer(const connection& aConnection, const answer& aAnswer)
 {
   return aConnection.IsDirect() || aAnswer.position.has_value();
 }
@@ -28,49 +28,51 @@
   }
   // Another VM opens its relay by itself.
   if (aConnection.IsDirect()) {
-    state->heardAt = aNow;
-    NoteReached(*state, true, "answered");
+    state->lastContactAt = aNow;
+    NoteReachability(*state, true, "answered");
   } else {
-    mRelaysHeard[aConnection.via] = aNow;
+    mRelayContacts[aConnection.via] = aNow;
   }
   if (aAt) {
-    state->At(*aAt, LeadOf(aConnection.service).samples, aNow);
+    state->ObservePosition(
+      *aAt, LeadershipOf(aConnection.service).samples, aNow);
   }
-  PumpOrders(aConnection.server, aNow);
-  Pump(aConnection.service, aNow);
+  DispatchControls(aConnection.server, aNow);
+  DispatchQueued(aConnection.service, aNow);
 }
 
 void
 engine::Answered(connection& aConnection,
-                 const expected_answer& aExpected,
+                 const pending_command& aPending,
                  answer aAnswer,
                  clock::time_point aNow)
 {
-  Learn(aConnection, aExpected, aAnswer, aNow);
+  RecordAnswer(aConnection, aPending, aAnswer, aNow);
   if (!aConnection.IsDirect()) {
-    mRelaysHeard[aConnection.via] = aNow;
+    mRelayContacts[aConnection.via] = aNow;
   }
-  if (aExpected.why == purpose::kControl) {
-    const bool isServers = IsServersWord(aConnection, aAnswer);
-    EndOrder(aExpected.order, { aAnswer.report, isServers, aExpected.sentAt });
+  if (aPending.sentFor == purpose::kControl) {
+    const bool isFromServer = IsFromServer(aConnection, aAnswer);
+    FinishControl(aPending.controlId,
+                  { aAnswer.report, isFromServer, aPending.sentAt });
     if (aConnection.IsIdle()) {
-      GiveBack(aConnection, aNow);
+      ReturnConnection(aConnection, aNow);
     }
     return;
   }
   auto* user = aConnection.user;
-  if (aExpected.why == purpose::kRollback || user == nullptr) {
+  if (aPending.sentFor == purpose::kRollback || user == nullptr) {
     // A rollback that failed leaves the connection in an unknown state.
     aConnection.retiring = aConnection.retiring || aAnswer.failed.has_value();
-    if (aConnection.IsQuiet()) {
-      GiveBack(aConnection, aNow);
+    if (aConnection.HasNoPending()) {
+      ReturnConnection(aConnection, aNow);
     }
     return;
   }
   const auto id = user->number;
-  switch (aExpected.why) {
-    case purpose::kPrelude:
-      PreludeAnswered(*user, aAnswer, aNow);
+  switch (aPending.sentFor) {
+    case purpose::kSessionSetup:
+      SetupAnswered(*user, aAnswer, aNow);
       break;
     case purpose::kPrepare:
       // What it should have made known fails by itself, without running.
@@ -87,57 +89,57 @@
 }
 
 void
-engine::Learn(connection& aConnection,
-              const expected_answer& aExpected,
-              const answer& aAnswer,
-              clock::time_point aNow)
+engine::RecordAnswer(connection& aConnection,
+                     const pending_command& aPending,
+                     const answer& aAnswer,
+                     clock::time_point aNow)
 {
   auto* state = Find(aConnection.server);
   if (state == nullptr) {
     return;
   }
-  if (IsServersWord(aConnection, aAnswer)) {
-    state->heardAt = aNow;
-    NoteReached(*state, true, "answered");
+  if (IsFromServer(aConnection, aAnswer)) {
+    state->lastContactAt = aNow;
+    NoteReachability(*state, true, "answered");
   }
   if (!aAnswer.position) {
     return;
   }
-  auto& lead = LeadOf(aConnection.service);
-  const bool isSample = aExpected.confirmedTerm != 0 &&
-                        aExpected.confirmedTerm == lead.proof.term &&
-                        lead.proof.primary == aConnection.server;
+  auto& leadership = LeadershipOf(aConnection.service);
+  const bool isSample = aPending.confirmedTerm != 0 &&
+                        aPending.confirmedTerm == leadership.confirmed.term &&
+                        leadership.confirmed.primary == aConnection.server;
   if (isSample) {
-    lead.samples.Add(*aAnswer.position, aExpected.sentAt);
+    leadership.samples.Add(*aAnswer.position, aPending.sentAt);
   }
-  state->At(*aAnswer.position, lead.samples, aNow);
+  state->ObservePosition(*aAnswer.position, leadership.samples, aNow);
 }
 
 void
-engine::NoteReached(server_state& aState,
-                    bool aIsReached,
-                    std::string_view aReason)
+engine::NoteReachability(server_state& aState,
+                         bool aIsReachable,
+                         std::string_view aReason)
 {
-  if (aState.reached != aIsReached) {
-    aState.reached = aIsReached;
-    mHost.Reached(aState.listed, aIsReached, aReason);
+  if (aState.reachable != aIsReachable) {
+    aState.reachable = aIsReachable;
+    mHost.ReachabilityChanged(aState.listed, aIsReachable, aReason);
   }
 }
 
 void
-engine::PreludeAnswered(session& aSession,
-                        const answer& aAnswer,
-                        clock::time_point aNow)
+engine::SetupAnswered(session& aSession,
+                      const answer& aAnswer,
+                      clock::time_point aNow)
 {
   auto& request = *aSession.current;
   if (aAnswer.failed) {
     // Which values the connection has now is not known.
-    request.on->retiring = true;
-    request.refusedBy.push_back(request.on->server);
-    LinkLost(aSession, aNow);
+    request.serverConnection->retiring = true;
+    request.refusedBy.push_back(request.serverConnection->server);
+    ConnectionLost(aSession, aNow);
     return;
   }
-  if (--request.awaited == 0) {
+  if (--request.awaitedAnswers == 0) {
     Advance(aSession, aNow);
   }
 }
@@ -147,7 +149,7 @@
 {
   auto& request = *aSession.current;
   if (aAnswer.failed) {
-    request.on->transactionOpen = false;
+    request.serverConnection->transactionOpen = false;
     Refused(aSession, std::move(aAnswer), aNow);
     return;
   }
@@ -156,10 +158,11 @@
     Finish(aSession, std::move(aAnswer), aNow);
     return;
   }
-  const auto& lead = LeadOf(request.under->service);
-  const bool stillLeads =
-    request.term == lead.proof.term && Leads(lead, request.ranOn, aNow);
-  if (request.needsPrimary && !stillLeads) {
+  const auto& leadership = LeadershipOf(request.assignedRoute->service);
+  const bool isStillConfirmed =
+    request.term == leadership.confirmed.term &&
+    IsConfirmedPrimary(leadership, request.lastServer, aNow);
+  if (request.needsPrimary && !isStillConfirmed) {
     ReleaseConnection(aSession, aNow);
     Requeue(aSession, aNow);
     return;
@@ -185,17 +188,17 @@
 engine::Succeeded(session& aSession, answer aAnswer, clock::time_point aNow)
 {
   auto& request = *aSession.current;
-  if (auto* state = Find(request.ranOn)) {
+  if (auto* state = Find(request.lastServer)) {
     state->Served(request.sentAt, aNow);
   }
-  LaneOf(aSession).Served(aNow - request.sentAt);
+  QueueOf(aSession).Served(aNow - request.sentAt);
   const bool isCommit = request.asked.kind == statement_kind::kCommit;
   if (aSession.transaction && !isCommit) {
     NoteDecision(aSession, "served", "in_transaction", true, aNow);
     Finish(aSession, std::move(aAnswer), aNow);
     return;
   }
-  request.on->transactionOpen = false;
+  request.serverConnection->transactionOpen = false;
   const bool changed = isCommit ? aSession.transaction->wrote : request.commits;
   ReleaseConnection(aSession, aNow);
   if (isCommit) {
@@ -205,10 +208,11 @@
     Acknowledge(aSession, std::move(aAnswer), aNow);
     return;
   }
-  const auto& lead = LeadOf(request.under->service);
-  const bool restsOnLead = !isCommit && request.needsPrimary;
-  if (restsOnLead &&
-      (request.term != lead.proof.term || !Leads(lead, request.ranOn, aNow))) {
+  const auto& leadership = LeadershipOf(request.assignedRoute->service);
+  const bool needsConfirmation = !isCommit && request.needsPrimary;
+  if (needsConfirmation &&
+      (request.term != leadership.confirmed.term ||
+       !IsConfirmedPrimary(leadership, request.lastServer, aNow))) {
     NoteDecision(aSession, "read_again", "lead_not_confirmed", false, aNow);
     request.mayHaveRun = true;
     Requeue(aSession, aNow);
@@ -222,10 +226,12 @@
 bool
 engine::IsConfirmed(const request& aRequest)
 {
-  const auto& lead = LeadOf(aRequest.under->service);
-  return lead.proof.term == aRequest.term && lead.proof.term > lead.revoked &&
-         lead.proof.primary == aRequest.ranOn &&
-         aRequest.committedBy < lead.proof.askedAt + mSettings.validity;
+  const auto& leadership = LeadershipOf(aRequest.assignedRoute->service);
+  return leadership.confirmed.term == aRequest.term &&
+         leadership.confirmed.term > leadership.revoked &&
+         leadership.confirmed.primary == aRequest.lastServer &&
+         aRequest.committedBy <
+           leadership.confirmed.askedAt + mSettings.validity;
 }
 
 void
@@ -240,7 +246,7 @@
   }
   request.at = stage::kConfirming;
   NoteDecision(aSession, "held", "lead_not_confirmed", false, aNow);
-  AskForProof(request.under->service, aNow);
+  RequestConfirmation(request.assignedRoute->service, aNow);
 }
 
 void
@@ -257,13 +263,13 @@
 }
 
 void
-engine::ReleaseHeld(const std::string& aService, clock::time_point aNow)
+engine::ReleaseHeldAnswers(const std::string& aService, clock::time_point aNow)
 {
-  const auto& lead = LeadOf(aService);
+  const auto& leadership = LeadershipOf(aService);
   std::vector<session_id> held;
   for (const auto& [id, one] : mSessions) {
     if (one->current && one->current->at == stage::kConfirming &&
-        one->current->under->service == aService) {
+        one->current->assignedRoute->service == aService) {
       held.push_back(id);
     }
   }
@@ -271,7 +277,7 @@
     auto& one = *mSessions.at(id);
     if (IsConfirmed(*one.current)) {
       AcknowledgeHeld(one, aNow);
-    } else if (lead.proof.term > one.current->term) {
+    } else if (leadership.confirmed.term > one.current->term) {
       Fail(one,
            failure_code::kInDoubt,
            "the primary changed before its commit was confirmed",
@@ -284,14 +290,14 @@
 void
 engine::ReleaseConnection(session& aSession, clock::time_point aNow)
 {
-  auto* on = aSession.current->on;
-  aSession.current->on = nullptr;
+  auto* serverConnection = aSession.current->serverConnection;
+  aSession.current->serverConnection = nullptr;
   if (aSession.transaction) {
-    aSession.transaction->on = nullptr;
+    aSession.transaction->serverConnection = nullptr;
     aSession.transaction->begun = false;
   }
-  if (on != nullptr) {
-    GiveBack(*on, aNow);
+  if (serverConnection != nullptr) {
+    ReturnConnection(*serverConnection, aNow);
   }
 }
 
--- a/src/currantshed/proxy/engine_connections.cpp
+++ b/src/currantshed/proxy/engine_connections.cpp
@@ -14,11 +14,11 @@
                 clock::time_point aNow)
 {
   const auto& customer = aSession.current->customer;
-  auto* idle = aServer.Idle(aSession.values, false, &customer);
+  auto* idle = aServer.FindIdle(aSession.values, false, &customer);
   if (idle != nullptr || mOnlyIdle) {
     return idle;
   }
-  if (const auto* way = Planned(aServer).OpenWay(aNow, customer)) {
+  if (const auto* way = WithPlan(aServer).PathToOpen(aNow, customer)) {
     OpenConnection(aServer, *way, customer, aNow);
   }
   return nullptr;
@@ -33,7 +33,7 @@
   // One of another customer makes room: what a connection is for can't change.
   if (aVia.IsDirect() && !aCustomer.empty() &&
       !aServer.HasRoom(aServer.plan.connections, aNow)) {
-    if (auto* least = aServer.LeastUsed(aCustomer)) {
+    if (auto* least = aServer.LeastRecentlyUsed(aCustomer)) {
       Discard(*least);
     }
   }
@@ -42,16 +42,16 @@
                                  aServer.listed.service,
                                  aVia.vm,
                                  aVia.IsDirect() ? aCustomer : std::string(),
-                                 static_cast<connection_events&>(*this),
+                                 static_cast<connection_listener&>(*this),
                                  aNow);
   auto& place = *made;
   aServer.connections.push_back(std::move(made));
-  mUpkept.insert(aServer.listed.id);
+  mMaintained.insert(aServer.listed.id);
   place.Attach(mOpener.Open(aServer.listed, aVia, place.customer, place));
 }
 
 std::size_t
-engine::MostConnections(const server_state& aServer) const
+engine::MaxConnections(const server_state& aServer) const
 {
   const auto found = mConfiguration->services.find(aServer.listed.service);
   return found == mConfiguration->services.end() ? 1
@@ -60,19 +60,19 @@
 
 // The server, with a plan for the fleet and the configuration as they are now.
 server_state&
-engine::Planned(server_state& aServer)
+engine::WithPlan(server_state& aServer)
 {
-  if (aServer.plannedFor != mPlansFor) {
-    aServer.plannedFor = mPlansFor;
+  if (aServer.planEpoch != mPlanEpoch) {
+    aServer.planEpoch = mPlanEpoch;
     ++mPlansMade;
-    aServer.plan = mPlanner.Plan(aServer.listed.id, MostConnections(aServer));
+    aServer.plan = mPlanner.Plan(aServer.listed.id, MaxConnections(aServer));
   }
   return aServer;
 }
 
 // Whether plans depend on which of the two numbers of VMs there are.
 bool
-engine::CountsForPlans(std::size_t aBefore, std::size_t aNow) const
+engine::AffectsPlans(std::size_t aBefore, std::size_t aNow) const
 {
   if (aBefore == aNow) {
     return false;
@@ -84,16 +84,17 @@
   const auto& services = mConfiguration->services;
   return std::any_of(
     services.begin(), services.end(), [fewer](const auto& aEntry) {
-      return access_planner::IsForEveryone(aEntry.second.maxConnections, fewer);
+      return access_planner::EveryVmConnects(aEntry.second.maxConnections,
+                                             fewer);
     });
 }
 
 void
-engine::PlansChanged(clock::time_point aNow)
+engine::InvalidatePlans(clock::time_point aNow)
 {
-  ++mPlansFor;
-  mHeld.reset();
-  mNextUpkeep = aNow;
+  ++mPlanEpoch;
+  mHeldServers.reset();
+  mNextMaintenance = aNow;
 }
 
 void
@@ -103,26 +104,27 @@
   for (auto& [id, state] : mServers) {
     mByService[state.listed.service].push_back(&state);
   }
-  mHeld.reset();
+  mHeldServers.reset();
 }
 
 // A VM that can't hold any has no plan made for it to find that out.
 void
-engine::ListHeld()
+engine::ListHeldServers()
 {
-  mHeld.emplace();
+  mHeldServers.emplace();
   for (const auto& [service, states] : mByService) {
     for (auto* state : states) {
-      if (mPlanner.MayHold(MostConnections(*state)) &&
-          Planned(*state).plan.holds) {
-        mHeld->push_back(state);
+      if (mPlanner.MayBeHolder(MaxConnections(*state)) &&
+          WithPlan(*state).plan.isHolder) {
+        mHeldServers->push_back(state);
       }
     }
   }
-  std::sort(
-    mHeld->begin(), mHeld->end(), [](const auto* aOne, const auto* aTwo) {
-      return aOne->listed.id < aTwo->listed.id;
-    });
+  std::sort(mHeldServers->begin(),
+            mHeldServers->end(),
+            [](const auto* aOne, const auto* aTwo) {
+              return aOne->listed.id < aTwo->listed.id;
+            });
 }
 
 const std::vector<server_state*>&
@@ -136,7 +138,7 @@
 // The session has done with the connection. A transaction left open on it is
 // rolled back first.
 void
-engine::GiveBack(connection& aConnection, clock::time_point aNow)
+engine::ReturnConnection(connection& aConnection, clock::time_point aNow)
 {
   auto* user = aConnection.user;
   aConnection.user = nullptr;
@@ -153,9 +155,9 @@
     Discard(aConnection);
     return;
   }
-  PumpOrders(aConnection.server, aNow);
+  DispatchControls(aConnection.server, aNow);
   const auto service = aConnection.service;
-  Pump(service, aNow);
+  DispatchQueued(service, aNow);
 }
 
 // Closes the connection; the object stays until no caller on the stack can
--- a/src/currantshed/proxy/engine_customers.cpp
+++ b/src/currantshed/proxy/engine_customers.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-const failure kKeyNotKnown{ failure_code::kNotAuthorized,
-                            "no customer has this key" };
-const failure kKeysTooOld{
+const failure kUnknownKeyFailure{ failure_code::kNotAuthorized,
+                                  "no customer has this key" };
+const failure kStaleKeysFailure{
   failure_code::kBusy,
   "this VM can't tell which keys are in force; retry"
 };
@@ -26,7 +26,7 @@
 }
 
 bool
-engine::TellsCustomersApart(const route& aRoute) const
+engine::RequiresCustomer(const route& aRoute) const
 {
   return mConfiguration->customers != nullptr && !aRoute.isPublic;
 }
@@ -34,15 +34,15 @@
 // The customer that the session's key belongs to now; null where nobody is told
 // apart, or where no customer has it.
 std::shared_ptr<const customer::customer>
-engine::OwnerOf(const session& aSession, const route& aRoute) const
+engine::CustomerOf(const session& aSession, const route& aRoute) const
 {
-  if (aSession.IsRelay() || !TellsCustomersApart(aRoute)) {
+  if (aSession.IsRelay() || !RequiresCustomer(aRoute)) {
     return nullptr;
   }
-  return mConfiguration->customers->Find(aSession.key);
+  return mConfiguration->customers->FindByKey(aSession.key);
 }
 
-entry
+session_admission
 engine::Admits(const std::string& aDatabase,
                const std::string& aKey,
                clock::time_point aAskedAt,
@@ -50,16 +50,17 @@
 {
   const auto route = mConfiguration->routes.find(aDatabase);
   if (route == mConfiguration->routes.end()) {
-    return entry::kNoDatabase;
+    return session_admission::kNoDatabase;
   }
-  if (!TellsCustomersApart(*route->second)) {
-    return entry::kGranted;
+  if (!RequiresCustomer(*route->second)) {
+    return session_admission::kGranted;
   }
-  if (mConfiguration->customers->Find(aKey) == nullptr) {
-    return mFreshness.Covers(aAskedAt) ? entry::kUnknownKey
-                                       : entry::kKeyMayBeNew;
+  if (mConfiguration->customers->FindByKey(aKey) == nullptr) {
+    return mFreshness.Covers(aAskedAt) ? session_admission::kUnknownKey
+                                       : session_admission::kKeyNotYetKnown;
   }
-  return mFreshness.Holds(aNow) ? entry::kGranted : entry::kKeysOld;
+  return mFreshness.Holds(aNow) ? session_admission::kGranted
+                                : session_admission::kKeysStale;
 }
 
 // Why the session's next statement may not run; none when it may. Asked when
@@ -67,16 +68,16 @@
 // have waited, or the process may have stood still in between. A VM that sends
 // its work through this one has asked already.
 std::optional<failure>
-engine::WhyNotEntitled(const session& aSession,
-                       const route& aRoute,
-                       clock::time_point aNow) const
+engine::AuthorizationFailure(const session& aSession,
+                             const route& aRoute,
+                             clock::time_point aNow) const
 {
-  if (aSession.IsRelay() || !TellsCustomersApart(aRoute)) {
+  if (aSession.IsRelay() || !RequiresCustomer(aRoute)) {
     return std::nullopt;
   }
-  const auto owner = OwnerOf(aSession, aRoute);
+  const auto owner = CustomerOf(aSession, aRoute);
   if (owner == nullptr) {
-    return kKeyNotKnown;
+    return kUnknownKeyFailure;
   }
   // A key that has passed to another customer ends what the first one began:
   // its server has the first one's name.
@@ -87,41 +88,42 @@
     return failure{ failure_code::kAborted,
                     "the key has passed to another customer" };
   }
-  return mFreshness.Holds(aNow) ? std::nullopt : std::optional(kKeysTooOld);
+  return mFreshness.Holds(aNow) ? std::nullopt
+                                : std::optional(kStaleKeysFailure);
 }
 
 bool
 engine::IsOfCustomer(const session& aSession) const
 {
   const auto route = RouteOf(aSession);
-  return route != nullptr && !aSession.IsRelay() && TellsCustomersApart(*route);
+  return route != nullptr && !aSession.IsRelay() && RequiresCustomer(*route);
 }
 
 void
-engine::EndRestingOfCustomers()
+engine::CloseIdleCustomerSessions()
 {
-  EndResting(true);
+  CloseIdleSessions(true);
 }
 
 // Sessions whose key was taken away, or those of all customers, end once they
 // rest. A caller that has sent something is answered first.
 void
-engine::EndResting(bool aAll)
+engine::CloseIdleSessions(bool aAll)
 {
   if (mConfiguration->customers == nullptr) {
     return;
   }
   std::vector<session*> ended;
   for (const auto& [id, one] : mSessions) {
-    const bool rests = !one->current && !one->transaction &&
-                       one->backlog.empty() && !one->farEnd.HasUnread();
-    if (rests && IsOfCustomer(*one) &&
-        (aAll || OwnerOf(*one, *RouteOf(*one)) == nullptr)) {
+    const bool isIdle = !one->current && !one->transaction &&
+                        one->backlog.empty() && !one->client.HasUnread();
+    if (isIdle && IsOfCustomer(*one) &&
+        (aAll || CustomerOf(*one, *RouteOf(*one)) == nullptr)) {
       ended.push_back(one.get());
     }
   }
   for (auto* one : ended) {
-    one->farEnd.Close();
+    one->client.Close();
   }
 }
 
--- a/src/currantshed/proxy/engine_dispatch.cpp
+++ b/src/currantshed/proxy/engine_dispatch.cpp
@@ -14,7 +14,7 @@
 constexpr milliseconds kConfirmationReserve{ 20 };
 // What the bound on age is tightened by, for the way from the caller.
 constexpr milliseconds kFloorReserve{ 50 };
-constexpr milliseconds kProofPause{ 50 };
+constexpr milliseconds kConfirmationRequestInterval{ 50 };
 // The primary is left to what only it can serve, unless it is this much
 // faster.
 constexpr int kPrimaryPenalty = 2;
@@ -46,43 +46,46 @@
 {
   auto& request = *aSession.current;
   Schedule(aSession, request.deadline);
-  auto* on = aSession.transaction ? aSession.transaction->on : nullptr;
-  if (on == nullptr) {
-    if (aSession.IsRelay() && !TakesWork(aSession.relaysTo, request, aNow)) {
-      TurnAway(aSession, "server_leaves", aNow);
+  auto* serverConnection =
+    aSession.transaction ? aSession.transaction->serverConnection : nullptr;
+  if (serverConnection == nullptr) {
+    if (aSession.IsRelay() &&
+        !AcceptsWork(aSession.relayTarget, request, aNow)) {
+      Reject(aSession, "server_leaves", aNow);
       return;
     }
     if (!TryStart(aSession, aNow)) {
-      Wait(aSession, aNow);
+      Enqueue(aSession, aNow);
     }
     return;
   }
   // A change that the old primary of a new term would commit could never be
   // acknowledged.
-  const auto& lead = LeadOf(request.under->service);
-  if (request.needsPrimary && lead.proof.term > aSession.transaction->term) {
+  const auto& leadership = LeadershipOf(request.assignedRoute->service);
+  if (request.needsPrimary &&
+      leadership.confirmed.term > aSession.transaction->term) {
     Fail(aSession, failure_code::kAborted, "the primary has changed", aNow);
     return;
   }
-  request.on = on;
+  request.serverConnection = serverConnection;
   Advance(aSession, aNow);
 }
 
 bool
 engine::TryStart(session& aSession, clock::time_point aNow)
 {
-  connection* on = nullptr;
+  connection* serverConnection = nullptr;
   if (aSession.IsRelay()) {
-    on = ConnectionForRelay(aSession, aNow);
+    serverConnection = ConnectionForRelay(aSession, aNow);
   } else if (aSession.current->needsPrimary) {
-    on = ConnectionForWrite(aSession, aNow);
+    serverConnection = ConnectionForWrite(aSession, aNow);
   } else {
-    on = ConnectionForRead(aSession, aNow);
+    serverConnection = ConnectionForRead(aSession, aNow);
   }
-  if (on == nullptr) {
+  if (serverConnection == nullptr) {
     return false;
   }
-  Start(aSession, *on, aNow);
+  Start(aSession, *serverConnection, aNow);
   return true;
 }
 
@@ -91,30 +94,32 @@
 engine::Requeue(session& aSession, clock::time_point aNow)
 {
   auto& request = *aSession.current;
-  request.on = nullptr;
-  request.awaited = 0;
-  if (aSession.gone) {
+  request.serverConnection = nullptr;
+  request.awaitedAnswers = 0;
+  if (aSession.callerLeft) {
     NoteDecision(aSession, "caller_left", "not_run", false, aNow);
     Finish(aSession, {}, aNow);
     return;
   }
   if (!TryStart(aSession, aNow)) {
-    Wait(aSession, aNow);
+    Enqueue(aSession, aNow);
   }
 }
 
 void
-engine::Start(session& aSession, connection& aOn, clock::time_point aNow)
+engine::Start(session& aSession,
+              connection& aServerConnection,
+              clock::time_point aNow)
 {
   auto& request = *aSession.current;
-  request.on = &aOn;
+  request.serverConnection = &aServerConnection;
   ++request.tries;
   if (request.tries == 1) {
-    RetriesOf(request).Earn();
+    RetriesOf(request).Deposit();
   }
-  aOn.user = &aSession;
+  aServerConnection.user = &aSession;
   if (aSession.transaction) {
-    aSession.transaction->on = &aOn;
+    aSession.transaction->serverConnection = &aServerConnection;
     aSession.transaction->begun = false;
   }
   Advance(aSession, aNow);
@@ -127,31 +132,34 @@
 engine::Advance(session& aSession, clock::time_point aNow)
 {
   auto& request = *aSession.current;
-  auto& on = *request.on;
-  const auto prelude = on.Prelude(aSession.values);
-  if (!prelude.empty()) {
-    request.at = stage::kPrelude;
-    request.awaited = static_cast<unsigned>(prelude.size());
-    on.Send(prelude, { purpose::kPrelude, aNow });
+  auto& serverConnection = *request.serverConnection;
+  const auto setup = serverConnection.SessionSetup(aSession.values);
+  if (!setup.empty()) {
+    request.at = stage::kSessionSetup;
+    request.awaitedAnswers = static_cast<unsigned>(setup.size());
+    serverConnection.Send(setup, { purpose::kSessionSetup, aNow });
     return;
   }
   // Taking the session's values may have held the request up.
   const bool begun = aSession.transaction && aSession.transaction->begun;
-  if (const auto why = WhyNotEntitled(aSession, *request.under, aNow)) {
+  if (const auto why =
+        AuthorizationFailure(aSession, *request.assignedRoute, aNow)) {
     if (!begun) {
       ReleaseConnection(aSession, aNow);
     }
     Fail(aSession, why->code, why->text, aNow);
     return;
   }
-  if (!begun && !TakesWork(on.server, request, aNow)) {
+  if (!begun && !AcceptsWork(serverConnection.server, request, aNow)) {
     ReleaseConnection(aSession, aNow);
     Requeue(aSession, aNow);
     return;
   }
-  const auto& lead = LeadOf(request.under->service);
-  request.ranOn = on.server;
-  request.term = lead.proof.primary == on.server ? lead.proof.term : 0;
+  const auto& leadership = LeadershipOf(request.assignedRoute->service);
+  request.lastServer = serverConnection.server;
+  request.term = leadership.confirmed.primary == serverConnection.server
+                   ? leadership.confirmed.term
+                   : 0;
   if (aSession.transaction && !aSession.transaction->begun) {
     SendBegin(aSession, aNow);
     return;
@@ -168,69 +176,75 @@
   begin.kind = aSession.transaction->readOnly ? command_kind::kBeginReadOnly
                                               : command_kind::kBegin;
   if (aSession.transaction->readOnly || !request.needsPrimary) {
-    begin.floor = MustHold(request);
+    begin.floor = RequiredPosition(request);
   }
   request.at = stage::kBeginning;
   request.sentAt = aNow;
-  request.on->transactionOpen = true;
-  request.on->Send({ begin }, Expect(purpose::kBegin, request, aNow));
+  request.serverConnection->transactionOpen = true;
+  request.serverConnection->Send({ begin },
+                                 MakePending(purpose::kBegin, request, aNow));
 }
 
 // What a command is sent for, and whether its answer shows where the confirmed
 // primary stands.
-expected_answer
-engine::Expect(purpose aWhy, const request& aRequest, clock::time_point aNow)
+pending_command
+engine::MakePending(purpose aWhy,
+                    const request& aRequest,
+                    clock::time_point aNow)
 {
-  const auto& lead = LeadOf(aRequest.under->service);
-  const bool leads = Leads(lead, aRequest.ranOn, aNow);
-  return { aWhy, aNow, leads ? lead.proof.term : 0 };
+  const auto& leadership = LeadershipOf(aRequest.assignedRoute->service);
+  const bool isConfirmed =
+    IsConfirmedPrimary(leadership, aRequest.lastServer, aNow);
+  return { aWhy, aNow, isConfirmed ? leadership.confirmed.term : 0 };
 }
 
 void
 engine::SendStatement(session& aSession, clock::time_point aNow)
 {
   auto& request = *aSession.current;
-  auto& on = *request.on;
+  auto& serverConnection = *request.serverConnection;
   if (request.asked.kind == statement_kind::kExecute) {
     const auto* prepared = aSession.Prepared(request.asked.name);
-    const auto prepare = on.Prepare(*prepared);
+    const auto prepare = serverConnection.Prepare(*prepared);
     if (!prepare.empty()) {
-      on.Send(prepare, { purpose::kPrepare, aNow });
+      serverConnection.Send(prepare, { purpose::kPrepare, aNow });
     }
   }
   auto sent = StatementCommand(aSession, request);
   if (!aSession.transaction && !request.commits) {
-    sent.floor = MustHold(request);
+    sent.floor = RequiredPosition(request);
   }
   request.at = stage::kRunning;
   request.sentAt = aNow;
-  on.Send({ sent }, Expect(purpose::kStatement, request, aNow));
+  serverConnection.Send({ sent },
+                        MakePending(purpose::kStatement, request, aNow));
 }
 
 // What a server must hold to answer a read. The primary is told as well: one
 // that has started again since it was proved holds nothing, and its connections
 // break long before the list tells of it.
 std::optional<position::log_position>
-engine::MustHold(const request& aRequest)
+engine::RequiredPosition(const request& aRequest)
 {
   return aRequest.needsPrimary
-           ? LeadOf(aRequest.under->service).samples.Newest()
+           ? LeadershipOf(aRequest.assignedRoute->service).samples.Newest()
            : aRequest.floor.position;
 }
 
-engine::lead_state&
-engine::LeadOf(const std::string& aService)
+engine::leadership_state&
+engine::LeadershipOf(const std::string& aService)
 {
-  return mLeads[aService];
+  return mLeadership[aService];
 }
 
 bool
-engine::Leads(const lead_state& aLead,
-              const upstream::server_id& aServer,
-              clock::time_point aNow) const
+engine::IsConfirmedPrimary(const leadership_state& aLeadership,
+                           const upstream::server_id& aServer,
+                           clock::time_point aNow) const
 {
-  return aLead.proof.term > aLead.revoked && aLead.proof.primary == aServer &&
-         aNow < aLead.proof.askedAt + mSettings.validity;
+  return aLeadership.confirmed.term > aLeadership.revoked &&
+         aLeadership.confirmed.primary == aServer &&
+         aNow < aLeadership.confirmed.askedAt + mSettings.validity;
 }
 
 // The lowest position that is fresh enough: a stricter one would turn replicas
@@ -238,19 +252,20 @@
 read_floor
 engine::FloorOf(const session& aSession, clock::time_point aNow)
 {
-  const auto& route = *aSession.current->under;
-  const auto& lead = LeadOf(route.service);
+  const auto& route = *aSession.current->assignedRoute;
+  const auto& leadership = LeadershipOf(route.service);
   const auto since = aNow - (route.maxStaleness - kFloorReserve);
-  const auto lowest = lead.samples.LowestSince(since);
+  const auto lowest = leadership.samples.LowestSince(since);
   if (!lowest) {
     return {};
   }
-  read_floor floor{ *lowest, lead.samples.WrittenBy(*lowest).value_or(aNow) };
+  read_floor floor{ *lowest,
+                    leadership.samples.WrittenBy(*lowest).value_or(aNow) };
   const auto& own = aSession.lastCommit;
   // A commit of an older term is covered by every position of this one, or
   // was rolled back when the term began.
   const bool ownCounts = route.policy == read_policy::kReadYourWrites && own &&
-                         own->term == lead.proof.term;
+                         own->term == leadership.confirmed.term;
   if (ownCounts && own->position > *floor.position) {
     floor = { own->position, own->at };
   }
@@ -260,14 +275,17 @@
 connection*
 engine::ConnectionForWrite(session& aSession, clock::time_point aNow)
 {
-  const auto& service = aSession.current->under->service;
-  auto& lead = LeadOf(service);
-  if (!Leads(lead, lead.proof.primary, aNow + kConfirmationReserve)) {
-    AskForProof(service, aNow);
+  const auto& service = aSession.current->assignedRoute->service;
+  auto& leadership = LeadershipOf(service);
+  if (!IsConfirmedPrimary(leadership,
+                          leadership.confirmed.primary,
+                          aNow + kConfirmationReserve)) {
+    RequestConfirmation(service, aNow);
     return nullptr;
   }
-  auto* primary = Find(lead.proof.primary);
-  if (primary == nullptr || !primary->TakesWork(mSettings.leavingUse, aNow)) {
+  auto* primary = Find(leadership.confirmed.primary);
+  if (primary == nullptr ||
+      !primary->AcceptsWork(mSettings.drainGracePeriod, aNow)) {
     return nullptr;
   }
   return Acquire(*primary, aSession, aNow);
@@ -277,35 +295,36 @@
 engine::ConnectionForRead(session& aSession, clock::time_point aNow)
 {
   auto& request = *aSession.current;
-  auto& lead = LeadOf(request.under->service);
+  auto& leadership = LeadershipOf(request.assignedRoute->service);
   request.floor = FloorOf(aSession, aNow);
   server_state* best = nullptr;
   clock::duration bestTime = clock::duration::max();
-  bool needsProof = false;
-  for (auto* one : ServersOf(request.under->service)) {
-    auto& state = Planned(*one);
-    ++mLookedAt;
+  bool needsConfirmation = false;
+  for (auto* one : ServersOf(request.assignedRoute->service)) {
+    auto& state = WithPlan(*one);
+    ++mServersExamined;
     const auto& id = state.listed.id;
-    if (!CanServe(state, request, lead, aNow)) {
-      needsProof = needsProof || id == lead.proof.primary;
+    if (!CanServe(state, request, leadership, aNow)) {
+      needsConfirmation =
+        needsConfirmation || id == leadership.confirmed.primary;
       continue;
     }
     const auto& customer = request.customer;
     const bool isIdle =
-      state.Idle(aSession.values, false, &customer) != nullptr;
-    if (!isIdle && (mOnlyIdle || state.OpenWay(aNow, customer) == nullptr)) {
+      state.FindIdle(aSession.values, false, &customer) != nullptr;
+    if (!isIdle && (mOnlyIdle || state.PathToOpen(aNow, customer) == nullptr)) {
       continue;
     }
-    auto time = state.Expected(aNow);
+    auto time = state.ExpectedLatency(aNow);
     time += isIdle ? milliseconds{ 0 } : kOpeningTime;
-    time *= id == lead.proof.primary ? kPrimaryPenalty : 1;
+    time *= id == leadership.confirmed.primary ? kPrimaryPenalty : 1;
     if (time < bestTime) {
       best = &state;
       bestTime = time;
     }
   }
-  if (!request.floor.position || (best == nullptr && needsProof)) {
-    AskForProof(request.under->service, aNow);
+  if (!request.floor.position || (best == nullptr && needsConfirmation)) {
+    RequestConfirmation(request.assignedRoute->service, aNow);
   }
   return best == nullptr ? nullptr : Acquire(*best, aSession, aNow);
 }
@@ -313,18 +332,18 @@
 bool
 engine::CanServe(const server_state& aServer,
                  const request& aRequest,
-                 const lead_state& aLead,
+                 const leadership_state& aLeadership,
                  clock::time_point aNow) const
 {
   const auto& id = aServer.listed.id;
   const auto& refused = aRequest.refusedBy;
   if (std::find(refused.begin(), refused.end(), id) != refused.end() ||
       !aServer.IsReachable(aNow) ||
-      !aServer.TakesWork(mSettings.leavingUse, aNow)) {
+      !aServer.AcceptsWork(mSettings.drainGracePeriod, aNow)) {
     return false;
   }
-  if (id == aLead.proof.primary) {
-    return Leads(aLead, id, aNow + kConfirmationReserve);
+  if (id == aLeadership.confirmed.primary) {
+    return IsConfirmedPrimary(aLeadership, id, aNow + kConfirmationReserve);
   }
   if (aServer.listed.draining) {
     return false;
@@ -343,24 +362,24 @@
 // after its own time is over, and has had requests 11 s after its word without
 // this. Questions about its state are no work.
 bool
-engine::TakesWork(const upstream::server_id& aServer,
-                  const request& aRequest,
-                  clock::time_point aNow) const
+engine::AcceptsWork(const upstream::server_id& aServer,
+                    const request& aRequest,
+                    clock::time_point aNow) const
 {
   if (aRequest.asked.kind == statement_kind::kReport) {
     return true;
   }
   const auto found = mServers.find(aServer);
   return found != mServers.end() &&
-         found->second.TakesWork(mSettings.leavingUse, aNow);
+         found->second.AcceptsWork(mSettings.drainGracePeriod, aNow);
 }
 
 void
-engine::AskForProof(const std::string& aService, clock::time_point aNow)
+engine::RequestConfirmation(const std::string& aService, clock::time_point aNow)
 {
-  auto& lead = LeadOf(aService);
-  if (aNow >= lead.wantedAt + kProofPause) {
-    lead.wantedAt = aNow;
+  auto& leadership = LeadershipOf(aService);
+  if (aNow >= leadership.requestedAt + kConfirmationRequestInterval) {
+    leadership.requestedAt = aNow;
     mHost.NeedsConfirmation(aService);
   }
 }
@@ -369,18 +388,18 @@
 connection*
 engine::ConnectionForRelay(session& aSession, clock::time_point aNow)
 {
-  auto* state = Find(aSession.relaysTo);
+  auto* state = Find(aSession.relayTarget);
   if (state == nullptr || state->IsAvoided(aNow)) {
     EndRelay(aSession);
     return nullptr;
   }
-  if (!TakesWork(aSession.relaysTo, *aSession.current, aNow)) {
+  if (!AcceptsWork(aSession.relayTarget, *aSession.current, aNow)) {
     return nullptr;
   }
   const auto& customer = aSession.current->customer;
-  auto* idle = state->Idle(aSession.values, true, &customer);
+  auto* idle = state->FindIdle(aSession.values, true, &customer);
   if (idle == nullptr && !mOnlyIdle &&
-      Planned(*state).MayOpenFor(customer, aNow)) {
+      WithPlan(*state).MayOpenFor(customer, aNow)) {
     OpenConnection(*state, path{}, customer, aNow);
   }
   return idle;
--- a/src/currantshed/proxy/engine_failures.cpp
+++ b/src/currantshed/proxy/engine_failures.cpp
@@ -13,23 +13,23 @@
 
 // How often a request is offered to a server in all, before the caller gets
 // the last refusal.
-constexpr unsigned kMostTries = 5;
+constexpr unsigned kMaxAttempts = 5;
 // Reads that a server failed to run are run once more, elsewhere.
-constexpr unsigned kTriesAfterFailure = 2;
+constexpr unsigned kMaxAttemptsAfterFailure = 2;
 
 std::string_view
-NameOf(link_end aWhy)
+NameOf(link_close_reason aWhy)
 {
   switch (aWhy) {
-    case link_end::kBroken:
+    case link_close_reason::kBroken:
       return "broken";
-    case link_end::kUnreachable:
+    case link_close_reason::kUnreachable:
       return "unreachable";
-    case link_end::kServerFull:
+    case link_close_reason::kServerFull:
       return "server_full";
-    case link_end::kWrongServer:
+    case link_close_reason::kWrongServer:
       return "wrong_server";
-    case link_end::kMalformed:
+    case link_close_reason::kMalformed:
       return "malformed";
   }
   return "unknown";
@@ -43,14 +43,14 @@
   auto& request = *aSession.current;
   const auto why = *aAnswer.failed;
   // A primary that is none, or lacks what the primary has held.
-  const bool isDenied =
+  const bool deniesLeadership =
     why.code == failure_code::kReadOnly || why.code == failure_code::kLagging;
-  if (isDenied && request.needsPrimary) {
-    auto& lead = LeadOf(request.under->service);
-    if (lead.proof.primary == request.ranOn) {
-      lead.proof.askedAt = {};
+  if (deniesLeadership && request.needsPrimary) {
+    auto& leadership = LeadershipOf(request.assignedRoute->service);
+    if (leadership.confirmed.primary == request.lastServer) {
+      leadership.confirmed.askedAt = {};
     }
-    mHost.LeadDenied(request.under->service, request.term);
+    mHost.LeadershipDenied(request.assignedRoute->service, request.term);
   }
   const bool begun = aSession.transaction && aSession.transaction->begun;
   if (!begun && aSession.IsRelay()) {
@@ -60,10 +60,11 @@
     return;
   }
   if (begun) {
-    request.on->transactionOpen = aAnswer.state != transaction_state::kIdle;
+    request.serverConnection->transactionOpen =
+      aAnswer.state != transaction_state::kIdle;
   } else {
     ReleaseConnection(aSession, aNow);
-    if (TryElsewhere(aSession, why, aNow)) {
+    if (RetryElsewhere(aSession, why, aNow)) {
       return;
     }
   }
@@ -71,10 +72,10 @@
     aAnswer.failed->code = failure_code::kFailed;
   }
   // The log has the server's word, and what the caller is told instead.
-  const auto word =
+  const auto reasonText =
     absl::StrCat(std::string(NameOf(why.code)),
                  request.mayHaveRun ? "; told that it may have run" : "");
-  NoteDecision(aSession, "refused", word, false, aNow);
+  NoteDecision(aSession, "refused", reasonText, false, aNow);
   const bool isCommit = request.asked.kind == statement_kind::kCommit;
   if (aSession.transaction) {
     EndTransaction(aSession, aNow);
@@ -89,19 +90,19 @@
 // Sends the request to another server, or to the same one later, when the
 // answer shows that nothing of it ran, or that running it twice is harmless.
 bool
-engine::TryElsewhere(session& aSession,
-                     const failure& aWhy,
-                     clock::time_point aNow)
+engine::RetryElsewhere(session& aSession,
+                       const failure& aWhy,
+                       clock::time_point aNow)
 {
   auto& request = *aSession.current;
-  if (request.tries >= kMostTries) {
+  if (request.tries >= kMaxAttempts) {
     return false;
   }
-  auto* state = Find(request.ranOn);
+  auto* state = Find(request.lastServer);
   switch (aWhy.code) {
     case failure_code::kLagging:
       if (state != nullptr && !request.needsPrimary) {
-        state->Lagged(request.floor.writtenBy, aNow);
+        state->ObserveLag(request.floor.writtenBy, aNow);
       }
       break;
     case failure_code::kReadOnly:
@@ -110,14 +111,14 @@
       }
       break;
     case failure_code::kBusy:
-      if (request.needsPrimary || !RetriesOf(request).Spend()) {
+      if (request.needsPrimary || !RetriesOf(request).TryWithdraw()) {
         return false;
       }
       break;
     case failure_code::kNoStatement:
       break;
     case failure_code::kFailed:
-      if (request.commits || request.tries >= kTriesAfterFailure) {
+      if (request.commits || request.tries >= kMaxAttemptsAfterFailure) {
         return false;
       }
       request.mayHaveRun = true;
@@ -126,21 +127,21 @@
       return false;
   }
   NoteDecision(aSession, "elsewhere", NameOf(aWhy.code), false, aNow);
-  request.refusedBy.push_back(request.ranOn);
+  request.refusedBy.push_back(request.lastServer);
   Requeue(aSession, aNow);
   return true;
 }
 
 // The connection under the request is gone, or its time is up.
 void
-engine::LinkLost(session& aSession, clock::time_point aNow)
+engine::ConnectionLost(session& aSession, clock::time_point aNow)
 {
   auto& request = *aSession.current;
-  const auto reached = request.at;
-  if (request.on != nullptr) {
-    request.on->user = nullptr;
-    Discard(*request.on);
-    request.on = nullptr;
+  const auto lastStage = request.at;
+  if (request.serverConnection != nullptr) {
+    request.serverConnection->user = nullptr;
+    Discard(*request.serverConnection);
+    request.serverConnection = nullptr;
   }
   if (aSession.IsRelay()) {
     aSession.current.reset();
@@ -150,16 +151,16 @@
   const bool inTransaction = aSession.transaction.has_value();
   const bool begun = inTransaction && aSession.transaction->begun;
   if (inTransaction) {
-    aSession.transaction->on = nullptr;
+    aSession.transaction->serverConnection = nullptr;
     aSession.transaction->begun = false;
   }
-  const bool ran = reached == stage::kRunning;
+  const bool ran = lastStage == stage::kRunning;
   request.mayHaveRun = request.mayHaveRun || ran;
   const bool expired = aNow >= request.deadline;
   const bool mayRepeat = !begun && (!ran || !request.commits);
-  if (mayRepeat && !expired && request.tries < kMostTries) {
+  if (mayRepeat && !expired && request.tries < kMaxAttempts) {
     NoteDecision(aSession, "elsewhere", "connection_lost", false, aNow);
-    request.refusedBy.push_back(request.ranOn);
+    request.refusedBy.push_back(request.lastServer);
     Requeue(aSession, aNow);
     return;
   }
@@ -176,7 +177,7 @@
   } else if (ran) {
     Fail(aSession, failure_code::kTimeout, "no answer from the server", aNow);
   } else {
-    Fail(aSession, RefusalOf(request), "no server in time", aNow);
+    Fail(aSession, RefusalCode(request), "no server in time", aNow);
   }
 }
 
@@ -184,33 +185,35 @@
 void
 engine::EndRelay(session& aSession)
 {
-  if (aSession.current && aSession.current->at == stage::kWaiting) {
-    Unqueue(aSession);
+  if (aSession.current && aSession.current->at == stage::kQueued) {
+    Dequeue(aSession);
   }
   if (aSession.transaction) {
-    aSession.transaction->on = nullptr;
-    aSession.transaction->lost = true;
+    aSession.transaction->serverConnection = nullptr;
+    aSession.transaction->connectionLost = true;
   }
-  if (!aSession.gone) {
-    aSession.farEnd.Close();
+  if (!aSession.callerLeft) {
+    aSession.client.Close();
   }
 }
 
 void
-engine::Ended(connection& aConnection, link_end aWhy, clock::time_point aNow)
+engine::Ended(connection& aConnection,
+              link_close_reason aWhy,
+              clock::time_point aNow)
 {
   auto* state = Find(aConnection.server);
   if (state != nullptr) {
-    if (aWhy == link_end::kServerFull) {
-      state->Full(aNow);
+    if (aWhy == link_close_reason::kServerFull) {
+      state->ObserveServerFull(aNow);
     } else if (!aConnection.IsDirect()) {
-      state->WayFailed(aConnection.via, aNow);
+      state->ObserveRelayFailure(aConnection.via, aNow);
     } else {
-      state->Failed(aNow);
-      NoteReached(*state, false, NameOf(aWhy));
+      state->ObserveFailure(aNow);
+      NoteReachability(*state, false, NameOf(aWhy));
     }
   }
-  FailOrdersOn(aConnection);
+  FailControlsOn(aConnection);
   auto* user = aConnection.user;
   aConnection.user = nullptr;
   Discard(aConnection);
@@ -219,13 +222,13 @@
   }
   const auto id = user->number;
   if (user->current) {
-    user->current->on = nullptr;
-    LinkLost(*user, aNow);
+    user->current->serverConnection = nullptr;
+    ConnectionLost(*user, aNow);
   } else if (user->IsRelay()) {
     EndRelay(*user);
   } else if (user->transaction) {
-    user->transaction->on = nullptr;
-    user->transaction->lost = true;
+    user->transaction->serverConnection = nullptr;
+    user->transaction->connectionLost = true;
   }
   DropIfGone(id);
 }
@@ -238,26 +241,26 @@
                      clock::time_point aNow)
 {
   const auto& request = *aSession.current;
-  const auto& lead = LeadOf(request.under->service);
+  const auto& leadership = LeadershipOf(request.assignedRoute->service);
   decision made;
   made.outcome = aOutcome;
   made.session = aSession.number;
   made.requestId = request.asked.id;
   made.customer = request.customer;
-  made.service = request.under->service;
-  made.server = request.ranOn;
+  made.service = request.assignedRoute->service;
+  made.server = request.lastServer;
   made.reason = aReason;
   made.waited = aNow - request.arrivedAt;
   made.tries = request.tries;
   made.needsPrimary = request.needsPrimary;
-  if (lead.proof.term != 0) {
-    made.confirmationAge = aNow - lead.proof.askedAt;
+  if (leadership.confirmed.term != 0) {
+    made.confirmationAge = aNow - leadership.confirmed.askedAt;
   }
   made.floor = request.floor.position;
   made.floorAge = aNow - request.floor.writtenBy;
-  const auto* state = Find(request.ranOn);
-  if (state != nullptr && state->leavingSince) {
-    made.leavingFor = aNow - *state->leavingSince;
+  const auto* state = Find(request.lastServer);
+  if (state != nullptr && state->drainingSince) {
+    made.drainingFor = aNow - *state->drainingSince;
   }
   made.ordinary = aOrdinary;
   made.isFinal =
--- a/src/currantshed/proxy/engine_wait.cpp
+++ b/src/currantshed/proxy/engine_queues.cpp
@@ -12,25 +12,25 @@
 
 // Requests that may wait in one lane: the measured rate bounds them before
 // this does; it keeps memory bounded until a rate is known.
-constexpr std::size_t kMostWaiting = 512;
+constexpr std::size_t kMaxQueued = 512;
 // A VM in a large fleet sends a group a few statements a second: so many tries
 // go through beyond the tenth, enough for one server that begins to turn work
 // away.
-constexpr double kRetryStore = 3.0;
-constexpr std::string_view kPrimaryLane = "primary";
-constexpr std::string_view kReadsLane = "reads";
+constexpr double kRetryBudgetBurst = 3.0;
+constexpr std::string_view kPrimaryQueue = "primary";
+constexpr std::string_view kReadsQueue = "reads";
 
 } // namespace
 
 void
-engine::Wait(session& aSession, clock::time_point aNow)
+engine::Enqueue(session& aSession, clock::time_point aNow)
 {
   auto& request = *aSession.current;
-  request.at = stage::kWaiting;
+  request.at = stage::kQueued;
   request.refusedBy.clear();
   const auto made = Admit(aSession, aNow);
   if (!made.admitted) {
-    TurnAway(aSession, "queue_full", aNow);
+    Reject(aSession, "queue_full", aNow);
     return;
   }
   mWaiting[request.number] = aSession.number;
@@ -41,7 +41,7 @@
     if (owner != mWaiting.end()) {
       auto& displaced = *mSessions.at(owner->second);
       mWaiting.erase(owner);
-      TurnAway(displaced, "displaced", aNow);
+      Reject(displaced, "displaced", aNow);
     }
   }
 }
@@ -57,9 +57,9 @@
 engine::Admit(session& aSession, clock::time_point aNow)
 {
   auto& request = *aSession.current;
-  auto& lane = LaneOf(aSession);
-  if (request.place) {
-    lane.Put(*request.place);
+  auto& queue = QueueOf(aSession);
+  if (request.queueEntry) {
+    queue.Requeue(*request.queueEntry);
     return { true, {} };
   }
   auto answeredBy = request.waitUntil;
@@ -69,12 +69,12 @@
   } else if (!aSession.IsRelay()) {
     answeredBy -= (request.waitUntil - request.arrivedAt) / 2;
   }
-  request.place = admit::waiting{ answeredBy,
-                                  request.number,
-                                  1.0 / (1.0 + request.under->priority) };
-  auto made = lane.Offer(*request.place, aNow);
+  request.queueEntry = admit::waiting{
+    answeredBy, request.number, 1.0 / (1.0 + request.assignedRoute->priority)
+  };
+  auto made = queue.TryAdmit(*request.queueEntry, aNow);
   if (!made.admitted) {
-    request.place.reset();
+    request.queueEntry.reset();
   }
   return made;
 }
@@ -88,53 +88,54 @@
     return false;
   }
   const auto& request = *aSession.current;
-  const auto& lead = LeadOf(request.under->service);
+  const auto& leadership = LeadershipOf(request.assignedRoute->service);
   if (request.needsPrimary) {
-    return !Leads(lead, lead.proof.primary, aNow) ||
-           !TakesWork(lead.proof.primary, request, aNow);
+    return !IsConfirmedPrimary(
+             leadership, leadership.confirmed.primary, aNow) ||
+           !AcceptsWork(leadership.confirmed.primary, request, aNow);
   }
-  const auto& servers = ServersOf(request.under->service);
+  const auto& servers = ServersOf(request.assignedRoute->service);
   return std::none_of(servers.begin(), servers.end(), [&](auto* aState) {
-    return CanServe(Planned(*aState), request, lead, aNow);
+    return CanServe(WithPlan(*aState), request, leadership, aNow);
   });
 }
 
 // The request is not sent any more. That nothing of it has run is said only
 // where it is known.
 void
-engine::TurnAway(session& aSession,
-                 std::string_view aWhy,
-                 clock::time_point aNow)
+engine::Reject(session& aSession, std::string_view aWhy, clock::time_point aNow)
 {
   const auto after =
-    LaneOf(aSession).RetryAfter(aSession.current->number, aNow);
+    QueueOf(aSession).RetryAfter(aSession.current->number, aNow);
   Fail(aSession,
-       RefusalOf(*aSession.current),
+       RefusalCode(*aSession.current),
        absl::StrCat(std::string(aWhy), "; retry after ", after.count(), " ms"),
        aNow);
 }
 
 failure_code
-engine::RefusalOf(const request& aRequest) noexcept
+engine::RefusalCode(const request& aRequest) noexcept
 {
   return aRequest.mayHaveRun ? failure_code::kFailed : failure_code::kBusy;
 }
 
 // What a request that has waited in vain was waiting for, as one word.
 std::string_view
-engine::WhatLacks(const session& aSession, clock::time_point aNow)
+engine::MissingResource(const session& aSession, clock::time_point aNow)
 {
   if (aSession.IsRelay()) {
     return "server_busy";
   }
   const auto& request = *aSession.current;
-  const auto& lead = LeadOf(request.under->service);
-  if (request.needsPrimary && !TakesWork(lead.proof.primary, request, aNow)) {
+  const auto& leadership = LeadershipOf(request.assignedRoute->service);
+  if (request.needsPrimary &&
+      !AcceptsWork(leadership.confirmed.primary, request, aNow)) {
     return "primary_leaves";
   }
   if (request.needsPrimary || !request.floor.position) {
-    return Leads(lead, lead.proof.primary, aNow) ? "primary_busy"
-                                                 : "primary_not_proved";
+    return IsConfirmedPrimary(leadership, leadership.confirmed.primary, aNow)
+             ? "primary_busy"
+             : "primary_not_proved";
   }
   return IsOutage(aSession, aNow) ? "replicas_behind" : "servers_busy";
 }
@@ -142,29 +143,30 @@
 // Requests that need the same servers queue together: their rate is measured
 // as one.
 admit::deadline_queue&
-engine::LaneOf(const session& aSession)
+engine::QueueOf(const session& aSession)
 {
   const auto& request = *aSession.current;
-  const auto name = aSession.IsRelay()     ? aSession.relaysTo
-                    : request.needsPrimary ? std::string(kPrimaryLane)
-                                           : std::string(kReadsLane);
-  auto& lanes = mQueues[request.under->service];
-  return lanes.try_emplace(name, kMostWaiting).first->second;
+  const auto name = aSession.IsRelay()     ? aSession.relayTarget
+                    : request.needsPrimary ? std::string(kPrimaryQueue)
+                                           : std::string(kReadsQueue);
+  auto& dispatch_queues = mQueues[request.assignedRoute->service];
+  return dispatch_queues.try_emplace(name, kMaxQueued).first->second;
 }
 
 admit::retry_budget&
 engine::RetriesOf(const request& aRequest)
 {
-  return mRetries.try_emplace(aRequest.under->service, kRetryStore)
+  return mRetries
+    .try_emplace(aRequest.assignedRoute->service, kRetryBudgetBurst)
     .first->second;
 }
 
 void
-engine::Unqueue(session& aSession)
+engine::Dequeue(session& aSession)
 {
   const auto& request = *aSession.current;
-  if (request.place) {
-    LaneOf(aSession).Remove(*request.place);
+  if (request.queueEntry) {
+    QueueOf(aSession).Remove(*request.queueEntry);
   }
   mWaiting.erase(request.number);
 }
@@ -172,7 +174,7 @@
 // Gives connections to the requests that wait: first to those that can still
 // end in time, in their order, then to those that can't.
 void
-engine::Pump(const std::string& aService, clock::time_point aNow)
+engine::DispatchQueued(const std::string& aService, clock::time_point aNow)
 {
   const auto found = mQueues.find(aService);
   if (found == mQueues.end()) {
@@ -182,52 +184,52 @@
   // does one give way to a new one.
   if (mConfiguration->customers != nullptr) {
     mOnlyIdle = true;
-    PumpLanes(found->second, aNow);
+    DispatchQueues(found->second, aNow);
     mOnlyIdle = false;
   }
-  PumpLanes(found->second, aNow);
+  DispatchQueues(found->second, aNow);
 }
 
 void
-engine::PumpLanes(lanes& aLanes, clock::time_point aNow)
+engine::DispatchQueues(dispatch_queues& aQueues, clock::time_point aNow)
 {
-  blocked_lanes blocked;
+  blocked_queues blocked;
   for (const bool inTime : { true, false }) {
-    for (auto& [name, lane] : aLanes) {
-      PumpLane(lane, inTime, blocked, aNow);
+    for (auto& [name, queue] : aQueues) {
+      DispatchQueue(queue, inTime, blocked, aNow);
     }
   }
 }
 
 void
-engine::PumpLane(admit::deadline_queue& aLane,
-                 bool aInTime,
-                 blocked_lanes& aBlocked,
-                 clock::time_point aNow)
+engine::DispatchQueue(admit::deadline_queue& aQueue,
+                      bool aInTime,
+                      blocked_queues& aBlocked,
+                      clock::time_point aNow)
 {
-  const std::vector<admit::waiting> waiting(aLane.Entries().begin(),
-                                            aLane.Entries().end());
-  for (const auto& place : waiting) {
-    if (aLane.CanEndInTime(place, aNow) != aInTime) {
+  const std::vector<admit::waiting> waiting(aQueue.Entries().begin(),
+                                            aQueue.Entries().end());
+  for (const auto& queueEntry : waiting) {
+    if (aQueue.CanMeetDeadline(queueEntry, aNow) != aInTime) {
       continue;
     }
-    const auto owner = mWaiting.find(place.request);
+    const auto owner = mWaiting.find(queueEntry.request);
     if (owner == mWaiting.end()) {
       continue;
     }
     auto& from = *mSessions.at(owner->second);
-    if (aBlocked.Holds(from)) {
+    if (aBlocked.IsBlocked(from)) {
       continue;
     }
     // A start may give its connection back at once, and look at all that wait.
-    mWaiting.erase(place.request);
-    aLane.Remove(place);
+    mWaiting.erase(queueEntry.request);
+    aQueue.Remove(queueEntry);
     if (TryStart(from, aNow)) {
-      aLane.Departed(aNow);
+      aQueue.Departed(aNow);
       continue;
     }
-    mWaiting[place.request] = from.number;
-    aLane.Put(place);
+    mWaiting[queueEntry.request] = from.number;
+    aQueue.Requeue(queueEntry);
     aBlocked.Add(from);
   }
 }
--- a/src/currantshed/proxy/engine_quota.cpp
+++ b/src/currantshed/proxy/engine_quota.cpp
@@ -14,14 +14,14 @@
 
 // How long an operation waits for its token, as a part of its target: asking
 // takes a few milliseconds, and what is left over is needed to serve it.
-constexpr int kTokenWaitPart = 2;
+constexpr int kTokenWaitDivisor = 2;
 
 } // namespace
 
 // Whether the session's request may begin. A transaction counts once, with its
 // first statement. Where there is no token at hand the request waits for one.
 bool
-engine::MayBegin(session& aSession, clock::time_point aNow)
+engine::TakeToken(session& aSession, clock::time_point aNow)
 {
   auto& request = *aSession.current;
   const bool isCounted =
@@ -29,7 +29,7 @@
   if (isCounted || aSession.IsRelay() || request.customer.empty()) {
     return true;
   }
-  const auto owner = OwnerOf(aSession, *request.under);
+  const auto owner = CustomerOf(aSession, *request.assignedRoute);
   if (owner == nullptr || !owner->limit) {
     return true;
   }
@@ -42,7 +42,7 @@
   }
   request.at = stage::kAwaitingToken;
   request.waitUntil =
-    aNow + (request.waitUntil - request.arrivedAt) / kTokenWaitPart;
+    aNow + (request.waitUntil - request.arrivedAt) / kTokenWaitDivisor;
   Schedule(aSession, request.waitUntil);
   queue.push_back(aSession.number);
   mHost.NeedsTokens(request.customer, 1);
@@ -52,7 +52,7 @@
 // The first session that still waits for a token of the customer, taken off its
 // queue; null where there is none.
 session*
-engine::NextForToken(const std::string& aCustomer)
+engine::NextAwaitingToken(const std::string& aCustomer)
 {
   const auto found = mTokenQueues.find(aCustomer);
   if (found == mTokenQueues.end()) {
@@ -80,15 +80,15 @@
                     clock::time_point aNow)
 {
   mTokens.Put(aCustomer, aCount, aAskedAt);
-  while (auto* next = NextForToken(aCustomer)) {
+  while (auto* next = NextAwaitingToken(aCustomer)) {
     if (!mTokens.Take(aCustomer, aNow)) {
       mTokenQueues[aCustomer].push_front(next->number);
       return;
     }
     auto& request = *next->current;
-    request.at = stage::kWaiting;
-    request.waitUntil =
-      std::min(request.arrivedAt + request.under->target, request.deadline);
+    request.at = stage::kQueued;
+    request.waitUntil = std::min(
+      request.arrivedAt + request.assignedRoute->target, request.deadline);
     Dispatch(*next, aNow);
   }
 }
@@ -100,7 +100,7 @@
                      clock::time_point aNow)
 {
   for (unsigned i = 0; i < aCount; ++i) {
-    auto* next = NextForToken(aCustomer);
+    auto* next = NextAwaitingToken(aCustomer);
     if (next == nullptr) {
       return;
     }
--- a/src/currantshed/proxy/engine_relays.cpp
+++ b/src/currantshed/proxy/engine_relays.cpp
@@ -14,7 +14,7 @@
 // be out of reach. Statements take some 20 ms, and those on a slow server don't
 // keep the VM from answering others. Each VM learns it once for all servers: by
 // one lost statement for each of them it took seconds.
-constexpr milliseconds kSilentRelay{ 300 };
+constexpr milliseconds kRelaySilenceTimeout{ 300 };
 
 } // namespace
 
@@ -22,23 +22,25 @@
 engine::AvoidSilentRelays(clock::time_point aNow)
 {
   absl::btree_map<std::string, clock::time_point> owedSince;
-  for (const auto& id : mUpkept) {
+  for (const auto& id : mMaintained) {
     for (const auto& one : mServers.at(id).connections) {
       if (one->IsDirect()) {
         continue;
       }
-      const auto since = one->IsOpen() ? one->OldestSent() : one->MadeAt();
+      const auto since =
+        one->IsOpen() ? one->OldestPendingAt() : one->CreatedAt();
       const auto place = owedSince.try_emplace(one->via, since).first;
       place->second = std::min(place->second, since);
     }
   }
-  absl::erase_if(mRelaysHeard, [&owedSince](const auto& aEntry) {
+  absl::erase_if(mRelayContacts, [&owedSince](const auto& aEntry) {
     return !owedSince.contains(aEntry.first);
   });
   for (const auto& [vm, since] : owedSince) {
-    const auto heard = mRelaysHeard.find(vm);
-    const bool isHeard = heard != mRelaysHeard.end() && heard->second >= since;
-    if (!isHeard && since < aNow && aNow - since > kSilentRelay) {
+    const auto heard = mRelayContacts.find(vm);
+    const bool isHeard =
+      heard != mRelayContacts.end() && heard->second >= since;
+    if (!isHeard && since < aNow && aNow - since > kRelaySilenceTimeout) {
       AvoidRelay(vm, aNow);
     }
   }
@@ -50,39 +52,39 @@
 engine::AvoidRelay(const std::string& aVm, clock::time_point aNow)
 {
   std::vector<connection*> unused;
-  std::vector<session_id> movable;
+  std::vector<session_id> reroutable;
   for (auto& [id, state] : mServers) {
     // Nothing has gone to this server yet, by whatever way.
-    if (state.plannedFor == 0) {
+    if (state.planEpoch == 0) {
       continue;
     }
-    state.WayFailed(aVm, aNow);
+    state.ObserveRelayFailure(aVm, aNow);
     for (const auto& one : state.connections) {
       if (one->via != aVm) {
         continue;
       }
       if (one->IsIdle() || !one->IsOpen()) {
         unused.push_back(one.get());
-      } else if (one->user != nullptr && MayMove(*one->user)) {
-        movable.push_back(one->user->number);
+      } else if (one->user != nullptr && CanReroute(*one->user)) {
+        reroutable.push_back(one->user->number);
       }
     }
   }
   for (auto* one : unused) {
-    FailOrdersOn(*one);
+    FailControlsOn(*one);
     Discard(*one);
   }
-  for (const auto id : movable) {
+  for (const auto id : reroutable) {
     const auto found = mSessions.find(id);
     if (found != mSessions.end() && found->second->current) {
-      LinkLost(*found->second, aNow);
+      ConnectionLost(*found->second, aNow);
       DropIfGone(id);
     }
   }
 }
 
 bool
-engine::MayMove(const session& aSession)
+engine::CanReroute(const session& aSession)
 {
   const bool begun = aSession.transaction && aSession.transaction->begun;
   return aSession.current && !aSession.current->commits && !begun;
--- a/src/currantshed/proxy/engine_requests.cpp
+++ b/src/currantshed/proxy/engine_requests.cpp
@@ -16,7 +16,7 @@
 constexpr milliseconds kAnswerReserve{ 10 };
 // When a caller comes back whose quota can't be checked: those who keep it may
 // be out of reach for a while.
-constexpr milliseconds kTokenRetry{ 500 };
+constexpr milliseconds kTokenRetryDelay{ 500 };
 
 bool
 IsWrite(const session& aSession, const session_statement& aAsked)
@@ -46,31 +46,32 @@
 } // namespace
 
 void
-engine::Take(session& aSession,
-             session_statement aAsked,
-             clock::time_point aNow)
+engine::Accept(session& aSession,
+               session_statement aAsked,
+               clock::time_point aNow)
 {
   const bool endsFailed = aSession.transaction && aSession.transaction->failed;
   if (aAsked.kind == statement_kind::kRollback || endsFailed) {
     const bool ends = aAsked.kind == statement_kind::kRollback ||
                       aAsked.kind == statement_kind::kCommit;
-    if (ends && aSession.transaction && aSession.transaction->on != nullptr) {
-      auto& on = *aSession.transaction->on;
-      aSession.transaction->on = nullptr;
-      GiveBack(on, aNow);
+    if (ends && aSession.transaction &&
+        aSession.transaction->serverConnection != nullptr) {
+      auto& serverConnection = *aSession.transaction->serverConnection;
+      aSession.transaction->serverConnection = nullptr;
+      ReturnConnection(serverConnection, aNow);
     }
   }
-  if (aSession.transaction && aSession.transaction->lost &&
+  if (aSession.transaction && aSession.transaction->connectionLost &&
       NeedsServer(aAsked.kind)) {
-    AnswerLost(aSession, aAsked, aNow);
+    FailLostTransaction(aSession, aAsked, aNow);
     return;
   }
   if (auto local = aSession.AnswerLocally(aAsked)) {
     Finish(aSession, std::move(*local), aNow);
     return;
   }
-  auto route =
-    aSession.transaction ? aSession.transaction->under : RouteOf(aSession);
+  auto route = aSession.transaction ? aSession.transaction->assignedRoute
+                                    : RouteOf(aSession);
   if (route == nullptr) {
     answer refused;
     refused.failed =
@@ -79,26 +80,26 @@
     return;
   }
   if (!aSession.IsRelay()) {
-    LeadOf(route->service).usedAt = aNow;
+    LeadershipOf(route->service).lastUsedAt = aNow;
   }
-  if (const auto why = WhyNotEntitled(aSession, *route, aNow)) {
+  if (const auto why = AuthorizationFailure(aSession, *route, aNow)) {
     request refused;
     refused.number = ++mLastNumber;
     refused.arrivedAt = aNow;
     refused.asked = std::move(aAsked);
-    refused.under = std::move(route);
+    refused.assignedRoute = std::move(route);
     aSession.current = std::move(refused);
     Fail(aSession, why->code, why->text, aNow);
     return;
   }
-  const auto owner = OwnerOf(aSession, *route);
+  const auto owner = CustomerOf(aSession, *route);
   const auto customer = aSession.IsRelay() ? aAsked.customer
                         : owner == nullptr ? std::string()
                                            : owner->name;
   if (aAsked.kind == statement_kind::kBegin ||
       aAsked.kind == statement_kind::kBeginReadOnly) {
     open_transaction begun;
-    begun.under = route;
+    begun.assignedRoute = route;
     begun.customer = customer;
     begun.readOnly = aAsked.kind == statement_kind::kBeginReadOnly;
     aSession.transaction = std::move(begun);
@@ -129,11 +130,11 @@
     made.commits = writes;
   }
   made.asked = std::move(aAsked);
-  made.under = std::move(route);
+  made.assignedRoute = std::move(route);
   made.customer =
     aSession.transaction ? aSession.transaction->customer : customer;
   aSession.current = std::move(made);
-  if (MayBegin(aSession, aNow)) {
+  if (TakeToken(aSession, aNow)) {
     Dispatch(aSession, aNow);
   }
 }
@@ -141,9 +142,9 @@
 // The transaction's server connection broke between two statements, and with
 // it all that the transaction did.
 void
-engine::AnswerLost(session& aSession,
-                   const session_statement& aAsked,
-                   clock::time_point aNow)
+engine::FailLostTransaction(session& aSession,
+                            const session_statement& aAsked,
+                            clock::time_point aNow)
 {
   answer made;
   made.failed =
@@ -151,7 +152,7 @@
   if (aAsked.kind == statement_kind::kCommit) {
     aSession.transaction.reset();
   } else {
-    aSession.transaction->lost = false;
+    aSession.transaction->connectionLost = false;
     aSession.transaction->failed = true;
   }
   Finish(aSession, std::move(made), aNow);
@@ -174,7 +175,7 @@
   const auto id = aSession.number;
   aSession.current.reset();
   aAnswer.state = aSession.State();
-  if (aSession.gone) {
+  if (aSession.callerLeft) {
     EndTransaction(aSession, aNow);
     return;
   }
@@ -183,7 +184,7 @@
     const auto idle = mConfiguration->transactionIdle;
     Schedule(aSession, aNow + idle);
   }
-  aSession.farEnd.Deliver(aAnswer);
+  aSession.client.Deliver(aAnswer);
   const auto found = mSessions.find(id);
   if (found == mSessions.end()) {
     return;
@@ -191,11 +192,11 @@
   if (!aSession.backlog.empty()) {
     auto next = std::move(aSession.backlog.front());
     aSession.backlog.pop_front();
-    Take(aSession, std::move(next), aNow);
+    Accept(aSession, std::move(next), aNow);
     return;
   }
   if (mIsDraining && !aSession.transaction) {
-    aSession.farEnd.Close();
+    aSession.client.Close();
   }
 }
 
@@ -232,10 +233,10 @@
   if (!aSession.transaction) {
     return;
   }
-  auto* on = aSession.transaction->on;
+  auto* serverConnection = aSession.transaction->serverConnection;
   aSession.transaction.reset();
-  if (on != nullptr) {
-    GiveBack(*on, aNow);
+  if (serverConnection != nullptr) {
+    ReturnConnection(*serverConnection, aNow);
   }
 }
 
@@ -243,7 +244,7 @@
 engine::DropIfGone(session_id aSession)
 {
   const auto found = mSessions.find(aSession);
-  if (found != mSessions.end() && found->second->gone &&
+  if (found != mSessions.end() && found->second->callerLeft &&
       !found->second->current) {
     mSessions.erase(found);
   }
@@ -261,30 +262,30 @@
 {
   if (!aSession.current) {
     const auto idle = mConfiguration->transactionIdle;
-    if (aSession.transaction && !aSession.gone &&
+    if (aSession.transaction && !aSession.callerLeft &&
         aNow >= aSession.transaction->lastUsed + idle) {
       EndTransaction(aSession, aNow);
-      aSession.farEnd.Close();
+      aSession.client.Close();
     }
     return;
   }
   auto& request = *aSession.current;
   if (request.at == stage::kAwaitingToken) {
     if (aNow >= request.waitUntil) {
-      RefuseOverQuota(aSession, kTokenRetry, aNow);
+      RefuseOverQuota(aSession, kTokenRetryDelay, aNow);
     }
     return;
   }
-  if (request.at == stage::kWaiting) {
+  if (request.at == stage::kQueued) {
     if (aNow >= std::min(request.waitUntil, request.deadline)) {
-      Unqueue(aSession);
+      Dequeue(aSession);
       // What has begun meanwhile is no reason to send the caller away.
       if (aNow < request.deadline && IsOutage(aSession, aNow)) {
-        request.place.reset();
-        Wait(aSession, aNow);
+        request.queueEntry.reset();
+        Enqueue(aSession, aNow);
         return;
       }
-      TurnAway(aSession, WhatLacks(aSession, aNow), aNow);
+      Reject(aSession, MissingResource(aSession, aNow), aNow);
     }
     return;
   }
@@ -296,7 +297,7 @@
       aSession, failure_code::kInDoubt, "the primary is not confirmed", aNow);
     return;
   }
-  LinkLost(aSession, aNow);
+  ConnectionLost(aSession, aNow);
 }
 
 } // namespace currantshed::proxy
--- a/src/currantshed/proxy/fwd.hpp
+++ b/src/currantshed/proxy/fwd.hpp
@@ -4,7 +4,7 @@
 namespace currantshed::proxy {
 
 class caller;
-class blocked_lanes;
+class blocked_queues;
 class connection;
 class engine;
 class link_listener;
@@ -13,7 +13,7 @@
 class session;
 class upstream_link;
 enum class failure_code;
-enum class link_end;
+enum class link_close_reason;
 enum class read_policy;
 enum class statement_kind;
 enum class transaction_state;
--- a/src/currantshed/proxy/request.hpp
+++ b/src/currantshed/proxy/request.hpp
@@ -20,9 +20,9 @@
   /// Waits for leave to begin within its customer's quota.
   kAwaitingToken,
   /// Waits for a server connection.
-  kWaiting,
+  kQueued,
   /// The session's values are being brought to the connection.
-  kPrelude,
+  kSessionSetup,
   /// The transaction is being begun at the server.
   kBeginning,
   /// The server has the caller's statement.
@@ -46,22 +46,22 @@
   /// Goes up with each request of this process: the order of arrival.
   std::uint64_t number = 0;
   session_statement asked;
-  std::shared_ptr<const route> under;
+  std::shared_ptr<const route> assignedRoute;
   /// Whose it is; empty where customers are not told apart.
   std::string customer;
   bool needsPrimary = false;
   /// Whether a success makes a change last: a single write, or a commit.
   bool commits = false;
-  stage at = stage::kWaiting;
+  stage at = stage::kQueued;
   clock::time_point arrivedAt;
   /// When the caller gets an answer in any case.
   clock::time_point deadline;
   /// Until when it may wait for a connection.
   clock::time_point waitUntil;
   /// Its place in the queue, once it was given one.
-  std::optional<admit::waiting> place;
+  std::optional<admit::waiting> queueEntry;
   /// Answers of the connection before the next step.
-  unsigned awaited = 0;
+  unsigned awaitedAnswers = 0;
   /// Servers tried so far that turned the request away.
   absl::InlinedVector<upstream::server_id, 2> refusedBy;
   unsigned tries = 0;
@@ -69,10 +69,10 @@
   /// say that it has not run.
   bool mayHaveRun = false;
   read_floor floor;
-  connection* on = nullptr;
+  connection* serverConnection = nullptr;
   clock::time_point sentAt;
   /// The server that got it last.
-  upstream::server_id ranOn;
+  upstream::server_id lastServer;
   /// The term in which that server was taken for the primary, or zero.
   position::term_id term = 0;
   /// For kConfirming.
--- a/src/currantshed/proxy/server_state.cpp
+++ b/src/currantshed/proxy/server_state.cpp
@@ -12,37 +12,37 @@
 
 // What a statement is expected to take before any was measured: a few
 // milliseconds of work, and the way to another failure domain and back.
-constexpr milliseconds kNearTime{ 10 };
-constexpr milliseconds kFarTime{ 13 };
+constexpr milliseconds kNearLatency{ 10 };
+constexpr milliseconds kFarLatency{ 13 };
 // Weight of the newest measurement: an eighth follows a server that turns
 // slow within ten statements.
 constexpr int kMeanWeight = 8;
 // A mean that is not renewed goes back to the usual time, so that a server
 // which was slow is tried again.
-constexpr milliseconds kMeanLife{ 2000 };
+constexpr milliseconds kMeanLifetime{ 2000 };
 // What a replica is taken to be behind at first, and at the least.
-constexpr milliseconds kFirstLag{ 100 };
-constexpr milliseconds kLeastLag{ 5 };
-constexpr milliseconds kLongestLag{ 5000 };
+constexpr milliseconds kInitialLag{ 100 };
+constexpr milliseconds kMinLag{ 5 };
+constexpr milliseconds kMaxLag{ 5000 };
 // A refusal shows only the least lag, which is taken for so many times more.
 // With the time in which half of it fades, a replica that stays behind is tried
 // about once a second by each VM.
-constexpr double kLagBeyond = 1.5;
+constexpr double kLagOvershoot = 1.5;
 constexpr milliseconds kLagHalfLife{ 2000 };
-constexpr milliseconds kFirstAvoidance{ 100 };
-constexpr unsigned kDoublings = 4;
+constexpr milliseconds kInitialAvoidance{ 100 };
+constexpr unsigned kMaxDoublings = 4;
 // How long a server that was full is not asked for another connection.
-constexpr milliseconds kFullPause{ 250 };
+constexpr milliseconds kServerFullBackoff{ 250 };
 // Connections that wait for a lost answer or a caller's pause do not count, up
 // to this many times the limit: the others' share stays free.
-constexpr std::size_t kMostHeldUp = 2;
+constexpr std::size_t kMaxStalledFactor = 2;
 // Ways through other VMs that are kept open to one server; each is a session
 // of some hundred bytes there.
-constexpr std::size_t kMostRelayed = 32;
-constexpr unsigned kMostOpeningRelayed = 4;
+constexpr std::size_t kMaxRelayed = 32;
+constexpr unsigned kMaxOpeningRelayed = 4;
 // Direct connections that are opened at once where each belongs to a customer:
 // each opening takes one of the server's few slots from those that work.
-constexpr unsigned kMostOpeningDirect = 2;
+constexpr unsigned kMaxOpeningDirect = 2;
 // A connection usually opens within some 20 ms; after this time another way is
 // tried beside it.
 constexpr milliseconds kSlowOpening{ 100 };
@@ -51,52 +51,54 @@
 
 server_state::server_state(server aListed, bool aIsNear)
   : listed(std::move(aListed))
-  , mUsual(aIsNear ? kNearTime : kFarTime)
-  , mMean(mUsual)
-  , mLag(kFirstLag)
+  , mDefaultLatency(aIsNear ? kNearLatency : kFarLatency)
+  , mMeanLatency(mDefaultLatency)
+  , mLag(kInitialLag)
 {
 }
 
 void
-server_state::List(const server& aListed, clock::time_point aNow)
+server_state::Update(const server& aListed, clock::time_point aNow)
 {
-  if (listed.Life() != aListed.Life()) {
-    StartAnew(aNow);
+  if (listed.Incarnation() != aListed.Incarnation()) {
+    ResetForNewIncarnation(aNow);
   }
   listed = aListed;
   unlisted = false;
   if (!aListed.draining) {
-    leavingSince.reset();
-  } else if (!leavingSince) {
-    leavingSince = aListed.leavingSince.value_or(aNow);
+    drainingSince.reset();
+  } else if (!drainingSince) {
+    drainingSince = aListed.drainingSince.value_or(aNow);
   }
 }
 
 // A server that has just started holds nothing: reads go elsewhere until it has
 // shown where its log stands, or has had the time to catch up.
 void
-server_state::StartAnew(clock::time_point aNow)
+server_state::ResetForNewIncarnation(clock::time_point aNow)
 {
-  mLivesSince = aNow;
-  leavingSince.reset();
+  mIncarnationSince = aNow;
+  drainingSince.reset();
   applied.reset();
-  mLag = kLongestLag;
+  mLag = kMaxLag;
   mLagAt = aNow;
-  mMean = mUsual;
-  mMeanAt = {};
+  mMeanLatency = mDefaultLatency;
+  mMeanLatencyAt = {};
   mFailures = 0;
   mAvoidUntil = {};
   mNoOpenUntil = {};
-  mWays.clear();
+  mRelayFailures.clear();
   for (const auto& one : connections) {
     one->retiring = true;
   }
 }
 
 bool
-server_state::TakesWork(milliseconds aLeavingUse, clock::time_point aNow) const
+server_state::AcceptsWork(milliseconds aDrainGracePeriod,
+                          clock::time_point aNow) const
 {
-  return !unlisted && !(leavingSince && aNow >= *leavingSince + aLeavingUse);
+  return !unlisted &&
+         !(drainingSince && aNow >= *drainingSince + aDrainGracePeriod);
 }
 
 unsigned
@@ -104,7 +106,7 @@
 {
   return static_cast<unsigned>(std::count_if(
     connections.begin(), connections.end(), [](const auto& aConnection) {
-      return aConnection->IsOpen() && !aConnection->IsQuiet();
+      return aConnection->IsOpen() && !aConnection->HasNoPending();
     }));
 }
 
@@ -127,9 +129,9 @@
 }
 
 connection*
-server_state::Idle(const session_values& aValues,
-                   bool aOnlyDirect,
-                   const std::string* aCustomer)
+server_state::FindIdle(const session_values& aValues,
+                       bool aOnlyDirect,
+                       const std::string* aCustomer)
 {
   connection* found = nullptr;
   int best = 0;
@@ -149,51 +151,52 @@
 }
 
 const path*
-server_state::OpenWay(clock::time_point aNow,
-                      const std::string& aCustomer) const
+server_state::PathToOpen(clock::time_point aNow,
+                         const std::string& aCustomer) const
 {
-  for (const auto& way : plan.paths) {
-    if (way.IsDirect()) {
+  for (const auto& candidate : plan.paths) {
+    if (candidate.IsDirect()) {
       if (MayOpenFor(aCustomer, aNow)) {
-        return &way;
+        return &candidate;
       }
       // One that holds connections waits for one of them, unless it has none
       // that works.
-      if (plan.holds && !IsCutOff(aNow)) {
+      if (plan.isHolder && !IsCutOff(aNow)) {
         return nullptr;
       }
-    } else if (!IsWayAvoided(way.vm, aNow)) {
+    } else if (!IsRelayAvoided(candidate.vm, aNow)) {
       // One that takes long to open is not waited for if there are others.
-      const auto opening = OpeningVia(way.vm, aNow);
+      const auto opening = CountOpening(candidate.vm, aNow);
       if (opening.slow > 0) {
         continue;
       }
       const bool room =
-        Count(false) < kMostRelayed && opening.all < kMostOpeningRelayed;
-      return room ? &way : nullptr;
+        Count(false) < kMaxRelayed && opening.all < kMaxOpeningRelayed;
+      return room ? &candidate : nullptr;
     }
   }
   return nullptr;
 }
 
-server_state::openings
-server_state::OpeningVia(const std::string& aVm, clock::time_point aNow) const
+server_state::opening_counts
+server_state::CountOpening(const std::string& aVm, clock::time_point aNow) const
 {
-  openings found;
+  opening_counts found;
   for (const auto& one : connections) {
     if (!one->IsOpen() && one->via == aVm) {
       ++found.all;
-      found.slow += aNow - one->MadeAt() > kSlowOpening ? 1 : 0;
+      found.slow += aNow - one->CreatedAt() > kSlowOpening ? 1 : 0;
     }
   }
   return found;
 }
 
 bool
-server_state::IsWayAvoided(const std::string& aVm, clock::time_point aNow) const
+server_state::IsRelayAvoided(const std::string& aVm,
+                             clock::time_point aNow) const
 {
-  const auto failures = mWays.find(aVm);
-  return failures != mWays.end() && aNow < failures->second.avoidUntil;
+  const auto failures = mRelayFailures.find(aVm);
+  return failures != mRelayFailures.end() && aNow < failures->second.avoidUntil;
 }
 
 bool
@@ -209,7 +212,7 @@
     if (one->IsDirect() && one->IsOpen()) {
       return false;
     }
-    slow = slow || (one->IsDirect() && aNow - one->MadeAt() > kSlowOpening);
+    slow = slow || (one->IsDirect() && aNow - one->CreatedAt() > kSlowOpening);
   }
   return slow;
 }
@@ -218,8 +221,9 @@
 server_state::IsReachable(clock::time_point aNow) const
 {
   return std::any_of(
-    plan.paths.begin(), plan.paths.end(), [&](const auto& aWay) {
-      return aWay.IsDirect() ? !IsAvoided(aNow) : !IsWayAvoided(aWay.vm, aNow);
+    plan.paths.begin(), plan.paths.end(), [&](const auto& aPath) {
+      return aPath.IsDirect() ? !IsAvoided(aNow)
+                              : !IsRelayAvoided(aPath.vm, aNow);
     });
 }
 
@@ -232,16 +236,16 @@
     connections.begin(), connections.end(), [&aCustomer](const auto& aOne) {
       return !aOne->IsOpen() && aOne->IsDirect() && aOne->customer == aCustomer;
     });
-  const auto most = aCustomer.empty() ? 1 : kMostOpeningDirect;
+  const auto most = aCustomer.empty() ? 1 : kMaxOpeningDirect;
   if (isAwaited || opening >= most) {
     return false;
   }
   return MayOpenDirect(plan.connections, aNow) ||
-         (MayAsk(aNow) && LeastUsed(aCustomer) != nullptr);
+         (MayConnect(aNow) && LeastRecentlyUsed(aCustomer) != nullptr);
 }
 
 connection*
-server_state::LeastUsed(const std::string& aCustomer) const
+server_state::LeastRecentlyUsed(const std::string& aCustomer) const
 {
   connection* found = nullptr;
   for (const auto& one : connections) {
@@ -255,7 +259,7 @@
 }
 
 bool
-server_state::MayAsk(clock::time_point aNow) const
+server_state::MayConnect(clock::time_point aNow) const
 {
   return aNow >= mNoOpenUntil && !IsAvoided(aNow);
 }
@@ -263,19 +267,19 @@
 bool
 server_state::MayOpenDirect(std::size_t aLimit, clock::time_point aNow) const
 {
-  return HasRoom(aLimit, aNow) && MayAsk(aNow);
+  return HasRoom(aLimit, aNow) && MayConnect(aNow);
 }
 
 bool
 server_state::HasRoom(std::size_t aLimit, clock::time_point aNow) const
 {
   std::size_t direct = 0;
-  std::size_t heldUp = 0;
+  std::size_t stalled = 0;
   for (const auto& one : connections) {
     direct += one->IsDirect() ? 1 : 0;
-    heldUp += one->IsDirect() && one->IsHeldUp(aNow) ? 1 : 0;
+    stalled += one->IsDirect() && one->IsStalled(aNow) ? 1 : 0;
   }
-  return direct - heldUp < aLimit && direct < kMostHeldUp * aLimit;
+  return direct - stalled < aLimit && direct < kMaxStalledFactor * aLimit;
 }
 
 bool
@@ -285,13 +289,14 @@
 }
 
 clock::duration
-server_state::Expected(clock::time_point aNow) const
+server_state::ExpectedLatency(clock::time_point aNow) const
 {
   auto oldest = clock::time_point::max();
   for (const auto& one : connections) {
-    oldest = std::min(oldest, one->OldestSent());
+    oldest = std::min(oldest, one->OldestPendingAt());
   }
-  const auto mean = aNow - mMeanAt > kMeanLife ? mUsual : mMean;
+  const auto mean =
+    aNow - mMeanLatencyAt > kMeanLifetime ? mDefaultLatency : mMeanLatency;
   // A server that owes an answer for long is slow, whatever it was before.
   const auto owed = oldest < aNow ? aNow - oldest : clock::duration::zero();
   return std::max(mean, owed / 2) * (Running() + 1);
@@ -300,17 +305,18 @@
 void
 server_state::Served(clock::time_point aSentAt, clock::time_point aNow)
 {
-  const auto base = aNow - mMeanAt > kMeanLife ? mUsual : mMean;
-  mMean = base + ((aNow - aSentAt) - base) / kMeanWeight;
-  mMeanAt = aNow;
+  const auto base =
+    aNow - mMeanLatencyAt > kMeanLifetime ? mDefaultLatency : mMeanLatency;
+  mMeanLatency = base + ((aNow - aSentAt) - base) / kMeanWeight;
+  mMeanLatencyAt = aNow;
   mFailures = 0;
-  mWays.clear();
+  mRelayFailures.clear();
 }
 
 void
-server_state::At(const position::log_position& aPosition,
-                 const confirm::position_samples& aPrimary,
-                 clock::time_point aNow)
+server_state::ObservePosition(const position::log_position& aPosition,
+                              const confirm::position_samples& aPrimary,
+                              clock::time_point aNow)
 {
   applied = aPosition;
   const auto current = aPrimary.CurrentAsOf(aPosition);
@@ -323,11 +329,11 @@
 }
 
 void
-server_state::Lagged(clock::time_point aWrittenBy, clock::time_point aNow)
+server_state::ObserveLag(clock::time_point aWrittenBy, clock::time_point aNow)
 {
   const auto shown = std::chrono::duration_cast<clock::duration>(
-    (aNow - aWrittenBy) * kLagBeyond);
-  mLag = std::min<clock::duration>(std::max(Lag(aNow), shown), kLongestLag);
+    (aNow - aWrittenBy) * kLagOvershoot);
+  mLag = std::min<clock::duration>(std::max(Lag(aNow), shown), kMaxLag);
   mLagAt = aNow;
 }
 
@@ -337,30 +343,31 @@
   const std::chrono::duration<double> since = aNow - mLagAt;
   const auto fading = std::exp2(-since / kLagHalfLife);
   const auto faded = std::chrono::duration_cast<clock::duration>(mLag * fading);
-  return std::max<clock::duration>(faded, kLeastLag);
+  return std::max<clock::duration>(faded, kMinLag);
 }
 
 void
-server_state::Failed(clock::time_point aNow)
+server_state::ObserveFailure(clock::time_point aNow)
 {
   mAvoidUntil =
-    aNow + kFirstAvoidance * (1U << std::min(mFailures, kDoublings));
+    aNow + kInitialAvoidance * (1U << std::min(mFailures, kMaxDoublings));
   ++mFailures;
 }
 
 void
-server_state::WayFailed(const std::string& aVm, clock::time_point aNow)
+server_state::ObserveRelayFailure(const std::string& aVm,
+                                  clock::time_point aNow)
 {
-  auto& way = mWays[aVm];
-  way.avoidUntil =
-    aNow + kFirstAvoidance * (1U << std::min(way.count, kDoublings));
-  ++way.count;
+  auto& candidate = mRelayFailures[aVm];
+  candidate.avoidUntil =
+    aNow + kInitialAvoidance * (1U << std::min(candidate.count, kMaxDoublings));
+  ++candidate.count;
 }
 
 void
-server_state::Full(clock::time_point aNow)
+server_state::ObserveServerFull(clock::time_point aNow)
 {
-  mNoOpenUntil = aNow + kFullPause;
+  mNoOpenUntil = aNow + kServerFullBackoff;
 }
 
 } // namespace currantshed::proxy
--- a/src/currantshed/proxy/session.cpp
+++ b/src/currantshed/proxy/session.cpp
@@ -10,7 +10,7 @@
 session::session(std::uint64_t aNumber, std::string aDatabase, caller& aCaller)
   : number(aNumber)
   , database(std::move(aDatabase))
-  , farEnd(aCaller)
+  , client(aCaller)
 {
 }
 
--- a/src/currantshed/proxy/session.hpp
+++ b/src/currantshed/proxy/session.hpp
@@ -56,7 +56,7 @@
 /// What the session's open transaction is.
 struct open_transaction
 {
-  std::shared_ptr<const route> under;
+  std::shared_ptr<const route> assignedRoute;
   /// Whose it is; empty where customers are not told apart.
   std::string customer;
   /// Whether it counts into its customer's quota already.
@@ -64,14 +64,14 @@
   bool readOnly = false;
   bool failed = false;
   /// Its server connection broke while no statement was under way.
-  bool lost = false;
+  bool connectionLost = false;
   /// The primary's term that it was begun in; zero where it may run anywhere.
   position::term_id term = 0;
   /// Whether a statement that writes was sent in it.
   bool wrote = false;
   clock::time_point lastUsed;
   /// The server connection that it runs on; null until its first statement.
-  connection* on = nullptr;
+  connection* serverConnection = nullptr;
   /// Whether the server has begun it.
   bool begun = false;
 };
@@ -94,17 +94,17 @@
   [[nodiscard]] transaction_state State() const noexcept;
 
   /// Whether it works for another VM, which has made all decisions.
-  [[nodiscard]] bool IsRelay() const noexcept { return !relaysTo.empty(); }
+  [[nodiscard]] bool IsRelay() const noexcept { return !relayTarget.empty(); }
 
   std::uint64_t number;
   std::string database;
   /// What the caller showed to tell whose its requests are.
   std::string key;
   /// The server that another VM reaches through this session, or empty.
-  upstream::server_id relaysTo;
+  upstream::server_id relayTarget;
   /// What takes the place of a route then.
   std::shared_ptr<const route> relayRoute;
-  caller& farEnd;
+  caller& client;
   session_values values;
   std::optional<open_transaction> transaction;
   /// The newest commit that this session was told of.
@@ -114,7 +114,7 @@
   /// The request under way.
   std::optional<request> current;
   /// The caller has gone; the session goes once nothing is under way.
-  bool gone = false;
+  bool callerLeft = false;
 
 private:
   [[nodiscard]] answer Local() const;
--- a/src/currantshed/proxy/upstream_link.hpp
+++ b/src/currantshed/proxy/upstream_link.hpp
@@ -6,14 +6,14 @@
 #include <vector>
 
 #include "currantshed/clock/time.hpp"
+#include "currantshed/proxy/access_planner.hpp"
 #include "currantshed/proxy/configuration.hpp"
-#include "currantshed/proxy/holders.hpp"
 #include "currantshed/proxy/statement.hpp"
 
 namespace currantshed::proxy {
 
 /// Why a link to a server is gone.
-enum class link_end
+enum class link_close_reason
 {
   /// The connection broke, or the server closed it.
   kBroken,
@@ -37,7 +37,7 @@
                       clock::time_point aNow) = 0;
   virtual void Answered(answer aAnswer, clock::time_point aNow) = 0;
   /// Nothing comes after this. Never called from within a call of the link.
-  virtual void Ended(link_end aWhy, clock::time_point aNow) = 0;
+  virtual void Ended(link_close_reason aWhy, clock::time_point aNow) = 0;
 };
 
 /// One connection to a server; destroying it closes it, upon which the server
--- a/src/currantshed/route/fwd.hpp
+++ b/src/currantshed/route/fwd.hpp
@@ -3,10 +3,10 @@
 
 namespace currantshed::route {
 
-enum class standing;
+enum class availability;
 struct candidate;
 struct choice;
-struct read_need;
+struct read_requirements;
 
 } // namespace currantshed::route
 
--- a/src/currantshed/route/read_route.cpp
+++ b/src/currantshed/route/read_route.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-using confirm::dated_status;
+using confirm::timestamped_status;
 using outcome::reason;
 
 // A server that has said nothing for so long gets no reads.
-constexpr std::chrono::milliseconds kSilence{ 300 };
+constexpr std::chrono::milliseconds kMaxStatusAge{ 300 };
 // Part of the staleness bound that is left for the read itself to run in.
-constexpr std::chrono::milliseconds kRunAllowance{ 5 };
+constexpr std::chrono::milliseconds kExecutionAllowance{ 5 };
 
 bool
 Contains(const std::vector<std::string>& aValues, const std::string& aValue)
@@ -24,11 +24,11 @@
 // When the data of a server was current, by its last word and the lag that
 // it had then; none when nothing is known.
 std::optional<clock::time_point>
-ExpectedAsOf(const dated_status& aWord,
-             const confirm::status_board& aBoard,
+ExpectedAsOf(const timestamped_status& aWord,
+             const confirm::status_tracker& aTracker,
              clock::time_point aNow)
 {
-  const auto asOf = aBoard.Samples().CurrentAsOf(aWord.status.applied);
+  const auto asOf = aTracker.Samples().CurrentAsOf(aWord.status.applied);
   if (!asOf) {
     return std::nullopt;
   }
@@ -37,15 +37,15 @@
 }
 
 bool
-CoversFloor(const dated_status& aWord,
-            const read_need& aNeed,
-            const confirm::status_board& aBoard,
+CoversFloor(const timestamped_status& aWord,
+            const read_requirements& aRequirements,
+            const confirm::status_tracker& aTracker,
             std::optional<clock::time_point> aExpectedAsOf)
 {
-  if (aWord.status.applied >= aNeed.floor) {
+  if (aWord.status.applied >= aRequirements.floor) {
     return true;
   }
-  const auto written = aBoard.Samples().WrittenBy(aNeed.floor);
+  const auto written = aTracker.Samples().WrittenBy(aRequirements.floor);
   return written && aExpectedAsOf && *written <= *aExpectedAsOf;
 }
 
@@ -54,21 +54,21 @@
 clock::duration
 UsableStaleness(std::chrono::milliseconds aBound)
 {
-  return std::max<clock::duration>(aBound - kRunAllowance, aBound / 2);
+  return std::max<clock::duration>(aBound - kExecutionAllowance, aBound / 2);
 }
 
 bool
-IsExpectedToServe(const dated_status& aWord,
-                  const read_need& aNeed,
-                  const confirm::status_board& aBoard,
+IsExpectedToServe(const timestamped_status& aWord,
+                  const read_requirements& aRequirements,
+                  const confirm::status_tracker& aTracker,
                   clock::time_point aNow)
 {
-  if (aWord.askedAt + kSilence < aNow) {
+  if (aWord.askedAt + kMaxStatusAge < aNow) {
     return false;
   }
-  const auto asOf = ExpectedAsOf(aWord, aBoard, aNow);
-  return CoversFloor(aWord, aNeed, aBoard, asOf) && asOf &&
-         aNow - *asOf <= UsableStaleness(aNeed.maxStaleness);
+  const auto asOf = ExpectedAsOf(aWord, aTracker, aNow);
+  return CoversFloor(aWord, aRequirements, aTracker, asOf) && asOf &&
+         aNow - *asOf <= UsableStaleness(aRequirements.maxStaleness);
 }
 
 // Whether one would run a read sooner than another: opening a connection
@@ -91,41 +91,41 @@
 }
 
 bool
-MayServe(const candidate& aCandidate, const read_need& aNeed)
+MayServe(const candidate& aCandidate, const read_requirements& aRequirements)
 {
   return !aCandidate.leaving &&
-         IsServedIn(aNeed.servedIn, aCandidate.failureDomain) &&
-         !Contains(aNeed.tried, aCandidate.server);
+         IsServedIn(aRequirements.servedIn, aCandidate.failureDomain) &&
+         !Contains(aRequirements.tried, aCandidate.server);
 }
 
 // The best among the replicas, or among the primary alone.
 choice
 ChooseAmong(bool aPrimaries,
             const std::vector<candidate>& aCandidates,
-            const read_need& aNeed,
-            const confirm::status_board& aBoard,
+            const read_requirements& aRequirements,
+            const confirm::status_tracker& aTracker,
             clock::time_point aNow)
 {
   choice best;
   for (std::size_t i = 0; i < aCandidates.size(); ++i) {
     const auto& candidate = aCandidates[i];
-    const auto* word = aBoard.Find(candidate.server);
-    if (word == nullptr || !MayServe(candidate, aNeed)) {
+    const auto* word = aTracker.Find(candidate.server);
+    if (word == nullptr || !MayServe(candidate, aRequirements)) {
       continue;
     }
     const auto isPrimary = word->status.role == upstream::server_role::kPrimary;
     if (isPrimary != aPrimaries ||
-        !IsExpectedToServe(*word, aNeed, aBoard, aNow)) {
+        !IsExpectedToServe(*word, aRequirements, aTracker, aNow)) {
       continue;
     }
-    if (!candidate.room) {
-      best.state =
-        best.state == standing::kReady ? standing::kReady : standing::kBusy;
+    if (!candidate.hasCapacity) {
+      best.state = best.state == availability::kReady ? availability::kReady
+                                                      : availability::kBusy;
       continue;
     }
-    if (best.state != standing::kReady ||
+    if (best.state != availability::kReady ||
         IsBetter(candidate, aCandidates[best.index])) {
-      best = { standing::kReady, i, reason::kNone };
+      best = { availability::kReady, i, reason::kNone };
     }
   }
   return best;
@@ -134,19 +134,19 @@
 // Why no server can take a read at present.
 reason
 ReasonForNone(const std::vector<candidate>& aCandidates,
-              const read_need& aNeed,
-              const confirm::status_board& aBoard,
+              const read_requirements& aRequirements,
+              const confirm::status_tracker& aTracker,
               clock::time_point aNow)
 {
   const auto hasPlace = std::any_of(
     aCandidates.begin(), aCandidates.end(), [&](const candidate& aCandidate) {
       return !aCandidate.leaving &&
-             IsServedIn(aNeed.servedIn, aCandidate.failureDomain);
+             IsServedIn(aRequirements.servedIn, aCandidate.failureDomain);
     });
   if (!hasPlace) {
-    return reason::kNoPlace;
+    return reason::kNoEligibleServer;
   }
-  return aBoard.Primary(aNow) ? reason::kTooStale : reason::kNoPrimary;
+  return aTracker.Primary(aNow) ? reason::kTooStale : reason::kNoPrimary;
 }
 
 } // namespace
@@ -160,25 +160,27 @@
 
 choice
 ChooseForRead(const std::vector<candidate>& aCandidates,
-              const read_need& aNeed,
-              const confirm::status_board& aBoard,
+              const read_requirements& aRequirements,
+              const confirm::status_tracker& aTracker,
               clock::time_point aNow)
 {
-  if (aNeed.fresh) {
-    return ChoosePrimary(aCandidates, aNeed.servedIn, aBoard, aNow);
+  if (aRequirements.fresh) {
+    return ChoosePrimary(aCandidates, aRequirements.servedIn, aTracker, aNow);
   }
-  const auto replica = ChooseAmong(false, aCandidates, aNeed, aBoard, aNow);
-  if (replica.state == standing::kReady) {
+  const auto replica =
+    ChooseAmong(false, aCandidates, aRequirements, aTracker, aNow);
+  if (replica.state == availability::kReady) {
     return replica;
   }
-  auto primary = ChooseAmong(true, aCandidates, aNeed, aBoard, aNow);
-  if (replica.state == standing::kBusy) {
-    const auto maySpill = aNeed.spill && primary.state == standing::kReady &&
+  auto primary = ChooseAmong(true, aCandidates, aRequirements, aTracker, aNow);
+  if (replica.state == availability::kBusy) {
+    const auto maySpill = aRequirements.allowSpillover &&
+                          primary.state == availability::kReady &&
                           LeavesSlot(aCandidates[primary.index]);
     return maySpill ? primary : replica;
   }
-  if (primary.state == standing::kNone) {
-    primary.why = ReasonForNone(aCandidates, aNeed, aBoard, aNow);
+  if (primary.state == availability::kNone) {
+    primary.why = ReasonForNone(aCandidates, aRequirements, aTracker, aNow);
     return primary;
   }
   return primary;
@@ -187,12 +189,12 @@
 choice
 ChoosePrimary(const std::vector<candidate>& aCandidates,
               const std::vector<std::string>& aServedIn,
-              const confirm::status_board& aBoard,
+              const confirm::status_tracker& aTracker,
               clock::time_point aNow)
 {
-  const auto primary = aBoard.Primary(aNow);
+  const auto primary = aTracker.Primary(aNow);
   if (!primary) {
-    return { standing::kNone, 0, reason::kNoPrimary };
+    return { availability::kNone, 0, reason::kNoPrimary };
   }
   for (std::size_t i = 0; i < aCandidates.size(); ++i) {
     const auto& candidate = aCandidates[i];
@@ -200,16 +202,16 @@
       continue;
     }
     if (!IsServedIn(aServedIn, candidate.failureDomain)) {
-      return { standing::kNone, 0, reason::kNoPlace };
+      return { availability::kNone, 0, reason::kNoEligibleServer };
     }
     if (candidate.leaving) {
-      return { standing::kNone, 0, reason::kNoPrimary };
+      return { availability::kNone, 0, reason::kNoPrimary };
     }
-    return { candidate.room ? standing::kReady : standing::kBusy,
+    return { candidate.hasCapacity ? availability::kReady : availability::kBusy,
              i,
              reason::kNone };
   }
-  return { standing::kNone, 0, reason::kNoPrimary };
+  return { availability::kNone, 0, reason::kNoPrimary };
 }
 
 } // namespace currantshed::route
--- a/src/currantshed/route/read_route.hpp
+++ b/src/currantshed/route/read_route.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "currantshed/clock/time.hpp"
-#include "currantshed/confirm/status_board.hpp"
+#include "currantshed/confirm/status_tracker.hpp"
 #include "currantshed/outcome/verdict.hpp"
 #include "currantshed/position/log_position.hpp"
 #include "currantshed/route/fwd.hpp"
@@ -25,13 +25,13 @@
   unsigned inUse = 0;
   unsigned slots = 1;
   /// Whether a batch could be sent, or a connection opened for it, now.
-  bool room = false;
+  bool hasCapacity = false;
   /// Whether a connection is at hand, so that none need be opened first.
   bool connected = false;
 };
 
 /// What a read asks of the server that runs it.
-struct read_need
+struct read_requirements
 {
   /// Failure domains that may serve it; a hard limit, so none means nowhere.
   const std::vector<std::string>& servedIn;
@@ -44,10 +44,10 @@
   const std::vector<upstream::server_id>& tried;
   /// Whether it has waited for so long that the primary should take it
   /// although a replica could, later.
-  bool spill = false;
+  bool allowSpillover = false;
 };
 
-enum class standing
+enum class availability
 {
   /// A server can take it now.
   kReady,
@@ -60,7 +60,7 @@
 /// The server chosen, by its place among the candidates.
 struct choice
 {
-  standing state = standing::kNone;
+  availability state = availability::kNone;
   std::size_t index = 0;
   outcome::reason why = outcome::reason::kNone;
 };
@@ -75,15 +75,15 @@
 /// its last word and its lag, and to the primary only where no replica is.
 [[nodiscard]] choice
 ChooseForRead(const std::vector<candidate>& aCandidates,
-              const read_need& aNeed,
-              const confirm::status_board& aBoard,
+              const read_requirements& aRequirements,
+              const confirm::status_tracker& aTracker,
               clock::time_point aNow);
 
 /// Chooses the server for what only the primary may do.
 [[nodiscard]] choice
 ChoosePrimary(const std::vector<candidate>& aCandidates,
               const std::vector<std::string>& aServedIn,
-              const confirm::status_board& aBoard,
+              const confirm::status_tracker& aTracker,
               clock::time_point aNow);
 
 } // namespace currantshed::route
--- a/src/currantshed/session/error.cpp
+++ b/src/currantshed/session/error.cpp
@@ -16,13 +16,13 @@
     switch (static_cast<session_error>(aValue)) {
       case session_error::kMalformed:
         return "the text is malformed";
-      case session_error::kForeign:
+      case session_error::kUntrusted:
         return "the text was sealed by an unknown key or for another purpose";
-      case session_error::kForged:
+      case session_error::kBadSignature:
         return "the seal does not fit the content";
       case session_error::kUnknownVersion:
         return "the text is of an unknown version";
-      case session_error::kBadKeyRing:
+      case session_error::kInvalidKeyRing:
         return "keys must be given as id:hexadecimal,... with 16 to 64 bytes "
                "each and every id once";
     }
--- a/src/currantshed/session/error.hpp
+++ b/src/currantshed/session/error.hpp
@@ -12,13 +12,13 @@
   kMalformed = 1,
   /// The text was sealed by a key that isn't on the ring, or for another
   /// purpose.
-  kForeign,
+  kUntrusted,
   /// The seal doesn't fit the content.
-  kForged,
+  kBadSignature,
   /// The text was made by a later version of this format.
   kUnknownVersion,
   /// The list of keys isn't of the form `id:hexadecimal,...`.
-  kBadKeyRing,
+  kInvalidKeyRing,
 };
 
 /// The category of session errors.
--- a/src/currantshed/session/fwd.hpp
+++ b/src/currantshed/session/fwd.hpp
@@ -4,7 +4,7 @@
 namespace currantshed::session {
 
 enum class session_error;
-enum class seal_purpose : unsigned char;
+enum class token_purpose : unsigned char;
 class key_ring;
 class position_vector;
 
--- a/src/currantshed/session/key_ring.cpp
+++ b/src/currantshed/session/key_ring.cpp
@@ -19,16 +19,16 @@
 namespace {
 
 constexpr char kVersion = 1;
-constexpr std::size_t kSealBytes = 16;
-constexpr std::size_t kLowestSecret = 16;
-constexpr std::size_t kHighestSecret = 64;
-constexpr std::size_t kLongestId = 32;
+constexpr std::size_t kSignatureBytes = 16;
+constexpr std::size_t kMinSecretBytes = 16;
+constexpr std::size_t kMaxSecretBytes = 64;
+constexpr std::size_t kMaxIdBytes = 32;
 /// Version, purpose and length of the key's id.
-constexpr std::size_t kHeadBytes = 3;
-constexpr std::size_t kLongestText = 4096;
+constexpr std::size_t kHeaderBytes = 3;
+constexpr std::size_t kMaxTextBytes = 4096;
 
 std::string
-MakeSeal(const std::string& aSecret, std::string_view aMessage)
+MakeSignature(const std::string& aSecret, std::string_view aMessage)
 {
   std::array<unsigned char, EVP_MAX_MD_SIZE> digest{};
   unsigned length = 0;
@@ -39,11 +39,11 @@
        aMessage.size(),
        digest.data(),
        &length);
-  return { reinterpret_cast<const char*>(digest.data()), kSealBytes };
+  return { reinterpret_cast<const char*>(digest.data()), kSignatureBytes };
 }
 
 bool
-SameSeal(std::string_view aLeft, std::string_view aRight)
+IsSameSignature(std::string_view aLeft, std::string_view aRight)
 {
   return aLeft.size() == aRight.size() &&
          CRYPTO_memcmp(aLeft.data(), aRight.data(), aLeft.size()) == 0;
@@ -58,11 +58,11 @@
 }
 
 bool
-GoodSecret(std::string_view aHexadecimal)
+IsValidSecret(std::string_view aHexadecimal)
 {
   return aHexadecimal.size() % 2 == 0 &&
-         aHexadecimal.size() >= 2 * kLowestSecret &&
-         aHexadecimal.size() <= 2 * kHighestSecret &&
+         aHexadecimal.size() >= 2 * kMinSecretBytes &&
+         aHexadecimal.size() <= 2 * kMaxSecretBytes &&
          IsHexadecimal(aHexadecimal);
 }
 
@@ -88,7 +88,7 @@
 bool
 Decode(std::string_view aText, std::string& aBytes)
 {
-  return aText.size() <= kLongestText &&
+  return aText.size() <= kMaxTextBytes &&
          absl::WebSafeBase64Unescape(AbslView(aText), &aBytes) &&
          absl::WebSafeBase64Escape(aBytes) == aText;
 }
@@ -107,8 +107,9 @@
       std::any_of(keys.begin(), keys.end(), [id](const key& aKey) {
         return aKey.id == id;
       });
-    if (id.empty() || id.size() > kLongestId || taken || !GoodSecret(secret)) {
-      return session_error::kBadKeyRing;
+    if (id.empty() || id.size() > kMaxIdBytes || taken ||
+        !IsValidSecret(secret)) {
+      return session_error::kInvalidKeyRing;
     }
     keys.push_back(
       { std::string(id), absl::HexStringToBytes(AbslView(secret)) });
@@ -118,51 +119,53 @@
 }
 
 std::string
-key_ring::Seal(seal_purpose aPurpose, std::string_view aContent) const
+key_ring::Sign(token_purpose aPurpose, std::string_view aContent) const
 {
   if (mKeys.empty()) {
     return {};
   }
   const key& first = mKeys.front();
   std::string message;
-  message.reserve(kHeadBytes + first.id.size() + aContent.size() + kSealBytes);
+  message.reserve(kHeaderBytes + first.id.size() + aContent.size() +
+                  kSignatureBytes);
   message.push_back(kVersion);
   message.push_back(static_cast<char>(aPurpose));
   message.push_back(static_cast<char>(first.id.size()));
   message.append(first.id);
   message.append(aContent);
-  message.append(MakeSeal(first.secret, message));
+  message.append(MakeSignature(first.secret, message));
   return absl::WebSafeBase64Escape(message);
 }
 
 std::error_code
-key_ring::Open(seal_purpose aPurpose,
-               std::string_view aText,
-               std::string& aContent) const
+key_ring::Verify(token_purpose aPurpose,
+                 std::string_view aText,
+                 std::string& aContent) const
 {
   std::string bytes;
-  if (!Decode(aText, bytes) || bytes.size() < kHeadBytes + kSealBytes) {
+  if (!Decode(aText, bytes) || bytes.size() < kHeaderBytes + kSignatureBytes) {
     return session_error::kMalformed;
   }
   if (bytes[0] != kVersion) {
     return session_error::kUnknownVersion;
   }
   const std::size_t idLength = static_cast<unsigned char>(bytes[2]);
-  const std::size_t begin = kHeadBytes + idLength;
-  if (bytes.size() < begin + kSealBytes) {
+  const std::size_t begin = kHeaderBytes + idLength;
+  if (bytes.size() < begin + kSignatureBytes) {
     return session_error::kMalformed;
   }
   const std::string_view all = bytes;
-  const key* used = Find(all.substr(kHeadBytes, idLength));
+  const key* used = Find(all.substr(kHeaderBytes, idLength));
   if (used == nullptr) {
-    return session_error::kForeign;
+    return session_error::kUntrusted;
   }
-  const std::size_t end = bytes.size() - kSealBytes;
-  if (!SameSeal(MakeSeal(used->secret, all.substr(0, end)), all.substr(end))) {
-    return session_error::kForged;
+  const std::size_t end = bytes.size() - kSignatureBytes;
+  if (!IsSameSignature(MakeSignature(used->secret, all.substr(0, end)),
+                       all.substr(end))) {
+    return session_error::kBadSignature;
   }
   if (bytes[1] != static_cast<char>(aPurpose)) {
-    return session_error::kForeign;
+    return session_error::kUntrusted;
   }
   aContent.assign(all.substr(begin, end - begin));
   return {};
--- a/src/currantshed/session/key_ring.hpp
+++ b/src/currantshed/session/key_ring.hpp
@@ -12,7 +12,7 @@
 
 /// What a sealed text is for; a text sealed for one purpose is refused for
 /// any other.
-enum class seal_purpose : unsigned char
+enum class token_purpose : unsigned char
 {
   kSession = 1,
   kTransaction = 2,
@@ -28,20 +28,20 @@
   key_ring() = default;
 
   /// Reads `id:hexadecimal,id:hexadecimal,...`, each key of 16 to 64 bytes;
-  /// kBadKeyRing when the text isn't of that form.
+  /// kInvalidKeyRing when the text isn't of that form.
   [[nodiscard]] std::error_code Parse(std::string_view aText);
 
   /// Seals a content with HMAC-SHA256, cut to 16 bytes, and gives it as text
   /// that fits into an HTTP header or a path (base64url). The content is
   /// protected against change, not hidden.
-  [[nodiscard]] std::string Seal(seal_purpose aPurpose,
+  [[nodiscard]] std::string Sign(token_purpose aPurpose,
                                  std::string_view aContent) const;
 
   /// Opens a sealed text into its content; the seal is compared in constant
   /// time. aContent is left alone on error.
-  [[nodiscard]] std::error_code Open(seal_purpose aPurpose,
-                                     std::string_view aText,
-                                     std::string& aContent) const;
+  [[nodiscard]] std::error_code Verify(token_purpose aPurpose,
+                                       std::string_view aText,
+                                       std::string& aContent) const;
 
   [[nodiscard]] bool empty() const noexcept;
 
--- a/src/currantshed/session/position_vector.cpp
+++ b/src/currantshed/session/position_vector.cpp
@@ -112,11 +112,11 @@
 }
 
 void
-position_vector::Raise(std::string_view aGroup,
-                       position::log_position aPosition)
+position_vector::AdvanceTo(std::string_view aGroup,
+                           position::log_position aPosition)
 {
   if (aPosition != position::log_position{}) {
-    RaiseHash(HashOf(aGroup), aPosition);
+    AdvanceHashTo(HashOf(aGroup), aPosition);
   }
 }
 
@@ -125,26 +125,26 @@
 {
   position_vector other = aOther;
   if (mOverflowed) {
-    other.DropUnlessIn(*this);
+    other.RemoveUnlessIn(*this);
   }
   if (aOther.mOverflowed) {
-    DropUnlessIn(aOther);
+    RemoveUnlessIn(aOther);
   }
   mOverflowed = mOverflowed || aOther.mOverflowed;
   for (const entry& seen : other.mEntries) {
-    RaiseHash(seen.group, seen.position);
+    AdvanceHashTo(seen.group, seen.position);
   }
 }
 
 void
-position_vector::AssumeMore() noexcept
+position_vector::MarkIncomplete() noexcept
 {
   mOverflowed = true;
 }
 
 void
-position_vector::RaiseHash(std::uint64_t aGroup,
-                           position::log_position aPosition)
+position_vector::AdvanceHashTo(std::uint64_t aGroup,
+                               position::log_position aPosition)
 {
   const auto place =
     std::lower_bound(mEntries.begin(),
@@ -157,7 +157,7 @@
     place->position = std::max(place->position, aPosition);
     return;
   }
-  if (mEntries.size() >= kMostGroups) {
+  if (mEntries.size() >= kMaxGroups) {
     mOverflowed = true;
     return;
   }
@@ -175,7 +175,7 @@
 }
 
 void
-position_vector::DropUnlessIn(const position_vector& aOther)
+position_vector::RemoveUnlessIn(const position_vector& aOther)
 {
   std::erase_if(mEntries, [&aOther](const entry& aEntry) {
     return aOther.Find(aEntry.group) == nullptr;
@@ -215,7 +215,7 @@
   unsigned char flags = 0;
   unsigned char count = 0;
   if (!bytes.Byte(flags) || !bytes.Byte(count) || flags > kOverflowed ||
-      count > kMostGroups) {
+      count > kMaxGroups) {
     return session_error::kMalformed;
   }
   position_vector read;
--- a/src/currantshed/session/position_vector.hpp
+++ b/src/currantshed/session/position_vector.hpp
@@ -32,7 +32,7 @@
 public:
   /// Groups that one vector notes. Past it the vector overflows, and every
   /// group that isn't noted is read fresh.
-  static constexpr std::size_t kMostGroups = 64;
+  static constexpr std::size_t kMaxGroups = 64;
 
   /// What a read of this group has to show.
   [[nodiscard]] group_floor Floor(std::string_view aGroup) const noexcept;
@@ -40,7 +40,7 @@
   /// Notes a confirmed position; a lower one than that noted changes nothing.
   /// Where Floor says fresh, the position must come from a fresh read or a
   /// change, so that it covers whatever was seen before without being noted.
-  void Raise(std::string_view aGroup, position::log_position aPosition);
+  void AdvanceTo(std::string_view aGroup, position::log_position aPosition);
 
   /// Takes over what another vector of the same session has seen. A group
   /// that one of them may have seen without noting it stays unnoted.
@@ -48,7 +48,7 @@
 
   /// Says that the session may have seen more than is noted: every group that
   /// isn't noted is read fresh, until it is noted.
-  void AssumeMore() noexcept;
+  void MarkIncomplete() noexcept;
 
   [[nodiscard]] bool Overflowed() const noexcept;
   [[nodiscard]] std::size_t size() const noexcept;
@@ -71,9 +71,9 @@
     [[nodiscard]] friend bool operator==(const entry&, const entry&) = default;
   };
 
-  void RaiseHash(std::uint64_t aGroup, position::log_position aPosition);
+  void AdvanceHashTo(std::uint64_t aGroup, position::log_position aPosition);
   [[nodiscard]] const entry* Find(std::uint64_t aGroup) const noexcept;
-  void DropUnlessIn(const position_vector& aOther);
+  void RemoveUnlessIn(const position_vector& aOther);
 
   /// In the order of the hashes.
   std::vector<entry> mEntries;
--- a/src/currantshed/session/token.cpp
+++ b/src/currantshed/session/token.cpp
@@ -8,7 +8,7 @@
 std::string
 MakeToken(const position_vector& aSeen, const key_ring& aKeys)
 {
-  return aKeys.Seal(seal_purpose::kSession, aSeen.Encode());
+  return aKeys.Sign(token_purpose::kSession, aSeen.Encode());
 }
 
 std::error_code
@@ -21,7 +21,8 @@
     return {};
   }
   std::string content;
-  if (const auto error = aKeys.Open(seal_purpose::kSession, aToken, content)) {
+  if (const auto error =
+        aKeys.Verify(token_purpose::kSession, aToken, content)) {
     return error;
   }
   return aSeen.Decode(content);
--- a/src/currantshed/store/apply.cpp
+++ b/src/currantshed/store/apply.cpp
@@ -126,15 +126,15 @@
 void
 applier::JudgeLater(const policy::configuration_record& aFound)
 {
-  using policy::change_trace;
-  switch (policy::TraceChange(aFound, mRequest.change, NextVersion())) {
-    case change_trace::kMade:
+  using policy::change_status;
+  switch (policy::FindChange(aFound, mRequest.change, NextVersion())) {
+    case change_status::kIncluded:
       Finish(apply_outcome::kApplied);
       return;
-    case change_trace::kNotMade:
+    case change_status::kNotIncluded:
       Finish(apply_outcome::kLostRace);
       return;
-    case change_trace::kForgotten:
+    case change_status::kTooOld:
       Finish(mInDoubt ? apply_outcome::kUnknown : apply_outcome::kLostRace);
       return;
   }
@@ -148,7 +148,7 @@
   record.appliedBy = mRequest.appliedBy;
   record.appliedAt = mRequest.appliedAt;
   auto value = policy::PrintConfigurationRecord(record);
-  if (value.size() > kLargestValueBytes) {
+  if (value.size() > kMaxValueBytes) {
     Finish(apply_outcome::kTooLarge);
     return;
   }
--- a/src/currantshed/store/apply.hpp
+++ b/src/currantshed/store/apply.hpp
@@ -77,7 +77,7 @@
 using apply_action = std::variant<read_configuration, swap_configuration>;
 
 /// Maximum size of a value in the platform's store.
-constexpr std::size_t kLargestValueBytes = 1U << 20U;
+constexpr std::size_t kMaxValueBytes = 1U << 20U;
 
 /// Makes one change of the configuration by compare-and-swap against the
 /// version that the operator saw, and reports its outcome accurately. If a
--- a/src/currantshed/store/backoff.cpp
+++ b/src/currantshed/store/backoff.cpp
@@ -11,7 +11,7 @@
 std::chrono::milliseconds
 FirstBound(const backoff_settings& aSettings)
 {
-  return std::min(aSettings.shortest * 2, aSettings.longest);
+  return std::min(aSettings.minDelay * 2, aSettings.maxDelay);
 }
 
 } // namespace
@@ -25,8 +25,8 @@
 clock::duration
 backoff::Next(double aRandom)
 {
-  const auto wait = Between(mSettings.shortest, mBound, aRandom);
-  mBound = std::min(mBound * 2, mSettings.longest);
+  const auto wait = Between(mSettings.minDelay, mBound, aRandom);
+  mBound = std::min(mBound * 2, mSettings.maxDelay);
   return wait;
 }
 
--- a/src/currantshed/store/backoff.hpp
+++ b/src/currantshed/store/backoff.hpp
@@ -11,10 +11,10 @@
 struct backoff_settings
 {
   /// Minimum delay. The first delay may be up to twice as long.
-  std::chrono::milliseconds shortest{ 200 };
+  std::chrono::milliseconds minDelay{ 200 };
   /// Maximum delay. The calls of all VMs spread over this time when the
   /// platform recovers, so it should grow with the size of the fleet.
-  std::chrono::milliseconds longest{ 5000 };
+  std::chrono::milliseconds maxDelay{ 5000 };
 };
 
 /// Exponential backoff with jitter. Each delay is drawn uniformly between the
--- a/src/currantshed/store/patience.cpp
+++ b/src/currantshed/store/call_timeout.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/store/patience.hpp"
+#include "currantshed/store/call_timeout.hpp"
 
 #include <algorithm>
 
@@ -17,7 +17,7 @@
 } // namespace
 
 milliseconds
-Patience(clock::duration aSinceStart, bool aHasRead) noexcept
+CallTimeout(clock::duration aSinceStart, bool aHasRead) noexcept
 {
   if (aHasRead) {
     return kUsual;
--- a/src/currantshed/store/patience.hpp
+++ b/src/currantshed/store/call_timeout.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_STORE_PATIENCE_HPP
-#define CURRANTSHED_STORE_PATIENCE_HPP
+#ifndef CURRANTSHED_STORE_CALL_TIMEOUT_HPP
+#define CURRANTSHED_STORE_CALL_TIMEOUT_HPP
 
 #include <chrono>
 
@@ -13,7 +13,7 @@
 /// early. The timeout then grows with the time since the start, so that a slow
 /// store, or a large document on a slow link, succeeds eventually.
 [[nodiscard]] std::chrono::milliseconds
-Patience(clock::duration aSinceStart, bool aHasRead) noexcept;
+CallTimeout(clock::duration aSinceStart, bool aHasRead) noexcept;
 
 } // namespace currantshed::store
 
--- a/src/currantshed/store/client.hpp
+++ b/src/currantshed/store/client.hpp
@@ -80,7 +80,7 @@
   /// rate limit.
   virtual void Watch(std::string aKey,
                      index aKnown,
-                     std::chrono::milliseconds aAtMost,
+                     std::chrono::milliseconds aMaxWait,
                      entry_callback aDone) = 0;
 
   /// Writes a key if it still has the expected version; zero expects that the
--- a/src/currantshed/store/consul_answers.cpp
+++ b/src/currantshed/store/consul_responses.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/store/consul_answers.hpp"
+#include "currantshed/store/consul_responses.hpp"
 
 #include <algorithm>
 #include <optional>
@@ -149,7 +149,7 @@
 
 /// Checks the status of a response for which 404 is an error as well.
 std::error_code
-FoundError(const http_answer& aAnswer)
+FoundError(const http_response& aAnswer)
 {
   const auto failure = StatusError(aAnswer);
   if (!failure && aAnswer.status != kOk) {
@@ -185,7 +185,7 @@
 } // namespace
 
 std::error_code
-StatusError(const http_answer& aAnswer)
+StatusError(const http_response& aAnswer)
 {
   if (aAnswer.error) {
     return aAnswer.error;
@@ -200,7 +200,7 @@
 }
 
 std::error_code
-ReadEntry(const http_answer& aAnswer, entry& aEntry)
+ReadEntry(const http_response& aAnswer, entry& aEntry)
 {
   aEntry = entry{};
   const auto failure = StatusError(aAnswer);
@@ -236,7 +236,7 @@
 }
 
 swap_outcome
-ReadSwap(const http_answer& aAnswer)
+ReadSwap(const http_response& aAnswer)
 {
   if (aAnswer.error || aAnswer.status != kOk) {
     return swap_outcome::kUnknown;
@@ -249,7 +249,7 @@
 }
 
 std::error_code
-ReadVms(const http_answer& aAnswer, std::vector<vm>& aVms)
+ReadVms(const http_response& aAnswer, std::vector<vm>& aVms)
 {
   aVms.clear();
   if (const auto failure = FoundError(aAnswer)) {
@@ -273,7 +273,8 @@
 }
 
 std::error_code
-ReadGroups(const http_answer& aAnswer, std::vector<group::description>& aGroups)
+ReadGroups(const http_response& aAnswer,
+           std::vector<group::description>& aGroups)
 {
   aGroups.clear();
   if (const auto failure = FoundError(aAnswer)) {
--- a/src/currantshed/store/curl_transport.cpp
+++ b/src/currantshed/store/curl_transport.cpp
@@ -44,7 +44,7 @@
   list_ptr headers;
   std::string url;
   std::string body;
-  http_answer answer;
+  http_response answer;
   bool overLimit = false;
   transport::callback done;
 };
@@ -99,7 +99,7 @@
 {
   auto& call = *static_cast<transfer*>(aTransfer);
   const std::size_t length = aSize * aCount;
-  if (call.answer.body.size() + length > kAnswerLimitBytes) {
+  if (call.answer.body.size() + length > kMaxResponseBytes) {
     call.overLimit = true;
     return 0;
   }
@@ -352,7 +352,7 @@
   {
     const auto error = FromCurl(aCode, aCall.overLimit);
     if (error) {
-      aCall.answer = http_answer{ error, 0, 0, {} };
+      aCall.answer = http_response{ error, 0, 0, {} };
       return;
     }
     long status = 0;
--- a/src/currantshed/store/era_guard.cpp
+++ b/src/currantshed/store/era_guard.cpp
@@ -17,14 +17,14 @@
 // Records the era of a response. Returns the call's error, or errc::kStaleEra
 // if the response is of an earlier era.
 std::error_code
-era_guard::Heard(std::error_code aError, const call_answer& aAnswer)
+era_guard::Heard(std::error_code aError, const response_info& aAnswer)
 {
   const auto told = aAnswer.era;
   if (told && (!mEra || *told > *mEra)) {
-    mListener.began(std::exchange(mEra, told), *told);
+    mListener.eraChanged(std::exchange(mEra, told), *told);
   }
   const bool isLate = told && *told < *mEra;
-  return isLate && !aError ? make_error_code(errc::kEraEnded) : aError;
+  return isLate && !aError ? make_error_code(errc::kStaleEra) : aError;
 }
 
 bool
@@ -54,13 +54,14 @@
     std::any_of(aWhat.puts.begin(), aWhat.puts.end(), [this](const auto& aOne) {
       return aOne.lease != lease_id{} && IsPast(aOne.lease.era);
     });
-  return hasPastLease ? std::optional(commit_outcome::kNoLease) : std::nullopt;
+  return hasPastLease ? std::optional(commit_outcome::kLeaseNotFound)
+                      : std::nullopt;
 }
 
 void
-era_guard::SetPatience(std::chrono::milliseconds aPatience)
+era_guard::SetCallTimeout(std::chrono::milliseconds aTimeout)
 {
-  mStore.SetPatience(aPatience);
+  mStore.SetCallTimeout(aTimeout);
 }
 
 void
@@ -69,7 +70,7 @@
   mStore.Get(std::move(aKey),
              [this, done = std::move(aDone)](std::error_code aError,
                                              std::optional<item> aItem,
-                                             call_answer aAnswer) {
+                                             response_info aAnswer) {
                done(Heard(aError, aAnswer), std::move(aItem), aAnswer);
              });
 }
@@ -82,7 +83,7 @@
     [this, done = std::move(aDone)](std::error_code aError,
                                     std::vector<item> aItems,
                                     revision aRevision,
-                                    call_answer aAnswer) {
+                                    response_info aAnswer) {
       done(Heard(aError, aAnswer), std::move(aItems), aRevision, aAnswer);
     });
 }
@@ -90,14 +91,14 @@
 void
 era_guard::Watch(std::string aPrefix,
                  revision aAfter,
-                 std::chrono::milliseconds aAtMost,
+                 std::chrono::milliseconds aMaxWait,
                  watch_callback aDone)
 {
   if (IsPast(aAfter.era)) {
     Reject(std::move(aDone));
     return;
   }
-  mStore.Watch(std::move(aPrefix), aAfter, aAtMost, Guarded(std::move(aDone)));
+  mStore.Watch(std::move(aPrefix), aAfter, aMaxWait, Guarded(std::move(aDone)));
 }
 
 void
@@ -118,7 +119,7 @@
   return [this, done = std::move(aDone)](std::error_code aError,
                                          std::vector<key_change> aChanges,
                                          revision aRevision,
-                                         call_answer aAnswer) {
+                                         response_info aAnswer) {
     done(Heard(aError, aAnswer), std::move(aChanges), aRevision, aAnswer);
   };
 }
@@ -126,8 +127,8 @@
 void
 era_guard::Reject(watch_callback aDone)
 {
-  mListener.later([done = std::move(aDone)] {
-    done(errc::kEraEnded, {}, {}, { clock::Now() });
+  mListener.post([done = std::move(aDone)] {
+    done(errc::kStaleEra, {}, {}, { clock::Now() });
   });
 }
 
@@ -141,7 +142,7 @@
 era_guard::Commit(transaction aWhat, commit_callback aDone)
 {
   if (const auto refusal = RefusalOf(aWhat)) {
-    mListener.later([done = std::move(aDone), outcome = *refusal] {
+    mListener.post([done = std::move(aDone), outcome = *refusal] {
       done(outcome, {}, { clock::Now() });
     });
     return;
@@ -150,7 +151,7 @@
   mStore.Commit(
     std::move(aWhat),
     [this, conditions = std::move(conditions), done = std::move(aDone)](
-      commit_outcome aOutcome, revision aRevision, call_answer aAnswer) {
+      commit_outcome aOutcome, revision aRevision, response_info aAnswer) {
       (void)Heard({}, aAnswer);
       const bool isDoubtful =
         aOutcome == commit_outcome::kApplied && IsPast(conditions);
@@ -163,35 +164,37 @@
 era_guard::Grant(std::chrono::milliseconds aTtl, grant_callback aDone)
 {
   mStore.Grant(aTtl,
-               [this, done = std::move(aDone)](
-                 std::error_code aError, lease_id aLease, call_answer aAnswer) {
+               [this, done = std::move(aDone)](std::error_code aError,
+                                               lease_id aLease,
+                                               response_info aAnswer) {
                  done(Heard(aError, aAnswer), aLease, aAnswer);
                });
 }
 
 void
-era_guard::Keep(lease_id aLease, keep_callback aDone)
+era_guard::KeepAlive(lease_id aLease, keep_alive_callback aDone)
 {
   if (IsPast(aLease.era)) {
-    mListener.later(
-      [done = std::move(aDone)] { done(errc::kNoLease, { clock::Now() }); });
+    mListener.post([done = std::move(aDone)] {
+      done(errc::kLeaseNotFound, { clock::Now() });
+    });
     return;
   }
-  mStore.Keep(aLease,
-              [this, aLease, done = std::move(aDone)](std::error_code aError,
-                                                      call_answer aAnswer) {
-                const auto error = Heard(aError, aAnswer);
-                const bool isOther = !error && IsPast(aLease.era);
-                done(isOther ? make_error_code(errc::kNoLease) : error,
-                     aAnswer);
-              });
+  mStore.KeepAlive(
+    aLease,
+    [this, aLease, done = std::move(aDone)](std::error_code aError,
+                                            response_info aAnswer) {
+      const auto error = Heard(aError, aAnswer);
+      const bool isOther = !error && IsPast(aLease.era);
+      done(isOther ? make_error_code(errc::kLeaseNotFound) : error, aAnswer);
+    });
 }
 
 void
-era_guard::End(lease_id aLease)
+era_guard::Revoke(lease_id aLease)
 {
   if (!IsPast(aLease.era)) {
-    mStore.End(aLease);
+    mStore.Revoke(aLease);
   }
 }
 
--- a/src/currantshed/store/era_guard.hpp
+++ b/src/currantshed/store/era_guard.hpp
@@ -21,10 +21,10 @@
   struct listener
   {
     /// Runs the function later, on the same thread.
-    std::function<void(std::function<void()>)> later;
+    std::function<void(std::function<void()>)> post;
     /// Called with the previous era, if any, and the new one when the store has
     /// been restored or reports its era for the first time.
-    std::function<void(std::optional<era_id>, era_id)> began;
+    std::function<void(std::optional<era_id>, era_id)> eraChanged;
   };
 
   era_guard(key_value& aStore, listener aListener);
@@ -32,14 +32,14 @@
   /// The newest era that a response has reported.
   [[nodiscard]] std::optional<era_id> Era() const noexcept { return mEra; }
 
-  void SetPatience(std::chrono::milliseconds aPatience) override;
+  void SetCallTimeout(std::chrono::milliseconds aTimeout) override;
   void Get(std::string aKey, item_callback aDone) override;
   void Range(std::string aPrefix, range_callback aDone) override;
 
   /// Fails with errc::kStaleEra if the revision is of an earlier era.
   void Watch(std::string aPrefix,
              revision aAfter,
-             std::chrono::milliseconds aAtMost,
+             std::chrono::milliseconds aMaxWait,
              watch_callback aDone) override;
   void ChangesSince(std::string aPrefix,
                     revision aAfter,
@@ -58,12 +58,12 @@
 
   /// Fails with errc::kLeaseNotFound if the lease is of an earlier era, even if
   /// its number now identifies another lease.
-  void Keep(lease_id aLease, keep_callback aDone) override;
-  void End(lease_id aLease) override;
+  void KeepAlive(lease_id aLease, keep_alive_callback aDone) override;
+  void Revoke(lease_id aLease) override;
 
 private:
   [[nodiscard]] std::error_code Heard(std::error_code aError,
-                                      const call_answer& aAnswer);
+                                      const response_info& aAnswer);
   [[nodiscard]] bool IsPast(era_id aEra) const noexcept;
   [[nodiscard]] bool IsPast(
     const std::vector<condition>& aConditions) const noexcept;
--- a/src/currantshed/store/errors.cpp
+++ b/src/currantshed/store/errors.cpp
@@ -31,11 +31,11 @@
         return "the platform's answer is too large";
       case errc::kMalformed:
         return "the platform's answer is malformed";
-      case errc::kNoLease:
+      case errc::kLeaseNotFound:
         return "the lease has ended";
-      case errc::kHistoryGone:
+      case errc::kHistoryCompacted:
         return "the store keeps these changes no longer";
-      case errc::kEraEnded:
+      case errc::kStaleEra:
         return "the store has come back from an older copy since";
     }
     return "unknown platform error";
--- a/src/currantshed/store/errors.hpp
+++ b/src/currantshed/store/errors.hpp
@@ -25,12 +25,12 @@
   /// The response does not conform to the interface.
   kMalformed,
   /// The lease does not exist any more.
-  kNoLease,
+  kLeaseNotFound,
   /// The store no longer has the changes after the requested revision.
-  kHistoryGone,
+  kHistoryCompacted,
   /// The store has been restored from an older snapshot: the response, or the
   /// revision or lease that the call refers to, belongs to an earlier era.
-  kEraEnded,
+  kStaleEra,
 };
 
 /// The category of the errors above.
--- a/src/currantshed/store/fwd.hpp
+++ b/src/currantshed/store/fwd.hpp
@@ -22,7 +22,7 @@
 struct key_change;
 struct condition;
 struct entry;
-struct http_answer;
+struct http_response;
 struct http_request;
 struct item;
 struct listing;
--- a/src/currantshed/store/http_client.cpp
+++ b/src/currantshed/store/http_client.cpp
@@ -5,7 +5,7 @@
 #include <absl/container/flat_hash_map.h>
 #include <absl/strings/str_cat.h>
 
-#include "currantshed/store/consul_answers.hpp"
+#include "currantshed/store/consul_responses.hpp"
 
 namespace currantshed::store {
 
@@ -56,16 +56,18 @@
 
   void Watch(std::string aKey,
              index aKnown,
-             std::chrono::milliseconds aAtMost,
+             std::chrono::milliseconds aMaxWait,
              entry_callback aDone) override
   {
     auto target = KeyTarget(aKey);
     if (const index known = aKnown != 0 ? aKnown : AbsentSince(aKey)) {
       absl::StrAppend(
-        &target, "?index=", known, "&wait=", aAtMost.count(), "ms");
+        &target, "?index=", known, "&wait=", aMaxWait.count(), "ms");
     }
-    Read(
-      std::move(aKey), std::move(target), mTimeout + aAtMost, std::move(aDone));
+    Read(std::move(aKey),
+         std::move(target),
+         mTimeout + aMaxWait,
+         std::move(aDone));
   }
 
   void Swap(std::string aKey,
@@ -79,7 +81,7 @@
     request.body = std::move(aValue);
     request.timeout = mTimeout;
     mTransport->Send(std::move(request),
-                     [done = std::move(aDone)](const http_answer& aAnswer) {
+                     [done = std::move(aDone)](const http_response& aAnswer) {
                        done(ReadSwap(aAnswer));
                      });
   }
@@ -89,11 +91,11 @@
     auto call = std::make_shared<listing_call>();
     call->done = std::move(aDone);
     mTransport->Send(ReadRequest(kVmsTarget, mTimeout),
-                     [call](const http_answer& aAnswer) {
+                     [call](const http_response& aAnswer) {
                        call->Arrived(ReadVms(aAnswer, call->value.vms));
                      });
     mTransport->Send(ReadRequest(kGroupsTarget, mTimeout),
-                     [call](const http_answer& aAnswer) {
+                     [call](const http_response& aAnswer) {
                        call->Arrived(ReadGroups(aAnswer, call->value.groups));
                      });
   }
@@ -115,7 +117,7 @@
   {
     mTransport->Send(ReadRequest(std::move(aTarget), aTimeout),
                      [this, key = std::move(aKey), done = std::move(aDone)](
-                       const http_answer& aAnswer) {
+                       const http_response& aAnswer) {
                        entry found;
                        const auto failure = ReadEntry(aAnswer, found);
                        if (!failure) {
--- a/src/currantshed/store/key_value.hpp
+++ b/src/currantshed/store/key_value.hpp
@@ -40,7 +40,7 @@
 };
 
 /// Passed to the callback of every call.
-struct call_answer
+struct response_info
 {
   /// When the response arrived, or when the call was found to have failed.
   clock::time_point at;
@@ -92,10 +92,10 @@
   /// A condition did not hold; nothing was changed.
   kConflict,
   /// The lease does not exist; nothing was changed.
-  kNoLease,
+  kLeaseNotFound,
   /// The transaction was not sent, or the store refused it; nothing was
   /// changed.
-  kNotDone,
+  kNotApplied,
   /// No response arrived: the transaction may have been applied, or may still
   /// be.
   kUnknown,
@@ -108,21 +108,22 @@
 {
 public:
   using item_callback =
-    std::function<void(std::error_code, std::optional<item>, call_answer)>;
+    std::function<void(std::error_code, std::optional<item>, response_info)>;
   using range_callback = std::function<
-    void(std::error_code, std::vector<item>, revision, call_answer)>;
+    void(std::error_code, std::vector<item>, revision, response_info)>;
   using watch_callback = std::function<
-    void(std::error_code, std::vector<key_change>, revision, call_answer)>;
+    void(std::error_code, std::vector<key_change>, revision, response_info)>;
   using commit_callback =
-    std::function<void(commit_outcome, revision, call_answer)>;
+    std::function<void(commit_outcome, revision, response_info)>;
   using grant_callback =
-    std::function<void(std::error_code, lease_id, call_answer)>;
-  using keep_callback = std::function<void(std::error_code, call_answer)>;
+    std::function<void(std::error_code, lease_id, response_info)>;
+  using keep_alive_callback =
+    std::function<void(std::error_code, response_info)>;
 
   virtual ~key_value() = default;
 
   /// Sets the timeout of calls that start from now on, except for watches.
-  virtual void SetPatience(std::chrono::milliseconds aPatience) = 0;
+  virtual void SetCallTimeout(std::chrono::milliseconds aTimeout) = 0;
 
   /// Reads a key; the item is none if the key does not exist.
   virtual void Get(std::string aKey, item_callback aDone) = 0;
@@ -136,7 +137,7 @@
   /// own.
   virtual void Watch(std::string aPrefix,
                      revision aAfter,
-                     std::chrono::milliseconds aAtMost,
+                     std::chrono::milliseconds aMaxWait,
                      watch_callback aDone) = 0;
 
   /// Returns the changes after the revision without waiting. May run alongside
@@ -154,10 +155,10 @@
   virtual void Grant(std::chrono::milliseconds aTtl, grant_callback aDone) = 0;
 
   /// Renews a lease. Fails with errc::kLeaseNotFound if it has ended.
-  virtual void Keep(lease_id aLease, keep_callback aDone) = 0;
+  virtual void KeepAlive(lease_id aLease, keep_alive_callback aDone) = 0;
 
   /// Ends a lease and removes its keys.
-  virtual void End(lease_id aLease) = 0;
+  virtual void Revoke(lease_id aLease) = 0;
 };
 
 } // namespace currantshed::store
