--- a/src/currantshed/store/prefix_view.cpp
+++ b/src/currantshed/store/prefix_view.cpp
@@ -57,7 +57,7 @@
 bool
 IsPast(std::error_code aError)
 {
-  return aError == errc::kHistoryGone || aError == errc::kEraEnded;
+  return aError == errc::kHistoryCompacted || aError == errc::kStaleEra;
 }
 
 } // namespace
@@ -83,9 +83,9 @@
 prefix_view::Tick(clock::time_point aNow, double aRandom)
 {
   mRandom = aRandom;
-  const bool isFed = mIsKnown && !mMustRead && aNow < mFedUntil;
-  const bool waits = !mIsKnown && aNow < mFirstReadFrom;
-  if (mIsCalling || mIsHeld || isFed || waits || aNow < mNotBefore) {
+  const bool isForwarded = mIsKnown && !mMustRead && aNow < mForwardedUntil;
+  const bool waits = !mIsKnown && aNow < mFirstReadNotBefore;
+  if (mIsCalling || mIsHeld || isForwarded || waits || aNow < mNotBefore) {
     return;
   }
   mIsCalling = true;
@@ -103,13 +103,13 @@
     return clock::time_point::max();
   }
   if (!mIsKnown) {
-    return std::max(mNotBefore, mFirstReadFrom);
+    return std::max(mNotBefore, mFirstReadNotBefore);
   }
-  return mMustRead ? mNotBefore : std::max(mNotBefore, mFedUntil);
+  return mMustRead ? mNotBefore : std::max(mNotBefore, mForwardedUntil);
 }
 
 void
-prefix_view::HeardOf(revision aChange, clock::time_point aNow)
+prefix_view::NotifyRevision(revision aChange, clock::time_point aNow)
 {
   // Ignores announcements by VMs that lag behind this one.
   if (aChange <= mSeen || !mIsKnown) {
@@ -120,16 +120,16 @@
   }
   // The VM that watches the store on behalf of this one pauses after each
   // change as well.
-  const auto patience =
-    mIsCalling ? mSettings.patience : mSettings.patience + Pause();
-  if (aNow - *mBehindSince > patience) {
+  const auto maxWatchLag =
+    mIsCalling ? mSettings.maxWatchLag : mSettings.maxWatchLag + Pause();
+  if (aNow - *mBehindSince > maxWatchLag) {
     ReadAgain();
-    mFedUntil = {};
+    mForwardedUntil = {};
   }
 }
 
 void
-prefix_view::Renew(clock::time_point aNow)
+prefix_view::Refresh(clock::time_point aNow)
 {
   ReadAgain();
   if (!mIsCalling) {
@@ -153,7 +153,7 @@
                [this, alive = mAlive, asked = aNow](std::error_code aError,
                                                     std::vector<item> aItems,
                                                     revision aRevision,
-                                                    call_answer aAnswer) {
+                                                    response_info aAnswer) {
                  if (!*alive) {
                    return;
                  }
@@ -168,7 +168,7 @@
                  if (!isTaken) {
                    NoteIgnored(aRevision);
                  }
-                 Prove(asked);
+                 MarkVerified(asked);
                  mMustRead = false;
                  mIsKnown = true;
                  mMayBeOld = true;
@@ -197,7 +197,7 @@
       std::error_code aError,
       std::vector<key_change> aChanges,
       revision aRevision,
-      call_answer aAnswer) {
+      response_info aAnswer) {
       if (!*alive) {
         return;
       }
@@ -209,7 +209,7 @@
       }
       if (!aError) {
         const bool isChanged = TakeChanges(std::move(aChanges), aRevision);
-        Prove(asked);
+        MarkVerified(asked);
         if (isChanged) {
           mListener.changed(aAnswer.at);
         }
@@ -219,7 +219,7 @@
 }
 
 void
-prefix_view::Prove(clock::time_point aAt) noexcept
+prefix_view::MarkVerified(clock::time_point aAt) noexcept
 {
   if (aAt >= mProvesFrom) {
     mProvedAt = std::max(mProvedAt, aAt);
@@ -251,7 +251,7 @@
     [this, alive = mAlive, asked = aNow](std::error_code aError,
                                          std::vector<key_change> aChanges,
                                          revision aRevision,
-                                         call_answer aAnswer) {
+                                         response_info aAnswer) {
       if (!*alive) {
         return;
       }
@@ -271,7 +271,7 @@
       mAnsweredAt = aAnswer.at;
       const bool hasSome = !aChanges.empty();
       const bool isChanged = TakeChanges(std::move(aChanges), aRevision);
-      Prove(asked);
+      MarkVerified(asked);
       mMayBeOld = mMissedSome;
       mMissedSome = false;
       Succeeded(hasSome, aAnswer.at);
@@ -313,12 +313,12 @@
 }
 
 void
-prefix_view::EraEnded(clock::time_point aNow)
+prefix_view::OnEraChanged(clock::time_point aNow)
 {
   // A read in progress, perhaps the first one, may also reflect a store that
   // lacks changes which are yet to be written again.
   mProvesFrom = std::max(mProvesFrom, aNow + kWrittenAgain);
-  if (mIsKnown && aNow >= mFedUntil) {
+  if (mIsKnown && aNow >= mForwardedUntil) {
     ReadAtOnce(aNow);
   }
 }
@@ -328,7 +328,7 @@
 prefix_view::ReadAtOnce(clock::time_point aNow)
 {
   mMissedSome = true;
-  mFedUntil = {};
+  mForwardedUntil = {};
   ReadAgain();
   mMustRead = true;
   mNotBefore = aNow;
@@ -338,8 +338,8 @@
 void
 prefix_view::NoteIgnored(revision aRead)
 {
-  if (std::exchange(mIgnored, aRead) != aRead && mListener.ignored) {
-    mListener.ignored(aRead, mSeen);
+  if (std::exchange(mIgnored, aRead) != aRead && mListener.staleReadIgnored) {
+    mListener.staleReadIgnored(aRead, mSeen);
   }
 }
 
@@ -375,7 +375,7 @@
 }
 
 bool
-prefix_view::Take(const key_update& aUpdate, clock::time_point aNow)
+prefix_view::ApplyUpdate(const key_update& aUpdate, clock::time_point aNow)
 {
   // Revisions count the changes of the whole store, so another VM's keys may be
   // current although its last call is older than this VM's. Keys of an earlier
@@ -383,18 +383,18 @@
   if (mIsKnown && aUpdate.upTo < mSeen) {
     return aUpdate.upTo.era == mSeen.era;
   }
-  if (!aUpdate.isWhole && (!mIsKnown || aUpdate.after > mSeen)) {
+  if (!aUpdate.isSnapshot && (!mIsKnown || aUpdate.after > mSeen)) {
     return false;
   }
   const bool wasKnown = mIsKnown;
   bool isChanged = false;
-  if (aUpdate.isWhole && (!mIsKnown || aUpdate.upTo > mSeen)) {
+  if (aUpdate.isSnapshot && (!mIsKnown || aUpdate.upTo > mSeen)) {
     std::vector<item> items;
     for (const auto& one : aUpdate.changes) {
       items.push_back(one.now);
     }
     isChanged = TakeAll(std::move(items), aUpdate.upTo, aNow);
-  } else if (!aUpdate.isWhole) {
+  } else if (!aUpdate.isSnapshot) {
     for (const auto* one : InOrder(aUpdate.changes)) {
       isChanged = TakeOne(*one) || isChanged;
     }
@@ -402,8 +402,8 @@
   mIsKnown = true;
   mMustRead = mMustRead && mIsCalling;
   mSeen = std::max(mSeen, aUpdate.upTo);
-  mMayBeOld = !wasKnown || aUpdate.isWhole || aUpdate.mayBeOld || mMissedSome ||
-              aNow >= mFedUntil;
+  mMayBeOld = !wasKnown || aUpdate.isSnapshot || aUpdate.mayBeStale ||
+              mMissedSome || aNow >= mForwardedUntil;
   mMissedSome = false;
   mBehindSince.reset();
   if (isChanged) {
@@ -445,16 +445,16 @@
 }
 
 key_update
-prefix_view::After(revision aKnown, std::size_t aLongest) const
+prefix_view::UpdateSince(revision aKnown, std::size_t aLongest) const
 {
   key_update made;
-  made.isWhole = aKnown < mRemovalsAfter;
-  made.after = made.isWhole ? revision{} : aKnown;
+  made.isSnapshot = aKnown < mRemovalsAfter;
+  made.after = made.isSnapshot ? revision{} : aKnown;
   made.upTo = mSeen;
-  made.mayBeOld = mMayBeOld;
-  const bool isRecent = !made.isWhole && aKnown >= mRecentAfter;
-  if (made.isWhole && mBytes > aLongest) {
-    made.isTooLong = true;
+  made.mayBeStale = mMayBeOld;
+  const bool isRecent = !made.isSnapshot && aKnown >= mRecentAfter;
+  if (made.isSnapshot && mBytes > aLongest) {
+    made.isTooLarge = true;
   } else if (isRecent) {
     AddRecent(made, aLongest);
   } else {
@@ -484,7 +484,7 @@
     }
     bytes += LengthOf(found->second);
     if (bytes > aLongest) {
-      aTo.isTooLong = true;
+      aTo.isTooLarge = true;
       aTo.changes.clear();
       return;
     }
@@ -504,7 +504,7 @@
     }
     bytes += LengthOf(one);
     if (bytes > aLongest) {
-      aTo.isTooLong = true;
+      aTo.isTooLarge = true;
       aTo.changes.clear();
       return;
     }
@@ -518,7 +518,7 @@
 void
 prefix_view::AddRemovals(key_update& aTo) const
 {
-  if (aTo.isWhole) {
+  if (aTo.isSnapshot) {
     return;
   }
   std::copy_if(
@@ -546,7 +546,7 @@
   mNotBefore = aNow + mBackoff.Next(mRandom);
   if (mIsReached) {
     mIsReached = false;
-    mListener.reached(false, aError);
+    mListener.reachabilityChanged(false, aError);
   }
 }
 
@@ -554,12 +554,12 @@
 prefix_view::Pause() const
 {
   const auto way = std::chrono::duration_cast<std::chrono::milliseconds>(
-    mSettings.byteTime * static_cast<std::int64_t>(mBytes));
+    mSettings.timePerByte * static_cast<std::int64_t>(mBytes));
   const auto keys = static_cast<int>(mItems.size());
   const auto usual =
-    std::min(mSettings.afterChange + mSettings.afterChangeByKey * keys,
-             mSettings.longestByKeys);
-  return std::max(usual, std::min(way * kPauseByWay, mSettings.longestPause));
+    std::min(mSettings.pauseAfterChange + mSettings.pausePerKey * keys,
+             mSettings.maxPauseByKeys);
+  return std::max(usual, std::min(way * kPauseByWay, mSettings.maxPause));
 }
 
 void
@@ -570,7 +570,7 @@
   mNotBefore = aChanged ? aNow + Pause() : clock::time_point{};
   if (!mIsReached) {
     mIsReached = true;
-    mListener.reached(true, {});
+    mListener.reachabilityChanged(true, {});
   }
 }
 
--- a/src/currantshed/store/prefix_view.hpp
+++ b/src/currantshed/store/prefix_view.hpp
@@ -29,18 +29,18 @@
   /// Pause between a change and the next watch, plus a part for each key in the
   /// view, so that a burst of changes takes few calls: the keys of VMs change
   /// together when a fleet starts.
-  std::chrono::milliseconds afterChange{ 100 };
-  std::chrono::milliseconds afterChangeByKey{ 15 };
+  std::chrono::milliseconds pauseAfterChange{ 100 };
+  std::chrono::milliseconds pausePerKey{ 15 };
   /// Upper bound of the pause computed from the number of keys.
-  std::chrono::milliseconds longestByKeys{ std::chrono::milliseconds::max() };
+  std::chrono::milliseconds maxPauseByKeys{ std::chrono::milliseconds::max() };
   /// Transfer time of one byte on the VM's link. After a change the pause is at
   /// least a multiple of the transfer time of all keys, up to maxPause, so that
   /// frequent changes of large values leave the link to the callers.
-  std::chrono::nanoseconds byteTime{ 0 };
-  std::chrono::milliseconds longestPause{ 1500 };
+  std::chrono::nanoseconds timePerByte{ 0 };
+  std::chrono::milliseconds maxPause{ 1500 };
   /// How long the view may lag behind a revision that another VM has announced
   /// before its own watch is considered hung.
-  std::chrono::milliseconds patience{ 400 };
+  std::chrono::milliseconds maxWatchLag{ 400 };
   /// Backoff after failed calls, since every call has a cost. Short enough that
   /// a configuration written during an outage is applied in time after it.
   backoff_settings afterFailure{ std::chrono::milliseconds{ 100 },
@@ -52,15 +52,15 @@
 struct key_update
 {
   /// Whether `changes` holds all keys rather than only changes.
-  bool isWhole = false;
+  bool isSnapshot = false;
   /// The changes are those after `after`, up to and including `upTo`.
   revision after;
   revision upTo;
   /// Whether the changes may have been made long before the sender saw them.
-  bool mayBeOld = false;
+  bool mayBeStale = false;
   std::vector<key_change> changes;
   /// Whether the changes exceed the size limit and were omitted.
-  bool isTooLong = false;
+  bool isTooLarge = false;
 };
 
 /// The keys that have changed since the previous query.
@@ -88,10 +88,10 @@
     /// The keys have changed.
     std::function<void(clock::time_point)> changed;
     /// The store has become reachable or unreachable.
-    std::function<void(bool, std::error_code)> reached;
+    std::function<void(bool, std::error_code)> reachabilityChanged;
     /// A read was discarded because its revision (the first argument) is older
     /// than one seen before (the second).
-    std::function<void(revision, revision)> ignored = {};
+    std::function<void(revision, revision)> staleReadIgnored = {};
   };
 
   prefix_view(key_value& aStore,
@@ -112,31 +112,34 @@
   /// Reports that another VM has seen a change of this revision. If the own
   /// watch does not deliver it in time, the watch is considered hung: it is
   /// cancelled and the keys are read again.
-  void HeardOf(revision aChange, clock::time_point aNow);
+  void NotifyRevision(revision aChange, clock::time_point aNow);
 
   /// Reads the keys again immediately. Called when the store is back after an
   /// outage, because a watch started during the outage may never be answered.
-  void Renew(clock::time_point aNow);
+  void Refresh(clock::time_point aNow);
 
   /// Reports that the store has been restored from an older snapshot. A view
   /// whose changes are forwarded by another VM receives the new content from
   /// there. Reads count as verification only after lost changes have had time
   /// to be written again.
-  void EraEnded(clock::time_point aNow);
+  void OnEraChanged(clock::time_point aNow);
 
   /// Sets until when another VM forwards the changes. No watch is started
   /// before then.
-  void FedUntil(clock::time_point aUntil) noexcept { mFedUntil = aUntil; }
-  [[nodiscard]] clock::time_point FedUntil() const noexcept
+  void ForwardedUntil(clock::time_point aUntil) noexcept
   {
-    return mFedUntil;
+    mForwardedUntil = aUntil;
+  }
+  [[nodiscard]] clock::time_point ForwardedUntil() const noexcept
+  {
+    return mForwardedUntil;
   }
 
   /// Delays the first read of the keys until then, since other VMs may send all
   /// of them.
-  void FirstReadFrom(clock::time_point aFrom) noexcept
+  void DelayFirstReadUntil(clock::time_point aFrom) noexcept
   {
-    mFirstReadFrom = aFrom;
+    mFirstReadNotBefore = aFrom;
   }
 
   /// Asks the store for newer changes, regardless of other calls in progress.
@@ -148,11 +151,11 @@
   /// these keys at that time. Has no effect shortly after the store was
   /// restored from an older snapshot: it may have lost acknowledged changes
   /// that are yet to be written again.
-  void Prove(clock::time_point aAt) noexcept;
+  void MarkVerified(clock::time_point aAt) noexcept;
 
   /// The latest time at which the store is known to have held nothing newer
   /// than these keys.
-  [[nodiscard]] clock::time_point ProvedAt() const noexcept
+  [[nodiscard]] clock::time_point VerifiedAt() const noexcept
   {
     return mProvedAt;
   }
@@ -161,13 +164,13 @@
   /// are not newer, are ignored. Returns whether the view now includes
   /// everything up to the end of the update, and so is at least as recent as
   /// the other VM's.
-  bool Take(const key_update& aUpdate, clock::time_point aNow);
+  bool ApplyUpdate(const key_update& aUpdate, clock::time_point aNow);
 
   /// Returns the update for another VM that knows everything up to the given
   /// revision. For a VM that is a few changes behind, the cost is proportional
   /// to the number of these changes. If keys and values exceed the size limit
   /// in bytes, they are omitted and isTooLarge is set.
-  [[nodiscard]] key_update After(
+  [[nodiscard]] key_update UpdateSince(
     revision aKnown,
     std::size_t aLongest = std::numeric_limits<std::size_t>::max()) const;
 
@@ -177,11 +180,14 @@
 
   /// Number of keys examined so far to compute updates for other VMs; a measure
   /// of their cost.
-  [[nodiscard]] std::uint64_t LookedAt() const noexcept { return mLookedAt; }
+  [[nodiscard]] std::uint64_t KeysExamined() const noexcept
+  {
+    return mLookedAt;
+  }
 
   /// Suspends calls to the store while this VM's calls fail; another kind of
   /// call detects when the store answers again.
-  void SetHeld(bool aIsHeld) noexcept { mIsHeld = aIsHeld; }
+  void SetPaused(bool aIsHeld) noexcept { mIsHeld = aIsHeld; }
 
   /// The latest time at which the keys were known to match the store. A pending
   /// watch reports nothing, so while one is waiting, the time of the last
@@ -199,7 +205,7 @@
   [[nodiscard]] bool IsReached() const noexcept { return mIsReached; }
   /// Whether the last changes may have been made long before they were seen:
   /// they came with a read of all keys, or after a watch had failed.
-  [[nodiscard]] bool MayBeOld() const noexcept { return mMayBeOld; }
+  [[nodiscard]] bool MayBeStale() const noexcept { return mMayBeOld; }
   /// The revision up to which all changes are known.
   [[nodiscard]] revision Seen() const noexcept { return mSeen; }
   [[nodiscard]] const items& Items() const noexcept { return mItems; }
@@ -247,8 +253,8 @@
   clock::time_point mProvedAt{};
   // From when on responses of the current era count as verification.
   clock::time_point mProvesFrom{};
-  clock::time_point mFedUntil{};
-  clock::time_point mFirstReadFrom{};
+  clock::time_point mForwardedUntil{};
+  clock::time_point mFirstReadNotBefore{};
   // When the last response to a call for these keys arrived.
   clock::time_point mAnsweredAt{};
   // The removals after mRemovalsAfter, oldest first, for updates to other VMs.
--- a/src/currantshed/store/registration.cpp
+++ b/src/currantshed/store/registration.cpp
@@ -56,11 +56,11 @@
 }
 
 void
-registration::End()
+registration::Revoke()
 {
   mIsEnded = true;
   if (mLease != lease_id{}) {
-    mStore.End(mLease);
+    mStore.Revoke(mLease);
   }
   mValidUntil = {};
 }
@@ -106,52 +106,53 @@
 registration::Grant(clock::time_point aNow)
 {
   mIsCalling = true;
-  mStore.Grant(mSettings.lease.ttl,
-               [this, alive = mAlive, aNow, lease = mSettings.lease](
-                 std::error_code aError, lease_id aLease, call_answer aAnswer) {
-                 if (!*alive) {
-                   return;
-                 }
-                 mIsCalling = false;
-                 if (aError) {
-                   Failed(aAnswer.at);
-                   return;
-                 }
-                 Answered(aNow);
-                 mLease = aLease;
-                 mMustGrant = lease != mSettings.lease;
-                 mValidUntil = aNow + lease.ttl;
-                 mRenewAt = aNow + lease.renewAfter;
-                 mWriteSeenBy = {};
-               });
-}
-
-void
-registration::Renew(clock::time_point aNow)
-{
-  mIsCalling = true;
-  mStore.Keep(
-    mLease,
-    [this, alive = mAlive, aNow](std::error_code aError, call_answer aAnswer) {
+  mStore.Grant(
+    mSettings.lease.ttl,
+    [this, alive = mAlive, aNow, lease = mSettings.lease](
+      std::error_code aError, lease_id aLease, response_info aAnswer) {
       if (!*alive) {
         return;
       }
       mIsCalling = false;
-      if (aError == errc::kNoLease) {
-        Answered(aNow);
-        Lapsed();
-        return;
-      }
       if (aError) {
         Failed(aAnswer.at);
         return;
       }
       Answered(aNow);
-      mValidUntil = aNow + mSettings.lease.ttl;
-      mRenewAt = aNow + mSettings.lease.renewAfter;
+      mLease = aLease;
+      mMustGrant = lease != mSettings.lease;
+      mValidUntil = aNow + lease.ttl;
+      mRenewAt = aNow + lease.renewAfter;
+      mWriteSeenBy = {};
     });
 }
 
+void
+registration::Renew(clock::time_point aNow)
+{
+  mIsCalling = true;
+  mStore.KeepAlive(mLease,
+                   [this, alive = mAlive, aNow](std::error_code aError,
+                                                response_info aAnswer) {
+                     if (!*alive) {
+                       return;
+                     }
+                     mIsCalling = false;
+                     if (aError == errc::kLeaseNotFound) {
+                       Answered(aNow);
+                       Lapsed();
+                       return;
+                     }
+                     if (aError) {
+                       Failed(aAnswer.at);
+                       return;
+                     }
+                     Answered(aNow);
+                     mValidUntil = aNow + mSettings.lease.ttl;
+                     mRenewAt = aNow + mSettings.lease.renewAfter;
+                   });
+}
+
 void
 registration::Write(clock::time_point aNow)
 {
@@ -165,7 +166,7 @@
   made.puts.push_back({ mKey, mValue, {}, mLease });
   mStore.Commit(std::move(made),
                 [this, alive = mAlive, aNow, lease = mLease](
-                  commit_outcome aOutcome, revision, call_answer aAnswer) {
+                  commit_outcome aOutcome, revision, response_info aAnswer) {
                   if (!*alive) {
                     return;
                   }
@@ -179,7 +180,7 @@
                         mWritten();
                       }
                       break;
-                    case commit_outcome::kNoLease:
+                    case commit_outcome::kLeaseNotFound:
                       Lapsed();
                       break;
                     case commit_outcome::kConflict:
@@ -211,7 +212,7 @@
 }
 
 void
-registration::OnRegained(std::function<void()> aRegained)
+registration::OnRecovered(std::function<void()> aRegained)
 {
   mRegained = std::move(aRegained);
 }
--- a/src/currantshed/store/registration.hpp
+++ b/src/currantshed/store/registration.hpp
@@ -65,20 +65,20 @@
   [[nodiscard]] bool IsFailing() const noexcept { return mIsFailing; }
 
   /// When the most recent call that was answered had been sent.
-  [[nodiscard]] clock::time_point AnsweredFor() const noexcept
+  [[nodiscard]] clock::time_point LastAnsweredSentAt() const noexcept
   {
     return mAnsweredFor;
   }
 
   /// Sets the callback that runs when the store answers again after failed
   /// calls.
-  void OnRegained(std::function<void()> aRegained);
+  void OnRecovered(std::function<void()> aRegained);
 
   /// Sets the callback that runs whenever the store has accepted the key.
   void OnWritten(std::function<void()> aWritten);
 
   /// Ends the lease, which removes the key.
-  void End();
+  void Revoke();
 
   /// Makes the call that is due, if any. The random number is in [0, 1).
   void Tick(clock::time_point aNow, double aRandom);
--- a/src/currantshed/store/transport.hpp
+++ b/src/currantshed/store/transport.hpp
@@ -34,7 +34,7 @@
 };
 
 /// The response to a request.
-struct http_answer
+struct http_response
 {
   /// Set if no complete response arrived; all other members are empty then. Of
   /// StoreCategory().
@@ -47,7 +47,7 @@
 
 /// Maximum size of a response body: a value of 1 MiB in base64, with room for
 /// the surrounding JSON.
-constexpr std::size_t kAnswerLimitBytes = 4U << 20U;
+constexpr std::size_t kMaxResponseBytes = 4U << 20U;
 
 /// Sends HTTP requests to the platform. Each request is sent at most once:
 /// neither the transport nor anything below it retries a request whose response
@@ -55,7 +55,7 @@
 class transport
 {
 public:
-  using callback = std::function<void(http_answer)>;
+  using callback = std::function<void(http_response)>;
 
   virtual ~transport() = default;
 
--- a/src/currantshed/store/watcher.hpp
+++ b/src/currantshed/store/watcher.hpp
@@ -29,7 +29,7 @@
 struct start_watch
 {
   index known = 0;
-  std::chrono::milliseconds atMost{ 0 };
+  std::chrono::milliseconds maxWait{ 0 };
 };
 
 /// Delivers the key's current content: always the first time, and afterwards
--- a/src/currantshed/wire/codec.hpp
+++ b/src/currantshed/wire/codec.hpp
@@ -11,7 +11,7 @@
 
 #include "currantshed/clock/time.hpp"
 #include "currantshed/group/request.hpp"
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 #include "currantshed/store/client.hpp"
 #include "currantshed/wire/fwd.hpp"
 
--- a/src/currantshed/wire/convert_member.cpp
+++ b/src/currantshed/wire/convert_member.cpp
@@ -144,7 +144,7 @@
   aTo.set_incarnation(aFrom.incarnation);
   aTo.set_sequence(aFrom.sequence);
   aTo.set_configuration_version(aFrom.configuration);
-  for (const auto& vm : aFrom.heardOf) {
+  for (const auto& vm : aFrom.peerSample) {
     PutVm(vm, *aTo.add_heard_of());
   }
   for (const auto& word : aFrom.suspicions) {
@@ -176,7 +176,7 @@
   if (const auto error = TakeVm(aFrom.sender(), aTo.sender)) {
     return error;
   }
-  if (const auto error = TakeVms(aFrom.heard_of(), aTo.heardOf)) {
+  if (const auto error = TakeVms(aFrom.heard_of(), aTo.peerSample)) {
     return error;
   }
   if (aFrom.suspicions_size() > kMostEntries ||
--- a/test/currantshed/admit/deadline_queue.cpp
+++ b/test/currantshed/admit/deadline_queue.cpp
@@ -20,7 +20,7 @@
 {
   deadline_queue queue(aLimit);
   const waiting other{ kStart + 1h, 99, 0.9 };
-  queue.Put(other);
+  queue.Requeue(other);
   for (int i = 0; i <= 200; ++i) {
     queue.Departed(kStart + i * 10ms - 2000ms);
   }
@@ -95,10 +95,10 @@
   for (const auto& row : kOfferRows) {
     auto queue = Measured(row.limit);
     for (const auto& request : row.before) {
-      CHECK_TEXT(queue.Offer(request, kStart).admitted, row.name);
+      CHECK_TEXT(queue.TryAdmit(request, kStart).admitted, row.name);
     }
     const auto size = queue.Entries().size();
-    const auto made = queue.Offer(row.last, kStart);
+    const auto made = queue.TryAdmit(row.last, kStart);
     CHECK_TEXT(made.admitted == row.admitted, row.name);
     CHECK_TEXT(made.displaced == row.displaced, row.name);
     const auto expected = size + (row.admitted ? 1 : 0) - row.displaced.size();
@@ -110,16 +110,16 @@
 {
   deadline_queue queue(3);
   for (std::uint64_t i = 1; i <= 3; ++i) {
-    CHECK(queue.Offer({ kStart + 1ms, i, 0.9 }, kStart).admitted);
+    CHECK(queue.TryAdmit({ kStart + 1ms, i, 0.9 }, kStart).admitted);
   }
-  CHECK_FALSE(queue.Offer({ kStart + 1ms, 4, 0.9 }, kStart).admitted);
+  CHECK_FALSE(queue.TryAdmit({ kStart + 1ms, 4, 0.9 }, kStart).admitted);
 }
 
 TEST(deadline_queue, times_to_come_back_follow_the_drain_rate)
 {
   auto queue = Measured(100);
   for (std::uint64_t i = 1; i <= 10; ++i) {
-    CHECK(queue.Offer({ kStart + 1s, i, 0.9 }, kStart).admitted);
+    CHECK(queue.TryAdmit({ kStart + 1s, i, 0.9 }, kStart).admitted);
   }
   // Ten wait, so the first refused one finds room after 110 ms, the next
   // after 120 ms, each lengthened by up to a half.
@@ -135,7 +135,7 @@
 {
   auto queue = Measured(100);
   const waiting other{ kStart + 1h, 99, 0.9 };
-  queue.Put(other);
+  queue.Requeue(other);
   queue.Departed(kStart + 5s);
   queue.Remove(other);
   CHECK(queue.RetryAfter(1, kStart + 5s) <= 20ms);
--- a/test/currantshed/admit/retry_budget.cpp
+++ b/test/currantshed/admit/retry_budget.cpp
@@ -10,14 +10,14 @@
 {
   retry_budget budget;
   int stored = 0;
-  while (budget.Spend()) {
+  while (budget.TryWithdraw()) {
     ++stored;
   }
   LONGS_EQUAL(50, stored);
   int retries = 0;
   for (int i = 0; i < 1000; ++i) {
-    budget.Earn();
-    retries += budget.Spend() ? 1 : 0;
+    budget.Deposit();
+    retries += budget.TryWithdraw() ? 1 : 0;
   }
   CHECK(retries >= 95);
   CHECK(retries <= 100);
--- a/test/currantshed/confirm/status_board.cpp
+++ b/test/currantshed/confirm/status_tracker.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/confirm/status_board.hpp"
+#include "currantshed/confirm/status_tracker.hpp"
 
 #include <chrono>
 #include <optional>
@@ -7,7 +7,7 @@
 #include <CppUTest/TestHarness.h>
 
 using currantshed::clock::time_point;
-using currantshed::confirm::status_board;
+using currantshed::confirm::status_tracker;
 using currantshed::position::log_position;
 using currantshed::upstream::server_role;
 using currantshed::upstream::server_status;
@@ -32,7 +32,7 @@
 };
 
 void
-Say(status_board& aBoard, const std::vector<word>& aWords)
+Say(status_tracker& aTracker, const std::vector<word>& aWords)
 {
   for (const auto& said : aWords) {
     server_status status;
@@ -40,20 +40,20 @@
     status.role = said.role;
     status.stored = said.stored;
     status.applied = said.stored;
-    aBoard.Record(said.server, status, kStart + said.asked);
+    aTracker.Record(said.server, status, kStart + said.asked);
   }
 }
 
-status_board
-BoardOfThree()
+status_tracker
+MakeTrackerOfThree()
 {
-  status_board board(200ms);
-  board.SetMembers({ "s1", "s2", "s3" });
-  return board;
+  status_tracker tracker(200ms);
+  tracker.SetMembers({ "s1", "s2", "s3" });
+  return tracker;
 }
 
 // The position (2, 10) by the words given, at 100 ms.
-struct board_row
+struct tracker_row
 {
   const char* name;
   std::vector<word> words;
@@ -63,7 +63,7 @@
   bool wasConfirmed;
 };
 
-const board_row kBoardRows[] = {
+const tracker_row kTrackerRows[] = {
   { "nothing heard", {}, std::nullopt, "", std::nullopt, false },
   { "one word is no majority",
     { { "s1", kPrimary, 2, { 2, 10 }, 50ms } },
@@ -159,54 +159,55 @@
 
 } // namespace
 
-TEST_GROUP(status_board){};
+TEST_GROUP(status_tracker){};
 
-TEST(status_board, what_follows_from_words)
+TEST(status_tracker, what_follows_from_words)
 {
-  for (const auto& row : kBoardRows) {
-    auto board = BoardOfThree();
-    Say(board, row.words);
+  for (const auto& row : kTrackerRows) {
+    auto tracker = MakeTrackerOfThree();
+    Say(tracker, row.words);
     const auto now = kStart + 100ms;
-    const auto term = board.Term();
+    const auto term = tracker.Term();
     CHECK_TEXT(term.has_value() == row.term.has_value(), row.name);
     CHECK_TEXT(!term || term->term == *row.term, row.name);
-    const auto primary = board.Primary(now);
+    const auto primary = tracker.Primary(now);
     CHECK_TEXT((primary ? primary->server : "") == row.primary, row.name);
-    const auto held = board.HeldSince({ 2, 10 });
+    const auto held = tracker.HeldByMajorityAsOf({ 2, 10 });
     CHECK_TEXT(held.has_value() == row.heldSince.has_value(), row.name);
     CHECK_TEXT(!held || *held == kStart + *row.heldSince, row.name);
-    CHECK_TEXT(board.WasConfirmed({ 2, 10 }) == row.wasConfirmed, row.name);
+    CHECK_TEXT(tracker.WasConfirmed({ 2, 10 }) == row.wasConfirmed, row.name);
   }
 }
 
-TEST(status_board, a_position_holds_for_the_validity_from_the_question)
+TEST(status_tracker, a_position_holds_for_the_validity_from_the_question)
 {
-  auto board = BoardOfThree();
-  Say(board,
+  auto tracker = MakeTrackerOfThree();
+  Say(tracker,
       { { "s1", kPrimary, 2, { 2, 10 }, 0ms },
         { "s2", kReplica, 2, { 2, 10 }, 10ms } });
-  CHECK(board.Holds({ 2, 10 }, kStart, kStart + 200ms));
-  CHECK_FALSE(board.Holds({ 2, 10 }, kStart, kStart + 201ms));
-  CHECK_FALSE(board.Holds({ 2, 10 }, kStart + 1ms, kStart + 100ms));
-  CHECK_FALSE(board.Holds({ 2, 11 }, kStart, kStart + 100ms));
+  CHECK(tracker.IsHeldByMajority({ 2, 10 }, kStart, kStart + 200ms));
+  CHECK_FALSE(tracker.IsHeldByMajority({ 2, 10 }, kStart, kStart + 201ms));
+  CHECK_FALSE(
+    tracker.IsHeldByMajority({ 2, 10 }, kStart + 1ms, kStart + 100ms));
+  CHECK_FALSE(tracker.IsHeldByMajority({ 2, 11 }, kStart, kStart + 100ms));
 }
 
-TEST(status_board, samples_are_dated_by_the_older_question)
+TEST(status_tracker, samples_are_dated_by_the_older_question)
 {
-  auto board = BoardOfThree();
-  Say(board,
+  auto tracker = MakeTrackerOfThree();
+  Say(tracker,
       { { "s1", kPrimary, 2, { 2, 10 }, 50ms },
         { "s2", kReplica, 2, { 2, 5 }, 20ms } });
-  CHECK(board.Samples().CurrentAsOf({ 2, 10 }) == kStart + 20ms);
-  CHECK_FALSE(board.Samples().CurrentAsOf({ 2, 9 }).has_value());
+  CHECK(tracker.Samples().CurrentAsOf({ 2, 10 }) == kStart + 20ms);
+  CHECK_FALSE(tracker.Samples().CurrentAsOf({ 2, 9 }).has_value());
 }
 
-TEST(status_board, a_lone_primary_gives_no_sample)
+TEST(status_tracker, a_lone_primary_gives_no_sample)
 {
-  auto board = BoardOfThree();
-  Say(board,
+  auto tracker = MakeTrackerOfThree();
+  Say(tracker,
       { { "s1", kPrimary, 2, { 2, 10 }, 50ms },
         { "s2", kFenced, 3, { 2, 5 }, 50ms },
         { "s3", kFenced, 3, { 2, 5 }, 50ms } });
-  CHECK_FALSE(board.Samples().CurrentAsOf({ 2, 10 }).has_value());
+  CHECK_FALSE(tracker.Samples().CurrentAsOf({ 2, 10 }).has_value());
 }
--- a/test/currantshed/customer/freshness.cpp
+++ b/test/currantshed/customer/freshness.cpp
@@ -37,22 +37,22 @@
 
 TEST_GROUP(freshness){};
 
-TEST(freshness, Keys_are_trusted_for_the_bound_after_a_proof)
+TEST(freshness, Keys_are_trusted_within_the_bound_after_verification)
 {
   for (const auto& row : kRows) {
     customer::freshness made(row.bound);
     if (row.provedAt != kNever) {
-      made.Prove(kStart + row.provedAt);
+      made.MarkVerified(kStart + row.provedAt);
     }
     CHECK_TEXT(made.Holds(kStart + row.now) == row.holds, row.name);
   }
 }
 
-TEST(freshness, An_older_proof_takes_nothing_back)
+TEST(freshness, An_older_verification_is_ignored)
 {
   customer::freshness made(5000ms);
-  made.Prove(kStart + 2000ms);
-  made.Prove(kStart);
+  made.MarkVerified(kStart + 2000ms);
+  made.MarkVerified(kStart);
   CHECK(made.Holds(kStart + 6000ms));
   CHECK(made.Covers(kStart + 2000ms));
   CHECK(!made.Covers(kStart + 2001ms));
--- a/test/currantshed/customer/model.cpp
+++ b/test/currantshed/customer/model.cpp
@@ -59,18 +59,19 @@
   std::uint64_t version = 0;
   bool isConfigured = false;
   customer::freshness freshness{ kKeyBound };
-  node::check_schedule checks;
-  customer::time_share share;
-  customer::token_bank bank{ kWindow };
-  customer::token_purse purse;
-  node::token_desk desk;
+  node::freshness_check_schedule checks;
+  customer::token_accrual share;
+  customer::token_buckets bank{ kWindow };
+  customer::token_cache purse;
+  node::token_client desk;
   clock::time_point nextShare{};
   /// Requests without a token, and those that wait to be sent.
   std::deque<clock::time_point> tokenless;
   std::vector<waiting> toSend;
 };
 
-customers_model::customers_model(std::uint32_t aSeed, mistake aMistake)
+customers_model::customers_model(std::uint32_t aSeed,
+                                 customers_model_bug aMistake)
   : mRandom(aSeed)
   , mMistake(aMistake)
   , mVms(kVms)
@@ -88,7 +89,7 @@
 customers_model::Limit() const
 {
   auto limit = kLimit;
-  if (mMistake == mistake::kBankWithoutBound) {
+  if (mMistake == customers_model_bug::kBankWithoutBound) {
     limit.burst = 1e6;
   }
   return limit;
@@ -138,8 +139,8 @@
   one.isCutFromStore = cut;
   one.startedAt = mTime.Now() + 400ms;
   one.downUntil = one.startedAt;
-  one.checks.SetPlace(aVm);
-  one.bank.SetBanks(kDomains);
+  one.checks.SetRank(aVm);
+  one.bank.SetCoordinatorCount(kDomains);
   // The first VMs of each domain collect.
   const std::vector<std::string> own{ Name(aVm % kDomains),
                                       Name(aVm % kDomains + kDomains) };
@@ -149,14 +150,17 @@
       others.push_back({ Name(i) });
     }
   }
-  one.desk.SetCollectors(own, others);
-  if (mMistake == mistake::kBankStartsFull) {
+  one.desk.SetCoordinators(own, others);
+  if (mMistake == customers_model_bug::kBankStartsFull) {
     // A third of the whole burst.
-    one.bank = customer::token_bank{ 0ms };
-    one.bank.SetBanks(kDomains);
-    (void)one.bank.Withdraw(kCustomer, kLimit, 0);
-    one.bank.Deposit(
-      "full", life, 1us, customer::PartOf(kCustomer), customer::share{ 60 });
+    one.bank = customer::token_buckets{ 0ms };
+    one.bank.SetCoordinatorCount(kDomains);
+    (void)one.bank.GrantTokens(kCustomer, kLimit, 0);
+    one.bank.AddShare("full",
+                      life,
+                      1us,
+                      customer::PartitionOf(kCustomer),
+                      customer::share{ 60 });
   }
 }
 
@@ -295,10 +299,10 @@
 {
   auto& one = mVms[aVm];
   const auto asked = mTime.Now();
-  if (asked < one.checks.Due(one.freshness.ProvedAt())) {
+  if (asked < one.checks.NextCheck(one.freshness.VerifiedAt())) {
     return;
   }
-  one.checks.Asked();
+  one.checks.OnRequestSent();
   const auto life = one.life;
   mTime.After(StoreDelay(), [this, aVm, asked, life] {
     const bool isLost =
@@ -311,14 +315,15 @@
       }
       const auto take = [this, aVm, asked, isLost, seen] {
         auto& self = mVms[aVm];
-        self.checks.Answered(!isLost, mTime.Now());
+        self.checks.OnResponse(!isLost, mTime.Now());
         if (isLost || seen < self.version) {
           return;
         }
         self.version = seen;
         self.isConfigured = true;
-        self.freshness.Prove(
-          mMistake == mistake::kProofDatedByAnswer ? mTime.Now() : asked);
+        self.freshness.MarkVerified(
+          mMistake == customers_model_bug::kProofDatedByAnswer ? mTime.Now()
+                                                               : asked);
         Spread(aVm);
       };
       if (mTime.Now() < back.frozenUntil) {
@@ -335,7 +340,7 @@
 customers_model::Spread(std::size_t aVm)
 {
   const auto version = mVms[aVm].version;
-  const auto provedAt = mVms[aVm].freshness.ProvedAt();
+  const auto provedAt = mVms[aVm].freshness.VerifiedAt();
   for (std::size_t to = 0; to < kVms; ++to) {
     if (to == aVm) {
       continue;
@@ -347,8 +352,9 @@
       }
       other.version = version;
       other.isConfigured = true;
-      other.freshness.Prove(
-        mMistake == mistake::kProofNotAged ? mTime.Now() : provedAt - 1ms);
+      other.freshness.MarkVerified(
+        mMistake == customers_model_bug::kProofNotAged ? mTime.Now()
+                                                       : provedAt - 1ms);
     });
   }
 }
@@ -358,7 +364,8 @@
 {
   auto& one = mVms[aVm];
   const auto now = mTime.Now();
-  const auto collector = one.desk.Current(customer::PartOf(kCustomer), now);
+  const auto collector =
+    one.desk.CoordinatorOf(customer::PartitionOf(kCustomer), now);
   if (now < one.nextShare || collector.empty()) {
     return;
   }
@@ -372,18 +379,18 @@
     }
     auto sentAt = std::chrono::duration_cast<std::chrono::microseconds>(
       now.time_since_epoch());
-    if (mMistake == mistake::kSharesCountTwice) {
+    if (mMistake == customers_model_bug::kSharesCountTwice) {
       sentAt = std::chrono::microseconds{ static_cast<std::int64_t>(++steps) };
     }
-    mVms[to].bank.Deposit(
-      Name(aVm), life, sentAt, customer::PartOf(kCustomer), share);
+    mVms[to].bank.AddShare(
+      Name(aVm), life, sentAt, customer::PartitionOf(kCustomer), share);
   };
   if (to == aVm) {
     arrive();
   } else {
     Send(aVm, to, arrive);
     // One message in some comes twice, whatever the network does.
-    if (mMistake == mistake::kSharesCountTwice) {
+    if (mMistake == customers_model_bug::kSharesCountTwice) {
       Send(aVm, to, arrive);
     }
   }
@@ -407,7 +414,7 @@
     return;
   }
   one.tokenless.push_back(now);
-  one.desk.Want(kCustomer, 1, now);
+  one.desk.Request(kCustomer, 1, now);
 }
 
 void
@@ -415,30 +422,30 @@
 {
   auto& one = mVms[aVm];
   const auto now = mTime.Now();
-  for (auto& ask : one.desk.TakeAsks()) {
+  for (auto& ask : one.desk.TakeRequests()) {
     const auto to = std::stoul(ask.vm);
     if (to == aVm) {
-      const auto got = one.bank.Withdraw(kCustomer, Limit(), ask.count);
-      one.desk.Answered(ask.number, got.count, got.retryAfter, now);
+      const auto got = one.bank.GrantTokens(kCustomer, Limit(), ask.count);
+      one.desk.OnResponse(ask.number, got.count, got.retryAfter, now);
       continue;
     }
     const auto life = one.life;
     Send(aVm, to, [this, aVm, to, ask, life] {
-      const auto got = mVms[to].bank.Withdraw(kCustomer, Limit(), ask.count);
+      const auto got = mVms[to].bank.GrantTokens(kCustomer, Limit(), ask.count);
       Send(to, aVm, [this, aVm, ask, got, life] {
         if (mVms[aVm].life == life) {
-          mVms[aVm].desk.Answered(
+          mVms[aVm].desk.OnResponse(
             ask.number, got.count, got.retryAfter, mTime.Now());
         }
       });
     });
   }
-  Granted(aVm, one.desk.TakeOutcomes());
+  Granted(aVm, one.desk.TakeResults());
 }
 
 void
 customers_model::Granted(std::size_t aVm,
-                         const std::vector<node::token_outcome>& aWhat)
+                         const std::vector<node::token_result>& aWhat)
 {
   auto& one = mVms[aVm];
   const auto now = mTime.Now();
@@ -474,7 +481,7 @@
       continue;
     }
     const bool isInForce = one.version % 2 == 0 && one.freshness.Holds(now);
-    if (mMistake != mistake::kCheckedAtReading && !isInForce) {
+    if (mMistake != customers_model_bug::kCheckedAtReading && !isInForce) {
       ++refused;
       continue;
     }
--- a/test/currantshed/customer/model.hpp
+++ b/test/currantshed/customer/model.hpp
@@ -11,17 +11,17 @@
 #include <vector>
 
 #include "currantshed/customer/freshness.hpp"
-#include "currantshed/customer/time_share.hpp"
-#include "currantshed/customer/token_bank.hpp"
-#include "currantshed/customer/token_purse.hpp"
-#include "currantshed/node/check_schedule.hpp"
-#include "currantshed/node/token_desk.hpp"
-#include "test/currantshed/proxy/world.hpp"
+#include "currantshed/customer/token_accrual.hpp"
+#include "currantshed/customer/token_buckets.hpp"
+#include "currantshed/customer/token_cache.hpp"
+#include "currantshed/node/freshness_check_schedule.hpp"
+#include "currantshed/node/token_client.hpp"
+#include "test/currantshed/proxy/simulated_cluster.hpp"
 
 namespace currantshed::test {
 
 /// A mistake that the model must find.
-enum class mistake
+enum class customers_model_bug
 {
   kNone,
   /// A proof counts from its answer, not from its asking.
@@ -45,7 +45,7 @@
 class customers_model
 {
 public:
-  customers_model(std::uint32_t aSeed, mistake aMistake);
+  customers_model(std::uint32_t aSeed, customers_model_bug aMistake);
   ~customers_model();
   customers_model(const customers_model&) = delete;
   customers_model& operator=(const customers_model&) = delete;
@@ -70,7 +70,7 @@
   void Carry(std::size_t aVm);
   void Share(std::size_t aVm);
   void Arrive(std::size_t aVm);
-  void Granted(std::size_t aVm, const std::vector<node::token_outcome>& aWhat);
+  void Granted(std::size_t aVm, const std::vector<node::token_result>& aWhat);
   void SendWaiting(std::size_t aVm);
   void Ran(clock::time_point aAskedAt);
   void Send(std::size_t aFrom, std::size_t aTo, std::function<void()> aWhat);
@@ -84,7 +84,7 @@
 
   timeline mTime;
   std::mt19937 mRandom;
-  mistake mMistake;
+  customers_model_bug mMistake;
   std::vector<vm> mVms;
   /// The key is in force in even versions of the store's configuration.
   std::uint64_t mVersion = 0;
--- a/test/currantshed/customer/model_test.cpp
+++ b/test/currantshed/customer/model_test.cpp
@@ -8,7 +8,7 @@
 
 using namespace std::chrono_literals;
 using currantshed::test::customers_model;
-using currantshed::test::mistake;
+using currantshed::test::customers_model_bug;
 
 namespace {
 
@@ -26,28 +26,29 @@
 struct mistake_row
 {
   const char* name;
-  mistake what;
+  customers_model_bug what;
 };
 
 constexpr mistake_row kMistakes[] = {
-  { "a proof dated by its answer", mistake::kProofDatedByAnswer },
-  { "a proof passed on without its age", mistake::kProofNotAged },
-  { "keys looked at when a request is read", mistake::kCheckedAtReading },
-  { "a bank without bound", mistake::kBankWithoutBound },
-  { "a bank that starts full", mistake::kBankStartsFull },
-  { "shares that count twice", mistake::kSharesCountTwice },
+  { "a proof dated by its answer", customers_model_bug::kProofDatedByAnswer },
+  { "a proof passed on without its age", customers_model_bug::kProofNotAged },
+  { "keys looked at when a request is read",
+    customers_model_bug::kCheckedAtReading },
+  { "a bank without bound", customers_model_bug::kBankWithoutBound },
+  { "a bank that starts full", customers_model_bug::kBankStartsFull },
+  { "shares that count twice", customers_model_bug::kSharesCountTwice },
 };
 
 } // namespace
 
 TEST_GROUP(customers_model){};
 
-TEST(customers_model, Keys_end_in_time_and_quotas_hold)
+TEST(customers_model, Revoked_keys_expire_in_time_and_quotas_hold)
 {
   std::uint64_t ran = 0;
   std::uint64_t steps = 0;
   for (std::uint32_t seed = 1; seed <= Seeds(); ++seed) {
-    customers_model model(seed, mistake::kNone);
+    customers_model model(seed, customers_model_bug::kNone);
     model.Run(kSpan);
     const auto what = model.wrong.empty() ? std::string() : model.wrong.front();
     CHECK_TEXT(model.wrong.empty(),
--- a/test/currantshed/customer/tokens.cpp
+++ b/test/currantshed/customer/tokens.cpp
@@ -2,9 +2,9 @@
 #include <cmath>
 #include <string>
 
-#include "currantshed/customer/time_share.hpp"
-#include "currantshed/customer/token_bank.hpp"
-#include "currantshed/customer/token_purse.hpp"
+#include "currantshed/customer/token_accrual.hpp"
+#include "currantshed/customer/token_buckets.hpp"
+#include "currantshed/customer/token_cache.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr clock::time_point kStart{ 1h };
-const std::size_t kBakers = customer::PartOf("baker");
-const std::size_t kSmiths = customer::PartOf("smith");
+const std::size_t kBakers = customer::PartitionOf("baker");
+const std::size_t kSmiths = customer::PartitionOf("smith");
 
 /// The time that passes has nothing of the start in it.
 struct share_row
@@ -71,10 +71,10 @@
 
 TEST_GROUP(tokens){};
 
-TEST(tokens, A_share_is_made_once)
+TEST(tokens, Accrued_time_is_handed_out_once)
 {
   for (const auto& row : kShareRows) {
-    customer::time_share made;
+    customer::token_accrual made;
     CHECK_EQUAL(0.0, made.Take(1, kStart).count());
     // What a start brings is taken first.
     made.Begin(kStart);
@@ -86,14 +86,14 @@
   }
 }
 
-TEST(tokens, A_bank_gives_what_came_in)
+TEST(tokens, A_bucket_grants_what_was_added)
 {
   for (const auto& row : kWithdrawalRows) {
-    customer::token_bank bank(row.window);
-    bank.SetBanks(row.banks);
-    (void)bank.Withdraw("baker", row.limit, 0);
-    bank.Deposit("vm", 1, 1us, kBakers, share{ row.deposited });
-    const auto got = bank.Withdraw("baker", row.limit, row.wanted);
+    customer::token_buckets bank(row.window);
+    bank.SetCoordinatorCount(row.banks);
+    (void)bank.GrantTokens("baker", row.limit, 0);
+    bank.AddShare("vm", 1, 1us, kBakers, share{ row.deposited });
+    const auto got = bank.GrantTokens("baker", row.limit, row.wanted);
     LONGS_EQUAL_TEXT(row.expect, got.count, row.name);
     CHECK_TEXT((got.count == 0) == (got.retryAfter > 0ms), row.name);
   }
@@ -101,45 +101,45 @@
 
 TEST(tokens, A_share_counts_once)
 {
-  customer::token_bank bank(0ms);
+  customer::token_buckets bank(0ms);
   const customer::quota limit{ 100, 100 };
-  bank.Deposit("vm", 1, 5us, kBakers, share{ 0.1 });
-  bank.Deposit("vm", 1, 5us, kBakers, share{ 0.1 });
-  bank.Deposit("vm", 1, 4us, kBakers, share{ 0.1 });
-  LONGS_EQUAL(10, bank.Withdraw("baker", limit, 99).count);
+  bank.AddShare("vm", 1, 5us, kBakers, share{ 0.1 });
+  bank.AddShare("vm", 1, 5us, kBakers, share{ 0.1 });
+  bank.AddShare("vm", 1, 4us, kBakers, share{ 0.1 });
+  LONGS_EQUAL(10, bank.GrantTokens("baker", limit, 99).count);
   // The VM has started again, with another clock.
-  bank.Deposit("vm", 2, 1us, kBakers, share{ 0.1 });
-  LONGS_EQUAL(10, bank.Withdraw("baker", limit, 99).count);
+  bank.AddShare("vm", 2, 1us, kBakers, share{ 0.1 });
+  LONGS_EQUAL(10, bank.GrantTokens("baker", limit, 99).count);
 }
 
-TEST(tokens, A_customer_does_not_take_anothers)
+TEST(tokens, Customers_have_separate_buckets)
 {
-  customer::token_bank bank(0ms);
+  customer::token_buckets bank(0ms);
   const customer::quota limit{ 100, 100 };
-  bank.Deposit("vm", 1, 1us, kBakers, share{ 0.1 });
-  LONGS_EQUAL(10, bank.Withdraw("baker", limit, 99).count);
-  LONGS_EQUAL(0, bank.Withdraw("baker", limit, 1).count);
+  bank.AddShare("vm", 1, 1us, kBakers, share{ 0.1 });
+  LONGS_EQUAL(10, bank.GrantTokens("baker", limit, 99).count);
+  LONGS_EQUAL(0, bank.GrantTokens("baker", limit, 1).count);
   CHECK(kBakers != kSmiths);
-  LONGS_EQUAL(0, bank.Withdraw("smith", limit, 99).count);
-  bank.Deposit("vm", 1, 1us, kSmiths, share{ 0.1 });
-  LONGS_EQUAL(10, bank.Withdraw("smith", limit, 99).count);
+  LONGS_EQUAL(0, bank.GrantTokens("smith", limit, 99).count);
+  bank.AddShare("vm", 1, 1us, kSmiths, share{ 0.1 });
+  LONGS_EQUAL(10, bank.GrantTokens("smith", limit, 99).count);
 }
 
 // The more are refused, the later they come back, each in turn.
-TEST(tokens, Refused_operations_come_back_in_turn)
+TEST(tokens, Refused_operations_are_told_to_retry_in_turn)
 {
-  customer::token_bank bank(0ms);
+  customer::token_buckets bank(0ms);
   const customer::quota limit{ 10, 0 };
-  const auto first = bank.Withdraw("baker", limit, 5).retryAfter;
-  const auto second = bank.Withdraw("baker", limit, 5).retryAfter;
+  const auto first = bank.GrantTokens("baker", limit, 5).retryAfter;
+  const auto second = bank.GrantTokens("baker", limit, 5).retryAfter;
   CHECK(first == 500ms);
   CHECK(second == 1000ms);
-  CHECK(bank.Withdraw("baker", limit, 500).retryAfter == 2000ms);
+  CHECK(bank.GrantTokens("baker", limit, 500).retryAfter == 2000ms);
 }
 
-TEST(tokens, Tokens_at_hand_are_good_for_a_moment)
+TEST(tokens, Cached_tokens_expire)
 {
-  customer::token_purse purse;
+  customer::token_cache purse;
   purse.Put("baker", 2, kStart);
   purse.Put("baker", 1, kStart + 300ms);
   CHECK(!purse.Take("smith", kStart));
--- a/test/currantshed/gateway/engine.cpp
+++ b/test/currantshed/gateway/engine.cpp
@@ -8,7 +8,7 @@
 
 #include "currantshed/gateway/error.hpp"
 #include "currantshed/gateway/transaction_name.hpp"
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 #include "currantshed/session/token.hpp"
 #include "test/currantshed/gateway/engine_bench.hpp"
 
@@ -133,7 +133,7 @@
   { "overflowed token without the group",
     [] {
       auto seen = Seen("planner", { 2, 8 });
-      seen.AssumeMore();
+      seen.MarkIncomplete();
       return token(session::MakeToken(seen, Ring()));
     },
     {},
--- a/test/currantshed/gateway/engine_bench.cpp
+++ b/test/currantshed/gateway/engine_bench.cpp
@@ -4,7 +4,7 @@
 #include <variant>
 
 #include "currantshed/gateway/transaction_name.hpp"
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -127,7 +127,7 @@
 Seen(const char* aGroup, position::log_position aPosition)
 {
   session::position_vector seen;
-  seen.Raise(aGroup, aPosition);
+  seen.AdvanceTo(aGroup, aPosition);
   return seen;
 }
 
--- a/test/currantshed/group/read_verification.cpp
+++ b/test/currantshed/group/read_verification.cpp
@@ -6,7 +6,7 @@
 #include <CppUTest/TestHarness.h>
 
 using currantshed::clock::time_point;
-using currantshed::confirm::status_board;
+using currantshed::confirm::status_tracker;
 using currantshed::group::Judge;
 using currantshed::group::read_evidence;
 using currantshed::group::read_judgement;
@@ -45,17 +45,17 @@
 
 // Term 2 was confirmed up to 50, last asked about at the start; before that,
 // up to 40 at 100 ms before.
-status_board
-Board()
+status_tracker
+MakeTracker()
 {
-  status_board board(200ms);
-  board.SetMembers({ "s1", "s2", "s3" });
+  status_tracker tracker(200ms);
+  tracker.SetMembers({ "s1", "s2", "s3" });
   for (const auto& [index, date] :
        { std::pair{ 40U, kStart - 100ms }, std::pair{ 50U, kStart } }) {
-    board.Record("s1", Word(kPrimary, 2, { 2, index }), date);
-    board.Record("s2", Word(kReplica, 2, { 2, index }), date);
+    tracker.Record("s1", Word(kPrimary, 2, { 2, index }), date);
+    tracker.Record("s2", Word(kReplica, 2, { 2, index }), date);
   }
-  return board;
+  return tracker;
 }
 
 // A read sent at a time after the start and judged 10 ms later.
@@ -184,13 +184,13 @@
 
 TEST(read_verification, judgement)
 {
-  const auto board = Board();
+  const auto tracker = MakeTracker();
   for (const auto& row : kJudgeRows) {
     request asked;
     asked.work.maxStaleness = row.maxStaleness;
     asked.floor = row.floor;
     const read_evidence evidence{ row.before, row.after, kStart + row.sent };
-    const auto made = Judge(asked, evidence, board, kStart + row.sent + 10ms);
+    const auto made = Judge(asked, evidence, tracker, kStart + row.sent + 10ms);
     CHECK_TEXT(made == row.judgement, row.name);
   }
 }
--- a/test/currantshed/group/reads.cpp
+++ b/test/currantshed/group/reads.cpp
@@ -192,7 +192,7 @@
   { "nowhere",
     [](fake_group&, request& aRequest) { aRequest.work.servedIn = {}; },
     verdict::kNotRun,
-    reason::kNoPlace,
+    reason::kNoEligibleServer,
     "" },
   { "only where a leaving server is",
     [](fake_group& aGroup, request& aRequest) {
@@ -200,7 +200,7 @@
       aGroup.SetLeaving("s3", true);
     },
     verdict::kNotRun,
-    reason::kNoPlace,
+    reason::kNoEligibleServer,
     "" },
   { "fresh, but not where the primary is",
     [](fake_group&, request& aRequest) {
@@ -208,7 +208,7 @@
       aRequest.fresh = true;
     },
     verdict::kNotRun,
-    reason::kNoPlace,
+    reason::kNoEligibleServer,
     "" },
   { "a statement that changes data",
     [](fake_group&, request& aRequest) {
--- a/test/currantshed/group/writes.cpp
+++ b/test/currantshed/group/writes.cpp
@@ -272,7 +272,7 @@
       aRequest.work.servedIn = { "elsewhere" };
     },
     verdict::kNotRun,
-    reason::kNoPlace,
+    reason::kNoEligibleServer,
     false },
   { "a deadline in the past",
     [](fake_group& aGroup, request& aRequest) {
--- a/test/currantshed/lead/abandoned_changes.cpp
+++ b/test/currantshed/lead/abandoned_takeovers.cpp
@@ -13,14 +13,14 @@
 #include <string>
 #include <vector>
 
-#include "test/currantshed/lead/bench.hpp"
+#include "test/currantshed/lead/monitor_fixture.hpp"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace currantshed;
 using namespace std::chrono_literals;
-using test::bench;
 using test::kStep;
+using test::monitor_fixture;
 using test::ReachOf;
 
 namespace {
@@ -71,7 +71,7 @@
 }
 
 void
-Leave(bench& aBench, const left_behind& aLeft)
+Leave(monitor_fixture& aBench, const left_behind& aLeft)
 {
   aBench.servers["a"].primary = !aLeft.steppedDown;
   aBench.servers["b"].fencedAt = aLeft.isFencedB ? 2 : 0;
@@ -88,37 +88,38 @@
 
 } // namespace
 
-TEST_GROUP(abandoned_changes){};
+TEST_GROUP(abandoned_takeovers){};
 
-TEST(abandoned_changes, leave_no_group_without_a_primary)
+TEST(abandoned_takeovers, leave_no_group_without_a_primary)
 {
   for (const auto& left : AllThatIsLeft()) {
     for (const bool isHeard : { false, true }) {
       for (const bool knewPrimary : { false, true }) {
         const auto name = NameOf(left, isHeard, knewPrimary);
-        bench made;
+        monitor_fixture made;
         made.vms = { { "vm-2" } };
         if (knewPrimary) {
-          made.lead.Wanted(made.now);
+          made.lead.ConfirmationNeeded(made.now);
           made.Run(500ms);
-          CHECK_TEXT(made.lead.Proof().primary == "a", name.c_str());
+          CHECK_TEXT(made.lead.Confirmation().primary == "a", name.c_str());
         }
         Leave(made, left);
-        made.lead.SetReplaced(left.replaced, made.now);
+        made.lead.SetReplacedTerm(left.replaced, made.now);
         made.everyStep = [&made, isHeard] {
-          const auto revoked = made.lead.Watch().revokedTerm;
+          const auto revoked = made.lead.WatchUpdate().revokedTerm;
           const auto heardAt = isHeard ? made.now : clock::time_point{};
-          made.lead.HeardReach(
+          made.lead.ReachUpdateReceived(
             "vm-2", { 1, "a", heardAt, revoked, made.now }, made.now);
         };
         // What the giving up of the change took: proofs from before are over.
         made.Run(1000ms);
-        made.lead.SetDuty(true, 8, made.now);
+        made.lead.SetFailoverLock(true, 8, made.now);
         const auto from = made.now;
         const auto isProved = [&made] {
-          const auto& proof = made.lead.Proof();
-          return proof.term != 0 && made.now < proof.askedAt + 1000ms &&
-                 made.servers[proof.primary].primary;
+          const auto& confirmation = made.lead.Confirmation();
+          return confirmation.term != 0 &&
+                 made.now < confirmation.askedAt + 1000ms &&
+                 made.servers[confirmation.primary].primary;
         };
         while (!isProved() && made.now < from + 20s) {
           made.Run(kStep);
@@ -138,12 +139,12 @@
 
 // A group without a primary shows in the log of whoever is to give it one, with
 // since when and what for, once a second.
-TEST(abandoned_changes, a_group_without_a_primary_is_told_of)
+TEST(abandoned_takeovers, a_group_without_a_primary_is_logged)
 {
   struct row
   {
     const char* name;
-    bool holdsDuty;
+    bool holdsLock;
     bool answer;
     std::size_t lines;
     std::string has;
@@ -154,10 +155,10 @@
     { "another VM holds the duty", false, false, 0, "" },
   };
   for (const auto& row : rows) {
-    bench made;
-    made.lead.SetDuty(true, 7, made.now);
+    monitor_fixture made;
+    made.lead.SetFailoverLock(true, 7, made.now);
     made.Run(1000ms);
-    made.lead.SetDuty(row.holdsDuty, 7, made.now);
+    made.lead.SetFailoverLock(row.holdsLock, 7, made.now);
     for (auto& [id, server] : made.servers) {
       server.answers = row.answer;
     }
--- a/test/currantshed/lead/clock_offset.cpp
+++ b/test/currantshed/lead/clock_offset.cpp
@@ -36,8 +36,8 @@
   for (const auto& row : kRows) {
     lead::clock_offset offset;
     CHECK_TEXT(!offset.LowerBound(kNow), row.name);
-    offset.Heard(lead::ToWire(kNow - row.first) + kAhead, kNow);
-    offset.Heard(lead::ToWire(kNow - row.second) + kAhead, kNow);
+    offset.AddSample(lead::ToWire(kNow - row.first) + kAhead, kNow);
+    offset.AddSample(lead::ToWire(kNow - row.second) + kAhead, kNow);
     const auto bound = offset.LowerBound(kNow);
     CHECK_TEXT(bound && *bound == kAhead - row.shortest, row.name);
     // With time the clocks may have drifted apart.
@@ -45,7 +45,7 @@
   }
 }
 
-TEST(clock_offset, times_turn_over_and_back)
+TEST(clock_offset, wire_times_round_trip)
 {
   CHECK(lead::FromWire(lead::ToWire(kNow)) == kNow);
 }
--- a/test/currantshed/lead/late_watcher.cpp
+++ b/test/currantshed/lead/delayed_monitor.cpp
@@ -13,15 +13,15 @@
 #include <chrono>
 #include <vector>
 
-#include "test/currantshed/lead/bench.hpp"
+#include "test/currantshed/lead/monitor_fixture.hpp"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace currantshed;
 using namespace std::chrono_literals;
-using test::bench;
 using test::kStart;
 using test::kStep;
+using test::monitor_fixture;
 
 namespace {
 
@@ -51,15 +51,15 @@
 
 } // namespace
 
-TEST_GROUP(late_watcher){};
+TEST_GROUP(delayed_monitor){};
 
-TEST(late_watcher, takes_no_primary_for_lost_that_others_use)
+TEST(delayed_monitor, declares_no_primary_lost_that_others_use)
 {
   for (const auto& row : kWatcherRows) {
-    bench made;
-    made.lead.SetDuty(true, 7, made.now);
+    monitor_fixture made;
+    made.lead.SetFailoverLock(true, 7, made.now);
     made.Run(2000ms);
-    CHECK_TEXT(made.lead.Proof().primary == "a", row.name);
+    CHECK_TEXT(made.lead.Confirmation().primary == "a", row.name);
     made.failsAfter = 200ms;
     made.servers["a"].answers = row.readsPrimary;
     made.servers["b"].answers = row.readsOthers;
@@ -68,7 +68,8 @@
     while (made.now < from + 5s && made.promoted.empty()) {
       made.now += row.late;
       const auto heardAt = made.now - row.heardBefore;
-      made.lead.HeardReach("vm-2", { 1, "a", heardAt, 0, heardAt }, made.now);
+      made.lead.ReachUpdateReceived(
+        "vm-2", { 1, "a", heardAt, 0, heardAt }, made.now);
       made.Run(kStep);
     }
     const auto took = made.now - from;
@@ -83,12 +84,12 @@
 }
 
 // Whoever watches a group asks for others' words on its primary only then.
-TEST(late_watcher, asks_for_others_words_when_the_primary_does_not_answer)
+TEST(delayed_monitor, suspects_a_primary_that_does_not_answer)
 {
   struct row
   {
     const char* name;
-    bool holdsDuty;
+    bool holdsLock;
     bool answers;
     bool doubts;
   };
@@ -98,13 +99,13 @@
     { "another VM watches", false, false, false },
   };
   for (const auto& row : rows) {
-    bench made;
-    made.lead.SetDuty(row.holdsDuty, 7, made.now);
-    made.lead.Wanted(made.now);
+    monitor_fixture made;
+    made.lead.SetFailoverLock(row.holdsLock, 7, made.now);
+    made.lead.ConfirmationNeeded(made.now);
     made.Run(500ms);
-    CHECK_FALSE_TEXT(made.lead.DoubtsPrimary(made.now), row.name);
+    CHECK_FALSE_TEXT(made.lead.SuspectsPrimary(made.now), row.name);
     made.servers["a"].answers = row.answers;
     made.Run(500ms);
-    CHECK_EQUAL_TEXT(row.doubts, made.lead.DoubtsPrimary(made.now), row.name);
+    CHECK_EQUAL_TEXT(row.doubts, made.lead.SuspectsPrimary(made.now), row.name);
   }
 }
--- a/test/currantshed/lead/leaving_primary.cpp
+++ b/test/currantshed/lead/draining_primary.cpp
@@ -13,20 +13,20 @@
 #include <chrono>
 #include <functional>
 
-#include "test/currantshed/lead/bench.hpp"
+#include "test/currantshed/lead/monitor_fixture.hpp"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace currantshed;
 using namespace std::chrono_literals;
-using test::bench;
 using test::kStep;
+using test::monitor_fixture;
 using test::ReachOf;
 
 namespace {
 
 void
-Leave(bench& aBench)
+Leave(monitor_fixture& aBench)
 {
   aBench.lead.Configure({ { "a", false, true }, { "b" }, { "c" } }, aBench.now);
 }
@@ -35,48 +35,48 @@
 {
   const char* name;
   /// What becomes of the primary, which leaves then.
-  std::function<void(bench&)> given;
+  std::function<void(monitor_fixture&)> given;
   /// What happens half a second after that.
-  std::function<void(bench&)> later;
+  std::function<void(monitor_fixture&)> later;
   /// Within which time another server leads.
   std::chrono::milliseconds atMost;
 };
 
 const leaving_row kLeavingRows[] = {
-  { "it is reached by this VM", Leave, [](bench&) {}, 1000ms },
+  { "it is reached by this VM", Leave, [](monitor_fixture&) {}, 1000ms },
   { "only other VMs reach it",
-    [](bench& aBench) {
+    [](monitor_fixture& aBench) {
       aBench.servers["a"].answers = false;
       aBench.servers["a"].answersOthers = true;
       aBench.vms = { { "vm-2" } };
       aBench.everyStep = [&aBench] { ReachOf(aBench, "vm-2", 0); };
       Leave(aBench);
     },
-    [](bench&) {},
+    [](monitor_fixture&) {},
     3500ms },
   { "only other VMs reach it, for long before it leaves",
-    [](bench& aBench) {
+    [](monitor_fixture& aBench) {
       aBench.servers["a"].answers = false;
       aBench.vms = { { "vm-2" } };
       aBench.everyStep = [&aBench] { ReachOf(aBench, "vm-2", 0); };
       aBench.Run(3000ms);
       Leave(aBench);
     },
-    [](bench&) {},
+    [](monitor_fixture&) {},
     3500ms },
   { "it falls silent as it leaves",
-    [](bench& aBench) {
+    [](monitor_fixture& aBench) {
       aBench.servers["a"].answers = false;
       Leave(aBench);
     },
-    [](bench&) {},
+    [](monitor_fixture&) {},
     3500ms },
   { "it exits while the change waits for it",
-    [](bench& aBench) {
+    [](monitor_fixture& aBench) {
       aBench.servers["a"].answers = false;
       Leave(aBench);
     },
-    [](bench& aBench) {
+    [](monitor_fixture& aBench) {
       aBench.lead.Configure({ { "b" }, { "c" } }, aBench.now);
     },
     3500ms },
@@ -84,24 +84,24 @@
 
 } // namespace
 
-TEST_GROUP(leaving_primary){};
+TEST_GROUP(draining_primary){};
 
-TEST(leaving_primary, is_replaced_whoever_reaches_it)
+TEST(draining_primary, is_replaced_whichever_VM_reaches_it)
 {
   for (const auto& row : kLeavingRows) {
-    bench made;
-    made.lead.SetDuty(true, 7, made.now);
+    monitor_fixture made;
+    made.lead.SetFailoverLock(true, 7, made.now);
     made.Run(2000ms);
-    CHECK_TEXT(made.lead.Proof().primary == "a", row.name);
+    CHECK_TEXT(made.lead.Confirmation().primary == "a", row.name);
     row.given(made);
     const auto from = made.now;
     made.Run(500ms);
     row.later(made);
-    while (made.lead.Proof().term != 2 && made.now < from + 20s) {
+    while (made.lead.Confirmation().term != 2 && made.now < from + 20s) {
       made.Run(kStep);
     }
-    CHECK_TEXT(made.lead.Proof().term == 2, row.name);
-    CHECK_TEXT(made.lead.Proof().primary != "a", row.name);
+    CHECK_TEXT(made.lead.Confirmation().term == 2, row.name);
+    CHECK_TEXT(made.lead.Confirmation().primary != "a", row.name);
     CHECK_TEXT(made.now - from <= row.atMost, row.name);
   }
 }
--- a/test/currantshed/lead/empty_candidates.cpp
+++ b/test/currantshed/lead/empty_candidates.cpp
@@ -7,23 +7,23 @@
 //   lead step=promote detail=group-0-1
 #include <chrono>
 
-#include "test/currantshed/lead/bench.hpp"
+#include "test/currantshed/lead/monitor_fixture.hpp"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace currantshed;
 using namespace std::chrono_literals;
-using test::bench;
+using test::monitor_fixture;
 
 TEST_GROUP(empty_candidates){};
 
-TEST(empty_candidates, lead_over_none_that_holds_what_was_acknowledged)
+TEST(empty_candidates, are_not_promoted_over_a_server_with_acknowledged_commits)
 {
-  bench made;
+  monitor_fixture made;
   made.promotesAfter = 1000ms;
   made.servers["a"].received = { 1, 20 };
   made.servers["b"].received = { 1, 20 };
-  made.lead.SetDuty(true, 7, made.now);
+  made.lead.SetFailoverLock(true, 7, made.now);
   made.Run(2000ms);
   made.lead.Configure({ { "a", false, true }, { "b" }, { "c" } }, made.now);
   made.Run(100ms);
--- a/test/currantshed/lead/relayed_words.cpp
+++ b/test/currantshed/lead/forwarded_updates.cpp
@@ -1,6 +1,6 @@
 #include <vector>
 
-#include "test/currantshed/lead/bench.hpp"
+#include "test/currantshed/lead/monitor_fixture.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -42,49 +42,52 @@
 
 } // namespace
 
-TEST_GROUP(relayed_words){};
+TEST_GROUP(forwarded_updates){};
 
-TEST(relayed_words, count_in_the_order_in_which_they_were_said)
+TEST(forwarded_updates, apply_in_the_order_in_which_they_were_sent)
 {
   for (const auto& row : kRows) {
-    bench made;
+    monitor_fixture made;
     for (const auto& one : row.heard) {
-      made.lead.HeardWatch(
+      made.lead.WatchUpdateReceived(
         { {}, std::nullopt, one.revoked, one.epoch, one.sequence }, made.now);
     }
-    CHECK_TEXT(made.lead.Reach(std::nullopt).obeyedTerm == row.obeyed,
+    CHECK_TEXT(made.lead.ReachUpdate(std::nullopt).acknowledgedTerm ==
+                 row.obeyed,
                row.name);
-    const auto passedOn = made.lead.Relayed();
+    const auto passedOn = made.lead.ForwardedUpdate();
     CHECK_TEXT(passedOn.revokedTerm == row.obeyed, row.name);
   }
 }
 
-TEST(relayed_words, a_holders_word_tells_its_changes_apart)
+TEST(forwarded_updates, the_sequence_rises_with_each_revocation_change)
 {
-  bench made;
-  made.lead.SetDuty(true, 9, made.now);
+  monitor_fixture made;
+  made.lead.SetFailoverLock(true, 9, made.now);
   made.Run(1000ms);
-  const auto before = made.lead.Watch();
+  const auto before = made.lead.WatchUpdate();
   CHECK(before.epoch == 9);
   CHECK(before.revokedTerm == 0);
   made.Run(1000ms);
-  CHECK(made.lead.Watch().sequence == before.sequence);
+  CHECK(made.lead.WatchUpdate().sequence == before.sequence);
   made.servers["a"].answers = false;
-  for (int step = 0; step < 300 && made.lead.Watch().revokedTerm == 0; ++step) {
+  for (int step = 0; step < 300 && made.lead.WatchUpdate().revokedTerm == 0;
+       ++step) {
     made.Run(10ms);
   }
-  const auto revoking = made.lead.Watch();
+  const auto revoking = made.lead.WatchUpdate();
   CHECK(revoking.revokedTerm == 1);
   CHECK(revoking.sequence > before.sequence);
 }
 
-TEST(relayed_words, carry_the_position_that_they_brought)
+TEST(forwarded_updates, carry_the_position_sample)
 {
-  bench made;
+  monitor_fixture made;
   const proxy::position_sample sample{ 1, { 1, 10 }, made.now };
-  made.lead.HeardWatch({ { 1, "a", made.now }, sample, 0, 9, 0 }, made.now);
-  const auto passedOn = made.lead.Relayed();
-  CHECK(passedOn.proof.primary == "a");
+  made.lead.WatchUpdateReceived({ { 1, "a", made.now }, sample, 0, 9, 0 },
+                                made.now);
+  const auto passedOn = made.lead.ForwardedUpdate();
+  CHECK(passedOn.confirmation.primary == "a");
   CHECK(passedOn.sample.has_value());
   CHECK(passedOn.sample->position == sample.position);
   CHECK(passedOn.epoch == 9);
--- a/test/currantshed/lead/group_lead.cpp
+++ b/test/currantshed/lead/group_monitor.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/lead/group_lead.hpp"
+#include "currantshed/lead/group_monitor.hpp"
 
 #include <chrono>
 #include <functional>
@@ -8,17 +8,17 @@
 #include <variant>
 #include <vector>
 
-#include "test/currantshed/lead/bench.hpp"
+#include "test/currantshed/lead/monitor_fixture.hpp"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace currantshed;
 using namespace std::chrono_literals;
-using lead::group_lead;
+using lead::group_monitor;
 using proxy::command_kind;
-using test::bench;
 using test::kStart;
 using test::kStep;
+using test::monitor_fixture;
 using test::ReachOf;
 
 namespace {
@@ -26,7 +26,7 @@
 struct watch_row
 {
   const char* name;
-  std::function<void(bench&)> given;
+  std::function<void(monitor_fixture&)> given;
   /// The server promoted in the end, or empty.
   std::string promoted;
   /// Bounds on the time until then.
@@ -35,9 +35,9 @@
 };
 
 const watch_row kWatchRows[] = {
-  { "a healthy primary stays", [](bench&) {}, "", 0ms, 0ms },
+  { "a healthy primary stays", [](monitor_fixture&) {}, "", 0ms, 0ms },
   { "a silent one is replaced by the longest log",
-    [](bench& aBench) {
+    [](monitor_fixture& aBench) {
       aBench.servers["a"].answers = false;
       aBench.servers["c"].received = { 1, 11 };
     },
@@ -45,7 +45,7 @@
     600ms,
     1600ms },
   { "a silent one that another VM reaches stays",
-    [](bench& aBench) {
+    [](monitor_fixture& aBench) {
       aBench.servers["a"].answers = false;
       aBench.everyStep = [&aBench] { ReachOf(aBench, "vm-2", 0); };
     },
@@ -53,7 +53,7 @@
     0ms,
     0ms },
   { "with a VM that does not obey, its proofs run out first",
-    [](bench& aBench) {
+    [](monitor_fixture& aBench) {
       aBench.servers["a"].answers = false;
       aBench.vms = { { "vm-2" } };
     },
@@ -61,7 +61,7 @@
     1600ms,
     2600ms },
   { "with the list of VMs unknown as well",
-    [](bench& aBench) {
+    [](monitor_fixture& aBench) {
       aBench.servers["a"].answers = false;
       aBench.vms.reset();
     },
@@ -69,13 +69,13 @@
     1600ms,
     2600ms },
   { "with a VM that obeys at once, nothing is waited for",
-    [](bench& aBench) {
+    [](monitor_fixture& aBench) {
       aBench.servers["a"].answers = false;
       aBench.vms = { { "vm-2" } };
       aBench.everyStep = [&aBench] {
         const bool told =
           !aBench.revocations.empty() && aBench.revocations.back() == 1;
-        aBench.lead.HeardReach(
+        aBench.lead.ReachUpdateReceived(
           "vm-2", { 1, "", {}, told ? 1U : 0U, aBench.now }, aBench.now);
       };
     },
@@ -83,7 +83,7 @@
     600ms,
     1600ms },
   { "one of three alone changes nothing while a VM may hold a proof",
-    [](bench& aBench) {
+    [](monitor_fixture& aBench) {
       aBench.servers["a"].answers = false;
       aBench.servers["b"].answers = false;
       aBench.vms = { { "vm-2" } };
@@ -92,7 +92,7 @@
     0ms,
     0ms },
   { "a draining primary hands over to a server that has all it had",
-    [](bench& aBench) {
+    [](monitor_fixture& aBench) {
       aBench.servers["a"].received = { 1, 20 };
       aBench.servers["c"].received = { 1, 20 };
       aBench.lead.Configure({ { "a", false, true }, { "b" }, { "c" } },
@@ -102,7 +102,7 @@
     0ms,
     1000ms },
   { "a server that the platform rejects is passed over",
-    [](bench& aBench) {
+    [](monitor_fixture& aBench) {
       aBench.servers["a"].answers = false;
       aBench.servers["b"].received = { 1, 11 };
       aBench.rejectsFirst = true;
@@ -111,7 +111,7 @@
     600ms,
     1900ms },
   { "a group without any primary gets one",
-    [](bench& aBench) { aBench.servers["a"].primary = false; },
+    [](monitor_fixture& aBench) { aBench.servers["a"].primary = false; },
     "a",
     1200ms,
     4500ms },
@@ -119,13 +119,13 @@
 
 } // namespace
 
-TEST_GROUP(group_lead){};
+TEST_GROUP(group_monitor){};
 
-TEST(group_lead, watches_and_replaces)
+TEST(group_monitor, monitors_and_replaces_the_primary)
 {
   for (const auto& row : kWatchRows) {
-    bench made;
-    made.lead.SetDuty(true, 7, made.now);
+    monitor_fixture made;
+    made.lead.SetFailoverLock(true, 7, made.now);
     made.Run(2000ms);
     CHECK_TEXT(made.promoted.empty(), row.name);
     CHECK_TEXT(!made.proofs.empty(), row.name);
@@ -134,7 +134,7 @@
     clock::time_point at{};
     while (made.now < from + 6s) {
       made.Run(kStep);
-      if (at == clock::time_point{} && made.lead.Proof().term == 2) {
+      if (at == clock::time_point{} && made.lead.Confirmation().term == 2) {
         at = made.now;
       }
     }
@@ -146,31 +146,32 @@
     CHECK_TEXT(made.promoted.back() == row.promoted, row.name);
     CHECK_TEXT(at - from >= row.atLeast, row.name);
     CHECK_TEXT(at - from <= row.atMost, row.name);
-    CHECK_TEXT(made.lead.Proof().primary == row.promoted, row.name);
+    CHECK_TEXT(made.lead.Confirmation().primary == row.promoted, row.name);
     CHECK_TEXT(made.revocations.back() == 0, row.name);
   }
 }
 
-TEST(group_lead, an_old_primary_that_comes_back_steps_down)
+TEST(group_monitor, an_old_primary_that_comes_back_steps_down)
 {
-  bench made;
-  made.lead.SetDuty(true, 7, made.now);
+  monitor_fixture made;
+  made.lead.SetFailoverLock(true, 7, made.now);
   made.Run(2000ms);
   made.servers["a"].answers = false;
   made.Run(3000ms);
-  CHECK(made.lead.Proof().term == 2);
+  CHECK(made.lead.Confirmation().term == 2);
   made.servers["a"].answers = true;
   made.Run(3000ms);
   CHECK(!made.servers["a"].primary);
-  CHECK(made.lead.Proof().primary == "b");
+  CHECK(made.lead.Confirmation().primary == "b");
   // Fences of the change are lifted.
   CHECK_EQUAL(0, static_cast<int>(made.servers["c"].fencedAt));
 }
 
-TEST(group_lead, a_primary_that_only_others_reach_is_proved_through_them)
+TEST(group_monitor,
+     a_primary_that_only_other_VMs_reach_is_confirmed_through_them)
 {
-  bench made;
-  made.lead.SetDuty(true, 7, made.now);
+  monitor_fixture made;
+  made.lead.SetFailoverLock(true, 7, made.now);
   made.Run(2000ms);
   made.servers["a"].answers = false;
   made.servers["a"].answersOthers = true;
@@ -178,7 +179,7 @@
   made.Run(3000ms);
   for (int step = 0; step < 300; ++step) {
     made.Run(kStep);
-    CHECK(made.now < made.lead.Proof().askedAt + 1000ms);
+    CHECK(made.now < made.lead.Confirmation().askedAt + 1000ms);
   }
   CHECK(made.promoted.empty());
 }
@@ -188,7 +189,7 @@
 struct majority_row
 {
   const char* name;
-  std::function<void(bench&)> given;
+  std::function<void(monitor_fixture&)> given;
   /// Whether the majority of the old term counts as proof.
   bool proves;
 };
@@ -197,22 +198,22 @@
 // reach: a does not know of it, and b's fence was lifted by the platform.
 const majority_row kMajorityRows[] = {
   { "a majority that was not replaced, as the store shows",
-    [](bench&) {},
+    [](monitor_fixture&) {},
     true },
   { "the store shows that its term was replaced",
-    [](bench& aBench) { aBench.replaced = 1; },
+    [](monitor_fixture& aBench) { aBench.replaced = 1; },
     false },
   { "the store does not answer",
-    [](bench& aBench) { aBench.replaced.reset(); },
+    [](monitor_fixture& aBench) { aBench.replaced.reset(); },
     false },
   { "the store does not answer, but all members say the same",
-    [](bench& aBench) {
+    [](monitor_fixture& aBench) {
       aBench.replaced.reset();
       aBench.servers["c"].answers = true;
     },
     true },
   { "all answer, and one leads a newer term",
-    [](bench& aBench) {
+    [](monitor_fixture& aBench) {
       aBench.replaced.reset();
       auto& promoted = aBench.servers["c"];
       promoted.answers = true;
@@ -221,7 +222,7 @@
     },
     false },
   { "all answer, and one that no longer leads has seen a newer term",
-    [](bench& aBench) {
+    [](monitor_fixture& aBench) {
       aBench.replaced.reset();
       auto& promoted = aBench.servers["c"];
       promoted.answers = true;
@@ -229,81 +230,83 @@
     },
     false },
   { "a VM that knows of the replacement asks nobody",
-    [](bench& aBench) { aBench.lead.SetReplaced(1, aBench.now); },
+    [](monitor_fixture& aBench) { aBench.lead.SetReplacedTerm(1, aBench.now); },
     false },
 };
 
 } // namespace
 
-TEST(group_lead, a_majority_after_a_pause_counts_only_if_its_term_stands)
+TEST(group_monitor,
+     a_majority_after_a_pause_counts_only_if_its_term_was_not_replaced)
 {
   for (const auto& row : kMajorityRows) {
-    bench made;
+    monitor_fixture made;
     made.servers["c"].answers = false;
     row.given(made);
-    made.lead.Wanted(made.now);
+    made.lead.ConfirmationNeeded(made.now);
     made.Run(900ms);
-    const auto& proof = made.lead.Proof();
-    CHECK_TEXT((proof.term == 1) == row.proves, row.name);
+    const auto& confirmation = made.lead.Confirmation();
+    CHECK_TEXT((confirmation.term == 1) == row.proves, row.name);
   }
 }
 
-TEST(group_lead, a_proof_that_goes_on_needs_no_check)
+TEST(group_monitor, a_confirmation_that_is_renewed_in_time_needs_no_store_read)
 {
-  bench made;
-  made.lead.Wanted(made.now);
+  monitor_fixture made;
+  made.lead.ConfirmationNeeded(made.now);
   made.Run(100ms);
   made.servers["c"].answers = false;
   made.replaced.reset();
   for (int step = 0; step < 300; ++step) {
-    made.lead.Wanted(made.now);
+    made.lead.ConfirmationNeeded(made.now);
     made.Run(kStep);
-    CHECK(made.now < made.lead.Proof().askedAt + 1000ms);
+    CHECK(made.now < made.lead.Confirmation().askedAt + 1000ms);
   }
   CHECK_EQUAL(0, made.checks);
 }
 
-TEST(group_lead, an_old_primary_that_is_back_during_the_promotion_steps_down)
+TEST(group_monitor, an_old_primary_that_is_back_during_the_promotion_steps_down)
 {
-  bench made;
-  made.lead.SetDuty(true, 7, made.now);
+  monitor_fixture made;
+  made.lead.SetFailoverLock(true, 7, made.now);
   made.Run(2000ms);
   made.servers["a"].answers = false;
   made.takesOrders = false;
   made.Run(2500ms);
-  CHECK(made.lead.IsChanging());
+  CHECK(made.lead.IsTakeoverActive());
   CHECK(made.replacedInOrder == 1);
   made.servers["a"].answers = true;
   made.Run(200ms);
   CHECK(!made.servers["a"].primary);
 }
 
-TEST(group_lead, a_silent_primary_is_lost_within_its_bound)
+TEST(group_monitor, a_silent_primary_is_lost_within_its_bound)
 {
-  bench made;
-  made.failsAfter = lead::lead_settings{}.askTimeout;
-  made.lead.SetDuty(true, 7, made.now);
+  monitor_fixture made;
+  made.failsAfter = lead::monitor_settings{}.askTimeout;
+  made.lead.SetFailoverLock(true, 7, made.now);
   made.Run(2000ms);
   made.servers["a"].answers = false;
   // Traffic had its last answer a little after the last report.
   made.heardAt = made.now;
   const auto from = made.now;
-  while (!made.lead.IsChanging() && made.now < from + 3s) {
+  while (!made.lead.IsTakeoverActive() && made.now < from + 3s) {
     made.Run(kStep);
   }
   CHECK(made.now - from >= 600ms);
   CHECK(made.now - from <= 800ms);
 }
 
-TEST(group_lead, a_group_whose_replacement_was_recorded_but_not_made_is_served)
+TEST(group_monitor,
+     a_group_whose_replacement_was_recorded_but_not_carried_out_gets_a_primary)
 {
-  bench made;
-  made.lead.SetReplaced(1, made.now);
+  monitor_fixture made;
+  made.lead.SetReplacedTerm(1, made.now);
   made.replaced = 1;
-  made.lead.SetDuty(true, 8, made.now);
+  made.lead.SetFailoverLock(true, 8, made.now);
   made.everyStep = [&made] { ReachOf(made, "vm-2", 0); };
   made.Run(5000ms);
-  CHECK(made.lead.Proof().term == 2);
+  CHECK(made.lead.Confirmation().term == 2);
 }
 
 namespace {
@@ -325,62 +328,62 @@
 
 } // namespace
 
-TEST(group_lead, a_group_that_another_holder_left_fenced_is_served_again)
+TEST(group_monitor, a_group_left_fenced_by_a_former_lock_holder_recovers)
 {
   for (const auto& row : kStrandedRows) {
-    bench made;
+    monitor_fixture made;
     made.servers["b"].fencedAt = 2;
     made.servers["c"].fencedAt = 2;
     made.liftsFences = true;
     made.replaced = row.replaced;
-    made.lead.SetReplaced(row.replaced, made.now);
-    made.lead.SetDuty(true, 8, made.now);
+    made.lead.SetReplacedTerm(row.replaced, made.now);
+    made.lead.SetFailoverLock(true, 8, made.now);
     made.Run(6000ms);
-    CHECK_TEXT(made.lead.Proof().term == row.term, row.name);
-    CHECK_TEXT(made.lead.Proof().primary == row.primary, row.name);
-    CHECK_TEXT(made.now < made.lead.Proof().askedAt + 1000ms, row.name);
+    CHECK_TEXT(made.lead.Confirmation().term == row.term, row.name);
+    CHECK_TEXT(made.lead.Confirmation().primary == row.primary, row.name);
+    CHECK_TEXT(made.now < made.lead.Confirmation().askedAt + 1000ms, row.name);
   }
 }
 
-TEST(group_lead, what_was_proved_before_a_change_given_up_is_proved_anew)
+TEST(group_monitor, an_abandoned_takeover_invalidates_earlier_confirmations)
 {
-  bench made;
-  made.lead.SetDuty(true, 7, made.now);
+  monitor_fixture made;
+  made.lead.SetFailoverLock(true, 7, made.now);
   made.Run(2000ms);
   made.servers["a"].answers = false;
   made.takesOrders = false;
   made.Run(1500ms);
-  CHECK(made.lead.IsChanging());
+  CHECK(made.lead.IsTakeoverActive());
   made.servers["a"].answers = true;
   made.servers["b"].fencedAt = 0;
   made.servers["c"].fencedAt = 0;
   const auto proofs = made.proofs.size();
   made.replaced = 1;
-  made.lead.SetDuty(false, 7, made.now);
-  made.lead.Wanted(made.now);
+  made.lead.SetFailoverLock(false, 7, made.now);
+  made.lead.ConfirmationNeeded(made.now);
   made.servers["c"].answers = false;
   made.Run(500ms);
   CHECK_EQUAL(proofs, made.proofs.size());
 }
 
-TEST(group_lead, a_busy_witness_does_not_end_proofs)
+TEST(group_monitor, a_busy_witness_does_not_interrupt_confirmation)
 {
   for (const char* busy : { "b", "c" }) {
-    bench made;
-    made.lead.SetDuty(true, 7, made.now);
+    monitor_fixture made;
+    made.lead.SetFailoverLock(true, 7, made.now);
     made.Run(2000ms);
     made.servers[busy].busy = true;
     for (int step = 0; step < 500; ++step) {
       made.Run(kStep);
-      CHECK_TEXT(made.now < made.lead.Proof().askedAt + 1000ms, busy);
+      CHECK_TEXT(made.now < made.lead.Confirmation().askedAt + 1000ms, busy);
     }
   }
 }
 
-TEST(group_lead, a_change_after_a_change_chooses_anew)
+TEST(group_monitor, a_second_takeover_chooses_its_own_candidate)
 {
-  bench made;
-  made.lead.SetDuty(true, 7, made.now);
+  monitor_fixture made;
+  made.lead.SetFailoverLock(true, 7, made.now);
   made.Run(2000ms);
   made.servers["a"].answers = false;
   made.Run(3000ms);
@@ -392,77 +395,80 @@
   CHECK(made.promoted.back() != "b");
 }
 
-TEST(group_lead, without_the_duty_it_asks_only_on_demand)
+TEST(group_monitor, without_the_lock_it_queries_only_on_demand)
 {
-  bench made;
+  monitor_fixture made;
   made.Run(3000ms);
   CHECK_EQUAL(0, made.Count(command_kind::kReport));
-  made.lead.Wanted(made.now);
+  made.lead.ConfirmationNeeded(made.now);
   made.Run(100ms);
-  CHECK(made.lead.Proof().term == 1);
+  CHECK(made.lead.Confirmation().term == 1);
   // Those who ask without the right to do so would be unknown to a promoter.
-  bench barred;
-  barred.lead.SetMayAsk(false);
-  barred.lead.Wanted(barred.now);
+  monitor_fixture barred;
+  barred.lead.SetMayConfirm(false);
+  barred.lead.ConfirmationNeeded(barred.now);
   barred.Run(500ms);
   CHECK_EQUAL(0, barred.Count(command_kind::kReport));
 }
 
-TEST(group_lead, who_is_about_to_take_the_duty_proves_but_changes_nothing)
+TEST(group_monitor, an_interim_monitor_confirms_but_starts_no_takeover)
 {
-  bench made;
-  made.lead.SetStandsIn(true);
-  made.lead.SetDuty(false, 9, made.now);
+  monitor_fixture made;
+  made.lead.SetIsInterim(true);
+  made.lead.SetFailoverLock(false, 9, made.now);
   made.Run(1500ms);
-  CHECK(made.now < made.lead.Proof().askedAt + 500ms);
-  CHECK(made.lead.Speaks());
+  CHECK(made.now < made.lead.Confirmation().askedAt + 500ms);
+  CHECK(made.lead.AnnouncesStatus());
   // Its word must not lift what the last holder revoked.
-  CHECK(made.lead.Watch().epoch == 0);
+  CHECK(made.lead.WatchUpdate().epoch == 0);
   made.servers["a"].answers = false;
   made.Run(4000ms);
   CHECK(made.promoted.empty());
   CHECK_EQUAL(0, made.Count(command_kind::kFence));
 }
 
-TEST(group_lead, a_revocation_holds_until_lifted_or_old)
+TEST(group_monitor, a_revocation_holds_until_lifted_or_expired)
 {
-  bench made;
-  const lead::lead_news revokes{ {}, std::nullopt, 1, 9 };
-  made.lead.HeardWatch(revokes, made.now);
-  CHECK(made.lead.Reach(std::nullopt).obeyedTerm == 1);
-  made.lead.Wanted(made.now);
+  monitor_fixture made;
+  const lead::watch_update revokes{ {}, std::nullopt, 1, 9 };
+  made.lead.WatchUpdateReceived(revokes, made.now);
+  CHECK(made.lead.ReachUpdate(std::nullopt).acknowledgedTerm == 1);
+  made.lead.ConfirmationNeeded(made.now);
   made.Run(900ms);
   CHECK(made.proofs.empty());
   // An older holder of the duty has no say.
-  made.lead.HeardWatch({ {}, std::nullopt, 0, 8 }, made.now);
-  CHECK(made.lead.Reach(std::nullopt).obeyedTerm == 1);
-  made.lead.HeardWatch({ {}, std::nullopt, 0, 9 }, made.now);
-  CHECK(made.lead.Reach(std::nullopt).obeyedTerm == 0);
-  made.lead.HeardWatch(revokes, made.now);
+  made.lead.WatchUpdateReceived({ {}, std::nullopt, 0, 8 }, made.now);
+  CHECK(made.lead.ReachUpdate(std::nullopt).acknowledgedTerm == 1);
+  made.lead.WatchUpdateReceived({ {}, std::nullopt, 0, 9 }, made.now);
+  CHECK(made.lead.ReachUpdate(std::nullopt).acknowledgedTerm == 0);
+  made.lead.WatchUpdateReceived(revokes, made.now);
   made.Run(5200ms);
-  CHECK(made.lead.Reach(std::nullopt).obeyedTerm == 0);
+  CHECK(made.lead.ReachUpdate(std::nullopt).acknowledgedTerm == 0);
 }
 
-TEST(group_lead, the_first_proof_of_a_term_brings_the_primarys_position)
+TEST(group_monitor,
+     the_first_confirmation_of_a_term_carries_the_primarys_position)
 {
-  bench made;
-  made.lead.Wanted(made.now);
+  monitor_fixture made;
+  made.lead.ConfirmationNeeded(made.now);
   made.Run(50ms);
-  CHECK(made.lead.Proof().term == 1);
+  CHECK(made.lead.Confirmation().term == 1);
   CHECK_EQUAL(1U, made.samples.size());
   CHECK(made.samples.front().term == 1);
   CHECK(made.samples.front().position == made.servers["a"].received);
 }
 
-TEST(group_lead, a_vm_that_is_not_in_the_store_takes_no_proof)
+TEST(group_monitor, a_VM_that_is_not_registered_accepts_no_confirmation)
 {
-  bench made;
-  made.lead.SetMayAsk(false);
-  made.lead.HeardWatch({ { 1, "a", made.now }, std::nullopt, 0, 9 }, made.now);
+  monitor_fixture made;
+  made.lead.SetMayConfirm(false);
+  made.lead.WatchUpdateReceived({ { 1, "a", made.now }, std::nullopt, 0, 9 },
+                                made.now);
   made.Run(50ms);
   CHECK(made.proofs.empty());
-  made.lead.SetMayAsk(true);
-  made.lead.HeardWatch({ { 1, "a", made.now }, std::nullopt, 0, 9 }, made.now);
+  made.lead.SetMayConfirm(true);
+  made.lead.WatchUpdateReceived({ { 1, "a", made.now }, std::nullopt, 0, 9 },
+                                made.now);
   made.Run(50ms);
   CHECK_EQUAL(1U, made.proofs.size());
 }
@@ -490,31 +496,34 @@
 
 } // namespace
 
-TEST(group_lead, vms_without_a_watch_ask_in_turn_and_pass_on)
+TEST(group_monitor,
+     VMs_without_a_lock_holder_stagger_queries_and_forward_results)
 {
   constexpr int kSeconds = 5;
   for (const auto& row : kIslands) {
-    std::vector<std::unique_ptr<bench>> all;
+    std::vector<std::unique_ptr<monitor_fixture>> all;
     for (std::size_t i = 0; i < row.vms; ++i) {
-      all.push_back(std::make_unique<bench>());
+      all.push_back(std::make_unique<monitor_fixture>());
       const auto place = static_cast<double>(i) / static_cast<double>(row.vms);
-      all.back()->lead.SetPlace(row.vms, place);
+      all.back()->lead.SetQueryStagger(row.vms, place);
     }
     int gaps = 0;
     for (int step = 0; step < kSeconds * 100; ++step) {
       for (auto& one : all) {
-        one->lead.Wanted(one->now);
+        one->lead.ConfirmationNeeded(one->now);
         const auto before = one->passedOn;
         one->Run(kStep);
         const bool tells = row.passOn && one->passedOn > before;
         for (auto& other : all) {
           if (tells && other != one) {
-            other->lead.HeardWatch(one->lead.Watch(), other->now);
+            other->lead.WatchUpdateReceived(one->lead.WatchUpdate(),
+                                            other->now);
           }
         }
       }
       for (const auto& one : all) {
-        const bool proved = one->now < one->lead.Proof().askedAt + 1000ms;
+        const bool proved =
+          one->now < one->lead.Confirmation().askedAt + 1000ms;
         gaps += step > 100 && !proved ? 1 : 0;
       }
     }
--- a/test/currantshed/lead/bench.hpp
+++ b/test/currantshed/lead/monitor_fixture.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_TEST_LEAD_BENCH_HPP
-#define CURRANTSHED_TEST_LEAD_BENCH_HPP
+#ifndef CURRANTSHED_TEST_LEAD_MONITOR_FIXTURE_HPP
+#define CURRANTSHED_TEST_LEAD_MONITOR_FIXTURE_HPP
 
 #include <algorithm>
 #include <chrono>
@@ -11,12 +11,12 @@
 #include <variant>
 #include <vector>
 
-#include "currantshed/lead/group_lead.hpp"
+#include "currantshed/lead/group_monitor.hpp"
 
 namespace currantshed::test {
 
 using namespace std::chrono_literals;
-using lead::group_lead;
+using lead::group_monitor;
 using proxy::command_kind;
 
 inline constexpr clock::time_point kStart{ 1h };
@@ -37,10 +37,10 @@
 };
 
 /// A group, its lead at one VM, and the platform that promotes.
-class bench
+class monitor_fixture
 {
 public:
-  bench()
+  monitor_fixture()
     : lead({})
   {
     servers["a"].primary = true;
@@ -69,7 +69,7 @@
     return found == asked.end() ? 0 : found->second;
   }
 
-  group_lead lead;
+  group_monitor lead;
   clock::time_point now = kStart;
   std::map<std::string, fake_server> servers;
   std::map<command_kind, int> asked;
@@ -126,9 +126,9 @@
     }
   }
 
-  void Do(const lead::ask_server& aAction)
+  void Do(const lead::send_command& aAction)
   {
-    ++asked[aAction.what.kind];
+    ++asked[aAction.command.kind];
     auto& server = servers[aAction.server];
     if (!server.answers && !(server.answersOthers && !aAction.direct)) {
       if (failsAfter > 0ms) {
@@ -142,9 +142,9 @@
       lead.ServerAnswered(aAction.server, std::nullopt, now, now);
       return;
     }
-    switch (aAction.what.kind) {
+    switch (aAction.command.kind) {
       case command_kind::kFence:
-        server.fencedAt = aAction.what.term;
+        server.fencedAt = aAction.command.term;
         break;
       case command_kind::kUnfence:
         server.fencedAt = 0;
@@ -163,9 +163,9 @@
     lead.ServerAnswered(aAction.server, report, now, now);
   }
 
-  void Do(const lead::order_promotion& aAction)
+  void Do(const lead::request_promotion& aAction)
   {
-    replacedInOrder = aAction.replaces;
+    replacedInOrder = aAction.replacedTerm;
     if (!takesOrders) {
       lead.PromotionAnswered(false, false, now);
       return;
@@ -178,10 +178,10 @@
     lead.PromotionAnswered(!rejects && answersOrders, rejects, now);
   }
 
-  void Do(const lead::check_terms&)
+  void Do(const lead::read_replaced_term&)
   {
     ++checks;
-    lead.TermsChecked(replaced, now);
+    lead.ReplacedTermRead(replaced, now);
   }
 
   void Do(const lead::list_vms&)
@@ -191,9 +191,9 @@
     }
   }
 
-  void Do(const lead::publish_proof& aAction)
+  void Do(const lead::publish_confirmation& aAction)
   {
-    proofs.push_back(aAction.proof);
+    proofs.push_back(aAction.confirmation);
     passedOn += aAction.isOwn ? 1 : 0;
   }
 
@@ -207,7 +207,7 @@
     revocations.push_back(aAction.term);
   }
 
-  void Do(const lead::note_step& aAction)
+  void Do(const lead::log_step& aAction)
   {
     notes.push_back(aAction.step + " " + aAction.detail);
   }
@@ -242,10 +242,10 @@
     if (server.primary && server.term == highest) {
       return;
     }
-    const auto& proof = lead.Proof();
-    const bool isHeld =
-      now < proof.askedAt + 1000ms && proof.term > lead.Watch().revokedTerm;
-    unsafe += isHeld && proof.primary != aServer ? 1 : 0;
+    const auto& confirmation = lead.Confirmation();
+    const bool isHeld = now < confirmation.askedAt + 1000ms &&
+                        confirmation.term > lead.WatchUpdate().revokedTerm;
+    unsafe += isHeld && confirmation.primary != aServer ? 1 : 0;
     server.primary = true;
     server.fencedAt = 0;
     server.term = highest + 1;
@@ -259,9 +259,9 @@
 
 /// Another VM tells that it has just heard the primary of the first term.
 inline void
-ReachOf(bench& aBench, const char* aVm, position::term_id aObeyed)
+ReachOf(monitor_fixture& aBench, const char* aVm, position::term_id aObeyed)
 {
-  aBench.lead.HeardReach(
+  aBench.lead.ReachUpdateReceived(
     aVm, { 1, "a", aBench.now, aObeyed, aBench.now }, aBench.now);
 }
 
--- a/test/currantshed/lead/orders_under_way.cpp
+++ b/test/currantshed/lead/pending_promotions.cpp
@@ -14,27 +14,27 @@
 #include <chrono>
 #include <functional>
 
-#include "test/currantshed/lead/bench.hpp"
+#include "test/currantshed/lead/monitor_fixture.hpp"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace currantshed;
 using namespace std::chrono_literals;
-using test::bench;
 using test::kStep;
+using test::monitor_fixture;
 
 namespace {
 
 struct order_row
 {
   const char* name;
-  std::function<void(bench&)> given;
+  std::function<void(monitor_fixture&)> given;
   /// Called as soon as another server leads for the first time.
-  std::function<void(bench&)> then;
+  std::function<void(monitor_fixture&)> then;
 };
 
 void
-Leave(bench& aBench, bool aSecond)
+Leave(monitor_fixture& aBench, bool aSecond)
 {
   aBench.lead.Configure(
     { { "a", false, true }, { "b", false, aSecond }, { "c" }, { "d" } },
@@ -44,7 +44,7 @@
 /// The server that was promoted leaves, and as soon as another one has been
 /// ordered, a third one has the longest log.
 void
-LeaveAndCatchUp(bench& aBench)
+LeaveAndCatchUp(monitor_fixture& aBench)
 {
   Leave(aBench, true);
   aBench.everyStep = [&aBench] {
@@ -56,46 +56,46 @@
 
 const order_row kRows[] = {
   { "the server that was promoted leaves at once",
-    [](bench& aBench) { Leave(aBench, false); },
+    [](monitor_fixture& aBench) { Leave(aBench, false); },
     LeaveAndCatchUp },
   { "it is lost at once",
-    [](bench& aBench) { Leave(aBench, false); },
-    [](bench& aBench) { aBench.servers["b"].answers = false; } },
+    [](monitor_fixture& aBench) { Leave(aBench, false); },
+    [](monitor_fixture& aBench) { aBench.servers["b"].answers = false; } },
   { "it leaves at once, and orders were taken without an answer",
-    [](bench& aBench) {
+    [](monitor_fixture& aBench) {
       aBench.answersOrders = false;
       Leave(aBench, false);
     },
     LeaveAndCatchUp },
   { "an order of the holder before takes effect during the change",
-    [](bench& aBench) {
+    [](monitor_fixture& aBench) {
       aBench.promoting.push_back({ "d", aBench.now + 700ms });
       Leave(aBench, false);
     },
-    [](bench&) {} },
+    [](monitor_fixture&) {} },
 };
 
 } // namespace
 
-TEST_GROUP(orders_under_way){};
+TEST_GROUP(pending_promotions){};
 
-TEST(orders_under_way, depose_no_primary_that_is_rested_on)
+TEST(pending_promotions, depose_no_confirmed_primary)
 {
   for (const auto& row : kRows) {
-    bench made;
+    monitor_fixture made;
     made.promotesAfter = 1000ms;
     made.servers["d"];
     made.servers["b"].received = { 1, 11 };
     made.servers["c"].received = { 1, 11 };
     made.lead.Configure({ { "a" }, { "b" }, { "c" }, { "d" } }, made.now);
-    made.lead.SetDuty(true, 7, made.now);
+    made.lead.SetFailoverLock(true, 7, made.now);
     made.Run(2000ms);
     row.given(made);
     const auto from = made.now;
     bool isChanged = false;
     while (made.now < from + 15s) {
       made.Run(kStep);
-      if (!isChanged && made.lead.Proof().term > 1) {
+      if (!isChanged && made.lead.Confirmation().term > 1) {
         isChanged = true;
         row.then(made);
       }
@@ -103,9 +103,9 @@
     CHECK_TEXT(isChanged, row.name);
     CHECK_EQUAL_TEXT(0, made.unsafe, row.name);
     // In the end a server that stays leads, and is proved.
-    const auto& proof = made.lead.Proof();
-    CHECK_TEXT(made.now < proof.askedAt + 1000ms, row.name);
-    CHECK_TEXT(made.servers[proof.primary].primary, row.name);
-    CHECK_TEXT(proof.primary != "a", row.name);
+    const auto& confirmation = made.lead.Confirmation();
+    CHECK_TEXT(made.now < confirmation.askedAt + 1000ms, row.name);
+    CHECK_TEXT(made.servers[confirmation.primary].primary, row.name);
+    CHECK_TEXT(confirmation.primary != "a", row.name);
   }
 }
--- a/test/currantshed/lead/restarted_members.cpp
+++ b/test/currantshed/lead/restarted_members.cpp
@@ -4,7 +4,7 @@
 #include <chrono>
 #include <vector>
 
-#include "test/currantshed/lead/bench.hpp"
+#include "test/currantshed/lead/monitor_fixture.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -51,7 +51,7 @@
 
 TEST_GROUP(restarted_members){};
 
-TEST(restarted_members, count_only_by_what_they_report_themselves)
+TEST(restarted_members, count_only_by_reports_since_the_restart)
 {
   for (const auto& row : kRows) {
     lead::server_table table;
@@ -65,20 +65,20 @@
     table.Reported("a", report, kStart, kStart);
     report.isPrimary = false;
     table.Reported("b", report, kStart, kStart);
-    CHECK_TEXT(table.Proof().has_value(), row.name);
+    CHECK_TEXT(table.Confirmation().has_value(), row.name);
     table.Configure(row.next, kStart + 100ms);
-    CHECK_TEXT(table.Proof().has_value() == row.proved, row.name);
+    CHECK_TEXT(table.Confirmation().has_value() == row.proved, row.name);
     // An answer that the life before was asked for comes late.
     report.isPrimary = true;
     table.Reported("a", report, kStart + 50ms, kStart + 150ms);
     report.isPrimary = false;
     table.Reported("b", report, kStart + 50ms, kStart + 150ms);
-    CHECK_TEXT(table.Proof().has_value() == row.proved, row.name);
+    CHECK_TEXT(table.Confirmation().has_value() == row.proved, row.name);
     report.isPrimary = true;
     table.Reported("a", report, kStart + 110ms, kStart + 150ms);
     report.isPrimary = false;
     table.Reported("b", report, kStart + 110ms, kStart + 150ms);
-    CHECK_TEXT(table.Proof().has_value(), row.name);
+    CHECK_TEXT(table.Confirmation().has_value(), row.name);
   }
 }
 
@@ -88,11 +88,11 @@
 // commit:
 //   49.761 server_standing server=group-0-1 standing=ready started_at_ms=...003
 //   50.903 promotion_ordered server=group-0-1
-TEST(restarted_members, are_not_promoted_by_the_choice_of_a_life_before)
+TEST(restarted_members, are_not_promoted_by_a_choice_made_before_the_restart)
 {
-  test::bench made;
+  test::monitor_fixture made;
   made.promotesAfter = 1000ms;
-  made.lead.SetDuty(true, 7, made.now);
+  made.lead.SetFailoverLock(true, 7, made.now);
   made.servers["b"].received = { 1, 11 };
   made.Run(2000ms);
   made.lead.Configure({ { "a", false, true }, { "b" }, { "c" } }, made.now);
@@ -103,7 +103,7 @@
   made.lead.Configure({ { "a", false, true }, Member("b", 2000ms), { "c" } },
                       made.now);
   made.Run(5000ms);
-  CHECK(made.lead.Proof().primary == "c");
+  CHECK(made.lead.Confirmation().primary == "c");
   CHECK_EQUAL(0, made.unsafe);
   for (std::size_t order = 1; order < made.promoted.size(); ++order) {
     CHECK(made.promoted[order] == "c");
--- a/test/currantshed/lead/lateness.cpp
+++ b/test/currantshed/lead/scheduling_delay.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/lead/lateness.hpp"
+#include "currantshed/lead/scheduling_delay.hpp"
 
 #include <chrono>
 #include <vector>
@@ -46,14 +46,14 @@
 
 } // namespace
 
-TEST_GROUP(lateness){};
+TEST_GROUP(scheduling_delay){};
 
-TEST(lateness, is_the_worst_of_late_and_fades)
+TEST(scheduling_delay, is_the_recent_maximum_and_decays)
 {
   for (const auto& row : kRows) {
-    lead::lateness box;
+    lead::scheduling_delay box;
     for (const auto& one : row.runs) {
-      box.Ran(kStart + one.at - one.late, kStart + one.at);
+      box.Record(kStart + one.at - one.late, kStart + one.at);
     }
     CHECK_TEXT(box.At(kStart + row.lookAt) == row.expected, row.name);
   }
--- a/test/currantshed/member/fleet.cpp
+++ b/test/currantshed/member/fleet.cpp
@@ -9,7 +9,7 @@
 
 #include <absl/container/flat_hash_map.h>
 
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -41,8 +41,8 @@
     }
     for (std::size_t number = 0; number < aVms; ++number) {
       Start(number, "first");
-      mRosters.back()->Listed(mVms, mNow);
-      mRosters.back()->SetGroups(groups);
+      mMemberships.back()->Listed(mVms, mNow);
+      mMemberships.back()->SetGroups(groups);
     }
   }
 
@@ -51,9 +51,9 @@
     const auto end = mNow + aTime;
     while (mNow < end) {
       mNow += milliseconds{ 20 };
-      for (std::size_t number = 0; number < mRosters.size(); ++number) {
+      for (std::size_t number = 0; number < mMemberships.size(); ++number) {
         if (mDead != number) {
-          mRosters[number]->Tick(mNow);
+          mMemberships[number]->Tick(mNow);
           Send(number);
         }
       }
@@ -63,14 +63,14 @@
   void Kill(std::size_t aNumber) { mDead = aNumber; }
 
   // Live VMs that take the given one for live.
-  [[nodiscard]] std::size_t Believers(std::size_t aNumber) const
+  [[nodiscard]] std::size_t CountConsideringLive(std::size_t aNumber) const
   {
     std::size_t believers = 0;
-    for (std::size_t number = 0; number < mRosters.size(); ++number) {
+    for (std::size_t number = 0; number < mMemberships.size(); ++number) {
       if (number == aNumber || mDead == number) {
         continue;
       }
-      for (const auto& vm : mRosters[number]->Live()) {
+      for (const auto& vm : mMemberships[number]->Live()) {
         believers += vm.id == mVms[aNumber].id ? 1 : 0;
       }
     }
@@ -81,8 +81,8 @@
   [[nodiscard]] std::uint64_t Versions() const
   {
     std::uint64_t versions = 0;
-    for (const auto& roster : mRosters) {
-      versions += roster->Version();
+    for (const auto& membership : mMemberships) {
+      versions += membership->Version();
     }
     return versions;
   }
@@ -90,41 +90,41 @@
   void Revive(std::size_t aNumber)
   {
     mDead.reset();
-    member::roster_settings settings;
+    member::membership_settings settings;
     settings.self = mVms[aNumber];
     settings.incarnation = "second";
-    mRosters[aNumber] = member::MakeRoster(settings, aNumber);
-    mRosters[aNumber]->Listed(mVms, mNow);
+    mMemberships[aNumber] = member::MakeMembership(settings, aNumber);
+    mMemberships[aNumber]->Listed(mVms, mNow);
   }
 
 private:
   void Start(std::size_t aNumber, const std::string& aIncarnation)
   {
-    member::roster_settings settings;
+    member::membership_settings settings;
     settings.self = mVms[aNumber];
     settings.incarnation = aIncarnation;
-    mRosters.push_back(member::MakeRoster(settings, aNumber));
+    mMemberships.push_back(member::MakeMembership(settings, aNumber));
   }
 
   // Messages arrive at once; answers go out at the receiver's next turn.
   void Send(std::size_t aNumber)
   {
     constexpr unsigned kMille = 1000;
-    for (const auto& send : mRosters[aNumber]->TakeHeartbeats()) {
+    for (const auto& send : mMemberships[aNumber]->TakeHeartbeats()) {
       ++mSent;
       const auto to = mNumbers.at(send.to.id);
-      if (mDead != to && mChance() % kMille >= mLoss) {
-        mRosters[to]->HeartbeatArrived(send.message, mNow);
+      if (mDead != to && mGenerator() % kMille >= mLoss) {
+        mMemberships[to]->HeartbeatArrived(send.message, mNow);
       }
     }
   }
 
   unsigned mLoss;
-  std::mt19937_64 mChance{ 11 };
+  std::mt19937_64 mGenerator{ 11 };
   time_point mNow{ milliseconds{ 1000 } };
   std::vector<store::vm> mVms;
   absl::flat_hash_map<std::string, std::size_t> mNumbers;
-  std::vector<std::unique_ptr<member::roster>> mRosters;
+  std::vector<std::unique_ptr<member::membership>> mMemberships;
   std::optional<std::size_t> mDead;
   std::uint64_t mSent = 0;
 };
@@ -144,7 +144,7 @@
   { "a hundred VMs with losses", 100, 60, 10 },
 };
 
-constexpr std::size_t kVictim = 5;
+constexpr std::size_t kFailedVm = 5;
 
 } // namespace
 
@@ -158,16 +158,18 @@
     fleet subject(row.vms, row.groups, row.lossPerMille);
     subject.Run(milliseconds{ 4000 });
     UNSIGNED_LONGS_EQUAL_TEXT(
-      row.vms - 1, subject.Believers(kVictim), row.name);
-    subject.Kill(kVictim);
+      row.vms - 1, subject.CountConsideringLive(kFailedVm), row.name);
+    subject.Kill(kFailedVm);
     subject.Run(milliseconds{ 3000 });
-    UNSIGNED_LONGS_EQUAL_TEXT(0, subject.Believers(kVictim), row.name);
+    UNSIGNED_LONGS_EQUAL_TEXT(
+      0, subject.CountConsideringLive(kFailedVm), row.name);
     subject.Run(milliseconds{ 12000 });
-    UNSIGNED_LONGS_EQUAL_TEXT(0, subject.Believers(kVictim), row.name);
-    subject.Revive(kVictim);
+    UNSIGNED_LONGS_EQUAL_TEXT(
+      0, subject.CountConsideringLive(kFailedVm), row.name);
+    subject.Revive(kFailedVm);
     subject.Run(milliseconds{ 12000 });
     UNSIGNED_LONGS_EQUAL_TEXT(
-      row.vms - 1, subject.Believers(kVictim), row.name);
+      row.vms - 1, subject.CountConsideringLive(kFailedVm), row.name);
   }
 }
 
--- a/test/currantshed/member/roster.cpp
+++ b/test/currantshed/member/membership.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -41,7 +41,7 @@
   kUnlisted,
   kBeat,
   kLeavingBeat,
-  kRumour,
+  kUnconfirmed,
   kTick,
 };
 
@@ -112,11 +112,11 @@
     true,
     false },
   { "hearsay alone makes nobody live",
-    { { 0, event_kind::kRumour }, { 10, event_kind::kTick } },
+    { { 0, event_kind::kUnconfirmed }, { 10, event_kind::kTick } },
     false,
     false },
   { "hearsay, then heard",
-    { { 0, event_kind::kRumour }, { 10, event_kind::kBeat, "i", 1 } },
+    { { 0, event_kind::kUnconfirmed }, { 10, event_kind::kBeat, "i", 1 } },
     true,
     false },
   { "the sender's own word on leaving counts",
@@ -144,28 +144,28 @@
 }
 
 void
-Apply(member::roster& aRoster, const event_row& aRow)
+Apply(member::membership& aMembership, const event_row& aRow)
 {
   const auto other = MakeVm("other", "y");
   switch (aRow.kind) {
     case event_kind::kListed:
-      aRoster.Listed({ other }, At(aRow.at));
+      aMembership.Listed({ other }, At(aRow.at));
       break;
     case event_kind::kUnlisted:
-      aRoster.Listed({}, At(aRow.at));
+      aMembership.Listed({}, At(aRow.at));
       break;
     case event_kind::kBeat:
     case event_kind::kLeavingBeat:
-      aRoster.HeartbeatArrived(MakeBeat(other, aRow), At(aRow.at));
+      aMembership.HeartbeatArrived(MakeBeat(other, aRow), At(aRow.at));
       break;
-    case event_kind::kRumour: {
+    case event_kind::kUnconfirmed: {
       auto beat = MakeBeat(MakeVm("third", "z"), { 0, event_kind::kBeat, "k" });
-      beat.heardOf = { other };
-      aRoster.HeartbeatArrived(beat, At(aRow.at));
+      beat.peerSample = { other };
+      aMembership.HeartbeatArrived(beat, At(aRow.at));
       break;
     }
     case event_kind::kTick:
-      aRoster.Tick(At(aRow.at));
+      aMembership.Tick(At(aRow.at));
       break;
   }
 }
@@ -178,10 +178,10 @@
   return found == aVms.end() ? nullptr : &*found;
 }
 
-member::roster_settings
+member::membership_settings
 MakeSettings()
 {
-  member::roster_settings settings;
+  member::membership_settings settings;
   settings.self = MakeVm("self", "x");
   settings.incarnation = "self-1";
   return settings;
@@ -189,16 +189,16 @@
 
 } // namespace
 
-TEST_GROUP(roster){};
+TEST_GROUP(membership){};
 
-TEST(roster, live)
+TEST(membership, live)
 {
   for (const auto& row : kLiveRows) {
-    const auto roster = member::MakeRoster(MakeSettings(), kSeed);
+    const auto membership = member::MakeMembership(MakeSettings(), kSeed);
     for (const auto& event : row.events) {
-      Apply(*roster, event);
+      Apply(*membership, event);
     }
-    const auto live = roster->Live();
+    const auto live = membership->Live();
     const auto* other = Find(live, "other");
     CHECK_TEXT(Find(live, "self") != nullptr, row.name);
     CHECK_EQUAL_TEXT(row.expectLive, other != nullptr, row.name);
@@ -207,56 +207,56 @@
   }
 }
 
-TEST(roster, tick_is_due_when_silence_changes_the_view)
+TEST(membership, tick_is_due_when_silence_changes_the_view)
 {
-  const auto roster = member::MakeRoster(MakeSettings(), kSeed);
-  Apply(*roster, { 0, event_kind::kBeat, "i", 1 });
-  const auto version = roster->Version();
-  for (int step = 0; step < 100 && roster->Version() == version; ++step) {
-    roster->Tick(roster->NextTick());
-    static_cast<void>(roster->TakeHeartbeats());
+  const auto membership = member::MakeMembership(MakeSettings(), kSeed);
+  Apply(*membership, { 0, event_kind::kBeat, "i", 1 });
+  const auto version = membership->Version();
+  for (int step = 0; step < 100 && membership->Version() == version; ++step) {
+    membership->Tick(membership->NextTick());
+    static_cast<void>(membership->TakeHeartbeats());
   }
-  CHECK(Find(roster->Live(), "other") == nullptr);
-  CHECK(roster->NextTick() < At(700));
+  CHECK(Find(membership->Live(), "other") == nullptr);
+  CHECK(membership->NextTick() < At(700));
 }
 
-TEST(roster, news_go_out_at_once_and_a_bounded_number_of_times)
+TEST(membership, news_go_out_at_once_and_a_bounded_number_of_times)
 {
-  const auto roster = member::MakeRoster(MakeSettings(), kSeed);
-  roster->Listed({ MakeVm("other", "y") }, At(0));
-  UNSIGNED_LONGS_EQUAL(1, roster->TakeHeartbeats().size());
-  roster->Tick(At(10));
-  CHECK(roster->TakeHeartbeats().empty());
-  roster->SetTerm({ "g", 4, "s1" });
-  CHECK(roster->NextTick() <= At(10));
+  const auto membership = member::MakeMembership(MakeSettings(), kSeed);
+  membership->Listed({ MakeVm("other", "y") }, At(0));
+  UNSIGNED_LONGS_EQUAL(1, membership->TakeHeartbeats().size());
+  membership->Tick(At(10));
+  CHECK(membership->TakeHeartbeats().empty());
+  membership->SetTerm({ "g", 4, "s1" });
+  CHECK(membership->NextTick() <= At(10));
   int carried = 0;
   for (int beat = 0; beat < 50; ++beat) {
-    roster->Tick(At(10 + beat * 200));
-    for (const auto& send : roster->TakeHeartbeats()) {
+    membership->Tick(At(10 + beat * 200));
+    for (const auto& send : membership->TakeHeartbeats()) {
       carried += send.message.terms.empty() ? 0 : 1;
     }
     CHECK(beat > 0 || carried == 1);
   }
   LONGS_EQUAL(10, carried);
-  roster->SetTerm({ "g", 3, "s2" });
-  CHECK(roster->NextTick() > At(8000));
+  membership->SetTerm({ "g", 3, "s2" });
+  CHECK(membership->NextTick() > At(8000));
 }
 
-TEST(roster, suspicion_lasts_until_withdrawn)
+TEST(membership, suspicion_lasts_until_withdrawn)
 {
-  const auto roster = member::MakeRoster(MakeSettings(), kSeed);
-  roster->Listed({ MakeVm("other", "y") }, At(0));
-  roster->SetSuspicion({ "g", 4, "s1" });
+  const auto membership = member::MakeMembership(MakeSettings(), kSeed);
+  membership->Listed({ MakeVm("other", "y") }, At(0));
+  membership->SetSuspicion({ "g", 4, "s1" });
   for (int beat = 0; beat < 20; ++beat) {
-    roster->Tick(At(beat * 200));
-    const auto sends = roster->TakeHeartbeats();
+    membership->Tick(At(beat * 200));
+    const auto sends = membership->TakeHeartbeats();
     UNSIGNED_LONGS_EQUAL(1, sends.front().message.suspicions.size());
   }
-  roster->SetSuspicion({ "g", 4, "" });
+  membership->SetSuspicion({ "g", 4, "" });
   int withdrawn = 0;
   for (int beat = 20; beat < 40; ++beat) {
-    roster->Tick(At(beat * 200));
-    for (const auto& send : roster->TakeHeartbeats()) {
+    membership->Tick(At(beat * 200));
+    for (const auto& send : membership->TakeHeartbeats()) {
       for (const auto& word : send.message.suspicions) {
         CHECK(word.primary.empty());
         ++withdrawn;
@@ -266,29 +266,29 @@
   LONGS_EQUAL(5, withdrawn);
 }
 
-TEST(roster, heartbeats_of_a_large_fleet_are_bounded)
+TEST(membership, heartbeats_of_a_large_fleet_are_bounded)
 {
-  const auto roster = member::MakeRoster(MakeSettings(), kSeed);
+  const auto membership = member::MakeMembership(MakeSettings(), kSeed);
   std::vector<store::vm> fleet;
   fleet.reserve(530);
   for (int vm = 0; vm < 530; ++vm) {
     fleet.push_back(
       MakeVm("vm" + std::to_string(vm), std::string(1, "xyz"[vm % 3])));
   }
-  roster->Listed(fleet, At(0));
-  roster->SetGroups({ "g1", "g2", "g3" });
+  membership->Listed(fleet, At(0));
+  membership->SetGroups({ "g1", "g2", "g3" });
   for (int beat = 0; beat < 10; ++beat) {
-    roster->Tick(At(beat * 200));
-    const auto sends = roster->TakeHeartbeats();
+    membership->Tick(At(beat * 200));
+    const auto sends = membership->TakeHeartbeats();
     CHECK(sends.size() >= 8);
     CHECK(sends.size() <= 14);
     for (const auto& send : sends) {
-      CHECK(send.message.heardOf.size() <= 4);
+      CHECK(send.message.peerSample.size() <= 4);
     }
   }
 }
 
-TEST(roster, co_owners_always_get_heartbeats)
+TEST(membership, co_owners_always_get_heartbeats)
 {
   std::vector<store::vm> others;
   others.reserve(100);
@@ -311,66 +311,66 @@
   }
 }
 
-TEST(roster, a_vm_that_was_only_listed_gets_nothing_once_it_is_not)
+TEST(membership, a_vm_that_was_only_listed_gets_nothing_once_it_is_not)
 {
-  const auto roster = member::MakeRoster(MakeSettings(), kSeed);
-  roster->Listed({ MakeVm("a", "x"), MakeVm("spare", "y") }, At(0));
-  roster->Tick(At(0));
-  CHECK(!roster->TakeHeartbeats().empty());
-  roster->Listed({ MakeVm("a", "x") }, At(1));
-  roster->SetConfiguration(7);
-  const auto sends = roster->TakeHeartbeats();
+  const auto membership = member::MakeMembership(MakeSettings(), kSeed);
+  membership->Listed({ MakeVm("a", "x"), MakeVm("spare", "y") }, At(0));
+  membership->Tick(At(0));
+  CHECK(!membership->TakeHeartbeats().empty());
+  membership->Listed({ MakeVm("a", "x") }, At(1));
+  membership->SetConfiguration(7);
+  const auto sends = membership->TakeHeartbeats();
   UNSIGNED_LONGS_EQUAL(1, sends.size());
   STRCMP_EQUAL("a", sends.front().to.id.c_str());
 }
 
 // Events in any order, by seed: a roster keeps a view with itself in it, and
 // addresses only VMs that it was told of.
-TEST(roster, any_order_of_events)
+TEST(membership, any_order_of_events)
 {
   constexpr unsigned kVms = 20;
   constexpr int kEvents = 1500;
   for (const std::uint64_t seed : { 1, 2, 3, 5, 8, 13 }) {
-    std::mt19937_64 chance(seed);
-    const auto roster = member::MakeRoster(MakeSettings(), seed);
-    const auto pick = [&chance] {
-      const auto number = chance() % kVms;
+    std::mt19937_64 generator(seed);
+    const auto membership = member::MakeMembership(MakeSettings(), seed);
+    const auto pick = [&generator] {
+      const auto number = generator() % kVms;
       return MakeVm("vm" + std::to_string(number),
                     std::string(1, "xyz"[number % 3]));
     };
-    roster->SetGroups({ "g1", "g2", "g3", "g4" });
+    membership->SetGroups({ "g1", "g2", "g3", "g4" });
     int now = 0;
     for (int event = 0; event < kEvents; ++event) {
-      now += static_cast<int>(chance() % 200);
+      now += static_cast<int>(generator() % 200);
       std::vector<store::vm> listed;
       member::heartbeat beat;
-      switch (chance() % 6) {
+      switch (generator() % 6) {
         case 0:
-          for (auto count = chance() % kVms; count > 0; --count) {
+          for (auto count = generator() % kVms; count > 0; --count) {
             listed.push_back(pick());
           }
-          roster->Listed(listed, At(now));
+          membership->Listed(listed, At(now));
           break;
         case 1:
-          roster->SetTerm({ "g1", chance() % 100, "s1" });
+          membership->SetTerm({ "g1", generator() % 100, "s1" });
           break;
         case 2:
-          roster->Tick(At(now));
+          membership->Tick(At(now));
           break;
         default:
           beat.sender = pick();
-          beat.incarnation = std::to_string(chance() % 3);
-          beat.sequence = chance() % 50;
-          beat.heardOf = { pick() };
-          beat.lost = { { pick().id, std::to_string(chance() % 3) } };
-          beat.answer = chance() % 2 == 0;
-          roster->HeartbeatArrived(beat, At(now));
+          beat.incarnation = std::to_string(generator() % 3);
+          beat.sequence = generator() % 50;
+          beat.peerSample = { pick() };
+          beat.lost = { { pick().id, std::to_string(generator() % 3) } };
+          beat.answer = generator() % 2 == 0;
+          membership->HeartbeatArrived(beat, At(now));
           break;
       }
-      for (const auto& send : roster->TakeHeartbeats()) {
+      for (const auto& send : membership->TakeHeartbeats()) {
         CHECK(send.to.id.starts_with("vm"));
       }
-      CHECK(Find(roster->Live(), "self") != nullptr);
+      CHECK(Find(membership->Live(), "self") != nullptr);
     }
   }
 }
--- a/test/currantshed/member/owners.cpp
+++ b/test/currantshed/member/owners.cpp
@@ -2,7 +2,7 @@
 #include <string>
 #include <vector>
 
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 
 #include <CppUTest/TestHarness.h>
 
--- a/test/currantshed/news/exchange.cpp
+++ b/test/currantshed/news/exchange.cpp
@@ -41,7 +41,7 @@
           self,
           1,
           [this](const news::News& aNews,
-                 const exchange::clock_reader&,
+                 const exchange::clock_converter&,
                  clock::time_point) { came.push_back(aNews.own_change()); })
   {
     CHECK_FALSE(own.Listen());
@@ -108,7 +108,7 @@
   }
 };
 
-TEST(exchange, a_link_is_open_while_there_is_news_for_it)
+TEST(exchange, a_connection_is_open_while_it_is_used)
 {
   for (const auto& row : kLinkRows) {
     vm one(mContext, mZmq, "one");
@@ -118,13 +118,13 @@
       one.own.Send(to, Numbered(1), kStart + at);
     }
     one.own.CloseIdle(kStart + row.when);
-    CHECK_EQUAL_TEXT(row.links, one.own.Links(), row.name);
+    CHECK_EQUAL_TEXT(row.links, one.own.OpenConnectionCount(), row.name);
   }
 }
 
 // A link that was closed and opened again may be read before what still waits
 // on the former one: old news must not undo newer news.
-TEST(exchange, news_older_than_what_came_are_dropped)
+TEST(exchange, messages_older_than_the_latest_are_dropped)
 {
   vm one(mContext, mZmq, "one");
   vm other(mContext, mZmq, "other");
--- a/test/currantshed/node/feeders.cpp
+++ b/test/currantshed/node/forwarders.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/feeders.hpp"
+#include "currantshed/node/forwarders.hpp"
 
 #include <algorithm>
 #include <string>
@@ -35,10 +35,10 @@
   return aLeft;
 }
 
-node::own_keys
+node::cluster_state
 Keys(const std::vector<listed>& aVms)
 {
-  node::own_keys keys;
+  node::cluster_state keys;
   for (const auto& one : aVms) {
     auto& record = keys.vms[one.name].record;
     record.where.vm = one.name;
@@ -48,14 +48,14 @@
   return keys;
 }
 
-struct feeder_row
+struct forwarder_row
 {
   const char* name;
   std::vector<listed> vms;
-  std::size_t feeders;
+  std::size_t forwarders;
 };
 
-const feeder_row kRows[] = {
+const forwarder_row kRows[] = {
   { "no VM", {}, 0 },
   { "too few to be worth it", Domain("marka", 4), 0 },
   { "a few", Domain("marka", 5), 2 },
@@ -83,13 +83,13 @@
 
 } // namespace
 
-TEST_GROUP(feeders){};
+TEST_GROUP(forwarders){};
 
-TEST(feeders, two_of_a_failure_domain_with_several_vms)
+TEST(forwarders, two_of_a_failure_domain_with_several_vms)
 {
   for (const auto& row : kRows) {
-    const auto chosen = node::Feeders(Keys(row.vms), "marka");
-    CHECK_EQUAL_TEXT(row.feeders, chosen.size(), row.name);
+    const auto chosen = node::SelectForwarders(Keys(row.vms), "marka");
+    CHECK_EQUAL_TEXT(row.forwarders, chosen.size(), row.name);
     for (const auto& one : chosen) {
       const auto found =
         std::find_if(row.vms.begin(), row.vms.end(), [&](const auto& aVm) {
@@ -102,14 +102,14 @@
   }
 }
 
-TEST(feeders, a_vm_that_comes_or_goes_moves_few)
+TEST(forwarders, a_vm_that_comes_or_goes_moves_few)
 {
   const auto all = Domain("marka", 20);
-  const auto before = node::Feeders(Keys(all), "marka");
+  const auto before = node::SelectForwarders(Keys(all), "marka");
   for (std::size_t gone = 0; gone < all.size(); ++gone) {
     auto left = all;
     left.erase(left.begin() + static_cast<std::ptrdiff_t>(gone));
-    const auto after = node::Feeders(Keys(left), "marka");
+    const auto after = node::SelectForwarders(Keys(left), "marka");
     for (const auto& one : before) {
       const bool isGone = one == all[gone].name;
       const bool isThere =
@@ -124,14 +124,14 @@
 // used 95.8 % of its processor time, and handled requests by a configuration
 // that was 6 s old. With the strong one first, the weak second one was that VM
 // (126 ms late, all others 0 to 50).
-TEST(feeders, are_strong_vms)
+TEST(forwarders, are_strong_vms)
 {
   struct row
   {
     const char* name;
     std::vector<unsigned> shares;
     /// How many feed, all of them strong.
-    std::size_t feeders;
+    std::size_t forwarders;
   };
   const row rows[] = {
     { "one", { 120, 120, 500, 120, 120, 120 }, 1 },
@@ -146,14 +146,14 @@
       auto vms = Domain(domain, static_cast<int>(row.shares.size()));
       auto keys = Keys(vms);
       for (std::size_t i = 0; i < vms.size(); ++i) {
-        keys.vms[vms[i].name].record.processorShare = row.shares[i];
+        keys.vms[vms[i].name].record.cpuMillicores = row.shares[i];
       }
-      const auto chosen = node::Feeders(keys, domain);
-      CHECK_EQUAL_TEXT(row.feeders, chosen.size(), row.name);
+      const auto chosen = node::SelectForwarders(keys, domain);
+      CHECK_EQUAL_TEXT(row.forwarders, chosen.size(), row.name);
       const auto strongest =
         *std::max_element(row.shares.begin(), row.shares.end());
       for (const auto& one : chosen) {
-        const auto share = keys.vms[one].record.processorShare;
+        const auto share = keys.vms[one].record.cpuMillicores;
         CHECK_TEXT(2 * share >= strongest, row.name);
       }
     }
@@ -161,13 +161,13 @@
 }
 
 // Three answers at most, one for each followed prefix, make one message.
-TEST(feeders, answers_fit_into_what_a_vm_takes_at_once)
+TEST(forwarders, answers_fit_into_what_a_vm_takes_at_once)
 {
   constexpr std::size_t kLongestMessage = std::size_t{ 256 } * 1024;
   for (const auto& row : kAnswers) {
     CHECK_EQUAL_TEXT(
-      row.longest, node::LongestAnswer(row.linkMegabits), row.name);
-    CHECK_TEXT(3 * node::LongestAnswer(row.linkMegabits) < kLongestMessage,
+      row.longest, node::MaxUpdateBytes(row.linkMegabits), row.name);
+    CHECK_TEXT(3 * node::MaxUpdateBytes(row.linkMegabits) < kLongestMessage,
                row.name);
   }
 }
--- a/test/currantshed/node/relay_box.cpp
+++ b/test/currantshed/node/forwarding_batch.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/relay_box.hpp"
+#include "currantshed/node/forwarding_batch.hpp"
 
 #include <chrono>
 #include <string>
@@ -8,8 +8,8 @@
 
 using namespace currantshed;
 using namespace std::chrono_literals;
-using node::relay_box;
-using node::relayed_reach;
+using node::forwarded_reach_update;
+using node::forwarding_batch;
 
 namespace {
 
@@ -51,15 +51,15 @@
 std::string
 PassedOn(const word_row& aRow)
 {
-  relay_box box;
+  forwarding_batch box;
   std::string text;
   for (auto at = 0ms; at <= 600ms; at += 10ms) {
     for (const auto& one : aRow.given) {
       if (one.at == at) {
-        box.HasWord(one.service, one.isUrgent, kStart + at);
+        box.AddGroup(one.service, one.isUrgent, kStart + at);
       }
     }
-    const auto taken = box.TakeWords(kPause, kStart + at);
+    const auto taken = box.TakeGroups(kPause, kStart + at);
     if (!taken.empty()) {
       text += std::to_string(at.count()) + ":";
       for (const auto& service : taken) {
@@ -113,22 +113,22 @@
 std::string
 PassedOn(const reach_row& aRow)
 {
-  relay_box box;
+  forwarding_batch box;
   std::string text;
   for (auto at = 0ms; at <= 600ms; at += 10ms) {
     for (const auto& one : aRow.given) {
       if (one.at == at) {
-        box.Heard({ one.service,
-                    one.vm,
-                    { one.term,
-                      "i-1",
-                      kStart + one.heardAt,
-                      one.obeyed,
-                      kStart + one.at } },
-                  kStart + at);
+        box.AddReachUpdate({ one.service,
+                             one.vm,
+                             { one.term,
+                               "i-1",
+                               kStart + one.heardAt,
+                               one.obeyed,
+                               kStart + one.at } },
+                           kStart + at);
       }
     }
-    const auto taken = box.TakeReaches(kStart + at);
+    const auto taken = box.TakeReachUpdates(kStart + at);
     if (!taken.empty()) {
       text += std::to_string(at.count()) + ":";
       for (const auto& passed : taken) {
@@ -142,33 +142,33 @@
 
 } // namespace
 
-TEST_GROUP(relay_box){};
+TEST_GROUP(forwarding_batch){};
 
-TEST(relay_box, gathers_words_of_those_that_watch)
+TEST(forwarding_batch, batches_watch_updates)
 {
   for (const auto& row : kWords) {
     STRCMP_EQUAL_TEXT(row.expected.c_str(), PassedOn(row).c_str(), row.name);
   }
 }
 
-TEST(relay_box, gathers_words_on_reach)
+TEST(forwarding_batch, batches_reach_updates)
 {
   for (const auto& row : kReaches) {
     STRCMP_EQUAL_TEXT(row.expected.c_str(), PassedOn(row).c_str(), row.name);
   }
 }
 
-TEST(relay_box, says_when_it_is_due)
+TEST(forwarding_batch, says_when_it_is_due)
 {
-  relay_box box;
+  forwarding_batch box;
   CHECK(box.NextTick() == clock::time_point::max());
-  box.HasWord("a", false, kStart);
+  box.AddGroup("a", false, kStart);
   CHECK(box.NextTick() <= kStart);
-  CHECK_EQUAL(1U, box.TakeWords(kPause, kStart).size());
-  box.HasWord("a", false, kStart + 10ms);
-  CHECK(box.TakeWords(kPause, kStart + 10ms).empty());
+  CHECK_EQUAL(1U, box.TakeGroups(kPause, kStart).size());
+  box.AddGroup("a", false, kStart + 10ms);
+  CHECK(box.TakeGroups(kPause, kStart + 10ms).empty());
   CHECK(box.NextTick() == kStart + kPause);
-  CHECK_EQUAL(1U, box.TakeWords(kPause, kStart + kPause).size());
-  box.Heard({ "a", "v", {} }, kStart + kPause);
+  CHECK_EQUAL(1U, box.TakeGroups(kPause, kStart + kPause).size());
+  box.AddReachUpdate({ "a", "v", {} }, kStart + kPause);
   CHECK(box.NextTick() == kStart + kPause + 250ms);
 }
--- a/test/currantshed/node/feed_times.cpp
+++ b/test/currantshed/node/forwarding_timeouts.cpp
@@ -2,11 +2,11 @@
 
 #include <CppUTest/TestHarness.h>
 
-#include "currantshed/node/internal/feed_times.hpp"
+#include "currantshed/node/internal/forwarding_timeouts.hpp"
 
 using namespace currantshed;
 using namespace std::chrono_literals;
-using node::internal::feed_times;
+using node::internal::forwarding_timeouts;
 
 namespace {
 
@@ -38,14 +38,14 @@
 
 } // namespace
 
-TEST_GROUP(feed_times){};
+TEST_GROUP(forwarding_timeouts){};
 
-TEST(feed_times, a_feeder_that_answers_is_waited_for)
+TEST(forwarding_timeouts, a_forwarder_that_answers_is_waited_for)
 {
   for (const auto& row : kRows) {
     const auto now = kStart + row.age;
-    const auto until =
-      feed_times(row.bound).FedUntil(row.isConfiguration, kStart, now);
+    const auto until = forwarding_timeouts(row.bound).ForwardedUntil(
+      row.isConfiguration, kStart, now);
     CHECK_TEXT(until == now + row.expect, row.name);
   }
 }
--- a/test/currantshed/node/group_agenda.cpp
+++ b/test/currantshed/node/group_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/group_agenda.hpp"
+#include "currantshed/node/group_scheduler.hpp"
 
 #include <chrono>
 #include <string>
@@ -8,7 +8,7 @@
 
 using namespace currantshed;
 using namespace std::chrono_literals;
-using node::group_agenda;
+using node::group_scheduler;
 
 namespace {
 
@@ -57,27 +57,27 @@
 
 } // namespace
 
-TEST_GROUP(group_agenda){};
+TEST_GROUP(group_scheduler){};
 
-TEST(group_agenda, tells_which_groups_are_due)
+TEST(group_scheduler, tells_which_groups_are_due)
 {
   for (const auto& row : kRows) {
-    group_agenda agenda;
+    group_scheduler agenda;
     for (const auto& one : row.given) {
       agenda.SetDue(one.group, kStart + one.at);
     }
     CHECK_TEXT(agenda.Due(kStart + row.when) == row.due, row.name);
     CHECK_TEXT(agenda.Next() == kStart + row.next, row.name);
-    CHECK_TEXT(agenda.Awake() == row.awake, row.name);
+    CHECK_TEXT(agenda.Scheduled() == row.awake, row.name);
   }
 }
 
-TEST(group_agenda, touched_groups_are_told_once)
+TEST(group_scheduler, touched_groups_are_returned_once)
 {
-  group_agenda agenda;
+  group_scheduler agenda;
   agenda.Touch("b");
   agenda.Touch("a");
   agenda.Touch("b");
-  CHECK(agenda.TakeTouched() == (std::vector<std::string>{ "a", "b" }));
-  CHECK(agenda.TakeTouched().empty());
+  CHECK(agenda.TakePending() == (std::vector<std::string>{ "a", "b" }));
+  CHECK(agenda.TakePending().empty());
 }
--- a/test/currantshed/node/duty_board.cpp
+++ b/test/currantshed/node/lock_assignments.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/duty_board.hpp"
+#include "currantshed/node/lock_assignments.hpp"
 
 #include <cstddef>
 #include <random>
@@ -8,8 +8,8 @@
 #include <CppUTest/TestHarness.h>
 
 using namespace currantshed;
-using node::duty_board;
-using node::own_keys;
+using node::cluster_state;
+using node::lock_assignments;
 
 namespace {
 
@@ -45,7 +45,7 @@
     record.where.vm = aVm;
     record.incarnation = aIncarnation;
     record.leaving = aLeaving;
-    record.processorShare = aShare;
+    record.cpuMillicores = aShare;
     keys.vms[aVm] = { record, {} };
     Changed(aVm);
   }
@@ -58,44 +58,44 @@
 
   void Changed(const std::string& aVm)
   {
-    board.SetCandidates(keys, node::Candidates(keys));
-    board.VmChanged(keys, aVm);
+    board.SetCandidates(keys, node::LockCandidates(keys));
+    board.OnVmChanged(keys, aVm);
   }
 
   void Takes(const std::string& aVm, const std::string& aGroup)
   {
-    keys.duties[aGroup] = { { aVm, 1, 1 }, {} };
-    board.DutyChanged(keys, aGroup);
+    keys.locks[aGroup] = { { aVm, 1, 1 }, {} };
+    board.OnLockChanged(keys, aGroup);
   }
 
   void IsLost(const std::string& aGroup)
   {
-    keys.duties.erase(aGroup);
-    board.DutyChanged(keys, aGroup);
+    keys.locks.erase(aGroup);
+    board.OnLockChanged(keys, aGroup);
   }
 
   std::size_t groups;
-  own_keys keys;
-  duty_board board{ VmName(0) };
+  cluster_state keys;
+  lock_assignments board{ VmName(0) };
 };
 
 /// What a board made anew from the same keys says of a group.
 bool
 IsSameAnew(const fleet& aFleet)
 {
-  duty_board anew(VmName(0));
-  anew.SetCandidates(aFleet.keys, node::Candidates(aFleet.keys));
+  lock_assignments anew(VmName(0));
+  anew.SetCandidates(aFleet.keys, node::LockCandidates(aFleet.keys));
   for (std::size_t i = 0; i < aFleet.groups; ++i) {
     anew.AddService(aFleet.keys, GroupName(i));
   }
   for (std::size_t i = 0; i < aFleet.groups; ++i) {
     const auto group = GroupName(i);
-    if (anew.IsNext(group) != aFleet.board.IsNext(group) ||
+    if (anew.IsNextHolder(group) != aFleet.board.IsNextHolder(group) ||
         anew.IsHeld(group) != aFleet.board.IsHeld(group)) {
       return false;
     }
   }
-  return anew.Own() == aFleet.board.Own() &&
+  return anew.OwnGroups() == aFleet.board.OwnGroups() &&
          anew.Holders() == aFleet.board.Holders();
 }
 
@@ -104,9 +104,9 @@
 
 } // namespace
 
-TEST_GROUP(duty_board){};
+TEST_GROUP(lock_assignments){};
 
-TEST(duty_board, changes_lead_to_what_a_look_at_all_does)
+TEST(lock_assignments, changes_lead_to_what_a_look_at_all_does)
 {
   constexpr std::size_t kVms = 8;
   constexpr std::size_t kGroups = 12;
@@ -142,20 +142,20 @@
 // that comes costs every other one a hash for each vacant group; looking at all
 // VMs for each group at every change cost the product, and a start of 985 VMs
 // took most of their processor time.
-TEST(duty_board, a_vm_that_comes_costs_the_vacant_groups)
+TEST(lock_assignments, a_vm_that_comes_costs_the_vacant_groups)
 {
   for (const auto size : kSizes) {
     fleet one(size);
     for (std::size_t i = 0; i < size; ++i) {
-      const auto before = one.board.Scored();
+      const auto before = one.board.ScoresComputed();
       one.Comes(VmName(i));
-      CHECK(one.board.Scored() - before <= size);
+      CHECK(one.board.ScoresComputed() - before <= size);
     }
-    CHECK(one.board.Scored() <= size * size);
+    CHECK(one.board.ScoresComputed() <= size * size);
   }
 }
 
-TEST(duty_board, a_change_of_one_vm_or_duty_costs_its_own_groups)
+TEST(lock_assignments, a_change_of_one_vm_or_lock_costs_its_own_groups)
 {
   for (const auto size : kSizes) {
     fleet one(size);
@@ -165,23 +165,23 @@
     for (std::size_t i = 0; i < size; ++i) {
       one.Takes(VmName(i), GroupName(i));
     }
-    const auto atRest = one.board.Scored();
+    const auto atRest = one.board.ScoresComputed();
     one.Comes("another");
-    CHECK_EQUAL(atRest, one.board.Scored());
+    CHECK_EQUAL(atRest, one.board.ScoresComputed());
     // One that goes leaves a single group to be taken by one of the others.
     one.Goes(VmName(size / 2));
-    CHECK_EQUAL(atRest + size, one.board.Scored());
+    CHECK_EQUAL(atRest + size, one.board.ScoresComputed());
     one.Takes("another", GroupName(size / 2));
-    CHECK_EQUAL(atRest + size, one.board.Scored());
-    const auto changed = one.board.TakeChanged();
+    CHECK_EQUAL(atRest + size, one.board.ScoresComputed());
+    const auto changed = one.board.TakeChangedGroups();
     CHECK(changed.contains(GroupName(size / 2)));
     one.Comes("a third");
-    CHECK(one.board.TakeChanged().empty());
+    CHECK(one.board.TakeChangedGroups().empty());
   }
 }
 
 // Strong VMs that come take over what weak ones hold, and only then.
-TEST(duty_board, strong_vms_have_the_duties)
+TEST(lock_assignments, strong_vms_hold_the_locks)
 {
   fleet one(3);
   one.Comes(VmName(0), 1, false, 10);
@@ -195,7 +195,7 @@
   one.Comes("strong-2", 1, false, 100);
   for (std::size_t i = 0; i < 3; ++i) {
     CHECK_FALSE(one.board.IsHeld(GroupName(i)));
-    CHECK_FALSE(one.board.IsNext(GroupName(i)));
+    CHECK_FALSE(one.board.IsNextHolder(GroupName(i)));
     one.Takes("strong-1", GroupName(i));
     CHECK(one.board.IsHeld(GroupName(i)));
   }
--- a/test/currantshed/node/audience.cpp
+++ b/test/currantshed/node/peer_selection.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/audience.hpp"
+#include "currantshed/node/peer_selection.hpp"
 
 #include <string>
 #include <vector>
@@ -51,20 +51,21 @@
 
 } // namespace
 
-TEST_GROUP(audience){};
+TEST_GROUP(peer_selection){};
 
-TEST(audience, takes_the_next_ones_each_turn)
+TEST(peer_selection, takes_the_next_ones_each_turn)
 {
   for (const auto& row : kRows) {
-    CHECK_EQUAL_TEXT(row.expected,
-                     Print(node::SomeOf(Peers(row.peers), row.count, row.turn)),
-                     row.name);
+    CHECK_EQUAL_TEXT(
+      row.expected,
+      Print(node::SelectRoundRobin(Peers(row.peers), row.count, row.turn)),
+      row.name);
   }
 }
 
-TEST(audience, adds_only_what_is_not_there)
+TEST(peer_selection, adds_only_what_is_not_there)
 {
   std::vector<std::string> names{ "b", "c" };
-  node::AddNew(names, { "c", "a", "a" });
+  node::AppendMissing(names, { "c", "a", "a" });
   CHECK_EQUAL(std::string("bca"), Print(names));
 }
--- a/test/currantshed/node/collectors.cpp
+++ b/test/currantshed/node/quota_coordinators.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/collectors.hpp"
+#include "currantshed/node/quota_coordinators.hpp"
 
 #include <algorithm>
 #include <string>
@@ -13,7 +13,7 @@
 struct group_of_vms
 {
   std::size_t count;
-  unsigned processorShare;
+  unsigned cpuMillicores;
   bool leaving;
 };
 
@@ -23,7 +23,7 @@
   std::vector<group_of_vms> vms;
   std::size_t expect;
   /// What those that are chosen have of a core.
-  unsigned processorShare;
+  unsigned cpuMillicores;
 };
 
 const collectors_row kRows[] = {
@@ -34,17 +34,17 @@
   { "strong ones that leave", { { 3, 120, false }, { 2, 500, true } }, 3, 120 },
 };
 
-node::own_keys
+node::cluster_state
 Keys(const std::vector<group_of_vms>& aVms)
 {
-  node::own_keys keys;
+  node::cluster_state keys;
   std::size_t number = 0;
   for (const auto& some : aVms) {
     for (std::size_t i = 0; i < some.count; ++i) {
       node::vm_record record;
       record.where.vm = "vm-" + std::to_string(++number);
       record.failureDomain = "north";
-      record.processorShare = some.processorShare;
+      record.cpuMillicores = some.cpuMillicores;
       record.leaving = some.leaving;
       keys.vms[record.where.vm] = { record, 1 };
     }
@@ -54,18 +54,18 @@
 
 } // namespace
 
-TEST_GROUP(collectors){};
+TEST_GROUP(quota_coordinators){};
 
-TEST(collectors, A_few_strong_VMs_of_the_domain)
+TEST(quota_coordinators, A_few_strong_VMs_of_the_domain)
 {
   for (const auto& row : kRows) {
     const auto keys = Keys(row.vms);
-    const auto chosen = node::Collectors(keys, "north");
+    const auto chosen = node::QuotaCoordinators(keys, "north");
     LONGS_EQUAL_TEXT(row.expect, chosen.size(), row.name);
     for (const auto& vm : chosen) {
-      const auto share = keys.vms.at(vm).record.processorShare;
-      LONGS_EQUAL_TEXT(row.processorShare, share, row.name);
+      const auto share = keys.vms.at(vm).record.cpuMillicores;
+      LONGS_EQUAL_TEXT(row.cpuMillicores, share, row.name);
     }
-    CHECK_TEXT(node::Collectors(keys, "south").empty(), row.name);
+    CHECK_TEXT(node::QuotaCoordinators(keys, "south").empty(), row.name);
   }
 }
--- a/test/currantshed/node/question_pace.cpp
+++ b/test/currantshed/node/request_throttle.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/question_pace.hpp"
+#include "currantshed/node/request_throttle.hpp"
 
 #include <chrono>
 #include <optional>
@@ -7,7 +7,7 @@
 
 using namespace currantshed;
 using namespace std::chrono_literals;
-using node::question_pace;
+using node::request_throttle;
 
 namespace {
 
@@ -34,16 +34,16 @@
 int
 QuestionsOf(const row& aRow)
 {
-  question_pace pace;
+  request_throttle pace;
   int questions = 0;
   std::optional<clock::time_point> answerAt;
   for (auto at = 0ms; at < 1000ms; at += 1ms) {
     const auto now = kStart + at;
     if (answerAt && now >= *answerAt) {
-      pace.Answered();
+      pace.OnResponse();
       answerAt.reset();
     }
-    if (at % aRow.hints == 0ms && pace.MayAsk(now)) {
+    if (at % aRow.hints == 0ms && pace.MayRequest(now)) {
       pace.Asked(now);
       ++questions;
       if (aRow.answer) {
@@ -56,9 +56,9 @@
 
 } // namespace
 
-TEST_GROUP(question_pace){};
+TEST_GROUP(request_throttle){};
 
-TEST(question_pace, no_question_while_one_is_under_way)
+TEST(request_throttle, no_request_while_one_is_in_flight)
 {
   for (const auto& row : kRows) {
     CHECK_EQUAL_TEXT(row.questions, QuestionsOf(row), row.name);
--- a/test/currantshed/node/server_list.cpp
+++ b/test/currantshed/node/server_list.cpp
@@ -11,7 +11,7 @@
 using namespace currantshed;
 using namespace std::chrono_literals;
 using node::list_source;
-using node::server_standing;
+using node::listing_state;
 
 namespace {
 
@@ -28,7 +28,7 @@
 struct told
 {
   std::string name;
-  server_standing standing;
+  listing_state standing;
 
   friend bool operator==(const told&, const told&) = default;
 };
@@ -46,7 +46,7 @@
 const row kRows[] = {
   { "servers that are new",
     { { 0ms, { "a", "b" } } },
-    { { "a", server_standing::kReady }, { "b", server_standing::kReady } },
+    { { "a", listing_state::kReady }, { "b", listing_state::kReady } },
     { "a", "b" } },
   { "what is the same is no news",
     { { 0ms, { "a", "b" } }, { 50ms, { "a", "b" } } },
@@ -54,26 +54,26 @@
     { "a", "b" } },
   { "one that leaves",
     { { 0ms, { "a", "b" } }, { 50ms, { "A", "b" } } },
-    { { "a", server_standing::kLeaving } },
+    { { "a", listing_state::kLeaving } },
     { "A", "b" } },
   { "one that leaves is missing, and leaves all the same",
     { { 0ms, { "A", "b" } }, { 50ms, { "b" } } },
-    { { "a", server_standing::kMissing } },
+    { { "a", listing_state::kMissing } },
     { "A", "b" } },
   { "one that is missing for long is gone",
     { { 0ms, { "a", "b" } }, { 50ms, { "b" } }, { 3050ms, { "b" } } },
-    { { "a", server_standing::kGone } },
+    { { "a", listing_state::kGone } },
     { "b" } },
   { "one that is missing for a short time is back",
     { { 0ms, { "a", "b" } }, { 50ms, { "b" } }, { 2050ms, { "a", "b" } } },
-    { { "a", server_standing::kReady } },
+    { { "a", listing_state::kReady } },
     { "a", "b" } },
   { "one that was gone is back",
     { { 0ms, { "a", "b" } },
       { 50ms, { "b" } },
       { 4000ms, { "b" } },
       { 9000ms, { "A", "b" } } },
-    { { "a", server_standing::kLeaving } },
+    { { "a", listing_state::kLeaving } },
     { "A", "b" } },
 };
 
@@ -144,15 +144,15 @@
   list.Take({}, list_source::kWatch, kStart + 100ms);
   auto news =
     list.Take(listed(9000ms, false), list_source::kWatch, kStart + 1s);
-  CHECK(news.size() == 1 && news[0].standing == server_standing::kReady);
-  CHECK(!list.Servers()[0].leavingSince);
+  CHECK(news.size() == 1 && news[0].standing == listing_state::kReady);
+  CHECK(!list.Servers()[0].drainingSince);
   // The clock of the next start was set back.
   news = list.Take(listed(7000ms, true), list_source::kWatch, kStart + 2s);
-  CHECK(news.size() == 1 && news[0].standing == server_standing::kLeaving);
-  CHECK(*list.Servers()[0].leavingSince == kStart + 2s);
+  CHECK(news.size() == 1 && news[0].standing == listing_state::kLeaving);
+  CHECK(*list.Servers()[0].drainingSince == kStart + 2s);
   news = list.Take(listed(8000ms, true), list_source::kWatch, kStart + 3s);
   CHECK(news.size() == 1);
-  CHECK(*list.Servers()[0].leavingSince == kStart + 3s);
+  CHECK(*list.Servers()[0].drainingSince == kStart + 3s);
 }
 
 TEST(server_list, is_due_when_the_time_of_a_missing_server_is_up)
@@ -188,33 +188,33 @@
 
 const age_row kAgeRows[] = {
   { "one that stays",
-    { { 0ms, list_source::kCatchUp, { "a" } } },
+    { { 0ms, list_source::kResync, { "a" } } },
     std::nullopt },
   { "its word came by the watch",
-    { { 0ms, list_source::kCatchUp, { "a" } },
+    { { 0ms, list_source::kResync, { "a" } },
       { 900ms, list_source::kWatch, { "A" } },
       { 1500ms, list_source::kWatch, { "A", "b" } } },
     600ms },
   { "its word came while this VM was out of touch",
-    { { 0ms, list_source::kCatchUp, { "a" } },
-      { 900ms, list_source::kCatchUp, { "A" } } },
+    { { 0ms, list_source::kResync, { "a" } },
+      { 900ms, list_source::kResync, { "A" } } },
     kUnknownAge },
   { "it was leaving when this VM started",
-    { { 0ms, list_source::kCatchUp, { "A" } } },
+    { { 0ms, list_source::kResync, { "A" } } },
     kUnknownAge },
   { "what was known before this VM was out of touch is kept",
-    { { 0ms, list_source::kCatchUp, { "a" } },
+    { { 0ms, list_source::kResync, { "a" } },
       { 900ms, list_source::kWatch, { "A" } },
-      { 2900ms, list_source::kCatchUp, { "A" } } },
+      { 2900ms, list_source::kResync, { "A" } } },
     2000ms },
   { "its entry lapses and is back",
-    { { 0ms, list_source::kCatchUp, { "a" } },
+    { { 0ms, list_source::kResync, { "a" } },
       { 900ms, list_source::kWatch, { "A" } },
       { 1900ms, list_source::kWatch, {} },
-      { 2900ms, list_source::kCatchUp, { "A" } } },
+      { 2900ms, list_source::kResync, { "A" } } },
     2000ms },
   { "it stays after all, and leaves later",
-    { { 0ms, list_source::kCatchUp, { "A" } },
+    { { 0ms, list_source::kResync, { "A" } },
       { 900ms, list_source::kWatch, { "a" } },
       { 1900ms, list_source::kWatch, { "A" } },
       { 2000ms, list_source::kWatch, { "A", "b" } } },
@@ -236,11 +236,11 @@
         return aOne.id == "a";
       });
     CHECK_TEXT(found != servers.end(), row.name);
-    CHECK_TEXT(found->leavingSince.has_value() == row.expect.has_value(),
+    CHECK_TEXT(found->drainingSince.has_value() == row.expect.has_value(),
                row.name);
     if (row.expect) {
       const auto at = kStart + row.given.back().at;
-      CHECK_TEXT(at - *found->leavingSince == *row.expect, row.name);
+      CHECK_TEXT(at - *found->drainingSince == *row.expect, row.name);
     }
   }
 }
@@ -288,13 +288,13 @@
 
 // A copy of the list may be older than what servers have said since. They write
 // it again within two seconds.
-TEST(server_list, an_older_copy_takes_back_no_word_of_a_server)
+TEST(server_list, an_older_snapshot_takes_back_no_state_of_a_server)
 {
   for (const auto& row : kCopyRows) {
     node::server_list list;
     list.Take(ServersOf(row.before), list_source::kWatch, kStart);
-    list.StoreReturned(kStart + 100ms);
-    list.Take(ServersOf(row.copy), list_source::kCatchUp, kStart + 100ms);
+    list.OnStoreRestored(kStart + 100ms);
+    list.Take(ServersOf(row.copy), list_source::kResync, kStart + 100ms);
     CHECK_TEXT(NamesOf(list.Servers()) == row.withCopy, row.name);
     list.Take(ServersOf(row.again), list_source::kWatch, kStart + 3000ms);
     CHECK_TEXT(NamesOf(list.Servers()) == row.within, row.name);
--- a/test/currantshed/node/key_parts.cpp
+++ b/test/currantshed/node/snapshot_chunks.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/key_parts.hpp"
+#include "currantshed/node/snapshot_chunks.hpp"
 
 #include <chrono>
 #include <cstddef>
@@ -10,9 +10,9 @@
 
 using namespace currantshed;
 using namespace std::chrono_literals;
-using node::key_part;
-using node::part_collector;
-using node::part_cutter;
+using node::snapshot_assembler;
+using node::snapshot_chunk;
+using node::snapshot_splitter;
 
 namespace {
 
@@ -102,8 +102,8 @@
 std::optional<std::string>
 Play(const row& aRow)
 {
-  part_cutter cutter;
-  part_collector collector;
+  snapshot_splitter cutter;
+  snapshot_assembler collector;
   std::uint64_t revision = 1;
   CHECK(collector.Begin("feeder", kStart));
   CHECK_FALSE(collector.Begin("another", kStart));
@@ -115,7 +115,7 @@
       continue;
     }
     const auto part =
-      cutter.Cut(collector.Wanted(), kLongest, { 0, revision }, now, [&] {
+      cutter.GetChunk(collector.Wanted(), kLongest, { 0, revision }, now, [&] {
         return CopyOf(revision, aRow.length);
       });
     CHECK(part.content.size() <= kLongest);
@@ -130,9 +130,9 @@
 
 } // namespace
 
-TEST_GROUP(key_parts){};
+TEST_GROUP(snapshot_chunks){};
 
-TEST(key_parts, are_put_together)
+TEST(snapshot_chunks, are_put_together)
 {
   for (const auto& row : kRows) {
     const auto whole = Play(row);
@@ -145,11 +145,11 @@
 
 // A configuration of 262 KB that each of a hundred VMs read from the store by
 // itself took its link for seconds. One copy serves all that ask for it.
-TEST(key_parts, one_copy_serves_all_that_ask)
+TEST(snapshot_chunks, one_snapshot_serves_all_that_ask)
 {
   for (const std::size_t vms : { 50, 100, 200 }) {
-    part_cutter cutter;
-    std::vector<part_collector> collectors(vms);
+    snapshot_splitter cutter;
+    std::vector<snapshot_assembler> collectors(vms);
     std::size_t taken = 0;
     for (auto& one : collectors) {
       (void)one.Begin("feeder", kStart);
@@ -157,27 +157,27 @@
     for (std::size_t part = 0; part < 3; ++part) {
       for (auto& one : collectors) {
         const auto sent =
-          cutter.Cut(one.Wanted(), kLongest, { 0, 1 + part }, kStart, [] {
+          cutter.GetChunk(one.Wanted(), kLongest, { 0, 1 + part }, kStart, [] {
             return CopyOf(1, 25);
           });
         taken += one.Take("feeder", sent, kStart) ? 1 : 0;
       }
     }
     CHECK_EQUAL(vms, taken);
-    CHECK_EQUAL(1, cutter.Made());
+    CHECK_EQUAL(1, cutter.SnapshotsMade());
   }
 }
 
-TEST(key_parts, what_a_copy_lacks_is_in_the_next_one)
+TEST(snapshot_chunks, what_a_snapshot_lacks_is_in_the_next_one)
 {
-  part_cutter cutter;
+  snapshot_splitter cutter;
   const auto cut = [&](std::uint64_t aRevision, clock::time_point aAt) {
     return cutter
-      .Cut({},
-           kLongest,
-           { 0, aRevision },
-           aAt,
-           [=] { return CopyOf(aRevision, 5); })
+      .GetChunk({},
+                kLongest,
+                { 0, aRevision },
+                aAt,
+                [=] { return CopyOf(aRevision, 5); })
       .of.number;
   };
   CHECK_EQUAL(1, cut(1, kStart));
--- a/test/currantshed/node/subscribers.cpp
+++ b/test/currantshed/node/subscribers.cpp
@@ -82,7 +82,7 @@
       const auto added = box.Asked("v", one.groups, kStart + one.at);
       STRCMP_EQUAL_TEXT(one.added.c_str(), Joined(added).c_str(), row.name);
     }
-    box.Forget(kStart + row.lookAt);
+    box.RemoveExpired(kStart + row.lookAt);
     CHECK_EQUAL_TEXT(row.isLeft, box.Contains("v"), row.name);
     CHECK_EQUAL_TEXT(row.isLeft, !box.Empty(), row.name);
     STRCMP_EQUAL_TEXT(
@@ -97,9 +97,9 @@
 {
   node::groups_in_use box;
   STRCMP_EQUAL("", Joined(box.All(kStart)).c_str());
-  box.Used("a", kStart);
-  box.Used("b", kStart + 2s);
-  box.Used("b", kStart + 1s);
+  box.MarkUsed("a", kStart);
+  box.MarkUsed("b", kStart + 2s);
+  box.MarkUsed("b", kStart + 1s);
   STRCMP_EQUAL("a b ", Joined(box.All(kStart + 3s)).c_str());
   CHECK(box.Contains("a", kStart + 3s));
   STRCMP_EQUAL("b ", Joined(box.All(kStart + 3001ms)).c_str());
--- a/test/currantshed/node/token_desk.cpp
+++ b/test/currantshed/node/token_client.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/token_desk.hpp"
+#include "currantshed/node/token_client.hpp"
 
 #include <chrono>
 #include <map>
@@ -14,22 +14,22 @@
 
 constexpr clock::time_point kStart{ 1h };
 
-node::token_desk
+node::token_client
 Desk()
 {
-  node::token_desk made;
-  made.SetCollectors({ "own-1", "own-2" }, { { "far-1" }, { "far-2" } });
+  node::token_client made;
+  made.SetCoordinators({ "own-1", "own-2" }, { { "far-1" }, { "far-2" } });
   return made;
 }
 
-const std::size_t kBakers = customer::PartOf("baker");
+const std::size_t kBakers = customer::PartitionOf("baker");
 
 /// The own collectors are "own-1" and "own-2" in the order in which they are
 /// asked for the baker's tokens, which their names don't tell.
 std::string
 Named(const std::string& aRole)
 {
-  const auto first = Desk().Current(kBakers, kStart);
+  const auto first = Desk().CoordinatorOf(kBakers, kStart);
   const std::string second = first == "own-1" ? "own-2" : "own-1";
   return aRole == "own-1" ? first : aRole == "own-2" ? second : aRole;
 }
@@ -85,16 +85,16 @@
 
 } // namespace
 
-TEST_GROUP(token_desk){};
+TEST_GROUP(token_client){};
 
-TEST(token_desk, Collectors_are_asked_in_turn)
+TEST(token_client, Coordinators_are_asked_in_turn)
 {
   for (const auto& row : kRows) {
     auto desk = Desk();
     auto now = kStart;
-    desk.Want("baker", row.wanted, now);
+    desk.Request("baker", row.wanted, now);
     for (const auto& one : row.replies) {
-      const auto asks = desk.TakeAsks();
+      const auto asks = desk.TakeRequests();
       LONGS_EQUAL_TEXT(1, asks.size(), row.name);
       STRCMP_EQUAL_TEXT(
         Named(one.vm).c_str(), asks.front().vm.c_str(), row.name);
@@ -103,13 +103,13 @@
         desk.Tick(now);
       } else {
         now += 2ms;
-        desk.Answered(asks.front().number, one.count, one.retryAfter, now);
+        desk.OnResponse(asks.front().number, one.count, one.retryAfter, now);
       }
     }
-    CHECK_TEXT(desk.TakeAsks().empty(), row.name);
+    CHECK_TEXT(desk.TakeRequests().empty(), row.name);
     unsigned granted = 0;
     unsigned refused = 0;
-    for (const auto& one : desk.TakeOutcomes()) {
+    for (const auto& one : desk.TakeResults()) {
       granted += one.granted;
       refused += one.refused;
       CHECK_TEXT(one.refused == 0 || one.retryAfter == row.retryAfter,
@@ -120,101 +120,103 @@
   }
 }
 
-TEST(token_desk, An_answer_counts_once)
+TEST(token_client, An_answer_counts_once)
 {
   auto desk = Desk();
-  desk.Want("baker", 1, kStart);
-  const auto number = desk.TakeAsks().front().number;
-  desk.Answered(number, 1, 0ms, kStart + 2ms);
-  desk.Answered(number, 1, 0ms, kStart + 3ms);
-  LONGS_EQUAL(1, desk.TakeOutcomes().size());
+  desk.Request("baker", 1, kStart);
+  const auto number = desk.TakeRequests().front().number;
+  desk.OnResponse(number, 1, 0ms, kStart + 2ms);
+  desk.OnResponse(number, 1, 0ms, kStart + 3ms);
+  LONGS_EQUAL(1, desk.TakeResults().size());
 }
 
 // One that answers late has counted the tokens as given.
-TEST(token_desk, A_late_answer_counts_for_a_moment)
+TEST(token_client, A_late_answer_counts_for_a_moment)
 {
   for (const bool isLost : { false, true }) {
     auto desk = Desk();
-    desk.Want("baker", 1, kStart);
-    const auto number = desk.TakeAsks().front().number;
+    desk.Request("baker", 1, kStart);
+    const auto number = desk.TakeRequests().front().number;
     desk.Tick(kStart + 100ms);
-    LONGS_EQUAL(1, desk.TakeAsks().size());
+    LONGS_EQUAL(1, desk.TakeRequests().size());
     if (isLost) {
       desk.Tick(kStart + 600ms);
-      (void)desk.TakeOutcomes();
+      (void)desk.TakeResults();
     }
-    desk.Answered(number, 1, 0ms, kStart + 600ms);
-    LONGS_EQUAL(isLost ? 0 : 1, desk.TakeOutcomes().size());
+    desk.OnResponse(number, 1, 0ms, kStart + 600ms);
+    LONGS_EQUAL(isLost ? 0 : 1, desk.TakeResults().size());
   }
 }
 
-TEST(token_desk, Shares_go_to_one_that_speaks)
+TEST(token_client, Shares_go_to_one_that_speaks)
 {
   auto desk = Desk();
-  STRCMP_EQUAL(Named("own-1").c_str(), desk.Current(kBakers, kStart).c_str());
-  desk.Want("baker", 1, kStart);
+  STRCMP_EQUAL(Named("own-1").c_str(),
+               desk.CoordinatorOf(kBakers, kStart).c_str());
+  desk.Request("baker", 1, kStart);
   desk.Tick(kStart + 100ms);
   STRCMP_EQUAL(Named("own-2").c_str(),
-               desk.Current(kBakers, kStart + 100ms).c_str());
+               desk.CoordinatorOf(kBakers, kStart + 100ms).c_str());
   STRCMP_EQUAL(Named("own-1").c_str(),
-               desk.Current(kBakers, kStart + 500ms).c_str());
-  desk.SetCollectors({}, {});
-  STRCMP_EQUAL("", desk.Current(kBakers, kStart).c_str());
+               desk.CoordinatorOf(kBakers, kStart + 500ms).c_str());
+  desk.SetCoordinators({}, {});
+  STRCMP_EQUAL("", desk.CoordinatorOf(kBakers, kStart).c_str());
 }
 
 // Each VM finds the same collector for a part, and the parts spread.
-TEST(token_desk, Parts_are_spread_over_the_collectors)
+TEST(token_client, Partitions_are_spread_over_the_coordinators)
 {
-  node::token_desk one;
-  node::token_desk other;
-  one.SetCollectors({ "own-1", "own-2", "own-3" }, { { "far" } });
-  other.SetCollectors({ "near" }, { { "own-3", "own-1", "own-2" } });
+  node::token_client one;
+  node::token_client other;
+  one.SetCoordinators({ "own-1", "own-2", "own-3" }, { { "far" } });
+  other.SetCoordinators({ "near" }, { { "own-3", "own-1", "own-2" } });
   std::map<std::string, int> parts;
-  for (std::size_t part = 0; part < customer::kParts; ++part) {
-    const auto collector = one.Current(part, kStart);
+  for (std::size_t part = 0; part < customer::kPartitions; ++part) {
+    const auto collector = one.CoordinatorOf(part, kStart);
     ++parts[collector];
-    STRCMP_EQUAL("near", other.Current(part, kStart).c_str());
+    STRCMP_EQUAL("near", other.CoordinatorOf(part, kStart).c_str());
   }
   LONGS_EQUAL(3, parts.size());
   // Who has none at home asks the one that collects there.
-  other.Want("baker", 1, kStart);
-  other.Answered(other.TakeAsks().front().number, 0, 100ms, kStart);
-  STRCMP_EQUAL(one.Current(kBakers, kStart).c_str(),
-               other.TakeAsks().front().vm.c_str());
+  other.Request("baker", 1, kStart);
+  other.OnResponse(other.TakeRequests().front().number, 0, 100ms, kStart);
+  STRCMP_EQUAL(one.CoordinatorOf(kBakers, kStart).c_str(),
+               other.TakeRequests().front().vm.c_str());
 }
 
 // A VM that has just started knows nobody yet: its operations wait.
-TEST(token_desk, Operations_wait_until_a_collector_is_known)
+TEST(token_client, Operations_wait_until_a_coordinator_is_known)
 {
-  node::token_desk desk;
-  desk.Want("baker", 1, kStart);
-  desk.Want("smith", 1, kStart + 400ms);
-  CHECK(desk.TakeAsks().empty());
-  CHECK(desk.TakeOutcomes().empty());
+  node::token_client desk;
+  desk.Request("baker", 1, kStart);
+  desk.Request("smith", 1, kStart + 400ms);
+  CHECK(desk.TakeRequests().empty());
+  CHECK(desk.TakeResults().empty());
   // The first has been turned away by now.
   desk.Tick(kStart + 500ms);
-  desk.SetCollectors({ "own-1" }, {});
-  const auto asks = desk.TakeAsks();
+  desk.SetCoordinators({ "own-1" }, {});
+  const auto asks = desk.TakeRequests();
   LONGS_EQUAL(1, asks.size());
   STRCMP_EQUAL("smith", asks.front().customer.c_str());
 }
 
 // While a customer's tokens are used up everywhere nobody is asked again.
-TEST(token_desk, A_customer_without_tokens_is_refused_at_once)
+TEST(token_client, A_customer_without_tokens_is_refused_at_once)
 {
   auto desk = Desk();
-  desk.Want("baker", 1, kStart);
-  for (auto asks = desk.TakeAsks(); !asks.empty(); asks = desk.TakeAsks()) {
-    desk.Answered(asks.front().number, 0, 400ms, kStart);
+  desk.Request("baker", 1, kStart);
+  for (auto asks = desk.TakeRequests(); !asks.empty();
+       asks = desk.TakeRequests()) {
+    desk.OnResponse(asks.front().number, 0, 400ms, kStart);
   }
-  LONGS_EQUAL(1, desk.TakeOutcomes().size());
-  desk.Want("baker", 2, kStart + 50ms);
-  CHECK(desk.TakeAsks().empty());
-  const auto told = desk.TakeOutcomes();
+  LONGS_EQUAL(1, desk.TakeResults().size());
+  desk.Request("baker", 2, kStart + 50ms);
+  CHECK(desk.TakeRequests().empty());
+  const auto told = desk.TakeResults();
   LONGS_EQUAL(2, told.front().refused);
   CHECK(told.front().retryAfter == 350ms);
-  desk.Want("smith", 1, kStart + 50ms);
-  LONGS_EQUAL(1, desk.TakeAsks().size());
-  desk.Want("baker", 1, kStart + 100ms);
-  LONGS_EQUAL(1, desk.TakeAsks().size());
+  desk.Request("smith", 1, kStart + 50ms);
+  LONGS_EQUAL(1, desk.TakeRequests().size());
+  desk.Request("baker", 1, kStart + 100ms);
+  LONGS_EQUAL(1, desk.TakeRequests().size());
 }
--- a/test/currantshed/node/known_vms.cpp
+++ b/test/currantshed/node/vm_membership.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/node/known_vms.hpp"
+#include "currantshed/node/vm_membership.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -9,7 +9,7 @@
 
 using namespace currantshed;
 using namespace std::chrono_literals;
-using node::known_vms;
+using node::vm_membership;
 
 namespace {
 
@@ -96,12 +96,13 @@
 
 } // namespace
 
-TEST_GROUP(known_vms){};
+TEST_GROUP(vm_membership){};
 
-TEST(known_vms, tells_those_that_speak_and_counts_those_that_may_rest)
+TEST(vm_membership,
+     reaches_vms_heard_recently_and_counts_those_that_may_use_a_confirmation)
 {
   for (const auto& row : kRows) {
-    known_vms known("self");
+    vm_membership known("self");
     for (const auto& step : row.given) {
       if (step.kind == step_kind::kListed) {
         std::vector<news::peer> listed;
@@ -111,25 +112,26 @@
         }
         known.Listed(listed, kStart + step.at);
       } else {
-        known.Heard(step.vms.front(), kStart + step.at);
+        known.OnMessage(step.vms.front(), kStart + step.at);
       }
     }
     const auto now = kStart + row.when;
     CHECK_TEXT(Names(known.Reachable(now)) == row.told, row.name);
-    CHECK_TEXT(known.MayRest(now) == row.mayRest, row.name);
+    CHECK_TEXT(known.MayUseConfirmation(now) == row.mayRest, row.name);
   }
 }
 
 // A holder of duties hears some word from most VMs of a large fleet, and
 // answers those alone that told of a primary.
-TEST(known_vms, only_vms_that_told_something_ask)
+TEST(vm_membership,
+     only_vms_that_sent_reach_updates_directly_expect_watch_updates)
 {
-  known_vms known("self");
+  vm_membership known("self");
   known.Listed({ Peer("a"), Peer("b") }, kStart);
-  known.Heard("a", kStart);
-  known.Heard("b", kStart);
-  known.Asked("b", kStart);
-  CHECK_FALSE(known.IsAsking("a", kStart + 1s));
-  CHECK(known.IsAsking("b", kStart + 1s));
-  CHECK_FALSE(known.IsAsking("b", kStart + 4500ms));
+  known.OnMessage("a", kStart);
+  known.OnMessage("b", kStart);
+  known.OnDirectReachUpdate("b", kStart);
+  CHECK_FALSE(known.SendsDirectReachUpdates("a", kStart + 1s));
+  CHECK(known.SendsDirectReachUpdates("b", kStart + 1s));
+  CHECK_FALSE(known.SendsDirectReachUpdates("b", kStart + 4500ms));
 }
--- a/test/currantshed/policy/near_word.cpp
+++ b/test/currantshed/policy/closest_match.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/policy/near_word.hpp"
+#include "currantshed/policy/closest_match.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -6,13 +6,13 @@
 
 constexpr std::string_view kKnown[] = { "deadline", "access", "served_in" };
 
-struct near_row
+struct match_row
 {
   std::string_view given;
   std::string_view expect;
 };
 
-constexpr near_row kRows[] = {
+constexpr match_row kRows[] = {
   { "deadlin", "deadline" },
   { "dedline", "deadline" },
   { "acces", "access" },
@@ -25,12 +25,12 @@
 
 } // namespace
 
-TEST_GROUP(near_word){};
+TEST_GROUP(closest_match){};
 
-TEST(near_word, table)
+TEST(closest_match, table)
 {
   for (const auto& row : kRows) {
-    const auto found = currantshed::policy::NearWord(row.given, kKnown);
+    const auto found = currantshed::policy::ClosestMatch(row.given, kKnown);
     CHECK_TEXT(found.value_or("") == row.expect, row.given.data());
   }
 }
--- a/test/currantshed/policy/configuration_record.cpp
+++ b/test/currantshed/policy/configuration_record.cpp
@@ -39,18 +39,18 @@
   const char* name;
   const char* change;
   std::uint64_t version;
-  change_trace expected;
+  change_status expected;
 };
 
 /// Against a record of version 9, change "i", after "h" and "g".
 constexpr trace_row kTraceRows[] = {
-  { "in force", "i", 9, change_trace::kMade },
-  { "the one before", "h", 8, change_trace::kMade },
-  { "the oldest that is named", "g", 7, change_trace::kMade },
-  { "another took its version", "x", 9, change_trace::kNotMade },
-  { "another took its version earlier", "x", 7, change_trace::kNotMade },
-  { "the version isn't reached", "x", 10, change_trace::kNotMade },
-  { "older than all that are named", "f", 6, change_trace::kForgotten },
+  { "in force", "i", 9, change_status::kIncluded },
+  { "the one before", "h", 8, change_status::kIncluded },
+  { "the oldest that is named", "g", 7, change_status::kIncluded },
+  { "another took its version", "x", 9, change_status::kNotIncluded },
+  { "another took its version earlier", "x", 7, change_status::kNotIncluded },
+  { "the version isn't reached", "x", 10, change_status::kNotIncluded },
+  { "older than all that are named", "f", 6, change_status::kTooOld },
 };
 
 } // namespace
@@ -98,7 +98,7 @@
 {
   const configuration_record record{ 9, "i", "d", "", "", { "h", "g" } };
   for (const auto& row : kTraceRows) {
-    CHECK_TEXT(TraceChange(record, row.change, row.version) == row.expected,
+    CHECK_TEXT(FindChange(record, row.change, row.version) == row.expected,
                row.name);
   }
 }
--- a/test/currantshed/policy/declaration.cpp
+++ b/test/currantshed/policy/declaration.cpp
@@ -160,7 +160,7 @@
     "2:3 '../x' can't be a name in classes; use up to 64 letters, digits, "
     "dots, dashes and underscores, the first a letter or digit\n" },
   { "too long a text",
-    std::string(policy::kLargestDeclarationBytes + 1, '#'),
+    std::string(policy::kMaxDeclarationBytes + 1, '#'),
     "1:1 the declaration has 262145 bytes; at most 262144 are taken\n" },
   { "nested without end",
     Repeat("[", 5000),
--- a/test/currantshed/pool/server_pool.cpp
+++ b/test/currantshed/pool/connection_pool.cpp
@@ -1,12 +1,12 @@
-#include "currantshed/pool/server_pool.hpp"
+#include "currantshed/pool/connection_pool.hpp"
 
 #include <chrono>
 
 #include <CppUTest/TestHarness.h>
 
 using currantshed::clock::time_point;
-using currantshed::pool::server_pool;
-using currantshed::pool::ShareOf;
+using currantshed::pool::ComputePoolLimits;
+using currantshed::pool::connection_pool;
 using namespace std::chrono_literals;
 
 namespace {
@@ -31,20 +31,21 @@
 
 } // namespace
 
-TEST_GROUP(server_pool){};
+TEST_GROUP(connection_pool){};
 
-TEST(server_pool, share)
+TEST(connection_pool, share)
 {
   for (const auto& row : kShareRows) {
-    const auto share = ShareOf(row.connections, row.slots, row.reserve);
+    const auto share =
+      ComputePoolLimits(row.connections, row.slots, row.reserve);
     LONGS_EQUAL_TEXT(row.expectConnections, share.connections, row.name);
     LONGS_EQUAL_TEXT(row.expectSlots, share.slots, row.name);
   }
 }
 
-TEST(server_pool, slots_and_connections_are_limits)
+TEST(connection_pool, slots_and_connections_are_limits)
 {
-  server_pool pool;
+  connection_pool pool;
   pool.SetLimits({ 2, 1 });
   CHECK(pool.MayOpen(kStart));
   pool.Add(1, false);
@@ -55,35 +56,35 @@
   pool.Opened(2);
   CHECK(pool.Idle(false) == 1);
   CHECK(pool.Idle(true) == 2);
-  pool.Hold(1);
+  pool.CheckOut(1);
   CHECK_FALSE(pool.Idle(false).has_value());
   CHECK(pool.HasSlot());
-  pool.BatchBegins(1);
+  pool.BatchStarted(1);
   CHECK_FALSE(pool.HasSlot());
   // The idle one of the other kind could make place.
   CHECK(pool.CanProvide(false, kStart));
-  pool.BatchEnds(1);
+  pool.BatchEnded(1);
   CHECK(pool.HasSlot());
-  pool.Release(1);
+  pool.CheckIn(1);
   CHECK(pool.Idle(false) == 1);
 }
 
-TEST(server_pool, a_removed_connection_gives_its_slot_back)
+TEST(connection_pool, a_removed_connection_gives_its_slot_back)
 {
-  server_pool pool;
+  connection_pool pool;
   pool.SetLimits({ 2, 1 });
   pool.Add(1, false);
   pool.Opened(1);
-  pool.Hold(1);
-  pool.BatchBegins(1);
+  pool.CheckOut(1);
+  pool.BatchStarted(1);
   pool.Remove(1);
   CHECK(pool.HasSlot());
   LONGS_EQUAL(0, pool.Connections());
 }
 
-TEST(server_pool, refused_connections_back_off)
+TEST(connection_pool, refused_connections_back_off)
 {
-  server_pool pool;
+  connection_pool pool;
   pool.SetLimits({ 2, 1 });
   const std::chrono::milliseconds waits[] = { 20ms,  40ms,  80ms,   160ms,
                                               320ms, 640ms, 1000ms, 1000ms };
--- a/test/currantshed/proxy/holders.cpp
+++ b/test/currantshed/proxy/access_planner.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/proxy/holders.hpp"
+#include "currantshed/proxy/access_planner.hpp"
 
 #include <algorithm>
 #include <cstddef>
@@ -50,7 +50,7 @@
 
 TEST_GROUP(holders){};
 
-TEST(holders, share_what_a_server_accepts)
+TEST(holders, share_the_connections_a_server_accepts)
 {
   for (const auto& row : kRows) {
     const auto fleet = Fleet(row.vms, row.domains);
@@ -60,8 +60,8 @@
       const auto plan =
         proxy::PlanAccess("server", row.connections, fleet, vm.name);
       CHECK_TEXT(!plan.paths.empty(), row.name);
-      holders += plan.holds ? 1 : 0;
-      held += plan.holds ? plan.connections : 0;
+      holders += plan.isHolder ? 1 : 0;
+      held += plan.isHolder ? plan.connections : 0;
       const auto direct =
         std::count_if(plan.paths.begin(),
                       plan.paths.end(),
@@ -69,7 +69,7 @@
       CHECK_TEXT(direct == 1, row.name);
       // Holders go first themselves, others through their own domain.
       const bool first = plan.paths.front().IsDirect();
-      CHECK_TEXT(first == plan.holds, row.name);
+      CHECK_TEXT(first == plan.isHolder, row.name);
     }
     CHECK_TEXT(holders == row.holders, row.name);
     CHECK_TEXT(held <= std::max(row.connections, row.holders), row.name);
@@ -81,7 +81,7 @@
   const auto fleet = Fleet(9, 3);
   for (const auto& vm : fleet) {
     const auto plan = proxy::PlanAccess("server", 16, fleet, vm.name);
-    if (plan.holds) {
+    if (plan.isHolder) {
       continue;
     }
     const auto& first = plan.paths.front().vm;
@@ -93,27 +93,27 @@
   }
 }
 
-TEST(holders, a_vm_that_leaves_holds_nothing)
+TEST(holders, a_draining_vm_holds_no_connections)
 {
   auto fleet = Fleet(9, 3);
   std::set<std::string> before;
   for (auto& vm : fleet) {
-    if (proxy::PlanAccess("server", 16, fleet, vm.name).holds) {
+    if (proxy::PlanAccess("server", 16, fleet, vm.name).isHolder) {
       before.insert(vm.name);
     }
   }
   for (auto& vm : fleet) {
-    vm.leaving = before.contains(vm.name);
+    vm.draining = before.contains(vm.name);
   }
   for (const auto& vm : fleet) {
     const auto plan = proxy::PlanAccess("server", 16, fleet, vm.name);
-    CHECK(!(plan.holds && vm.leaving));
+    CHECK(!(plan.isHolder && vm.draining));
   }
 }
 
-TEST(holders, a_vm_that_knows_no_fleet_yet_connects_to_nothing)
+TEST(holders, a_vm_without_a_fleet_opens_no_connections)
 {
   const auto plan = proxy::PlanAccess("server", 16, {}, "vm-0");
   CHECK(plan.paths.empty());
-  CHECK_FALSE(plan.holds);
+  CHECK_FALSE(plan.isHolder);
 }
--- a/test/currantshed/proxy/customers.cpp
+++ b/test/currantshed/proxy/customers.cpp
@@ -10,12 +10,12 @@
 
 using namespace currantshed;
 using namespace std::chrono_literals;
-using proxy::entry;
 using proxy::failure_code;
+using proxy::session_admission;
 using proxy::statement_kind;
 using test::declared;
-using test::hearing_caller;
 using test::kStart;
+using test::recording_caller;
 
 namespace {
 
@@ -26,7 +26,7 @@
 FreshAt(clock::time_point aAt)
 {
   customer::freshness made(5000ms);
-  made.Prove(aAt);
+  made.MarkVerified(aAt);
   return made;
 }
 
@@ -40,7 +40,7 @@
     engine.SetFreshness(FreshAt(now));
   }
 
-  proxy::engine::session_id Open(hearing_caller& aCaller,
+  proxy::engine::session_id Open(recording_caller& aCaller,
                                  const std::string& aKey)
   {
     return *engine.Open("claims", aCaller, aKey);
@@ -56,7 +56,7 @@
   }
 };
 
-struct entry_row
+struct admission_row
 {
   const char* name;
   std::vector<declared> customers;
@@ -66,70 +66,88 @@
   /// for at the start.
   std::chrono::milliseconds provedAfter;
   std::chrono::milliseconds sinceStart;
-  entry expect;
+  session_admission expect;
 };
 
-const entry_row kEntryRows[] = {
-  { "a key in force", kTwo, "claims", "key-s", -1000ms, 0ms, entry::kGranted },
+const admission_row kAdmissionRows[] = {
+  { "a key in force",
+    kTwo,
+    "claims",
+    "key-s",
+    -1000ms,
+    0ms,
+    session_admission::kGranted },
   { "another key of the same customer",
     kTwo,
     "claims",
     "key-b2",
     -1000ms,
     0ms,
-    entry::kGranted },
+    session_admission::kGranted },
   { "an unknown key, a proof from before",
     kTwo,
     "claims",
     "key-x",
     -1ms,
     0ms,
-    entry::kKeyMayBeNew },
+    session_admission::kKeyNotYetKnown },
   { "an unknown key, a proof from after",
     kTwo,
     "claims",
     "key-x",
     1ms,
     2ms,
-    entry::kUnknownKey },
-  { "no key", kTwo, "claims", "", 1ms, 2ms, entry::kUnknownKey },
+    session_admission::kUnknownKey },
+  { "no key", kTwo, "claims", "", 1ms, 2ms, session_admission::kUnknownKey },
   { "no key for what is public",
     kTwo,
     "open",
     "",
     -9000ms,
     0ms,
-    entry::kGranted },
+    session_admission::kGranted },
   { "keys that may be old",
     kTwo,
     "claims",
     "key-s",
     -5000ms,
     0ms,
-    entry::kKeysOld },
+    session_admission::kKeysStale },
   { "keys that get old",
     kTwo,
     "claims",
     "key-s",
     0ms,
     4900ms,
-    entry::kKeysOld },
+    session_admission::kKeysStale },
   { "a key of two customers",
     { { "baker", { "key" } }, { "smith", { "key" } } },
     "claims",
     "key",
     1ms,
     2ms,
-    entry::kUnknownKey },
+    session_admission::kUnknownKey },
   { "a customer without keys",
     { { "baker", {} } },
     "claims",
     "key-b",
     1ms,
     2ms,
-    entry::kUnknownKey },
-  { "nobody there", {}, "claims", "key-b", 1ms, 2ms, entry::kUnknownKey },
-  { "no such database", kTwo, "bills", "key-b", 1ms, 2ms, entry::kNoDatabase },
+    session_admission::kUnknownKey },
+  { "nobody there",
+    {},
+    "claims",
+    "key-b",
+    1ms,
+    2ms,
+    session_admission::kUnknownKey },
+  { "no such database",
+    kTwo,
+    "bills",
+    "key-b",
+    1ms,
+    2ms,
+    session_admission::kNoDatabase },
 };
 
 struct change_row
@@ -183,7 +201,7 @@
 
 TEST(customers, A_session_begins_with_a_key_in_force)
 {
-  for (const auto& row : kEntryRows) {
+  for (const auto& row : kAdmissionRows) {
     test::one_vm vm;
     vm.engine.SetConfiguration(test::CustomersConfiguration(2, row.customers),
                                vm.now);
@@ -198,24 +216,24 @@
 {
   for (const auto& row : kChangeRows) {
     customers_vm vm;
-    hearing_caller caller;
+    recording_caller caller;
     const auto session = vm.Open(caller, "key-b");
     if (row.inTransaction) {
       vm.Ask(session, statement_kind::kBegin, "BEGIN");
-      CHECK_TEXT(!caller.heard->failed, row.name);
+      CHECK_TEXT(!caller.lastAnswer->failed, row.name);
     }
     vm.now += row.later;
     vm.engine.Confirm("claims", { 1, "a", vm.now }, vm.now);
     vm.engine.SetConfiguration(test::CustomersConfiguration(3, row.customers),
                                vm.now);
-    caller.heard.reset();
+    caller.lastAnswer.reset();
     vm.Ask(session, statement_kind::kRead, "READ x");
     if (!row.expect) {
-      CHECK_TEXT(!caller.heard, row.name);
+      CHECK_TEXT(!caller.lastAnswer, row.name);
       continue;
     }
-    CHECK_TEXT(caller.heard && caller.heard->failed, row.name);
-    CHECK_TEXT(caller.heard->failed->code == *row.expect, row.name);
+    CHECK_TEXT(caller.lastAnswer && caller.lastAnswer->failed, row.name);
+    CHECK_TEXT(caller.lastAnswer->failed->code == *row.expect, row.name);
     CHECK_TEXT(!vm.HasWork("a"), row.name);
   }
 }
@@ -225,8 +243,8 @@
 TEST(customers, A_request_is_looked_at_again_when_it_is_sent)
 {
   customers_vm vm;
-  hearing_caller first;
-  hearing_caller second;
+  recording_caller first;
+  recording_caller second;
   vm.Ask(vm.Open(first, "key-b"), statement_kind::kRead, "READ x");
   vm.Ask(vm.Open(second, "key-s"), statement_kind::kRead, "READ y");
   vm.now += 5000ms;
@@ -236,9 +254,9 @@
   }
   CHECK(!vm.HasWork("a"));
   for (const auto* one : { &first, &second }) {
-    CHECK(one->heard && one->heard->failed);
-    STRCMP_CONTAINS("keys", one->heard->failed->text.c_str());
-    CHECK(one->heard->failed->code == failure_code::kBusy);
+    CHECK(one->lastAnswer && one->lastAnswer->failed);
+    STRCMP_CONTAINS("keys", one->lastAnswer->failed->text.c_str());
+    CHECK(one->lastAnswer->failed->code == failure_code::kBusy);
   }
 }
 
@@ -247,15 +265,15 @@
 TEST(customers, Customers_have_connections_of_their_own)
 {
   customers_vm vm;
-  hearing_caller first;
+  recording_caller first;
   const auto session = vm.Open(first, "key-b");
   vm.Ask(session, statement_kind::kRead, "READ x");
   vm.Pass(100ms);
   const auto own = vm.servers.lastUsed;
   vm.Answer("a");
-  CHECK(first.heard && !first.heard->failed);
+  CHECK(first.lastAnswer && !first.lastAnswer->failed);
 
-  hearing_caller second;
+  recording_caller second;
   vm.Ask(vm.Open(second, "key-s"), statement_kind::kRead, "READ y");
   CHECK_EQUAL(own, vm.servers.lastUsed);
   vm.Pass(100ms);
@@ -267,7 +285,7 @@
 
 // Nine connections, of which this VM uses six: the seventh customer's takes the
 // place of the one that has rested for longest.
-TEST(customers, The_connection_least_used_gives_way)
+TEST(customers, The_least_recently_used_connection_is_closed)
 {
   std::vector<declared> many;
   for (const char* name : { "c0", "c1", "c2", "c3", "c4", "c5", "c6" }) {
@@ -276,20 +294,20 @@
   customers_vm vm;
   vm.engine.SetConfiguration(test::CustomersConfiguration(3, many), vm.now);
   for (const auto& one : many) {
-    hearing_caller caller;
+    recording_caller caller;
     const auto session = vm.Open(caller, one.customer);
     vm.Ask(session, statement_kind::kRead, "READ x");
     vm.Pass(100ms);
     vm.Answer("a");
-    CHECK_TEXT(caller.heard && !caller.heard->failed, one.customer);
+    CHECK_TEXT(caller.lastAnswer && !caller.lastAnswer->failed, one.customer);
     vm.engine.Close(session, vm.now);
   }
   const auto opened = vm.servers.opened;
-  hearing_caller last;
+  recording_caller last;
   vm.Ask(vm.Open(last, "c6"), statement_kind::kRead, "READ x");
   vm.Pass(100ms);
   CHECK_EQUAL(opened, vm.servers.opened);
-  hearing_caller gone;
+  recording_caller gone;
   vm.Ask(vm.Open(gone, "c0"), statement_kind::kRead, "READ x");
   vm.Pass(100ms);
   CHECK_EQUAL(opened + 1, vm.servers.opened);
--- a/test/currantshed/proxy/strength.cpp
+++ b/test/currantshed/proxy/delegate_selection.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/proxy/strength.hpp"
+#include "currantshed/proxy/delegate_selection.hpp"
 
 #include <string>
 #include <vector>
@@ -6,34 +6,34 @@
 #include <CppUTest/TestHarness.h>
 
 using namespace currantshed;
-using proxy::vm_strength;
+using proxy::vm_capacity;
 
 namespace {
 
-struct strength_row
+struct selection_row
 {
   const char* name;
-  std::vector<vm_strength> vms;
+  std::vector<vm_capacity> vms;
   /// One letter a VM: y if it works for others.
   std::string works;
 };
 
-std::vector<vm_strength>
+std::vector<vm_capacity>
 Domain(unsigned aStrong, unsigned aWeak)
 {
-  std::vector<vm_strength> vms(aStrong, { "marka", 500 });
+  std::vector<vm_capacity> vms(aStrong, { "marka", 500 });
   vms.insert(vms.end(), aWeak, { "marka", 120 });
   return vms;
 }
 
-std::vector<vm_strength>
-Leaving(std::vector<vm_strength> aVms, std::size_t aWhich)
+std::vector<vm_capacity>
+Leaving(std::vector<vm_capacity> aVms, std::size_t aWhich)
 {
-  aVms[aWhich].leaving = true;
+  aVms[aWhich].draining = true;
   return aVms;
 }
 
-const strength_row kRows[] = {
+const selection_row kRows[] = {
   { "no VM", {}, "" },
   { "one", { { "marka", 250 } }, "y" },
   { "all alike", Domain(0, 4), "yyyy" },
@@ -59,13 +59,13 @@
 
 } // namespace
 
-TEST_GROUP(strength){};
+TEST_GROUP(delegate_selection){};
 
-TEST(strength, strong_vms_work_for_others_where_they_are_enough)
+TEST(delegate_selection, high_capacity_vms_are_delegates_where_they_suffice)
 {
   for (const auto& row : kRows) {
     std::string works;
-    for (const bool one : proxy::WorkForOthers(row.vms)) {
+    for (const bool one : proxy::SelectDelegates(row.vms)) {
       works += one ? 'y' : 'n';
     }
     STRCMP_EQUAL_TEXT(row.works.c_str(), works.c_str(), row.name);
--- a/test/currantshed/proxy/leaving.cpp
+++ b/test/currantshed/proxy/draining_servers.cpp
@@ -16,12 +16,12 @@
 
 using namespace currantshed;
 using namespace std::chrono_literals;
-using test::hearing_caller;
 using test::one_vm;
+using test::recording_caller;
 
 namespace {
 
-struct leaving_row
+struct draining_row
 {
   const char* name;
   const char* route;
@@ -34,7 +34,7 @@
 };
 
 void
-Leave(one_vm& aVm)
+StartDraining(one_vm& aVm)
 {
   aVm.List({ "a", "b" }, { "a" });
 }
@@ -45,7 +45,7 @@
   aVm.List({ "b" }, {});
 }
 
-const leaving_row kRows[] = {
+const draining_row kRows[] = {
   { "a primary that stays",
     "claims",
     proxy::statement_kind::kWrite,
@@ -55,25 +55,25 @@
   { "a write, just after the primary said that it leaves",
     "claims",
     proxy::statement_kind::kWrite,
-    Leave,
+    StartDraining,
     500ms,
     true },
   { "a write, when its time is nearly over",
     "claims",
     proxy::statement_kind::kWrite,
-    Leave,
+    StartDraining,
     6500ms,
     false },
   { "a read of the primary, when its time is nearly over",
     "claims",
     proxy::statement_kind::kRead,
-    Leave,
+    StartDraining,
     6500ms,
     false },
   { "a transaction, when its time is nearly over",
     "claims",
     proxy::statement_kind::kBegin,
-    Leave,
+    StartDraining,
     6500ms,
     false },
   { "a read that any server may answer, when its time is nearly over",
@@ -92,13 +92,13 @@
 
 } // namespace
 
-TEST_GROUP(leaving_servers){};
+TEST_GROUP(draining_servers){};
 
-TEST(leaving_servers, get_no_work_when_their_time_is_nearly_over)
+TEST(draining_servers, get_no_work_after_the_grace_period)
 {
   for (const auto& row : kRows) {
     one_vm vm;
-    hearing_caller caller;
+    recording_caller caller;
     row.given(vm);
     vm.Pass(row.after);
     const auto session = vm.engine.Open(row.route, caller);
@@ -115,13 +115,13 @@
 
 // A request got the leaving server in time, but the server was slow to take the
 // session's values; what comes after them would reach it too late.
-TEST(leaving_servers, get_no_work_that_was_held_up_on_its_way_there)
+TEST(draining_servers, get_no_work_that_was_delayed_past_the_grace_period)
 {
   one_vm vm;
-  hearing_caller caller;
+  recording_caller caller;
   const auto session = vm.engine.Open("claims", caller);
   vm.Ask(*session, proxy::statement_kind::kSet, "SET shop 7");
-  Leave(vm);
+  StartDraining(vm);
   vm.Ask(*session, proxy::statement_kind::kWrite, "WRITE 1 x");
   vm.Pass(500ms);
   CHECK(!vm.HasWork("a"));
@@ -158,18 +158,18 @@
 
 } // namespace
 
-TEST(leaving_servers, get_no_work_from_other_vms_when_their_time_is_nearly_over)
+TEST(draining_servers, get_no_relayed_work_after_the_grace_period)
 {
   for (const auto& row : kRelayRows) {
     one_vm vm;
-    hearing_caller caller;
-    Leave(vm);
+    recording_caller caller;
+    StartDraining(vm);
     vm.Pass(row.after);
     const auto session = vm.engine.OpenRelay("a", caller);
     vm.Ask(*session, row.asked, "READ 1");
     if (!row.expected) {
-      CHECK_TEXT(caller.heard && caller.heard->failed, row.name);
-      CHECK_TEXT(caller.heard->failed->code == proxy::failure_code::kBusy,
+      CHECK_TEXT(caller.lastAnswer && caller.lastAnswer->failed, row.name);
+      CHECK_TEXT(caller.lastAnswer->failed->code == proxy::failure_code::kBusy,
                  row.name);
     }
     vm.Pass(500ms);
--- a/test/currantshed/proxy/engine_orders.cpp
+++ b/test/currantshed/proxy/engine_controls.cpp
@@ -6,13 +6,13 @@
 #include <vector>
 
 #include "test/currantshed/proxy/idle_link.hpp"
-#include "test/currantshed/proxy/silent_host.hpp"
+#include "test/currantshed/proxy/null_host.hpp"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace currantshed;
 using namespace std::chrono_literals;
-using proxy::order_result;
+using proxy::control_result;
 using proxy::path;
 
 namespace {
@@ -57,7 +57,7 @@
     for (const char* name : { "vm-1", "vm-2", "vm-3", "vm-4" }) {
       fleet.push_back({ name, name, "10.0.0.1", 7442, false });
     }
-    fleet[2].leaving = true;
+    fleet[2].draining = true;
     engine.SetFleet(fleet, kStart);
   }
 
@@ -65,40 +65,40 @@
   {
     proxy::command question;
     question.kind = proxy::command_kind::kReport;
-    engine.Order(
+    engine.SendControl(
       "i-1",
       question,
       aDirect,
       300ms,
-      [this](const order_result& aResult) { results.push_back(aResult); },
+      [this](const control_result& aResult) { results.push_back(aResult); },
       kStart);
   }
 
-  test::silent_host host;
+  test::null_host host;
   recording_opener opener;
   proxy::engine engine;
-  std::vector<order_result> results;
+  std::vector<control_result> results;
 };
 
-struct word_row
+struct answer_row
 {
   const char* name;
   bool hasPosition;
   bool answered;
 };
 
-constexpr word_row kWordRows[] = {
+constexpr answer_row kAnswerRows[] = {
   { "a refusal of the server", true, true },
   { "a refusal of the VM on the way says nothing of the server", false, false },
 };
 
 } // namespace
 
-TEST_GROUP(engine_orders){};
+TEST_GROUP(engine_controls){};
 
-TEST(engine_orders, only_the_servers_own_word_counts_as_an_answer)
+TEST(engine_controls, only_an_answer_of_the_server_itself_counts)
 {
-  for (const auto& row : kWordRows) {
+  for (const auto& row : kAnswerRows) {
     one_vm made;
     made.Ask(false);
     CHECK_EQUAL(1U, made.opener.relayed.size());
@@ -112,19 +112,20 @@
     link.Answered(busy, kStart + 5ms);
     CHECK_EQUAL(1U, made.results.size());
     CHECK_TEXT(made.results.front().answered == row.answered, row.name);
-    CHECK_TEXT(made.engine.HeardAt("i-1").has_value() == row.answered,
+    CHECK_TEXT(made.engine.LastContactAt("i-1").has_value() == row.answered,
                row.name);
   }
 }
 
-TEST(engine_orders, a_way_that_fails_ends_no_order_that_goes_directly)
+TEST(engine_controls, a_failed_relay_ends_no_direct_control_command)
 {
   one_vm made;
   made.Ask(true);
   made.Ask(false);
   CHECK_EQUAL(1U, made.opener.relayed.size());
   CHECK_EQUAL(1U, made.opener.direct.size());
-  made.opener.relayed.front()->Ended(proxy::link_end::kUnreachable, kStart);
+  made.opener.relayed.front()->Ended(proxy::link_close_reason::kUnreachable,
+                                     kStart);
   CHECK_EQUAL(1U, made.results.size());
   made.opener.direct.front()->Opened(std::nullopt, kStart);
   made.opener.direct.front()->Answered({}, kStart + 5ms);
--- a/test/currantshed/proxy/worst_load.cpp
+++ b/test/currantshed/proxy/engine_overload.cpp
@@ -1,14 +1,14 @@
 #include <functional>
 #include <string>
 
-#include "test/currantshed/proxy/load_world.hpp"
+#include "test/currantshed/proxy/load_simulation.hpp"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace currantshed;
 using namespace std::chrono_literals;
 using test::load_shape;
-using test::load_world;
+using test::load_simulation;
 
 namespace {
 
@@ -21,8 +21,8 @@
   const char* name;
   load_shape shape;
   /// The trouble, and its end.
-  std::function<void(load_world&)> begin;
-  std::function<void(load_world&)> end;
+  std::function<void(load_simulation&)> begin;
+  std::function<void(load_simulation&)> end;
   std::chrono::seconds lasts;
   /// The least part of what is asked during the trouble that must be answered
   /// in time. Where the servers can't do all, it is close to what they can.
@@ -35,41 +35,47 @@
 };
 
 void
-Nothing(load_world& /*aWorld*/)
+Nothing(load_simulation& /*aSimulation*/)
 {
 }
 
-std::function<void(load_world&)>
+std::function<void(load_simulation&)>
 Load(double aFactor)
 {
-  return [aFactor](load_world& aWorld) { aWorld.factor = aFactor; };
+  return
+    [aFactor](load_simulation& aSimulation) { aSimulation.factor = aFactor; };
 }
 
-std::function<void(load_world&)>
+std::function<void(load_simulation&)>
 Slow(std::size_t aServer, double aSlow)
 {
-  return [=](load_world& aWorld) { aWorld.Server(aServer).slow = aSlow; };
+  return [=](load_simulation& aSimulation) {
+    aSimulation.Server(aServer).slow = aSlow;
+  };
 }
 
-std::function<void(load_world&)>
+std::function<void(load_simulation&)>
 BothReplicasBehind(std::chrono::milliseconds aLag)
 {
-  return [aLag](load_world& aWorld) {
-    aWorld.Server(1).lag = aLag;
-    aWorld.Server(2).lag = aLag;
+  return [aLag](load_simulation& aSimulation) {
+    aSimulation.Server(1).lag = aLag;
+    aSimulation.Server(2).lag = aLag;
   };
 }
 
-std::function<void(load_world&)>
-MostWaiting(unsigned aMost)
+std::function<void(load_simulation&)>
+MaxWaiting(unsigned aMost)
 {
-  return [aMost](load_world& aWorld) { aWorld.Server(2).mostWaiting = aMost; };
+  return [aMost](load_simulation& aSimulation) {
+    aSimulation.Server(2).maxWaiting = aMost;
+  };
 }
 
-std::function<void(load_world&)>
-Proofs(bool aAre)
+std::function<void(load_simulation&)>
+Confirmations(bool aAre)
 {
-  return [aAre](load_world& aWorld) { aWorld.proofs = aAre; };
+  return
+    [aAre](load_simulation& aSimulation) { aSimulation.confirmations = aAre; };
 }
 
 // Three servers with three slots each: 5.8 slots' worth of work a second, so
@@ -119,15 +125,15 @@
     0 },
   { "a server that turns away what can't run at once",
     {},
-    MostWaiting(0),
-    MostWaiting(24),
+    MaxWaiting(0),
+    MaxWaiting(24),
     6s,
     0.99,
     0 },
   { "no proof for two seconds",
     {},
-    Proofs(false),
-    Proofs(true),
+    Confirmations(false),
+    Confirmations(true),
     2s,
     0.80,
     0,
@@ -135,49 +141,53 @@
 };
 
 std::string
-Share(const char* aName, const char* aWhat, double aShare)
+FormatShare(const char* aName, const char* aWhat, double aShare)
 {
   return std::string(aName) + ", " + aWhat + ": " + std::to_string(aShare);
 }
 
 } // namespace
 
-TEST_GROUP(worst_load){};
+TEST_GROUP(engine_overload){};
 
-TEST(worst_load, is_served_as_far_as_the_servers_go_and_is_over_at_once)
+TEST(engine_overload, serves_up_to_capacity_and_recovers_at_once)
 {
   constexpr double kRecovered = 0.97;
   // For each try of a caller: the budget's tenth, and its store.
   constexpr double kMostElsewhere = 0.13;
   for (const auto& row : kRows) {
-    load_world world(row.shape, kSeed);
-    world.Run(kBefore);
-    row.begin(world);
-    world.Run(row.lasts);
-    row.end(world);
-    world.Run(kAfter);
+    load_simulation simulation(row.shape, kSeed);
+    simulation.Run(kBefore);
+    row.begin(simulation);
+    simulation.Run(row.lasts);
+    row.end(simulation);
+    simulation.Run(kAfter);
     const auto from = static_cast<std::size_t>(kBefore / 1s);
     const auto to = from + static_cast<std::size_t>(row.lasts.count());
-    const auto during = world.Between(from + 1, to);
+    const auto during = simulation.Between(from + 1, to);
     const double inTime = 1.0 * during.inTime / during.asked;
     CHECK_TEXT(inTime >= row.inTime,
-               Share(row.name, "in time", inTime).c_str());
+               FormatShare(row.name, "in time", inTime).c_str());
     const double prompt = during.refusals == 0
                             ? 1.0
                             : 1.0 * during.promptRefusals / during.refusals;
-    CHECK_TEXT(prompt >= row.prompt, Share(row.name, "prompt", prompt).c_str());
-    const auto after = world.Between(to + 2, to + 5);
+    CHECK_TEXT(prompt >= row.prompt,
+               FormatShare(row.name, "prompt", prompt).c_str());
+    const auto after = simulation.Between(to + 2, to + 5);
     const double recovered = 1.0 * after.inTime / after.asked;
     CHECK_TEXT(recovered >= kRecovered,
-               Share(row.name, "after", recovered).c_str());
-    const double turnedAway = 1.0 * static_cast<double>(world.TurnedAway()) /
-                              static_cast<double>(world.Taken());
-    CHECK_TEXT(turnedAway < 0.03,
-               Share(row.name, "turned away by servers", turnedAway).c_str());
-    const auto all = world.Between(0, to + 6);
-    const double elsewhere = 1.0 * static_cast<double>(world.SentElsewhere()) /
+               FormatShare(row.name, "after", recovered).c_str());
+    const double turnedAway = 1.0 *
+                              static_cast<double>(simulation.TurnedAway()) /
+                              static_cast<double>(simulation.Taken());
+    CHECK_TEXT(
+      turnedAway < 0.03,
+      FormatShare(row.name, "turned away by servers", turnedAway).c_str());
+    const auto all = simulation.Between(0, to + 6);
+    const double elsewhere = 1.0 *
+                             static_cast<double>(simulation.SentElsewhere()) /
                              (all.asked + all.refusals);
     CHECK_TEXT(elsewhere < kMostElsewhere,
-               Share(row.name, "sent elsewhere", elsewhere).c_str());
+               FormatShare(row.name, "sent elsewhere", elsewhere).c_str());
   }
 }
