--- a/test/currantshed/proxy/load_world.cpp
+++ b/test/currantshed/proxy/load_simulation.cpp
@@ -1,4 +1,4 @@
-#include "test/currantshed/proxy/load_world.hpp"
+#include "test/currantshed/proxy/load_simulation.hpp"
 
 #include <algorithm>
 #include <optional>
@@ -18,7 +18,7 @@
 constexpr auto kHop = 1ms;
 constexpr auto kHandshake = 12ms;
 constexpr auto kValidity = 1000ms;
-constexpr auto kProofInterval = 350ms;
+constexpr auto kConfirmationInterval = 350ms;
 constexpr const char* kService = "group";
 constexpr const char* kWrites = "db-writes";
 constexpr const char* kReads = "db-reads";
@@ -51,7 +51,7 @@
 bool
 model_server::Take(std::chrono::microseconds aMean, std::function<void()> aDone)
 {
-  if (!HasSlot() && mWaiting.size() >= mostWaiting) {
+  if (!HasSlot() && mWaiting.size() >= maxWaiting) {
     ++turnedAway;
     return false;
   }
@@ -96,19 +96,19 @@
 }
 
 /// A direct connection to a model server.
-class load_world::link final : public proxy::upstream_link
+class load_simulation::link final : public proxy::upstream_link
 {
 public:
-  link(load_world& aWorld,
+  link(load_simulation& aSimulation,
        model_server& aServer,
        proxy::link_listener& aListener)
-    : mWorld(aWorld)
+    : mSimulation(aSimulation)
     , mServer(aServer)
     , mListener(aListener)
   {
     After(2 * kHop + kHandshake, [this] {
       if (mServer.reachable) {
-        mListener.Opened(mWorld.At(mServer), mWorld.mTime.Now());
+        mListener.Opened(mSimulation.At(mServer), mSimulation.mTime.Now());
       }
     });
   }
@@ -126,7 +126,7 @@
 private:
   void After(clock::duration aSpan, std::function<void()> aWhat)
   {
-    mWorld.mTime.After(aSpan, [alive = mAlive, what = std::move(aWhat)] {
+    mSimulation.mTime.After(aSpan, [alive = mAlive, what = std::move(aWhat)] {
       if (*alive) {
         what();
       }
@@ -143,17 +143,17 @@
       return;
     }
     const bool writes = aCommand.text.starts_with("WRITE");
-    if (aCommand.floor && mWorld.At(mServer) < *aCommand.floor) {
+    if (aCommand.floor && mSimulation.At(mServer) < *aCommand.floor) {
       Refuse(failure_code::kLagging);
       return;
     }
-    const auto& shape = mWorld.mShape;
+    const auto& shape = mSimulation.mShape;
     const auto work = writes ? shape.writeWork : shape.readWork;
     // The server works on, whether the connection lives or not.
     const bool isTaken =
       mServer.Take(work, [this, alive = mAlive, aCommand, writes] {
         if (writes) {
-          mWorld.mLog.push_back(mWorld.mTime.Now());
+          mSimulation.mLog.push_back(mSimulation.mTime.Now());
         }
         if (*alive) {
           proxy::answer made;
@@ -176,28 +176,28 @@
 
   void Answer(proxy::answer aAnswer)
   {
-    aAnswer.position = mWorld.At(mServer);
+    aAnswer.position = mSimulation.At(mServer);
     After(kHop, [this, made = std::move(aAnswer)] {
       if (mServer.reachable) {
-        mListener.Answered(made, mWorld.mTime.Now());
+        mListener.Answered(made, mSimulation.mTime.Now());
       }
     });
   }
 
-  load_world& mWorld;
+  load_simulation& mSimulation;
   model_server& mServer;
   proxy::link_listener& mListener;
   std::shared_ptr<bool> mAlive = std::make_shared<bool>(true);
 };
 
 /// One VM's engine.
-class load_world::vm final
+class load_simulation::vm final
   : public proxy::link_opener
   , public proxy::engine_host
 {
 public:
-  vm(load_world& aWorld, std::size_t aNumber)
-    : mWorld(aWorld)
+  vm(load_simulation& aSimulation, std::size_t aNumber)
+    : mSimulation(aSimulation)
     , engine({ VmName(aNumber), DomainName(aNumber), kValidity }, *this, *this)
   {
   }
@@ -210,30 +210,35 @@
   {
     if (aVia.IsDirect()) {
       return std::make_unique<link>(
-        mWorld, *mWorld.Find(aServer.id), aListener);
+        mSimulation, *mSimulation.Find(aServer.id), aListener);
     }
     const auto through = std::stoul(aVia.vm.substr(3));
-    return std::make_unique<relay_link>(mWorld.mTime,
-                                        mWorld.mVms[through]->engine,
-                                        aServer.id,
-                                        aListener,
-                                        [this] { return mWorld.mIsEnding; });
+    return std::make_unique<relay_link>(
+      mSimulation.mTime,
+      mSimulation.mVms[through]->engine,
+      aServer.id,
+      aListener,
+      [this] { return mSimulation.mIsEnding; });
   }
 
   void NeedsConfirmation(const std::string&) override {}
-  void LeadDenied(const std::string&, position::term_id) override {}
+  void LeadershipDenied(const std::string&, position::term_id) override {}
   void NeedsTokens(const std::string& /*aCustomer*/,
                    unsigned /*aCount*/) override
   {
   }
   void Decided(const proxy::decision& aDecision) override
   {
-    mWorld.mSentElsewhere += aDecision.outcome == "elsewhere" ? 1 : 0;
+    mSimulation.mSentElsewhere += aDecision.outcome == "elsewhere" ? 1 : 0;
+  }
+  void ReachabilityChanged(const proxy::server&,
+                           bool,
+                           std::string_view) override
+  {
   }
-  void Reached(const proxy::server&, bool, std::string_view) override {}
 
 private:
-  load_world& mWorld;
+  load_simulation& mSimulation;
 
 public:
   proxy::engine engine;
@@ -241,25 +246,25 @@
 
 /// One operation: a session with a single statement, tried again after
 /// refusals.
-class load_world::caller final : public proxy::caller
+class load_simulation::caller final : public proxy::caller
 {
 public:
-  caller(load_world& aWorld,
+  caller(load_simulation& aSimulation,
          std::uint64_t aNumber,
          bool aWrites,
          clock::time_point aBegan)
-    : mWorld(aWorld)
+    : mSimulation(aSimulation)
     , mNumber(aNumber)
     , mWrites(aWrites)
     , mBegan(aBegan)
-    , mRetries(aWorld.mShape.retries)
+    , mRetries(aSimulation.mShape.retries)
   {
     Try();
   }
 
   void Deliver(const proxy::answer& aAnswer) override
   {
-    const auto now = mWorld.mTime.Now();
+    const auto now = mSimulation.mTime.Now();
     if (!aAnswer.failed) {
       End(now - mBegan <= Target() ? &load_result::inTime : &load_result::late);
       return;
@@ -274,7 +279,7 @@
       return;
     }
     --mRetries;
-    mWorld.mTime.After(mWorld.mShape.backoff, [this] { Try(); });
+    mSimulation.mTime.After(mSimulation.mShape.backoff, [this] { Try(); });
   }
 
   void Close() override {}
@@ -283,22 +288,22 @@
   void Try()
   {
     Leave();
-    mTriedAt = mWorld.mTime.Now();
-    mVm = mWorld.mRandom() % mWorld.mVms.size();
-    auto& engine = mWorld.mVms[mVm]->engine;
+    mTriedAt = mSimulation.mTime.Now();
+    mVm = mSimulation.mRandom() % mSimulation.mVms.size();
+    auto& engine = mSimulation.mVms[mVm]->engine;
     mSession = engine.Open(mWrites ? kWrites : kReads, *this);
     proxy::session_statement asked;
     asked.kind = mWrites ? statement_kind::kWrite : statement_kind::kRead;
     asked.id = std::to_string(mNumber) + "-" + std::to_string(mRetries);
     asked.text = mWrites ? "WRITE a b" : "READ a";
-    engine.Submit(*mSession, asked, mWorld.mTime.Now());
+    engine.Submit(*mSession, asked, mSimulation.mTime.Now());
   }
 
   // The engine may be in the middle of this session's event.
   void Leave()
   {
     if (mSession) {
-      mWorld.mVms[mVm]->engine.Close(*mSession, mWorld.mTime.Now());
+      mSimulation.mVms[mVm]->engine.Close(*mSession, mSimulation.mTime.Now());
       mSession.reset();
     }
   }
@@ -306,25 +311,27 @@
   void End(unsigned load_result::*aHow)
   {
     ++(Result().*aHow);
-    mWorld.mTime.After(0ms, [this] {
+    mSimulation.mTime.After(0ms, [this] {
       Leave();
-      mWorld.mDone.push_back(mNumber);
+      mSimulation.mDone.push_back(mNumber);
     });
   }
 
   [[nodiscard]] load_result& Result()
   {
     const auto second =
-      std::chrono::floor<std::chrono::seconds>(mBegan - mWorld.mStart).count();
-    return mWorld.mResults[static_cast<std::size_t>(second)];
+      std::chrono::floor<std::chrono::seconds>(mBegan - mSimulation.mStart)
+        .count();
+    return mSimulation.mResults[static_cast<std::size_t>(second)];
   }
 
   [[nodiscard]] std::chrono::milliseconds Target() const
   {
-    return mWrites ? mWorld.mShape.writeTarget : mWorld.mShape.readTarget;
+    return mWrites ? mSimulation.mShape.writeTarget
+                   : mSimulation.mShape.readTarget;
   }
 
-  load_world& mWorld;
+  load_simulation& mSimulation;
   std::uint64_t mNumber;
   bool mWrites;
   clock::time_point mBegan;
@@ -334,7 +341,7 @@
   std::optional<proxy::engine::session_id> mSession;
 };
 
-load_world::load_world(const load_shape& aShape, std::uint32_t aSeed)
+load_simulation::load_simulation(const load_shape& aShape, std::uint32_t aSeed)
   : mShape(aShape)
   , mRandom(aSeed)
   , mStart(mTime.Now())
@@ -376,26 +383,26 @@
     engine.SetConfiguration(configuration, mTime.Now());
     engine.SetFleet(fleet, mTime.Now());
     engine.SetServers(servers, mTime.Now());
-    Drive(i);
+    ScheduleTick(i);
   }
-  Prove();
+  ConfirmPrimary();
   Ask(true);
   Ask(false);
 }
 
-load_world::~load_world()
+load_simulation::~load_simulation()
 {
   mIsEnding = true;
 }
 
 void
-load_world::Run(std::chrono::milliseconds aSpan)
+load_simulation::Run(std::chrono::milliseconds aSpan)
 {
   mTime.RunUntil(mTime.Now() + aSpan);
 }
 
 load_result
-load_world::Between(std::size_t aFrom, std::size_t aTo) const
+load_simulation::Between(std::size_t aFrom, std::size_t aTo) const
 {
   load_result sum;
   for (auto i = aFrom; i < std::min(aTo, mResults.size()); ++i) {
@@ -405,7 +412,7 @@
 }
 
 std::uint64_t
-load_world::Taken() const
+load_simulation::Taken() const
 {
   std::uint64_t sum = 0;
   for (const auto& one : mServers) {
@@ -415,7 +422,7 @@
 }
 
 std::uint64_t
-load_world::TurnedAway() const
+load_simulation::TurnedAway() const
 {
   std::uint64_t sum = 0;
   for (const auto& one : mServers) {
@@ -425,7 +432,7 @@
 }
 
 model_server*
-load_world::Find(const std::string& aServer)
+load_simulation::Find(const std::string& aServer)
 {
   for (const auto& one : mServers) {
     if (one->listed.id == aServer) {
@@ -437,7 +444,7 @@
 
 // A replica has what was written before its lag; the primary has all.
 position::log_position
-load_world::At(const model_server& aServer) const
+load_simulation::At(const model_server& aServer) const
 {
   const auto upTo = aServer.leads ? mTime.Now() : mTime.Now() - aServer.lag;
   const auto end = std::upper_bound(mLog.begin(), mLog.end(), upTo);
@@ -445,33 +452,33 @@
 }
 
 void
-load_world::Drive(std::size_t aVm)
+load_simulation::ScheduleTick(std::size_t aVm)
 {
   auto& engine = mVms[aVm]->engine;
   engine.Tick(mTime.Now());
   mTime.At(std::max(engine.NextTick(), mTime.Now() + 1ms),
-           [this, aVm] { Drive(aVm); });
+           [this, aVm] { ScheduleTick(aVm); });
 }
 
 void
-load_world::Prove()
+load_simulation::ConfirmPrimary()
 {
-  if (proofs) {
+  if (confirmations) {
     const auto& primary = *mServers.front();
-    const proxy::confirmation proof{ 1, primary.listed.id, mTime.Now() };
+    const proxy::confirmation confirmed{ 1, primary.listed.id, mTime.Now() };
     const proxy::position_sample sample{ 1, At(primary), mTime.Now() };
-    mTime.After(2 * kHop, [this, proof, sample] {
+    mTime.After(2 * kHop, [this, confirmed, sample] {
       for (auto& one : mVms) {
-        one->engine.Confirm(kService, proof, mTime.Now());
+        one->engine.Confirm(kService, confirmed, mTime.Now());
         one->engine.AddSample(kService, sample);
       }
     });
   }
-  mTime.After(kProofInterval, [this] { Prove(); });
+  mTime.After(kConfirmationInterval, [this] { ConfirmPrimary(); });
 }
 
 void
-load_world::Ask(bool aWrites)
+load_simulation::Ask(bool aWrites)
 {
   const auto rate = (aWrites ? mShape.writes : mShape.reads) * factor;
   std::exponential_distribution<double> gap(rate);
@@ -490,7 +497,7 @@
 }
 
 void
-load_world::Reap()
+load_simulation::Reap()
 {
   for (const auto number : std::exchange(mDone, {})) {
     mCallers.erase(number);
@@ -498,7 +505,7 @@
 }
 
 std::size_t
-load_world::Second() const
+load_simulation::Second() const
 {
   return static_cast<std::size_t>(
     std::chrono::floor<std::chrono::seconds>(mTime.Now() - mStart).count());
--- a/test/currantshed/proxy/load_world.hpp
+++ b/test/currantshed/proxy/load_simulation.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_TEST_PROXY_LOAD_WORLD_HPP
-#define CURRANTSHED_TEST_PROXY_LOAD_WORLD_HPP
+#ifndef CURRANTSHED_TEST_PROXY_LOAD_SIMULATION_HPP
+#define CURRANTSHED_TEST_PROXY_LOAD_SIMULATION_HPP
 
 #include <chrono>
 #include <cstdint>
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "currantshed/proxy/engine.hpp"
-#include "test/currantshed/proxy/world.hpp"
+#include "test/currantshed/proxy/simulated_cluster.hpp"
 
 namespace currantshed::test {
 
@@ -37,7 +37,7 @@
   double slow = 1.0;
   /// How far behind the primary it applies what was written.
   std::chrono::milliseconds lag{ 0 };
-  unsigned mostWaiting = 24;
+  unsigned maxWaiting = 24;
   std::uint64_t turnedAway = 0;
   std::uint64_t taken = 0;
 
@@ -94,13 +94,13 @@
 
 /// One group of servers, the engines of some VMs and a stream of callers, in
 /// virtual time.
-class load_world
+class load_simulation
 {
 public:
-  load_world(const load_shape& aShape, std::uint32_t aSeed);
-  ~load_world();
-  load_world(const load_world&) = delete;
-  load_world& operator=(const load_world&) = delete;
+  load_simulation(const load_shape& aShape, std::uint32_t aSeed);
+  ~load_simulation();
+  load_simulation(const load_simulation&) = delete;
+  load_simulation& operator=(const load_simulation&) = delete;
 
   [[nodiscard]] timeline& Time() { return mTime; }
   [[nodiscard]] model_server& Server(std::size_t aNumber)
@@ -110,7 +110,7 @@
   /// How much the callers ask for, against the shape.
   double factor = 1.0;
   /// Whether somebody proves the primary all the while.
-  bool proofs = true;
+  bool confirmations = true;
 
   /// Lets so much time pass.
   void Run(std::chrono::milliseconds aSpan);
@@ -132,8 +132,8 @@
 
   [[nodiscard]] model_server* Find(const std::string& aServer);
   [[nodiscard]] position::log_position At(const model_server& aServer) const;
-  void Drive(std::size_t aVm);
-  void Prove();
+  void ScheduleTick(std::size_t aVm);
+  void ConfirmPrimary();
   void Ask(bool aWrites);
   void Reap();
   [[nodiscard]] std::size_t Second() const;
--- a/test/currantshed/proxy/many_groups.cpp
+++ b/test/currantshed/proxy/many_groups.cpp
@@ -42,10 +42,10 @@
 
 /// One weak VM of a fleet before as many groups as there are VMs, of which its
 /// callers use one.
-class weak_vm
+class non_delegate_vm
 {
 public:
-  explicit weak_vm(std::size_t aSize)
+  explicit non_delegate_vm(std::size_t aSize)
     : mSize(aSize)
   {
     auto made = std::make_shared<proxy::configuration>();
@@ -79,16 +79,19 @@
     mEngine.Submit(*session, asked, mNow);
   }
 
-  void Comes(bool aIsStrong)
+  void AddVm(bool aIsDelegate)
   {
     auto fleet = Fleet(mSize + 1);
-    fleet.back().worksForOthers = aIsStrong;
+    fleet.back().isDelegate = aIsDelegate;
     mEngine.SetFleet(std::move(fleet), mNow);
     mNow += 300ms;
     mEngine.Tick(mNow);
   }
 
-  [[nodiscard]] std::uint64_t LookedAt() const { return mEngine.LookedAt(); }
+  [[nodiscard]] std::uint64_t ServersExamined() const
+  {
+    return mEngine.ServersExamined();
+  }
   [[nodiscard]] std::uint64_t PlansMade() const { return mEngine.PlansMade(); }
 
 private:
@@ -108,9 +111,9 @@
 
   std::size_t mSize;
   clock::time_point mNow = test::kStart;
-  test::keeping_servers mServers;
-  test::silent_host mHost;
-  test::hearing_caller mCaller;
+  test::recording_servers mServers;
+  test::null_host mHost;
+  test::recording_caller mCaller;
   proxy::engine mEngine{ { "vm-0", "north", 100000ms }, mServers, mHost };
 };
 
@@ -121,27 +124,27 @@
 // Before a thousand groups a VM's callers use a dozen. A request that looked at
 // the servers of all of them, and a VM that planned its ways to all whenever
 // another one came, took time for each that nobody used.
-TEST(many_groups, a_request_costs_the_servers_of_its_group)
+TEST(many_groups, a_request_examines_only_its_own_group)
 {
   for (const std::size_t size : { 50, 100, 200 }) {
-    weak_vm one(size);
+    non_delegate_vm one(size);
     CHECK_EQUAL(0, one.PlansMade());
     one.Ask();
-    CHECK_EQUAL(kServersOfGroup, one.LookedAt());
+    CHECK_EQUAL(kServersOfGroup, one.ServersExamined());
     CHECK_EQUAL(kServersOfGroup, one.PlansMade());
   }
 }
 
-TEST(many_groups, a_vm_that_comes_costs_the_servers_in_use)
+TEST(many_groups, adding_a_vm_replans_only_the_servers_in_use)
 {
   for (const std::size_t size : { 50, 100, 200 }) {
-    weak_vm one(size);
+    non_delegate_vm one(size);
     one.Ask();
     const auto before = one.PlansMade();
     // One that works for others changes the plans that are used, another none.
-    one.Comes(false);
+    one.AddVm(false);
     CHECK_EQUAL(before, one.PlansMade());
-    one.Comes(true);
+    one.AddVm(true);
     one.Ask();
     CHECK(one.PlansMade() > before);
     CHECK(one.PlansMade() - before <= kServersOfGroup);
--- a/test/currantshed/proxy/one_vm.hpp
+++ b/test/currantshed/proxy/one_vm.hpp
@@ -12,7 +12,7 @@
 
 #include "currantshed/proxy/engine.hpp"
 
-#include "test/currantshed/proxy/silent_host.hpp"
+#include "test/currantshed/proxy/null_host.hpp"
 
 namespace currantshed::test {
 
@@ -22,13 +22,13 @@
 inline constexpr clock::time_point kStart{ 1h };
 
 /// Servers that take connections at once, and keep what they are sent.
-class keeping_servers final : public proxy::link_opener
+class recording_servers final : public proxy::link_opener
 {
 public:
   class link final : public proxy::upstream_link
   {
   public:
-    link(keeping_servers& aServers, std::string aServer)
+    link(recording_servers& aServers, std::string aServer)
       : mServers(aServers)
       , mServer(std::move(aServer))
       , mNumber(aServers.opened)
@@ -45,7 +45,7 @@
     }
 
   private:
-    keeping_servers& mServers;
+    recording_servers& mServers;
     std::string mServer;
     int mNumber;
   };
@@ -73,13 +73,13 @@
   std::map<std::string, std::vector<command_kind>> sent;
 };
 
-class hearing_caller final : public proxy::caller
+class recording_caller final : public proxy::caller
 {
 public:
-  void Deliver(const proxy::answer& aAnswer) override { heard = aAnswer; }
+  void Deliver(const proxy::answer& aAnswer) override { lastAnswer = aAnswer; }
   void Close() override {}
 
-  std::optional<proxy::answer> heard;
+  std::optional<proxy::answer> lastAnswer;
 };
 
 /// One VM before a group whose primary is "a".
@@ -177,13 +177,13 @@
              });
   }
 
-  keeping_servers servers;
+  recording_servers servers;
   /// Where servers' logs stand as connections open.
   position::log_position opensAt{ 1, 5 };
   clock::time_point now = kStart;
 
 private:
-  silent_host mHost;
+  null_host mHost;
 
 public:
   proxy::engine engine;
--- a/test/currantshed/proxy/quota.cpp
+++ b/test/currantshed/proxy/quota.cpp
@@ -12,7 +12,7 @@
 using namespace std::chrono_literals;
 using proxy::failure_code;
 using proxy::statement_kind;
-using test::hearing_caller;
+using test::recording_caller;
 
 namespace {
 
@@ -27,11 +27,11 @@
       test::CustomersConfiguration(2, { { "baker", { "key-b" }, aLimit } }),
       now);
     customer::freshness fresh(5000ms);
-    fresh.Prove(now);
+    fresh.MarkVerified(now);
     engine.SetFreshness(fresh);
   }
 
-  proxy::engine::session_id Open(hearing_caller& aCaller,
+  proxy::engine::session_id Open(recording_caller& aCaller,
                                  const char* aDatabase = "claims")
   {
     return *engine.Open(aDatabase, aCaller, "key-b");
@@ -97,15 +97,15 @@
 {
   for (const auto& row : kCountedRows) {
     limited_vm vm(row.limit);
-    hearing_caller caller;
+    recording_caller caller;
     const auto session = vm.Open(caller, row.database);
     unsigned used = 0;
     for (const auto& [kind, text] : row.asked) {
-      caller.heard.reset();
+      caller.lastAnswer.reset();
       vm.Ask(session, kind, text);
       vm.Pass(50ms);
       if (row.tokens > 0) {
-        CHECK_TEXT(!caller.heard && vm.servers.sent["a"].size() == used,
+        CHECK_TEXT(!caller.lastAnswer && vm.servers.sent["a"].size() == used,
                    row.name);
         vm.engine.GrantTokens("baker", 1, vm.now, vm.now);
         ++used;
@@ -113,7 +113,7 @@
       if (kind != statement_kind::kSet) {
         vm.Serve();
       }
-      CHECK_TEXT(caller.heard && !caller.heard->failed, row.name);
+      CHECK_TEXT(caller.lastAnswer && !caller.lastAnswer->failed, row.name);
     }
     LONGS_EQUAL_TEXT(row.tokens, used, row.name);
   }
@@ -122,10 +122,10 @@
 TEST(quota, A_transaction_takes_one)
 {
   limited_vm vm;
-  hearing_caller caller;
+  recording_caller caller;
   const auto session = vm.Open(caller);
   vm.Ask(session, statement_kind::kBegin, "BEGIN");
-  caller.heard.reset();
+  caller.lastAnswer.reset();
   vm.Ask(session, statement_kind::kRead, "READ x");
   vm.Pass(50ms);
   CHECK(!vm.HasWork("a"));
@@ -133,28 +133,29 @@
   // The beginning, then the statement.
   vm.Serve();
   vm.Serve();
-  CHECK(caller.heard && !caller.heard->failed);
-  caller.heard.reset();
+  CHECK(caller.lastAnswer && !caller.lastAnswer->failed);
+  caller.lastAnswer.reset();
   vm.Ask(session, statement_kind::kRead, "READ y");
   vm.Serve();
-  CHECK(caller.heard && !caller.heard->failed);
+  CHECK(caller.lastAnswer && !caller.lastAnswer->failed);
 }
 
 TEST(quota, Refused_operations_are_told_when_to_come_back)
 {
   limited_vm vm;
-  hearing_caller first;
-  hearing_caller second;
+  recording_caller first;
+  recording_caller second;
   vm.Ask(vm.Open(first), statement_kind::kRead, "READ x");
   vm.Ask(vm.Open(second), statement_kind::kRead, "READ y");
   vm.engine.RefuseTokens("baker", 1, 300ms, vm.now);
-  CHECK(first.heard && first.heard->failed);
-  CHECK(first.heard->failed->code == failure_code::kBusy);
-  STRCMP_CONTAINS("retry after 300 ms", first.heard->failed->text.c_str());
-  CHECK(!second.heard);
+  CHECK(first.lastAnswer && first.lastAnswer->failed);
+  CHECK(first.lastAnswer->failed->code == failure_code::kBusy);
+  STRCMP_CONTAINS("retry after 300 ms", first.lastAnswer->failed->text.c_str());
+  CHECK(!second.lastAnswer);
   vm.Pass(200ms);
   // Nobody has answered for half of its target.
-  CHECK(second.heard && second.heard->failed->code == failure_code::kBusy);
+  CHECK(second.lastAnswer &&
+        second.lastAnswer->failed->code == failure_code::kBusy);
   CHECK(!vm.HasWork("a"));
 }
 
@@ -163,13 +164,13 @@
 TEST(quota, Tokens_go_to_those_that_wait_in_their_order)
 {
   limited_vm vm;
-  hearing_caller gone;
-  hearing_caller waits;
+  recording_caller gone;
+  recording_caller waits;
   const auto left = vm.Open(gone);
   vm.Ask(left, statement_kind::kRead, "READ x");
   vm.Ask(vm.Open(waits), statement_kind::kRead, "READ y");
   vm.engine.Close(left, vm.now);
-  hearing_caller late;
+  recording_caller late;
   vm.Ask(vm.Open(late), statement_kind::kRead, "READ z");
   vm.engine.GrantTokens("baker", 1, vm.now, vm.now);
   vm.Pass(50ms);
@@ -180,7 +181,7 @@
 TEST(quota, Old_tokens_let_nothing_begin)
 {
   limited_vm vm;
-  hearing_caller caller;
+  recording_caller caller;
   const auto askedAt = vm.now;
   vm.Ask(vm.Open(caller), statement_kind::kRead, "READ x");
   vm.now += 2000ms;
--- a/test/currantshed/proxy/random_sessions.cpp
+++ b/test/currantshed/proxy/random_sessions.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <string>
 
-#include "test/currantshed/proxy/world.hpp"
+#include "test/currantshed/proxy/simulated_cluster.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 using proxy::failure_code;
 using proxy::statement_kind;
-using test::change_fate;
+using test::change_outcome;
 
 namespace {
 
@@ -36,8 +36,10 @@
 class random_caller final : public proxy::caller
 {
 public:
-  random_caller(test::world& aWorld, std::uint64_t aNumber, std::size_t aVm)
-    : mWorld(aWorld)
+  random_caller(test::simulated_cluster& aCluster,
+                std::uint64_t aNumber,
+                std::size_t aVm)
+    : mCluster(aCluster)
     , mNumber(aNumber)
     , mVm(aVm)
   {
@@ -47,38 +49,38 @@
   void Deliver(const proxy::answer& aAnswer) override
   {
     if (!mWaiting) {
-      mWorld.Wrong("an answer to nothing");
+      mCluster.AddViolation("an answer to nothing");
       return;
     }
     mWaiting = false;
-    ++mWorld.answers;
+    ++mCluster.answers;
     Check(aAnswer);
-    mWorld.Time().After(Pause(), [this] { Next(); });
+    mCluster.Time().After(Pause(), [this] { Next(); });
   }
 
   void Close() override
   {
-    mWorld.Time().After(1ms, [this] { Reconnect(); });
+    mCluster.Time().After(1ms, [this] { Reconnect(); });
   }
 
-  [[nodiscard]] bool Waits() const { return mWaiting; }
+  [[nodiscard]] bool IsWaiting() const { return mWaiting; }
 
 private:
   std::chrono::milliseconds Pause()
   {
-    return std::chrono::milliseconds{ 1 + mWorld.Random()() % 20 };
+    return std::chrono::milliseconds{ 1 + mCluster.Random()() % 20 };
   }
 
   void Connect()
   {
-    mDatabase = kDatabases[mWorld.Random()() % 3];
-    mSession = mWorld.Engine(mVm).Open(mDatabase, *this);
+    mDatabase = kDatabases[mCluster.Random()() % 3];
+    mSession = mCluster.Engine(mVm).Open(mDatabase, *this);
     mValues.clear();
     mShapes.clear();
     mOpen = false;
     mFailed = false;
     mOwnCommit = 0;
-    mWorld.Time().After(Pause(), [this, session = mSession] {
+    mCluster.Time().After(Pause(), [this, session = mSession] {
       if (session == mSession) {
         Next();
       }
@@ -89,10 +91,10 @@
   {
     if (mSession) {
       if (mWaiting) {
-        Told(change_fate::told::kUnknown);
+        Reported(change_outcome::reported::kUnknown);
       }
       mWaiting = false;
-      mWorld.Engine(mVm).Close(*mSession, mWorld.Time().Now());
+      mCluster.Engine(mVm).Close(*mSession, mCluster.Time().Now());
       Connect();
     }
   }
@@ -102,7 +104,7 @@
     if (mWaiting || !mSession) {
       return;
     }
-    if (mWorld.Chance(10)) {
+    if (mCluster.Chance(10)) {
       Reconnect();
       return;
     }
@@ -119,7 +121,7 @@
 
   void Choose()
   {
-    const auto draw = mWorld.Random()() % 100;
+    const auto draw = mCluster.Random()() % 100;
     if (mOpen && draw < 20) {
       mAsked.kind = statement_kind::kCommit;
       mAsked.text = "COMMIT";
@@ -127,19 +129,19 @@
       mAsked.kind = statement_kind::kRollback;
       mAsked.text = "ROLLBACK";
     } else if (!mOpen && draw < 15) {
-      mReadOnly = mWorld.Chance(400);
+      mReadOnly = mCluster.Chance(400);
       mAsked.kind =
         mReadOnly ? statement_kind::kBeginReadOnly : statement_kind::kBegin;
       mAsked.text = mReadOnly ? "BEGIN READ" : "BEGIN";
     } else if (draw < 35) {
       mAsked.kind = statement_kind::kSet;
-      mAsked.name = "n" + std::to_string(mWorld.Random()() % 2);
-      mAsked.argument = std::to_string(mWorld.Random()() % 3);
+      mAsked.name = "n" + std::to_string(mCluster.Random()() % 2);
+      mAsked.argument = std::to_string(mCluster.Random()() % 3);
     } else if (draw < 45) {
       mAsked.kind = statement_kind::kPrepare;
-      mAsked.name = "p" + std::to_string(mWorld.Random()() % 2);
-      mAsked.writes = MayWrite() && mWorld.Chance(500);
-      mAsked.argument = "shape" + std::to_string(mWorld.Random()() % 3) +
+      mAsked.name = "p" + std::to_string(mCluster.Random()() % 2);
+      mAsked.writes = MayWrite() && mCluster.Chance(500);
+      mAsked.argument = "shape" + std::to_string(mCluster.Random()() % 3) +
                         (mAsked.writes ? "w" : "r");
     } else if (draw < 60 && !mShapes.empty()) {
       ChooseExecution();
@@ -155,7 +157,7 @@
   void ChooseExecution()
   {
     auto chosen = mShapes.begin();
-    std::advance(chosen, mWorld.Random()() % mShapes.size());
+    std::advance(chosen, mCluster.Random()() % mShapes.size());
     const bool writes = chosen->second.back() == 'w';
     if (writes && !MayWrite()) {
       mAsked.kind = statement_kind::kRead;
@@ -180,7 +182,7 @@
 
   void Send()
   {
-    test::issued known;
+    test::issued_request known;
     known.caller = mNumber;
     known.values = mValues;
     if (mAsked.kind == statement_kind::kExecute) {
@@ -191,13 +193,13 @@
       mTransaction = ++mTransactions;
       mWrites.clear();
       mBegunMustSee = MustSee();
-      mBegunTerm = mWorld.Group().term;
+      mBegunTerm = mCluster.Group().term;
     }
     known.transaction = mOpen ? mTransaction : 0;
-    known.sentAt = mWorld.Time().Now();
+    known.sentAt = mCluster.Time().Now();
     known.mustSee = mOpen ? mBegunMustSee : MustSee();
-    known.mustSeeTerm = mOpen ? mBegunTerm : mWorld.Group().term;
-    mWorld.known[mAsked.id] = known;
+    known.mustSeeTerm = mOpen ? mBegunTerm : mCluster.Group().term;
+    mCluster.known[mAsked.id] = known;
     if (!mOpen) {
       mWrites.clear();
     }
@@ -205,17 +207,17 @@
       mWrites.push_back(mAsked.id);
     }
     mWaiting = true;
-    mSentAt = mWorld.Time().Now();
-    mWorld.Engine(mVm).Submit(*mSession, mAsked, mWorld.Time().Now());
+    mSentAt = mCluster.Time().Now();
+    mCluster.Engine(mVm).Submit(*mSession, mAsked, mCluster.Time().Now());
   }
 
   // The newest commit that a read sent now must see.
   [[nodiscard]] std::uint64_t MustSee() const
   {
-    const auto now = mWorld.Time().Now();
+    const auto now = mCluster.Time().Now();
     const bool bounded = mDatabase != "db-primary";
     std::uint64_t least = 0;
-    for (const auto& [at, position] : mWorld.acknowledged) {
+    for (const auto& [at, position] : mCluster.acknowledged) {
       if (!bounded || at + 1500ms < now) {
         least = std::max(least, position);
       }
@@ -226,10 +228,10 @@
   // A commit of an older term counts as far as the new primary has it.
   [[nodiscard]] std::uint64_t OwnCommit() const
   {
-    return mWorld.Kept(mOwnCommit, mOwnTerm);
+    return mCluster.Kept(mOwnCommit, mOwnTerm);
   }
 
-  void Told(change_fate::told aWhat)
+  void Reported(change_outcome::reported aWhat)
   {
     const bool single = !mOpen && Changes();
     const bool commit = mOpen && mAsked.kind == statement_kind::kCommit;
@@ -237,14 +239,14 @@
       return;
     }
     for (const auto& id : mWrites) {
-      mWorld.fates[id].what = aWhat;
+      mCluster.outcomes[id].what = aWhat;
     }
   }
 
   void Check(const proxy::answer& aAnswer)
   {
-    if (mWorld.Time().Now() - mSentAt > 2s) {
-      mWorld.Wrong("an answer after two seconds");
+    if (mCluster.Time().Now() - mSentAt > 2s) {
+      mCluster.AddViolation("an answer after two seconds");
     }
     if (aAnswer.failed) {
       CheckFailure(*aAnswer.failed);
@@ -255,7 +257,8 @@
                           : mOpen ? proxy::transaction_state::kOpen
                                   : proxy::transaction_state::kIdle;
     if (aAnswer.state != expected) {
-      mWorld.Wrong("the answer to " + mAsked.id + " has a wrong state");
+      mCluster.AddViolation("the answer to " + mAsked.id +
+                            " has a wrong state");
     }
   }
 
@@ -264,10 +267,10 @@
     if (mAsked.kind == statement_kind::kSet ||
         mAsked.kind == statement_kind::kPrepare ||
         mAsked.kind == statement_kind::kRollback) {
-      mWorld.Wrong("a local statement failed");
+      mCluster.AddViolation("a local statement failed");
     }
-    Told(IsPromise(aWhy.code) ? change_fate::told::kNotRun
-                              : change_fate::told::kUnknown);
+    Reported(IsPromise(aWhy.code) ? change_outcome::reported::kNotRun
+                                  : change_outcome::reported::kUnknown);
     if (mOpen) {
       mFailed = mAsked.kind != statement_kind::kCommit;
       mOpen = mFailed;
@@ -276,7 +279,7 @@
 
   void CheckSuccess(const proxy::answer& aAnswer)
   {
-    ++mWorld.successes;
+    ++mCluster.successes;
     switch (mAsked.kind) {
       case statement_kind::kBegin:
       case statement_kind::kBeginReadOnly:
@@ -296,21 +299,22 @@
         break;
     }
     if (aAnswer.signature != "signed-" + mAsked.id) {
-      mWorld.Wrong("success of " + mAsked.id + " without its signature");
+      mCluster.AddViolation("success of " + mAsked.id +
+                            " without its signature");
     }
-    Told(change_fate::told::kAcknowledged);
+    Reported(change_outcome::reported::kAcknowledged);
     const bool commit = mAsked.kind == statement_kind::kCommit;
     if ((commit && !mWrites.empty()) || (!mOpen && Changes())) {
       mOwnCommit = aAnswer.position->index;
       mOwnTerm = aAnswer.position->term;
-      mWorld.acknowledged.emplace_back(mWorld.Time().Now(), mOwnCommit);
+      mCluster.acknowledged.emplace_back(mCluster.Time().Now(), mOwnCommit);
     }
     if (commit) {
       mOpen = false;
     }
   }
 
-  test::world& mWorld;
+  test::simulated_cluster& mCluster;
   std::uint64_t mNumber;
   std::size_t mVm;
   std::string mDatabase;
@@ -339,7 +343,7 @@
   test::fault_rates rates;
   std::size_t vms;
   unsigned connections;
-  bool losesPrimaries;
+  bool failsPrimaries;
 };
 
 constexpr session_row kRows[] = {
@@ -357,64 +361,69 @@
 constexpr std::uint32_t kSeeds = 5;
 
 void
-CheckFates(test::world& aWorld)
+CheckOutcomes(test::simulated_cluster& aCluster)
 {
-  for (const auto& [id, fate] : aWorld.fates) {
-    if (fate.committed > 1) {
-      aWorld.Wrong("change " + id + " took effect twice");
+  for (const auto& [id, outcome] : aCluster.outcomes) {
+    if (outcome.committed > 1) {
+      aCluster.AddViolation("change " + id + " took effect twice");
     }
-    if (fate.what == change_fate::told::kNotRun && fate.committed != 0) {
-      aWorld.Wrong("change " + id + " was refused, and took effect");
+    if (outcome.what == change_outcome::reported::kNotRun &&
+        outcome.committed != 0) {
+      aCluster.AddViolation("change " + id + " was refused, and took effect");
     }
-    if (fate.what == change_fate::told::kAcknowledged && fate.committed == 0) {
-      aWorld.Wrong("change " + id + " was acknowledged, and is not there");
+    if (outcome.what == change_outcome::reported::kAcknowledged &&
+        outcome.committed == 0) {
+      aCluster.AddViolation("change " + id +
+                            " was acknowledged, and is not there");
     }
   }
 }
 
 std::string
-Play(const session_row& aRow, std::uint32_t aSeed)
+RunSimulation(const session_row& aRow, std::uint32_t aSeed)
 {
   std::vector<std::unique_ptr<random_caller>> callers;
-  test::world world(aSeed, aRow.rates, aRow.vms);
-  world.Configure(aRow.connections);
-  const auto start = world.Time().Now();
-  world.Time().RunUntil(start + 500ms);
+  test::simulated_cluster simulated_cluster(aSeed, aRow.rates, aRow.vms);
+  simulated_cluster.Configure(aRow.connections);
+  const auto start = simulated_cluster.Time().Now();
+  simulated_cluster.Time().RunUntil(start + 500ms);
   for (std::uint64_t number = 1; number <= 24; ++number) {
-    callers.push_back(
-      std::make_unique<random_caller>(world, number, number % aRow.vms));
+    callers.push_back(std::make_unique<random_caller>(
+      simulated_cluster, number, number % aRow.vms));
   }
-  if (aRow.losesPrimaries) {
+  if (aRow.failsPrimaries) {
     for (const auto at : { 1500ms, 5500ms }) {
-      world.Time().At(start + at, [&world] { world.LosePrimary(); });
+      simulated_cluster.Time().At(
+        start + at, [&simulated_cluster] { simulated_cluster.FailPrimary(); });
     }
   }
-  world.Time().RunUntil(start + 10s);
-  CheckFates(world);
-  if (world.successes < 500) {
-    world.Wrong("hardly anything was served: " +
-                std::to_string(world.successes));
+  simulated_cluster.Time().RunUntil(start + 10s);
+  CheckOutcomes(simulated_cluster);
+  if (simulated_cluster.successes < 500) {
+    simulated_cluster.AddViolation("hardly anything was served: " +
+                                   std::to_string(simulated_cluster.successes));
   }
-  std::string wrong;
-  for (std::size_t i = 0; i < std::min<std::size_t>(world.wrong.size(), 5);
+  std::string violations;
+  for (std::size_t i = 0;
+       i < std::min<std::size_t>(simulated_cluster.violations.size(), 5);
        ++i) {
-    wrong += "; " + world.wrong[i];
+    violations += "; " + simulated_cluster.violations[i];
   }
-  return wrong;
+  return violations;
 }
 
 } // namespace
 
 TEST_GROUP(random_sessions){};
 
-TEST(random_sessions, rules_hold_at_the_servers)
+TEST(random_sessions, session_guarantees_hold_under_faults)
 {
   for (const auto& row : kRows) {
     for (std::uint32_t seed = 1; seed <= kSeeds; ++seed) {
-      const auto wrong = Play(row, seed);
+      const auto violations = RunSimulation(row, seed);
       const auto text =
-        std::string(row.name) + ", seed " + std::to_string(seed) + wrong;
-      CHECK_TEXT(wrong.empty(), text.c_str());
+        std::string(row.name) + ", seed " + std::to_string(seed) + violations;
+      CHECK_TEXT(violations.empty(), text.c_str());
     }
   }
 }
--- a/test/currantshed/proxy/refusals.cpp
+++ b/test/currantshed/proxy/refusals.cpp
@@ -14,20 +14,20 @@
 using namespace currantshed;
 using namespace std::chrono_literals;
 using proxy::failure_code;
-using test::hearing_caller;
+using test::recording_caller;
 
 namespace {
 
 constexpr clock::time_point kStart{ 1h };
 
 /// Keeps the newest listener for each server, and who was asked last.
-class keeping_opener final : public proxy::link_opener
+class recording_opener final : public proxy::link_opener
 {
 public:
   class link final : public proxy::upstream_link
   {
   public:
-    link(keeping_opener& aOpener, std::string aServer)
+    link(recording_opener& aOpener, std::string aServer)
       : mOpener(aOpener)
       , mServer(std::move(aServer))
     {
@@ -39,7 +39,7 @@
     }
 
   private:
-    keeping_opener& mOpener;
+    recording_opener& mOpener;
     std::string mServer;
   };
 
@@ -58,34 +58,38 @@
 };
 
 /// What the servers do with one read, in turn.
-enum class fate
+enum class server_behavior
 {
   kBusy,
   kLagging,
   kFailed,
   kConnectionLost,
   /// No server takes it: its time to wait passes.
-  kWaitsInVain,
+  kNotDispatched,
 };
 
 struct refusal_row
 {
   const char* name;
-  std::vector<fate> fates;
-  failure_code told;
+  std::vector<server_behavior> behaviors;
+  failure_code expected;
 };
 
 const refusal_row kRows[] = {
-  { "no server had it", { fate::kWaitsInVain }, failure_code::kBusy },
+  { "no server had it",
+    { server_behavior::kNotDispatched },
+    failure_code::kBusy },
   { "servers said that they had not run it",
-    { fate::kLagging, fate::kBusy },
+    { server_behavior::kLagging, server_behavior::kBusy },
     failure_code::kBusy },
-  { "a server ran it in vain", { fate::kFailed }, failure_code::kFailed },
+  { "a server ran it in vain",
+    { server_behavior::kFailed },
+    failure_code::kFailed },
   { "a server may have run it",
-    { fate::kConnectionLost },
+    { server_behavior::kConnectionLost },
     failure_code::kFailed },
   { "one may have run it, another had not",
-    { fate::kConnectionLost, fate::kBusy },
+    { server_behavior::kConnectionLost, server_behavior::kBusy },
     failure_code::kFailed },
 };
 
@@ -141,35 +145,36 @@
   }
 
   /// Lets the next server that has the read do that with it.
-  void Do(fate aFate)
+  void Do(server_behavior aBehavior)
   {
-    if (aFate == fate::kWaitsInVain) {
+    if (aBehavior == server_behavior::kNotDispatched) {
       Pass(5000ms);
       return;
     }
     proxy::answer made;
     made.position = position::log_position{ 1, 5 };
     made.failed =
-      proxy::failure{ aFate == fate::kBusy      ? failure_code::kBusy
-                      : aFate == fate::kLagging ? failure_code::kLagging
-                                                : failure_code::kFailed,
+      proxy::failure{ aBehavior == server_behavior::kBusy ? failure_code::kBusy
+                      : aBehavior == server_behavior::kLagging
+                        ? failure_code::kLagging
+                        : failure_code::kFailed,
                       "" };
     if (mOpener.asked.empty()) {
       return;
     }
     auto* listener = mOpener.listeners.at(std::exchange(mOpener.asked, {}));
-    if (aFate == fate::kConnectionLost) {
-      listener->Ended(proxy::link_end::kBroken, now);
+    if (aBehavior == server_behavior::kConnectionLost) {
+      listener->Ended(proxy::link_close_reason::kBroken, now);
     } else {
       listener->Answered(made, now);
     }
   }
 
-  hearing_caller caller;
+  recording_caller caller;
 
 private:
-  keeping_opener mOpener;
-  test::silent_host mHost;
+  recording_opener mOpener;
+  test::null_host mHost;
 
 public:
   clock::time_point now = kStart;
@@ -183,16 +188,17 @@
 TEST(refusals_of_reads, say_that_nothing_ran_only_where_it_is_known)
 {
   for (const auto& row : kRows) {
-    one_read read(row.fates.front() != fate::kWaitsInVain);
-    for (const auto one : row.fates) {
+    one_read read(row.behaviors.front() != server_behavior::kNotDispatched);
+    for (const auto one : row.behaviors) {
       read.Do(one);
     }
     // From then on it is turned away, until no more tries are made.
-    for (int i = 0; i < 40 && !read.caller.heard; ++i) {
-      read.Do(fate::kBusy);
+    for (int i = 0; i < 40 && !read.caller.lastAnswer; ++i) {
+      read.Do(server_behavior::kBusy);
       read.Pass(50ms);
     }
-    CHECK_TEXT(read.caller.heard && read.caller.heard->failed, row.name);
-    CHECK_TEXT(read.caller.heard->failed->code == row.told, row.name);
+    CHECK_TEXT(read.caller.lastAnswer && read.caller.lastAnswer->failed,
+               row.name);
+    CHECK_TEXT(read.caller.lastAnswer->failed->code == row.expected, row.name);
   }
 }
--- a/test/currantshed/proxy/relay_link.hpp
+++ b/test/currantshed/proxy/relay_link.hpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "currantshed/proxy/engine.hpp"
-#include "test/currantshed/proxy/world.hpp"
+#include "test/currantshed/proxy/simulated_cluster.hpp"
 
 namespace currantshed::test {
 
@@ -90,7 +90,7 @@
   void End()
   {
     if (auto* listener = std::exchange(mListener, nullptr)) {
-      listener->Ended(proxy::link_end::kBroken, mTime.Now());
+      listener->Ended(proxy::link_close_reason::kBroken, mTime.Now());
     }
   }
 
--- a/test/currantshed/proxy/relays.cpp
+++ b/test/currantshed/proxy/relays.cpp
@@ -5,7 +5,7 @@
 #include "currantshed/proxy/engine.hpp"
 
 #include "test/currantshed/proxy/idle_link.hpp"
-#include "test/currantshed/proxy/silent_host.hpp"
+#include "test/currantshed/proxy/null_host.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -37,10 +37,10 @@
 class other_vm final : public proxy::caller
 {
 public:
-  void Deliver(const proxy::answer& aAnswer) override { heard = aAnswer; }
+  void Deliver(const proxy::answer& aAnswer) override { lastAnswer = aAnswer; }
   void Close() override {}
 
-  std::optional<proxy::answer> heard;
+  std::optional<proxy::answer> lastAnswer;
 };
 
 } // namespace
@@ -50,7 +50,7 @@
 TEST(relays, serve_other_vms_before_the_configuration_is_known)
 {
   one_link_opener opener;
-  test::silent_host host;
+  test::null_host host;
   other_vm other;
   proxy::engine engine({ "vm-1", "north" }, opener, host);
   engine.SetFleet({ { "vm-1", "north", "10.0.0.1", 1, false } }, kStart);
@@ -68,7 +68,7 @@
   begin.kind = proxy::statement_kind::kBegin;
   engine.Submit(*session, begin, kStart);
   opener.listener->Answered({}, kStart);
-  CHECK(other.heard.has_value());
+  CHECK(other.lastAnswer.has_value());
   CHECK(engine.StateOf(*session) == proxy::transaction_state::kOpen);
   // Nor does the end of an idle transaction need one.
   engine.Tick(kStart + 60s);
--- a/test/currantshed/proxy/restarted.cpp
+++ b/test/currantshed/proxy/restarted_servers.cpp
@@ -11,8 +11,8 @@
 
 using namespace currantshed;
 using namespace std::chrono_literals;
-using test::hearing_caller;
 using test::one_vm;
+using test::recording_caller;
 
 namespace {
 
@@ -26,7 +26,7 @@
 };
 
 void
-ProveAgain(one_vm& aVm, std::chrono::milliseconds aAge)
+ConfirmAgain(one_vm& aVm, std::chrono::milliseconds aAge)
 {
   aVm.Pass(100ms);
   aVm.engine.Confirm("claims", { 1, "a", aVm.now - aAge }, aVm.now);
@@ -53,14 +53,14 @@
     proxy::statement_kind::kRead,
     [](one_vm& aVm) {
       aVm.Restart("a");
-      ProveAgain(aVm, 200ms);
+      ConfirmAgain(aVm, 200ms);
     },
     false },
   { "it is proved in its new life",
     proxy::statement_kind::kRead,
     [](one_vm& aVm) {
       aVm.Restart("a");
-      ProveAgain(aVm, 50ms);
+      ConfirmAgain(aVm, 50ms);
     },
     true },
   { "it was leaving, and starts again",
@@ -69,7 +69,7 @@
       aVm.List({ "a", "b" }, { "a" });
       aVm.Pass(20000ms);
       aVm.Restart("a");
-      ProveAgain(aVm, 50ms);
+      ConfirmAgain(aVm, 50ms);
     },
     true },
 };
@@ -78,11 +78,11 @@
 
 TEST_GROUP(restarted_servers){};
 
-TEST(restarted_servers, are_not_taken_for_what_they_were)
+TEST(restarted_servers, lose_the_state_of_the_former_incarnation)
 {
   for (const auto& row : kRows) {
     one_vm vm;
-    hearing_caller caller;
+    recording_caller caller;
     row.given(vm);
     const auto session = vm.engine.Open("claims", caller);
     vm.Ask(*session, row.asked, "READ 1");
@@ -92,11 +92,11 @@
 }
 
 // The replica held what the read must see; its next life does not.
-TEST(restarted_servers, hold_nothing_of_before)
+TEST(restarted_servers, keep_no_log_position)
 {
   for (const bool restarts : { false, true }) {
     one_vm vm;
-    hearing_caller caller;
+    recording_caller caller;
     vm.engine.AddSample("claims", { 1, { 1, 5 }, vm.now });
     // The primary is not proved any more: only the replica may serve.
     vm.engine.Revoke("claims", 1);
@@ -112,22 +112,22 @@
 
 // A connection may belong to the life before. What is under way on it ends as
 // ever; nothing else is sent on it.
-TEST(restarted_servers, get_no_new_work_on_connections_of_before)
+TEST(restarted_servers, get_no_new_work_on_old_connections)
 {
   one_vm vm;
-  hearing_caller caller;
+  recording_caller caller;
   const auto session = vm.engine.Open("claims", caller);
   vm.Ask(*session, proxy::statement_kind::kRead, "READ 1");
   vm.Pass(50ms);
   auto* before = vm.servers.listeners["a"];
   const auto opened = vm.servers.opened;
   vm.Restart("a");
-  ProveAgain(vm, 0ms);
+  ConfirmAgain(vm, 0ms);
   proxy::answer made;
   made.signature = "a.1";
   made.position = position::log_position{ 1, 5 };
   before->Answered(made, vm.now);
-  CHECK(caller.heard && !caller.heard->failed);
+  CHECK(caller.lastAnswer && !caller.lastAnswer->failed);
   vm.Ask(*session, proxy::statement_kind::kRead, "READ 2");
   vm.Pass(500ms);
   CHECK(vm.servers.opened > opened);
@@ -165,11 +165,11 @@
 
 } // namespace
 
-TEST(restarted_servers, are_told_what_a_read_of_the_primary_must_see)
+TEST(restarted_servers, receive_the_floor_of_a_read_of_the_primary)
 {
   for (const auto& row : kPrimaryRows) {
     one_vm vm;
-    hearing_caller caller;
+    recording_caller caller;
     const auto session = vm.engine.Open("claims", caller);
     for (const auto kind : row.asked) {
       vm.Ask(*session, kind, "READ 1");
@@ -182,10 +182,10 @@
   }
 }
 
-TEST(restarted_servers, that_lack_what_the_primary_held_lead_no_more)
+TEST(restarted_servers, that_lack_the_floor_lose_the_leadership)
 {
   one_vm vm;
-  hearing_caller caller;
+  recording_caller caller;
   const auto session = vm.engine.Open("claims", caller);
   vm.Ask(*session, proxy::statement_kind::kRead, "READ 1");
   vm.Pass(50ms);
@@ -196,7 +196,7 @@
   const auto sent = vm.servers.sent["a"].size();
   vm.Pass(500ms);
   CHECK_EQUAL(sent, vm.servers.sent["a"].size());
-  CHECK(!caller.heard);
+  CHECK(!caller.lastAnswer);
   vm.engine.Confirm("claims", { 2, "b", vm.now }, vm.now);
   vm.Pass(100ms);
   CHECK(vm.HasWork("b"));
--- a/test/currantshed/proxy/server_state.cpp
+++ b/test/currantshed/proxy/server_state.cpp
@@ -25,13 +25,13 @@
   listed.id = "i-1";
   listed.service = "claims";
   server_state made(listed, true);
-  made.plan.holds = true;
+  made.plan.isHolder = true;
   made.plan.connections = 4;
   made.plan.paths = { path{}, path{ "vm-2", "10.0.0.2", 7442 } };
   return made;
 }
 
-struct way_row
+struct path_row
 {
   const char* name;
   void (*given)(server_state&);
@@ -39,17 +39,17 @@
   const char* via;
 };
 
-const way_row kWayRows[] = {
+const path_row kPathRows[] = {
   { "a holder connects directly", [](server_state&) {}, "" },
   { "one that the server has no room for goes through another holder",
-    [](server_state& aState) { aState.Full(kStart); },
+    [](server_state& aState) { aState.ObserveServerFull(kStart); },
     "vm-2" },
   { "so does one whose connections fail",
-    [](server_state& aState) { aState.Failed(kStart); },
+    [](server_state& aState) { aState.ObserveFailure(kStart); },
     "vm-2" },
 };
 
-class no_events final : public proxy::connection_events
+class no_events final : public proxy::connection_listener
 {
 public:
   void Opened(proxy::connection&,
@@ -58,12 +58,16 @@
   {
   }
   void Answered(proxy::connection&,
-                const proxy::expected_answer&,
+                const proxy::pending_command&,
                 proxy::answer,
                 clock::time_point) override
   {
   }
-  void Ended(proxy::connection&, proxy::link_end, clock::time_point) override {}
+  void Ended(proxy::connection&,
+             proxy::link_close_reason,
+             clock::time_point) override
+  {
+  }
 };
 
 struct limit_row
@@ -86,7 +90,7 @@
 
 TEST_GROUP(server_state){};
 
-TEST(server_state, connections_without_use_make_room_for_others)
+TEST(server_state, stalled_connections_do_not_count)
 {
   no_events events;
   for (const auto& row : kLimitRows) {
@@ -104,10 +108,10 @@
   }
 }
 
-TEST(server_state, a_lag_that_was_shown_fades)
+TEST(server_state, an_observed_lag_decays)
 {
   auto state = Holder();
-  state.Lagged(kStart - 2400ms, kStart);
+  state.ObserveLag(kStart - 2400ms, kStart);
   CHECK(state.Lag(kStart) > 2400ms);
   // Not tried again at once, but within some seconds even if nothing is heard.
   CHECK(state.Lag(kStart + 300ms) > 2400ms);
@@ -115,34 +119,34 @@
   CHECK(state.Lag(kStart + 30s) < 100ms);
 }
 
-TEST(server_state, passes_over_a_way_that_takes_long_to_open)
+TEST(server_state, skips_a_path_that_is_slow_to_open)
 {
   no_events events;
   auto state = Holder();
-  state.plan.holds = false;
+  state.plan.isHolder = false;
   state.plan.paths = { path{ "vm-2", "10.0.0.2", 7442 },
                        path{ "vm-3", "10.0.0.3", 7442 },
                        path{} };
   state.connections.push_back(std::make_unique<proxy::connection>(
     "i-1", "claims", "vm-2", "", events, kStart));
-  STRCMP_EQUAL("vm-2", state.OpenWay(kStart + 50ms)->vm.c_str());
-  STRCMP_EQUAL("vm-3", state.OpenWay(kStart + 150ms)->vm.c_str());
+  STRCMP_EQUAL("vm-2", state.PathToOpen(kStart + 50ms)->vm.c_str());
+  STRCMP_EQUAL("vm-3", state.PathToOpen(kStart + 150ms)->vm.c_str());
   for (int i = 0; i < 4; ++i) {
     state.connections.push_back(std::make_unique<proxy::connection>(
       "i-1", "claims", "vm-3", "", events, kStart + 150ms));
   }
   // As many as may be opened through one VM at a time.
-  CHECK(state.OpenWay(kStart + 160ms) == nullptr);
-  STRCMP_EQUAL("", state.OpenWay(kStart + 300ms)->vm.c_str());
+  CHECK(state.PathToOpen(kStart + 160ms) == nullptr);
+  STRCMP_EQUAL("", state.PathToOpen(kStart + 300ms)->vm.c_str());
 }
 
-TEST(server_state, finds_a_way)
+TEST(server_state, chooses_a_path)
 {
-  for (const auto& row : kWayRows) {
+  for (const auto& row : kPathRows) {
     auto state = Holder();
     row.given(state);
-    const auto* way = state.OpenWay(kStart + 10ms);
-    CHECK_TEXT(way != nullptr, row.name);
-    CHECK_TEXT(way->vm == row.via, row.name);
+    const auto* chosen = state.PathToOpen(kStart + 10ms);
+    CHECK_TEXT(chosen != nullptr, row.name);
+    CHECK_TEXT(chosen->vm == row.via, row.name);
   }
 }
--- a/test/currantshed/proxy/sessions_at_the_end.cpp
+++ b/test/currantshed/proxy/session_drain.cpp
@@ -34,10 +34,10 @@
 
 } // namespace
 
-TEST_GROUP(sessions_at_the_end){};
+TEST_GROUP(session_drain){};
 
 // A VM that stops closes idle sessions, but none whose request has come.
-TEST(sessions_at_the_end, are_closed_unless_they_have_sent)
+TEST(session_drain, closes_idle_sessions_without_unread_requests)
 {
   for (const auto& row : kRows) {
     one_vm vm;
--- a/test/currantshed/proxy/silent_relays.cpp
+++ b/test/currantshed/proxy/silent_relays.cpp
@@ -6,8 +6,8 @@
 
 #include "currantshed/proxy/engine.hpp"
 
+#include "test/currantshed/proxy/null_host.hpp"
 #include "test/currantshed/proxy/one_vm.hpp"
-#include "test/currantshed/proxy/silent_host.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -74,10 +74,10 @@
 
 /// A VM among forty of its failure domain, of which two hold connections to
 /// each server.
-class weak_vm
+class non_delegate_vm
 {
 public:
-  weak_vm()
+  non_delegate_vm()
     : engine({ "vm-1", "north", 100000ms }, vms, mHost)
   {
     auto made = std::make_shared<proxy::configuration>();
@@ -96,7 +96,7 @@
     for (int i = 1; i <= 40; ++i) {
       const auto number = std::to_string(i);
       fleet.push_back({ "vm-" + number, "north", "10.0.0." + number, 1 });
-      fleet.back().worksForOthers = i == 2 || i == 3;
+      fleet.back().isDelegate = i == 2 || i == 3;
     }
     engine.SetFleet(std::move(fleet), now);
     proxy::server listed;
@@ -114,7 +114,7 @@
     asked.kind = aKind;
     asked.id = "id-1";
     asked.text = aText;
-    caller.heard.reset();
+    caller.lastAnswer.reset();
     engine.Submit(session, asked, now);
   }
 
@@ -142,12 +142,12 @@
   }
 
   relaying_vms vms;
-  hearing_caller caller;
+  recording_caller caller;
   clock::time_point now = kStart;
   proxy::engine::session_id session = 0;
 
 private:
-  silent_host mHost;
+  null_host mHost;
 
 public:
   proxy::engine engine;
@@ -157,36 +157,36 @@
 
 TEST_GROUP(silent_relays){};
 
-TEST(silent_relays, a_read_goes_by_another_vm_and_the_next_ones_as_well)
+TEST(silent_relays, later_reads_avoid_a_silent_relay)
 {
-  weak_vm made;
+  non_delegate_vm made;
   made.Ask(proxy::statement_kind::kRead, "READ 1");
   made.Pass(100ms);
-  CHECK(made.caller.heard.has_value());
+  CHECK(made.caller.lastAnswer.has_value());
   const auto first = made.vms.opened["a"].front();
   CHECK(!first.empty());
   made.vms.silent = first;
   made.Ask(proxy::statement_kind::kRead, "READ 2");
   made.Pass(800ms);
-  CHECK(made.caller.heard.has_value());
-  CHECK_FALSE(made.caller.heard->failed.has_value());
+  CHECK(made.caller.lastAnswer.has_value());
+  CHECK_FALSE(made.caller.lastAnswer->failed.has_value());
   const auto lost = made.vms.sent[first].size();
   made.Ask(proxy::statement_kind::kRead, "READ 3");
   made.Pass(100ms);
-  CHECK(made.caller.heard.has_value());
+  CHECK(made.caller.lastAnswer.has_value());
   CHECK_EQUAL(lost, made.vms.sent[first].size());
 }
 
 TEST(silent_relays, a_write_under_way_is_not_sent_again)
 {
-  weak_vm made;
+  non_delegate_vm made;
   made.Ask(proxy::statement_kind::kRead, "READ 1");
   made.Pass(100ms);
   const auto first = made.vms.opened["a"].front();
   made.vms.silent = first;
   made.Ask(proxy::statement_kind::kWrite, "WRITE 1 x");
   made.Pass(2000ms);
-  CHECK_FALSE(made.caller.heard.has_value());
+  CHECK_FALSE(made.caller.lastAnswer.has_value());
   for (const auto& [via, texts] : made.vms.sent) {
     for (const auto& text : texts) {
       CHECK(via == first || text != "WRITE 1 x");
--- a/test/currantshed/proxy/world.cpp
+++ b/test/currantshed/proxy/simulated_cluster.cpp
@@ -1,4 +1,4 @@
-#include "test/currantshed/proxy/world.hpp"
+#include "test/currantshed/proxy/simulated_cluster.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -17,8 +17,8 @@
 
 constexpr auto kValidity = 1000ms;
 constexpr auto kHop = 1ms;
-constexpr auto kProofInterval = 300ms;
-constexpr auto kFollowInterval = 20ms;
+constexpr auto kConfirmationInterval = 300ms;
+constexpr auto kReplicationInterval = 20ms;
 
 std::string
 VmName(std::size_t aVm)
@@ -50,19 +50,21 @@
 class fake_link final : public proxy::upstream_link
 {
 public:
-  fake_link(world& aWorld, std::string aServer, proxy::link_listener& aListener)
-    : mWorld(aWorld)
+  fake_link(simulated_cluster& aCluster,
+            std::string aServer,
+            proxy::link_listener& aListener)
+    : mCluster(aCluster)
     , mServer(std::move(aServer))
     , mListener(&aListener)
   {
-    mWorld.Time().After(kHop, Guarded([this] { Opened(); }));
+    mCluster.Time().After(kHop, Guarded([this] { Opened(); }));
   }
   fake_link(const fake_link&) = delete;
   fake_link& operator=(const fake_link&) = delete;
   ~fake_link() override
   {
     *mAlive = false;
-    if (auto* server = mWorld.Find(mServer)) {
+    if (auto* server = mCluster.Find(mServer)) {
       server->links.erase(this);
     }
   }
@@ -70,14 +72,14 @@
   void Send(const std::vector<proxy::command>& aCommands) override
   {
     for (const auto& one : aCommands) {
-      mWorld.Time().After(kHop, Guarded([this, one] { Run(one); }));
+      mCluster.Time().After(kHop, Guarded([this, one] { Run(one); }));
     }
   }
 
-  void Break(proxy::link_end aWhy)
+  void Break(proxy::link_close_reason aWhy)
   {
     if (auto* listener = std::exchange(mListener, nullptr)) {
-      listener->Ended(aWhy, mWorld.Time().Now());
+      listener->Ended(aWhy, mCluster.Time().Now());
     }
   }
 
@@ -93,43 +95,43 @@
 
   void Opened()
   {
-    auto* server = mWorld.Find(mServer);
+    auto* server = mCluster.Find(mServer);
     if (server == nullptr || !server->up) {
-      Break(proxy::link_end::kUnreachable);
-    } else if (mWorld.Chance(mWorld.Rates().refusedLink)) {
-      Break(proxy::link_end::kServerFull);
+      Break(proxy::link_close_reason::kUnreachable);
+    } else if (mCluster.Chance(mCluster.Rates().refusedConnection)) {
+      Break(proxy::link_close_reason::kServerFull);
     } else {
       server->links.insert(this);
-      mListener->Opened(server->At(), mWorld.Time().Now());
+      mListener->Opened(server->At(), mCluster.Time().Now());
     }
   }
 
   void Run(const proxy::command& aCommand)
   {
-    auto* server = mWorld.Find(mServer);
+    auto* server = mCluster.Find(mServer);
     if (mListener == nullptr || server == nullptr || !server->up) {
       return;
     }
-    if (mWorld.Chance(mWorld.Rates().brokenLink)) {
-      Break(proxy::link_end::kBroken);
+    if (mCluster.Chance(mCluster.Rates().brokenConnection)) {
+      Break(proxy::link_close_reason::kBroken);
       return;
     }
     proxy::answer made;
-    Carry(aCommand, *server, made);
+    Execute(aCommand, *server, made);
     made.state = !mOpen ? transaction_state::kIdle
                         : (mFailed ? transaction_state::kFailed
                                    : transaction_state::kOpen);
     made.position = server->At();
-    if (mWorld.Chance(mWorld.Rates().lostAnswer)) {
+    if (mCluster.Chance(mCluster.Rates().lostAnswer)) {
       return;
     }
-    const auto work = std::chrono::milliseconds{ 1 + mWorld.Random()() % 12 };
-    mBusyUntil = std::max(mBusyUntil, mWorld.Time().Now()) + work;
-    mWorld.Time().At(mBusyUntil, Guarded([this, made] {
-                       if (mListener != nullptr) {
-                         mListener->Answered(made, mWorld.Time().Now());
-                       }
-                     }));
+    const auto work = std::chrono::milliseconds{ 1 + mCluster.Random()() % 12 };
+    mBusyUntil = std::max(mBusyUntil, mCluster.Time().Now()) + work;
+    mCluster.Time().At(mBusyUntil, Guarded([this, made] {
+                         if (mListener != nullptr) {
+                           mListener->Answered(made, mCluster.Time().Now());
+                         }
+                       }));
   }
 
   static void Refuse(proxy::answer& aOut, failure_code aCode)
@@ -137,9 +139,9 @@
     aOut.failed = proxy::failure{ aCode, "" };
   }
 
-  void Carry(const proxy::command& aCommand,
-             fake_group::server& aServer,
-             proxy::answer& aOut)
+  void Execute(const proxy::command& aCommand,
+               fake_group::server& aServer,
+               proxy::answer& aOut)
   {
     switch (aCommand.kind) {
       case command_kind::kReset:
@@ -173,13 +175,13 @@
              proxy::answer& aOut)
   {
     if (mOpen) {
-      mWorld.Wrong("a transaction begins inside another one");
+      mCluster.AddViolation("a transaction begins inside another one");
     }
     if (aCommand.floor && !aServer.Has(*aCommand.floor)) {
       Refuse(aOut, failure_code::kLagging);
     } else if (aCommand.kind == command_kind::kBegin && !aServer.leads) {
       Refuse(aOut, failure_code::kReadOnly);
-    } else if (mWorld.Chance(mWorld.Rates().busy)) {
+    } else if (mCluster.Chance(mCluster.Rates().busy)) {
       Refuse(aOut, failure_code::kBusy);
     } else {
       mOpen = true;
@@ -205,7 +207,7 @@
       Refuse(aOut, failure_code::kMalformed);
       return;
     }
-    const auto& from = mWorld.known[aCommand.id];
+    const auto& from = mCluster.known[aCommand.id];
     CheckSession(aCommand, from);
     const bool isCommit = aCommand.text == "COMMIT";
     bool writes = aCommand.text.starts_with("WRITE");
@@ -216,11 +218,11 @@
         return;
       }
       if (found->second.first != from.shape) {
-        mWorld.Wrong("a prepared name runs another shape");
+        mCluster.AddViolation("a prepared name runs another shape");
       }
       writes = found->second.second;
     }
-    if (mWorld.Chance(mWorld.Rates().busy)) {
+    if (mCluster.Chance(mCluster.Rates().busy)) {
       Refuse(aOut, failure_code::kBusy);
       mFailed = mOpen;
       return;
@@ -240,10 +242,10 @@
     aOut.signature = "signed-" + aCommand.id;
   }
 
-  void CheckSession(const proxy::command& aCommand, const issued& aFrom)
+  void CheckSession(const proxy::command& aCommand, const issued_request& aFrom)
   {
     if (mValues != aFrom.values) {
-      mWorld.Wrong("session values differ for " + aCommand.id);
+      mCluster.AddViolation("session values differ for " + aCommand.id);
     }
     if (mOpen && mCaller == 0) {
       mCaller = aFrom.caller;
@@ -253,12 +255,13 @@
       mOpen ? aFrom.caller == mCaller && aFrom.transaction == mTransaction
             : aFrom.transaction == 0;
     if (!belongs) {
-      mWorld.Wrong("statement " + aCommand.id + " in another transaction");
+      mCluster.AddViolation("statement " + aCommand.id +
+                            " in another transaction");
     }
   }
 
   void Apply(const proxy::command& aCommand,
-             const issued& aFrom,
+             const issued_request& aFrom,
              bool aWrites,
              bool aIsCommit,
              fake_group::server& aServer)
@@ -276,25 +279,25 @@
       Commit(aServer, { aCommand.id });
     } else {
       const auto seen = mOpen ? mBegunAt : aServer.applied;
-      if (seen < mWorld.Kept(aFrom.mustSee, aFrom.mustSeeTerm)) {
-        mWorld.Wrong("read " + aCommand.id + " is stale");
+      if (seen < mCluster.Kept(aFrom.mustSee, aFrom.mustSeeTerm)) {
+        mCluster.AddViolation("read " + aCommand.id + " is stale");
       }
     }
   }
 
   void Commit(fake_group::server& aServer, const std::vector<std::string>& aIds)
   {
-    aServer.log.push_back(aServer.leads &&
-                              &aServer == mWorld.Find(mWorld.Group().primary)
-                            ? mWorld.Group().term
-                            : mWorld.Group().term - 1);
+    aServer.log.push_back(
+      aServer.leads && &aServer == mCluster.Find(mCluster.Group().primary)
+        ? mCluster.Group().term
+        : mCluster.Group().term - 1);
     aServer.applied = aServer.log.size();
     for (const auto& id : aIds) {
-      ++mWorld.fates[id].committed;
+      ++mCluster.outcomes[id].committed;
     }
   }
 
-  world& mWorld;
+  simulated_cluster& mCluster;
   std::string mServer;
   proxy::link_listener* mListener;
   std::shared_ptr<bool> mAlive = std::make_shared<bool>(true);
@@ -311,13 +314,13 @@
 };
 
 /// The engine of one VM, and what it needs.
-class world::vm final
+class simulated_cluster::vm final
   : public proxy::link_opener
   , public proxy::engine_host
 {
 public:
-  vm(world& aWorld, std::size_t aNumber)
-    : mWorld(aWorld)
+  vm(simulated_cluster& aCluster, std::size_t aNumber)
+    : mCluster(aCluster)
     , mNumber(aNumber)
     , engine(
         { VmName(aNumber), "domain-" + std::to_string(aNumber % 2), kValidity },
@@ -333,16 +336,20 @@
     proxy::link_listener& aListener) override;
 
   void NeedsConfirmation(const std::string&) override {}
-  void LeadDenied(const std::string&, position::term_id) override {}
+  void LeadershipDenied(const std::string&, position::term_id) override {}
   void NeedsTokens(const std::string& /*aCustomer*/,
                    unsigned /*aCount*/) override
   {
   }
   void Decided(const proxy::decision&) override {}
-  void Reached(const proxy::server&, bool, std::string_view) override {}
+  void ReachabilityChanged(const proxy::server&,
+                           bool,
+                           std::string_view) override
+  {
+  }
 
 private:
-  world& mWorld;
+  simulated_cluster& mCluster;
   std::size_t mNumber;
 
 public:
@@ -350,22 +357,24 @@
 };
 
 std::unique_ptr<proxy::upstream_link>
-world::vm::Open(const proxy::server& aServer,
-                const proxy::path& aVia,
-                const std::string& /*aCustomer*/,
-                proxy::link_listener& aListener)
+simulated_cluster::vm::Open(const proxy::server& aServer,
+                            const proxy::path& aVia,
+                            const std::string& /*aCustomer*/,
+                            proxy::link_listener& aListener)
 {
   if (aVia.IsDirect()) {
-    return std::make_unique<fake_link>(mWorld, aServer.id, aListener);
+    return std::make_unique<fake_link>(mCluster, aServer.id, aListener);
   }
   const auto through = std::stoul(aVia.vm.substr(3));
   return std::make_unique<relay_link>(
-    mWorld.Time(), mWorld.Engine(through), aServer.id, aListener, [this] {
-      return mWorld.IsEnding();
+    mCluster.Time(), mCluster.Engine(through), aServer.id, aListener, [this] {
+      return mCluster.IsEnding();
     });
 }
 
-world::world(std::uint32_t aSeed, const fault_rates& aRates, std::size_t aVms)
+simulated_cluster::simulated_cluster(std::uint32_t aSeed,
+                                     const fault_rates& aRates,
+                                     std::size_t aVms)
   : mRandom(aSeed)
   , mRates(aRates)
 {
@@ -384,45 +393,45 @@
   }
 }
 
-world::~world()
+simulated_cluster::~simulated_cluster()
 {
   mIsEnding = true;
 }
 
 proxy::engine&
-world::Engine(std::size_t aVm)
+simulated_cluster::Engine(std::size_t aVm)
 {
   return mVms[aVm]->engine;
 }
 
 std::uint64_t
-world::Kept(std::uint64_t aCount, position::term_id aTerm) const
+simulated_cluster::Kept(std::uint64_t aCount, position::term_id aTerm) const
 {
-  for (const auto& [term, base] : bases) {
+  for (const auto& [term, base] : promotionBases) {
     aCount = term > aTerm ? std::min(aCount, base) : aCount;
   }
   return aCount;
 }
 
 bool
-world::Chance(unsigned aOfThousand)
+simulated_cluster::Chance(unsigned aOfThousand)
 {
   return mRandom() % 1000 < aOfThousand;
 }
 
 fake_group::server*
-world::Find(const std::string& aServer)
+simulated_cluster::Find(const std::string& aServer)
 {
   const auto found = mGroup.servers.find(aServer);
   return found == mGroup.servers.end() ? nullptr : &found->second;
 }
 
 void
-world::Configure(unsigned aMostConnections)
+simulated_cluster::Configure(unsigned aMaxConnections)
 {
   auto made = std::make_shared<proxy::configuration>();
   made->version = 1;
-  proxy::service service{ mGroup.service, aMostConnections };
+  proxy::service service{ mGroup.service, aMaxConnections };
   made->services[mGroup.service] = service;
   const std::pair<const char*, proxy::read_policy> routes[] = {
     { "db-primary", proxy::read_policy::kPrimary },
@@ -456,23 +465,23 @@
     engine.SetConfiguration(made, mTime.Now());
     engine.SetFleet(fleet, mTime.Now());
     engine.SetServers(servers, mTime.Now());
-    Drive(number);
+    ScheduleTick(number);
   }
-  Prove();
-  Follow();
+  ConfirmPrimary();
+  Replicate();
 }
 
 void
-world::Drive(std::size_t aVm)
+simulated_cluster::ScheduleTick(std::size_t aVm)
 {
   Engine(aVm).Tick(mTime.Now());
   mTime.At(std::max(Engine(aVm).NextTick(), mTime.Now() + 1ms),
-           [this, aVm] { Drive(aVm); });
+           [this, aVm] { ScheduleTick(aVm); });
 }
 
 // Replicas receive at once, and apply some time later.
 void
-world::Follow()
+simulated_cluster::Replicate()
 {
   const auto& primary = *Find(mGroup.primary);
   for (auto& [id, server] : mGroup.servers) {
@@ -482,29 +491,31 @@
       server.log = primary.log;
     }
   }
-  mTime.After(kFollowInterval, [this] { Follow(); });
+  mTime.After(kReplicationInterval, [this] { Replicate(); });
 }
 
 void
-world::Prove()
+simulated_cluster::ConfirmPrimary()
 {
   auto* primary = Find(mGroup.primary);
-  if (mGroup.proofs && primary->up) {
-    mGroup.provedAt = mTime.Now();
-    const proxy::confirmation proof{ mGroup.term, mGroup.primary, mTime.Now() };
-    mTime.After(2 * kHop, [this, proof] {
+  if (mGroup.confirmations && primary->up) {
+    mGroup.confirmedAt = mTime.Now();
+    const proxy::confirmation confirmed{ mGroup.term,
+                                         mGroup.primary,
+                                         mTime.Now() };
+    mTime.After(2 * kHop, [this, confirmed] {
       for (auto& one : mVms) {
-        one->engine.Confirm(mGroup.service, proof, mTime.Now());
+        one->engine.Confirm(mGroup.service, confirmed, mTime.Now());
       }
     });
   }
-  mTime.After(kProofInterval, [this] { Prove(); });
+  mTime.After(kConfirmationInterval, [this] { ConfirmPrimary(); });
 }
 
 void
-world::LosePrimary()
+simulated_cluster::FailPrimary()
 {
-  mGroup.proofs = false;
+  mGroup.confirmations = false;
   const auto old = mGroup.primary;
   // Half of the time the old primary lives on and believes that it leads.
   const bool dies = Chance(500);
@@ -512,10 +523,10 @@
     Find(old)->up = false;
     const auto links = Find(old)->links;
     for (auto* link : links) {
-      link->Break(proxy::link_end::kBroken);
+      link->Break(proxy::link_close_reason::kBroken);
     }
   }
-  mTime.At(mGroup.provedAt + kValidity, [this, old] {
+  mTime.At(mGroup.confirmedAt + kValidity, [this, old] {
     fake_group::server* best = nullptr;
     for (auto& [id, server] : mGroup.servers) {
       const bool usable = id != old && server.up;
@@ -540,11 +551,11 @@
     }
     // What was acknowledged and rolled back need not be seen any more.
     const std::uint64_t base = best->log.size();
-    bases[mGroup.term] = base;
+    promotionBases[mGroup.term] = base;
     for (auto& [at, position] : acknowledged) {
       position = std::min(position, base);
     }
-    mGroup.proofs = true;
+    mGroup.confirmations = true;
     mTime.After(500ms, [this, old, base] {
       auto* back = Find(old);
       back->up = true;
--- a/test/currantshed/proxy/world.hpp
+++ b/test/currantshed/proxy/simulated_cluster.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_TEST_PROXY_WORLD_HPP
-#define CURRANTSHED_TEST_PROXY_WORLD_HPP
+#ifndef CURRANTSHED_TEST_PROXY_SIMULATED_CLUSTER_HPP
+#define CURRANTSHED_TEST_PROXY_SIMULATED_CLUSTER_HPP
 
 #include <chrono>
 #include <cstdint>
@@ -53,14 +53,14 @@
 {
   unsigned busy = 0;
   unsigned lostAnswer = 0;
-  unsigned brokenLink = 0;
-  unsigned refusedLink = 0;
+  unsigned brokenConnection = 0;
+  unsigned refusedConnection = 0;
 };
 
 /// What a caller was told of one change.
-struct change_fate
+struct change_outcome
 {
-  enum class told
+  enum class reported
   {
     kNothing,
     kAcknowledged,
@@ -68,13 +68,13 @@
     kUnknown,
   };
 
-  told what = told::kNothing;
+  reported what = reported::kNothing;
   /// Runs that were committed.
   unsigned committed = 0;
 };
 
 /// A caller's request as the world knows it, to check what servers see.
-struct issued
+struct issued_request
 {
   std::uint64_t caller = 0;
   proxy::session_values values;
@@ -122,19 +122,21 @@
   position::term_id term = 1;
   std::string primary;
   /// When the last proof of the primary was asked for.
-  clock::time_point provedAt;
-  bool proofs = true;
+  clock::time_point confirmedAt;
+  bool confirmations = true;
 };
 
 /// Servers, the engines of some VMs, and callers, in virtual time. Checks at
 /// the servers what must hold for every statement.
-class world
+class simulated_cluster
 {
 public:
-  world(std::uint32_t aSeed, const fault_rates& aRates, std::size_t aVms);
-  ~world();
-  world(const world&) = delete;
-  world& operator=(const world&) = delete;
+  simulated_cluster(std::uint32_t aSeed,
+                    const fault_rates& aRates,
+                    std::size_t aVms);
+  ~simulated_cluster();
+  simulated_cluster(const simulated_cluster&) = delete;
+  simulated_cluster& operator=(const simulated_cluster&) = delete;
 
   [[nodiscard]] timeline& Time() { return mTime; }
   [[nodiscard]] proxy::engine& Engine(std::size_t aVm);
@@ -143,13 +145,13 @@
   [[nodiscard]] bool Chance(unsigned aOfThousand);
 
   /// What is wrong, a line each.
-  std::vector<std::string> wrong;
-  std::map<std::string, change_fate> fates;
-  std::map<std::string, issued> known;
+  std::vector<std::string> violations;
+  std::map<std::string, change_outcome> outcomes;
+  std::map<std::string, issued_request> known;
   /// Commits acknowledged so far, by the time at which that was.
   std::vector<std::pair<clock::time_point, std::uint64_t>> acknowledged;
   /// Records that each promotion kept, by the term that it began.
-  std::map<position::term_id, std::uint64_t> bases;
+  std::map<position::term_id, std::uint64_t> promotionBases;
   std::uint64_t answers = 0;
   std::uint64_t successes = 0;
 
@@ -161,16 +163,16 @@
   /// Whether the engines are being taken down.
   [[nodiscard]] bool IsEnding() const { return mIsEnding; }
 
-  void Wrong(const std::string& aWhat) { wrong.push_back(aWhat); }
+  void AddViolation(const std::string& aWhat) { violations.push_back(aWhat); }
 
   /// Makes the primary fail, and promotes another server once no proof of it
   /// can hold any more.
-  void LosePrimary();
+  void FailPrimary();
   /// Lists the servers, fleets and routes to every engine.
-  void Configure(unsigned aMostConnections);
-  void Follow();
-  void Prove();
-  void Drive(std::size_t aVm);
+  void Configure(unsigned aMaxConnections);
+  void Replicate();
+  void ConfirmPrimary();
+  void ScheduleTick(std::size_t aVm);
 
   [[nodiscard]] fake_group::server* Find(const std::string& aServer);
   [[nodiscard]] const fault_rates& Rates() const { return mRates; }
--- a/test/currantshed/route/read_route.cpp
+++ b/test/currantshed/route/read_route.cpp
@@ -7,14 +7,14 @@
 #include <CppUTest/TestHarness.h>
 
 using currantshed::clock::time_point;
-using currantshed::confirm::status_board;
+using currantshed::confirm::status_tracker;
 using currantshed::outcome::reason;
 using currantshed::position::log_position;
+using currantshed::route::availability;
 using currantshed::route::candidate;
 using currantshed::route::choice;
 using currantshed::route::ChooseForRead;
-using currantshed::route::read_need;
-using currantshed::route::standing;
+using currantshed::route::read_requirements;
 using currantshed::upstream::server_role;
 using currantshed::upstream::server_status;
 using namespace std::chrono_literals;
@@ -25,7 +25,7 @@
 constexpr std::uint64_t kNewest = 1000;
 
 void
-Say(status_board& aBoard,
+Say(status_tracker& aTracker,
     const std::string& aServer,
     server_role aRole,
     std::uint64_t aIndex,
@@ -36,23 +36,23 @@
   status.role = aRole;
   status.stored = { 1, aIndex };
   status.applied = { 1, aIndex };
-  aBoard.Record(aServer, status, aAsked);
+  aTracker.Record(aServer, status, aAsked);
 }
 
 // The primary writes one record a millisecond for a second; s2 is 10 ms and
 // s3 300 ms behind. All were last asked at the end of that second.
-status_board
-Board()
+status_tracker
+MakeTracker()
 {
-  status_board board(200ms);
-  board.SetMembers({ "s1", "s2", "s3" });
+  status_tracker tracker(200ms);
+  tracker.SetMembers({ "s1", "s2", "s3" });
   for (std::uint64_t i = 1; i <= kNewest; ++i) {
     const auto asked = kStart + std::chrono::milliseconds(i) - 1000ms;
-    Say(board, "s1", server_role::kPrimary, i, asked);
-    Say(board, "s2", server_role::kReplica, i > 10 ? i - 10 : 0, asked);
-    Say(board, "s3", server_role::kReplica, i > 300 ? i - 300 : 0, asked);
+    Say(tracker, "s1", server_role::kPrimary, i, asked);
+    Say(tracker, "s2", server_role::kReplica, i > 10 ? i - 10 : 0, asked);
+    Say(tracker, "s3", server_role::kReplica, i > 300 ? i - 300 : 0, asked);
   }
-  return board;
+  return tracker;
 }
 
 std::vector<candidate>
@@ -71,10 +71,10 @@
   bool fresh;
   std::vector<std::string> servedIn;
   std::vector<std::string> tried;
-  bool spill;
+  bool allowSpillover;
   void (*change)(std::vector<candidate>&);
   std::chrono::milliseconds after;
-  standing state;
+  availability state;
   /// Server if ready.
   const char* server;
   reason why;
@@ -93,7 +93,7 @@
     false,
     kAsIs,
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s2",
     reason::kNone },
   { "the less loaded one",
@@ -105,7 +105,7 @@
     false,
     [](std::vector<candidate>& aAll) { aAll[1].inUse = 1; },
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s3",
     reason::kNone },
   { "one with a connection at hand before a less loaded one",
@@ -120,7 +120,7 @@
       aAll[2].connected = false;
     },
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s2",
     reason::kNone },
   { "load is counted by slots",
@@ -136,7 +136,7 @@
       aAll[2].slots = 5;
     },
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s3",
     reason::kNone },
   { "only one is within the bound",
@@ -148,7 +148,7 @@
     false,
     kAsIs,
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s2",
     reason::kNone },
   { "none is within the bound: the primary",
@@ -160,7 +160,7 @@
     false,
     kAsIs,
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s1",
     reason::kNone },
   { "a position that a replica has by its last word",
@@ -172,7 +172,7 @@
     false,
     kAsIs,
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s2",
     reason::kNone },
   { "a position that it doesn't have yet: the primary",
@@ -184,7 +184,7 @@
     false,
     kAsIs,
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s1",
     reason::kNone },
   { "the same later, when by its lag it will have it",
@@ -196,7 +196,7 @@
     false,
     kAsIs,
     20ms,
-    standing::kReady,
+    availability::kReady,
     "s2",
     reason::kNone },
   { "a position that nobody has",
@@ -208,7 +208,7 @@
     false,
     kAsIs,
     0ms,
-    standing::kNone,
+    availability::kNone,
     "",
     reason::kTooStale },
   { "fresh: the primary",
@@ -220,7 +220,7 @@
     false,
     kAsIs,
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s1",
     reason::kNone },
   { "fresh, while no majority was heard of late",
@@ -232,7 +232,7 @@
     false,
     kAsIs,
     201ms,
-    standing::kNone,
+    availability::kNone,
     "",
     reason::kNoPrimary },
   { "not fresh, in the same case",
@@ -244,7 +244,7 @@
     false,
     kAsIs,
     201ms,
-    standing::kReady,
+    availability::kReady,
     "s2",
     reason::kNone },
   { "all have been silent for long",
@@ -256,7 +256,7 @@
     false,
     kAsIs,
     1001ms,
-    standing::kNone,
+    availability::kNone,
     "",
     reason::kNoPrimary },
   { "replicas tried in vain: the primary",
@@ -268,7 +268,7 @@
     false,
     kAsIs,
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s1",
     reason::kNone },
   { "replicas leaving: the primary",
@@ -283,7 +283,7 @@
       aAll[2].leaving = true;
     },
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s1",
     reason::kNone },
   { "replicas busy: wait for them",
@@ -294,11 +294,11 @@
     {},
     false,
     [](std::vector<candidate>& aAll) {
-      aAll[1].room = false;
-      aAll[2].room = false;
+      aAll[1].hasCapacity = false;
+      aAll[2].hasCapacity = false;
     },
     0ms,
-    standing::kBusy,
+    availability::kBusy,
     "",
     reason::kNone },
   { "replicas busy for long: the primary",
@@ -309,11 +309,11 @@
     {},
     true,
     [](std::vector<candidate>& aAll) {
-      aAll[1].room = false;
-      aAll[2].room = false;
+      aAll[1].hasCapacity = false;
+      aAll[2].hasCapacity = false;
     },
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s1",
     reason::kNone },
   { "all busy",
@@ -325,11 +325,11 @@
     true,
     [](std::vector<candidate>& aAll) {
       for (auto& one : aAll) {
-        one.room = false;
+        one.hasCapacity = false;
       }
     },
     0ms,
-    standing::kBusy,
+    availability::kBusy,
     "",
     reason::kNone },
   { "a place without a server",
@@ -341,9 +341,9 @@
     false,
     kAsIs,
     0ms,
-    standing::kNone,
+    availability::kNone,
     "",
-    reason::kNoPlace },
+    reason::kNoEligibleServer },
   { "only the primary's place",
     10s,
     {},
@@ -353,7 +353,7 @@
     false,
     kAsIs,
     0ms,
-    standing::kReady,
+    availability::kReady,
     "s1",
     reason::kNone },
   { "only the place of one that is too far behind",
@@ -365,7 +365,7 @@
     false,
     kAsIs,
     0ms,
-    standing::kNone,
+    availability::kNone,
     "",
     reason::kTooStale },
   { "fresh, but not in the primary's place",
@@ -377,9 +377,9 @@
     false,
     kAsIs,
     0ms,
-    standing::kNone,
+    availability::kNone,
     "",
-    reason::kNoPlace },
+    reason::kNoEligibleServer },
 };
 
 } // namespace
@@ -388,17 +388,17 @@
 
 TEST(read_route, choice)
 {
-  const auto board = Board();
+  const auto tracker = MakeTracker();
   for (const auto& row : kRouteRows) {
     auto candidates = Candidates();
     row.change(candidates);
-    const read_need need{ row.servedIn, row.floor, row.maxStaleness,
-                          row.fresh,    row.tried, row.spill };
+    const read_requirements need{ row.servedIn, row.floor, row.maxStaleness,
+                                  row.fresh,    row.tried, row.allowSpillover };
     const auto made =
-      ChooseForRead(candidates, need, board, kStart + row.after);
+      ChooseForRead(candidates, need, tracker, kStart + row.after);
     CHECK_TEXT(made.state == row.state, row.name);
     CHECK_TEXT(made.why == row.why, row.name);
-    if (made.state == standing::kReady) {
+    if (made.state == availability::kReady) {
       CHECK_TEXT(candidates[made.index].server == row.server, row.name);
     }
   }
--- a/test/currantshed/session/token.cpp
+++ b/test/currantshed/session/token.cpp
@@ -37,8 +37,8 @@
 SampleVector()
 {
   position_vector seen;
-  seen.Raise("claims-north", { 3, 900 });
-  seen.Raise("claims-south", { 1, 70000000000 });
+  seen.AdvanceTo("claims-north", { 3, 900 });
+  seen.AdvanceTo("claims-south", { 1, 70000000000 });
   return seen;
 }
 
@@ -79,8 +79,8 @@
   { "same ring", kOld, kOld, {} },
   { "old key after the new one came first", kOld, kBoth, {} },
   { "new key while the old one still seals", kNew, kTurned, {} },
-  { "key was dropped", kOld, kNew, session_error::kForeign },
-  { "same id, other secret", kImpostor, kOld, session_error::kForged },
+  { "key was dropped", kOld, kNew, session_error::kUntrusted },
+  { "same id, other secret", kImpostor, kOld, session_error::kBadSignature },
 };
 
 struct text_row
@@ -205,11 +205,11 @@
 TEST(session_token, other_purpose_is_foreign)
 {
   const auto ring = Ring(kOld);
-  const auto text = ring.Seal(seal_purpose::kTransaction, "content");
+  const auto text = ring.Sign(token_purpose::kTransaction, "content");
   std::string content;
-  CHECK(ring.Open(seal_purpose::kSession, text, content) ==
-        make_error_code(session_error::kForeign));
-  CHECK(!ring.Open(seal_purpose::kTransaction, text, content));
+  CHECK(ring.Verify(token_purpose::kSession, text, content) ==
+        make_error_code(session_error::kUntrusted));
+  CHECK(!ring.Verify(token_purpose::kTransaction, text, content));
   STRCMP_EQUAL("content", content.c_str());
 }
 
@@ -217,13 +217,13 @@
 {
   for (const auto& row : kRaiseRows) {
     position_vector seen;
-    seen.Raise("claims", row.first);
-    seen.Raise("claims", row.second);
+    seen.AdvanceTo("claims", row.first);
+    seen.AdvanceTo("claims", row.second);
     CHECK_TEXT(row.expect == seen.Floor("claims").position, row.name);
     position_vector left;
-    left.Raise("claims", row.first);
+    left.AdvanceTo("claims", row.first);
     position_vector right;
-    right.Raise("claims", row.second);
+    right.AdvanceTo("claims", row.second);
     left.Merge(right);
     CHECK_TEXT(row.expect == left.Floor("claims").position, row.name);
   }
@@ -232,17 +232,17 @@
 TEST(session_token, overflow_makes_every_other_group_fresh)
 {
   position_vector seen;
-  for (unsigned at = 0; at < position_vector::kMostGroups; ++at) {
-    seen.Raise(GroupName(at), { 1, at + 1 });
+  for (unsigned at = 0; at < position_vector::kMaxGroups; ++at) {
+    seen.AdvanceTo(GroupName(at), { 1, at + 1 });
   }
   CHECK_FALSE(seen.Overflowed());
   CHECK_FALSE(seen.Floor("never seen").fresh);
-  seen.Raise("one too many", { 1, 1 });
+  seen.AdvanceTo("one too many", { 1, 1 });
   CHECK(seen.Overflowed());
   CHECK(seen.Floor("one too many").fresh);
   CHECK(seen.Floor("never seen").fresh);
   CHECK_FALSE(seen.Floor(GroupName(7)).fresh);
-  seen.Raise(GroupName(7), { 2, 1 });
+  seen.AdvanceTo(GroupName(7), { 2, 1 });
   CHECK(seen.Floor(GroupName(7)).position == (log_position{ 2, 1 }));
   const auto token = MakeToken(seen, Ring(kOld));
   position_vector read;
@@ -253,22 +253,22 @@
 TEST(session_token, merge_keeps_the_overflow)
 {
   position_vector full;
-  for (unsigned at = 0; at <= position_vector::kMostGroups; ++at) {
-    full.Raise(GroupName(at), { 1, 1 });
+  for (unsigned at = 0; at <= position_vector::kMaxGroups; ++at) {
+    full.AdvanceTo(GroupName(at), { 1, 1 });
   }
   position_vector seen;
   seen.Merge(full);
   CHECK(seen.Overflowed());
   CHECK(seen.Floor("never seen").fresh);
-  CHECK(seen.size() <= position_vector::kMostGroups);
+  CHECK(seen.size() <= position_vector::kMaxGroups);
 }
 
 TEST(session_token, more_seen_than_noted_is_read_fresh_until_noted)
 {
   position_vector seen;
-  seen.AssumeMore();
+  seen.MarkIncomplete();
   CHECK(seen.Floor("claims").fresh);
-  seen.Raise("claims", { 2, 7 });
+  seen.AdvanceTo("claims", { 2, 7 });
   CHECK_FALSE(seen.Floor("claims").fresh);
   CHECK(seen.Floor("other").fresh);
 }
@@ -276,9 +276,9 @@
 TEST(session_token, merge_drops_what_one_side_may_have_seen_higher)
 {
   position_vector low;
-  low.Raise("claims", { 1, 1 });
+  low.AdvanceTo("claims", { 1, 1 });
   position_vector unsure;
-  unsure.AssumeMore();
+  unsure.MarkIncomplete();
   position_vector left = low;
   left.Merge(unsure);
   CHECK(left.Floor("claims").fresh);
--- a/test/currantshed/store/apply.cpp
+++ b/test/currantshed/store/apply.cpp
@@ -472,7 +472,7 @@
 TEST(apply, too_large_is_not_written)
 {
   apply_request request = Request();
-  request.declaration.assign(currantshed::store::kLargestValueBytes, 'x');
+  request.declaration.assign(currantshed::store::kMaxValueBytes, 'x');
   trial subject(request, kSeen);
   subject.Do(step::kAnswer);
   CHECK(subject.Result()->outcome == apply_outcome::kTooLarge);
--- a/test/currantshed/store/patience.cpp
+++ b/test/currantshed/store/call_timeout.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/store/patience.hpp"
+#include "currantshed/store/call_timeout.hpp"
 
 #include <chrono>
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-struct patience_row
+struct call_timeout_row
 {
   const char* name;
   std::chrono::milliseconds sinceStart;
@@ -17,7 +17,7 @@
   std::chrono::milliseconds expect;
 };
 
-const patience_row kRows[] = {
+const call_timeout_row kRows[] = {
   { "the first call", 0ms, false, 400ms },
   { "after one failed call", 500ms, false, 400ms },
   { "after several failed calls", 3000ms, false, 1500ms },
@@ -28,12 +28,12 @@
 
 } // namespace
 
-TEST_GROUP(patience){};
+TEST_GROUP(call_timeout){};
 
-TEST(patience, is_short_until_the_store_was_read)
+TEST(call_timeout, is_short_until_the_store_was_read)
 {
   for (const auto& row : kRows) {
-    CHECK_TEXT(store::Patience(row.sinceStart, row.hasRead) == row.expect,
+    CHECK_TEXT(store::CallTimeout(row.sinceStart, row.hasRead) == row.expect,
                row.name);
   }
 }
--- a/test/currantshed/store/consul_answers.cpp
+++ b/test/currantshed/store/consul_responses.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/store/consul_answers.hpp"
+#include "currantshed/store/consul_responses.hpp"
 
 #include <string>
 #include <system_error>
@@ -10,7 +10,7 @@
 using currantshed::group::description;
 using currantshed::store::entry;
 using currantshed::store::errc;
-using currantshed::store::http_answer;
+using currantshed::store::http_response;
 using currantshed::store::KeyTarget;
 using currantshed::store::ReadEntry;
 using currantshed::store::ReadGroups;
@@ -21,19 +21,19 @@
 
 namespace {
 
-http_answer
+http_response
 Answer(int aStatus, const std::string& aBody)
 {
-  http_answer answer;
+  http_response answer;
   answer.status = aStatus;
   answer.body = aBody;
   return answer;
 }
 
-http_answer
+http_response
 Failure(errc aError)
 {
-  http_answer answer;
+  http_response answer;
   answer.error = aError;
   return answer;
 }
@@ -41,7 +41,7 @@
 struct entry_row
 {
   const char* name;
-  http_answer given;
+  http_response given;
   std::error_code error;
   const char* value;
   std::uint64_t version;
@@ -92,7 +92,7 @@
 struct swap_row
 {
   const char* name;
-  http_answer given;
+  http_response given;
   swap_outcome expected;
 };
 
@@ -140,7 +140,7 @@
 struct list_row
 {
   const char* name;
-  http_answer given;
+  http_response given;
   std::error_code error;
   std::size_t count;
 };
@@ -208,9 +208,9 @@
 
 } // namespace
 
-TEST_GROUP(consul_answers){};
+TEST_GROUP(consul_responses){};
 
-TEST(consul_answers, entries)
+TEST(consul_responses, entries)
 {
   for (const auto& row : kEntryRows) {
     entry found{ "left over", 99 };
@@ -220,14 +220,14 @@
   }
 }
 
-TEST(consul_answers, swaps)
+TEST(consul_responses, swaps)
 {
   for (const auto& row : kSwapRows) {
     CHECK_TEXT(ReadSwap(row.given) == row.expected, row.name);
   }
 }
 
-TEST(consul_answers, vm_lists)
+TEST(consul_responses, vm_lists)
 {
   for (const auto& row : kVmRows) {
     std::vector<vm> vms(3);
@@ -236,7 +236,7 @@
   }
 }
 
-TEST(consul_answers, vm_fields_in_order_of_id)
+TEST(consul_responses, vm_fields_in_order_of_id)
 {
   std::vector<vm> vms;
   CHECK_FALSE(ReadVms(Answer(200, List({ kVm, kLeavingVm })), vms));
@@ -246,7 +246,7 @@
     (vms[1] == vm{ "vm-1", "127.0.0.1", "marka", 27000, 27001, 27002, false }));
 }
 
-TEST(consul_answers, group_lists)
+TEST(consul_responses, group_lists)
 {
   for (const auto& row : kGroupRows) {
     std::vector<description> groups(3);
@@ -255,7 +255,7 @@
   }
 }
 
-TEST(consul_answers, group_fields)
+TEST(consul_responses, group_fields)
 {
   std::vector<description> groups;
   CHECK_FALSE(ReadGroups(Answer(200, List({ kServer })), groups));
@@ -265,7 +265,7 @@
   CHECK(groups.front() == expected);
 }
 
-TEST(consul_answers, targets)
+TEST(consul_responses, targets)
 {
   for (const auto& row : kTargetRows) {
     STRCMP_EQUAL(row.expected, KeyTarget(row.key).c_str());
--- a/test/currantshed/store/curl_transport.cpp
+++ b/test/currantshed/store/curl_transport.cpp
@@ -24,10 +24,10 @@
 using namespace std::chrono_literals;
 using boost::asio::ip::tcp;
 using currantshed::store::errc;
-using currantshed::store::http_answer;
 using currantshed::store::http_method;
 using currantshed::store::http_request;
-using currantshed::store::kAnswerLimitBytes;
+using currantshed::store::http_response;
+using currantshed::store::kMaxResponseBytes;
 using currantshed::store::MakeCurlTransport;
 using currantshed::store::transport;
 
@@ -217,14 +217,14 @@
     0,
     "" },
   { "a Content-Length above the limit",
-    { WithLength("", std::string(kAnswerLimitBytes + 1, 'x')), true },
+    { WithLength("", std::string(kMaxResponseBytes + 1, 'x')), true },
     kLongTimeout,
     errc::kTooLarge,
     0,
     0,
     "" },
   { "a body above the limit without a Content-Length",
-    { "HTTP/1.1 200 OK\r\n\r\n" + std::string(kAnswerLimitBytes + 1, 'x'),
+    { "HTTP/1.1 200 OK\r\n\r\n" + std::string(kMaxResponseBytes + 1, 'x'),
       true },
     kLongTimeout,
     errc::kTooLarge,
@@ -245,14 +245,15 @@
 }
 
 /// Sends a request and runs the loop until its response has arrived.
-http_answer
+http_response
 Ask(boost::asio::io_context& aLoop,
     transport& aTransport,
     const http_request& aRequest)
 {
-  std::optional<http_answer> answer;
-  aTransport.Send(
-    aRequest, [&answer](http_answer aAnswer) { answer = std::move(aAnswer); });
+  std::optional<http_response> answer;
+  aTransport.Send(aRequest, [&answer](http_response aAnswer) {
+    answer = std::move(aAnswer);
+  });
   while (!answer) {
     aLoop.run_one();
   }
@@ -322,7 +323,7 @@
   scripted_server server(loop, { { WithLength("", "a"), false } });
   auto subject = MakeCurlTransport(loop, Base());
   int callbacks = 0;
-  const auto end = [&](const http_answer&) {
+  const auto end = [&](const http_response&) {
     ++callbacks;
     subject.reset();
   };
--- a/test/currantshed/store/era_guard.cpp
+++ b/test/currantshed/store/era_guard.cpp
@@ -22,8 +22,8 @@
   void Hear(std::optional<store::era_id> aEra)
   {
     below.era = aEra;
-    guard.Keep({ guard.Era().value_or(0), 1 },
-               [](std::error_code, store::call_answer) {});
+    guard.KeepAlive({ guard.Era().value_or(0), 1 },
+                    [](std::error_code, store::response_info) {});
     below.Answer();
   }
 
@@ -66,12 +66,12 @@
   { "the first era", {}, 0, 3, {} },
   { "the current era", 3, 3, 3, {} },
   { "the response reports a new era", 3, 3, 4, {} },
-  { "the response is of an earlier era", 4, 4, 3, store::errc::kEraEnded },
+  { "the response is of an earlier era", 4, 4, 3, store::errc::kStaleEra },
   { "the call's revision is of an earlier era",
     4,
     3,
     4,
-    store::errc::kEraEnded },
+    store::errc::kStaleEra },
 };
 
 } // namespace
@@ -111,8 +111,8 @@
   made.guard.Get("a/1",
                  [&got](std::error_code aError, auto, auto) { got = aError; });
   made.Answer();
-  CHECK(read == store::errc::kEraEnded);
-  CHECK(got == store::errc::kEraEnded);
+  CHECK(read == store::errc::kStaleEra);
+  CHECK(got == store::errc::kStaleEra);
 }
 
 TEST(era_guard, tells_of_each_era_once)
@@ -211,7 +211,7 @@
       change, [&outcome](auto aOutcome, auto, auto) { outcome = aOutcome; });
     made.Answer();
     CHECK(outcome == (era == 4 ? store::commit_outcome::kApplied
-                               : store::commit_outcome::kNoLease));
+                               : store::commit_outcome::kLeaseNotFound));
     CHECK_EQUAL(era == 4, made.below.items.contains("a/1"));
   }
 }
--- a/test/currantshed/store/era_model.cpp
+++ b/test/currantshed/store/era_model.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "currantshed/node/duty.hpp"
+#include "currantshed/node/cluster_state.hpp"
 #include "currantshed/store/era_guard.hpp"
 #include "currantshed/store/errors.hpp"
 #include "currantshed/store/prefix_view.hpp"
@@ -75,7 +75,7 @@
 
   ~store_link() override { *mAlive = false; }
 
-  void SetPatience(std::chrono::milliseconds) override {}
+  void SetCallTimeout(std::chrono::milliseconds) override {}
 
   void Get(std::string aKey, item_callback aDone) override
   {
@@ -125,10 +125,10 @@
 
   void Watch(std::string aPrefix,
              store::revision aAfter,
-             std::chrono::milliseconds aAtMost,
+             std::chrono::milliseconds aMaxWait,
              watch_callback aDone) override
   {
-    mWatches[aPrefix] = Follow(aPrefix, aAfter, aAtMost, aDone);
+    mWatches[aPrefix] = Follow(aPrefix, aAfter, aMaxWait, aDone);
   }
 
   void ChangesSince(std::string aPrefix,
@@ -177,7 +177,7 @@
     });
   }
 
-  void Keep(store::lease_id aLease, keep_callback aDone) override
+  void KeepAlive(store::lease_id aLease, keep_alive_callback aDone) override
   {
     const auto known = Known();
     Call([this, aLease, aDone, known](bool aIsLost) -> std::function<void()> {
@@ -193,16 +193,16 @@
       const auto era = mModel.mEra;
       return [this, aDone, era, lives] {
         aDone(lives ? std::error_code{}
-                    : make_error_code(store::errc::kNoLease),
+                    : make_error_code(store::errc::kLeaseNotFound),
               Reply(era));
       };
     });
   }
 
-  void End(store::lease_id) override {}
+  void Revoke(store::lease_id) override {}
 
 private:
-  [[nodiscard]] store::call_answer None() const
+  [[nodiscard]] store::response_info None() const
   {
     return { mModel.mTime.Now() };
   }
@@ -216,16 +216,16 @@
   [[nodiscard]] store::era_id EraOf(store::era_id aGivenIn) const
   {
     switch (mModel.mMistake) {
-      case era_mistake::kEraIgnored:
+      case seeded_bug::kEraIgnored:
         return 0;
-      case era_mistake::kEraOfArrival:
+      case seeded_bug::kEraOfArrival:
         return mModel.mEra;
       default:
         return aGivenIn;
     }
   }
 
-  [[nodiscard]] store::call_answer Reply(store::era_id aGivenIn) const
+  [[nodiscard]] store::response_info Reply(store::era_id aGivenIn) const
   {
     return { mModel.mTime.Now(), EraOf(aGivenIn) };
   }
@@ -277,7 +277,7 @@
   // Waits for changes. Returns a function that cancels the watch.
   std::function<void()> Follow(const std::string& aPrefix,
                                store::revision aAfter,
-                               std::chrono::milliseconds aAtMost,
+                               std::chrono::milliseconds aMaxWait,
                                const watch_callback& aDone)
   {
     auto ended = std::make_shared<bool>(false);
@@ -289,7 +289,7 @@
     const auto fail = [this, end, aDone] {
       end([&] { aDone(store::errc::kTimeout, {}, {}, None()); });
     };
-    const auto until = mModel.mTime.Now() + aAtMost;
+    const auto until = mModel.mTime.Now() + aMaxWait;
     // Responds if there are changes or the wait time is over.
     const auto tryOnce =
       [this, ended, end, alive = mAlive, aPrefix, aAfter, aDone, until](
@@ -301,7 +301,9 @@
         const auto number = mModel.mStore.number;
         if (aAfter.number > number) {
           mModel.mTime.After(mModel.Delay(), [this, end, aDone, era] {
-            end([&] { aDone(store::errc::kHistoryGone, {}, {}, Reply(era)); });
+            end([&] {
+              aDone(store::errc::kHistoryCompacted, {}, {}, Reply(era));
+            });
           });
           return true;
         }
@@ -327,7 +329,7 @@
           });
         return true;
       };
-    mModel.mTime.After(aAtMost + 2 * kCallTime, fail);
+    mModel.mTime.After(aMaxWait + 2 * kCallTime, fail);
     const bool isCut = mModel.mVms[mVm]->isCut;
     if (!isCut) {
       mModel.mTime.After(mModel.Delay(), [&model = mModel, tryOnce] {
@@ -352,7 +354,7 @@
     for (const auto& one : aWhat.puts) {
       const auto lease = one.lease.number;
       if (lease != 0 && !kept.leases.contains(lease)) {
-        return store::commit_outcome::kNoLease;
+        return store::commit_outcome::kLeaseNotFound;
       }
       if (lease != 0) {
         mModel.Touched(mVm, lease, aKnown);
@@ -385,8 +387,8 @@
              });
            },
             [this, &aModel](std::optional<store::era_id>, store::era_id) {
-              configuration.EraEnded(aModel.mTime.Now());
-              own.EraEnded(aModel.mTime.Now());
+              configuration.OnEraChanged(aModel.mTime.Now());
+              own.OnEraChanged(aModel.mTime.Now());
             } })
   , configuration(guard,
                   kConfiguration,
@@ -401,7 +403,7 @@
                    },
                     [](bool, std::error_code) {} })
   , own(guard,
-        std::string(node::kOwnPrefix),
+        std::string(node::kClusterPrefix),
         {},
         { [](clock::time_point) {}, [](bool, std::error_code) {} })
   , registration(guard, own, node::VmKey(Name(aNumber)), {})
@@ -411,10 +413,10 @@
   record.where = { Name(aNumber), "10.0.0.1", 7440 };
   record.failureDomain = "here";
   record.incarnation = aLife;
-  registration.SetValue(node::PrintVm(record));
+  registration.SetValue(node::SerializeVm(record));
 }
 
-era_model::era_model(std::uint32_t aSeed, era_mistake aMistake)
+era_model::era_model(std::uint32_t aSeed, seeded_bug aMistake)
   : mRandom(aSeed)
   , mMistake(aMistake)
   , mNextVersion(mTime.Now() + 2s)
@@ -532,11 +534,11 @@
   const auto back = now - std::chrono::milliseconds{ mRandom() % 4000 };
   mAwayUntil = now + away;
   mCalmSince = mAwayUntil + kWrittenAgain + 500ms;
-  mTime.At(mAwayUntil, [this, back] { Return(back); });
+  mTime.At(mAwayUntil, [this, back] { RestoreSnapshot(back); });
 }
 
 void
-era_model::Return(clock::time_point aTo)
+era_model::RestoreSnapshot(clock::time_point aTo)
 {
   while (mCopies.size() > 1 && mCopies.back().at > aTo) {
     mCopies.pop_back();
@@ -645,7 +647,7 @@
     one.configuration.Check(
       now, [&one, now, this](bool aIsProof, clock::time_point) {
         one.isChecking = false;
-        if (aIsProof && mMistake == era_mistake::kEvidenceCarriedOver) {
+        if (aIsProof && mMistake == seeded_bug::kVerificationCarriedOver) {
           one.provedAt = now;
         }
       });
@@ -667,29 +669,29 @@
   node::vm_record self;
   self.where.vm = Name(aVm);
   self.incarnation = one.life;
-  const auto keys = node::ReadOwnKeys(one.own.Items());
-  const auto found = keys.duties.find(kGroup);
-  const bool isPast = found != keys.duties.end() &&
-                      found->second.record.holder == Name(aVm) &&
-                      found->second.record.incarnation == one.life &&
-                      !node::IsOfEra(found->second.record, one.own.Seen().era);
-  if (!isPast && node::HasHolder(keys, kGroup)) {
+  const auto keys = node::ReadClusterState(one.own.Items());
+  const auto found = keys.locks.find(kGroup);
+  const bool isPast =
+    found != keys.locks.end() && found->second.record.holder == Name(aVm) &&
+    found->second.record.incarnation == one.life &&
+    !node::IsFromEra(found->second.record, one.own.Seen().era);
+  if (!isPast && node::IsLockHeld(keys, kGroup)) {
     return;
   }
   one.isClaiming = true;
   one.nextClaim = now + 300ms;
-  auto claim = node::ClaimOf(keys, kGroup, self, one.own.Seen(), 0);
-  if (mMistake == era_mistake::kEpochFromRevision) {
-    auto made = *node::ReadDuty(claim.puts.front());
+  auto claim = node::MakeLockClaim(keys, kGroup, self, one.own.Seen(), 0);
+  if (mMistake == seeded_bug::kEpochFromRevision) {
+    auto made = *node::ParseFailoverLock(claim.puts.front());
     made.epoch = std::max<std::uint64_t>(
       one.own.Seen().number,
-      found == keys.duties.end() ? 0 : found->second.record.epoch + 1);
-    claim.puts.front().value = node::PrintDuty(made);
+      found == keys.locks.end() ? 0 : found->second.record.epoch + 1);
+    claim.puts.front().value = node::SerializeFailoverLock(made);
   }
   one.guard.Commit(std::move(claim),
                    [&one](store::commit_outcome,
                           store::revision,
-                          store::call_answer) { one.isClaiming = false; });
+                          store::response_info) { one.isClaiming = false; });
 }
 
 // The duty's record is read before each order.
@@ -701,19 +703,19 @@
     return;
   }
   const auto asked = mTime.Now();
-  one.guard.Get(node::DutyKey(kGroup),
+  one.guard.Get(node::FailoverLockKey(kGroup),
                 [this, &one, asked](std::error_code aError,
                                     std::optional<store::item> aItem,
-                                    store::call_answer) {
+                                    store::response_info) {
                   const auto duty =
-                    aItem ? node::ReadDuty(*aItem) : std::nullopt;
+                    aItem ? node::ParseFailoverLock(*aItem) : std::nullopt;
                   const bool isHeld = !aError && duty &&
                                       duty->holder == Name(one.number) &&
                                       duty->incarnation == one.life &&
                                       mTime.Now() < asked + kOrderLife;
                   const bool isOfEra =
-                    isHeld && (mMistake == era_mistake::kEpochFromRevision ||
-                               node::IsOfEra(*duty, aItem->changed.era));
+                    isHeld && (mMistake == seeded_bug::kEpochFromRevision ||
+                               node::IsFromEra(*duty, aItem->changed.era));
                   if (isOfEra) {
                     Ordered({ one.number, duty->epoch, asked });
                   }
@@ -746,7 +748,7 @@
 era_model::Touched(std::size_t aVm, std::uint64_t aLease, store::era_id aKnown)
 {
   const bool isOther = mStore.owners[aLease] != aVm;
-  const bool couldKnow = aKnown == mEra || mMistake == era_mistake::kEraIgnored;
+  const bool couldKnow = aKnown == mEra || mMistake == seeded_bug::kEraIgnored;
   if (isOther && couldKnow) {
     Fault("a lease of another VM was renewed or used for a write");
   }
@@ -790,8 +792,8 @@
   const auto found = items.find(kConfiguration);
   const bool isInForce =
     found != items.end() && std::stoull(found->second.value) == one.version;
-  if (isInForce && mMistake != era_mistake::kEvidenceCarriedOver) {
-    one.provedAt = std::max(one.provedAt, one.configuration.ProvedAt());
+  if (isInForce && mMistake != seeded_bug::kVerificationCarriedOver) {
+    one.provedAt = std::max(one.provedAt, one.configuration.VerifiedAt());
   }
   const bool startedSince = one.calmSince + 500ms >= mCalmSince - 4s;
   if (!startedSince && one.version < WrittenBy(one.provedAt - 1ms)) {
--- a/test/currantshed/store/era_model.hpp
+++ b/test/currantshed/store/era_model.hpp
@@ -14,12 +14,12 @@
 #include <vector>
 
 #include "currantshed/store/key_value.hpp"
-#include "test/currantshed/proxy/world.hpp"
+#include "test/currantshed/proxy/simulated_cluster.hpp"
 
 namespace currantshed::test {
 
 /// A bug seeded into the model, which the test must detect.
-enum class era_mistake
+enum class seeded_bug
 {
   kNone,
   /// All responses report the same era.
@@ -30,7 +30,7 @@
   /// The epoch of a duty is the store's revision.
   kEpochFromRevision,
   /// Any read counts as verification, even if the store has lost changes.
-  kEvidenceCarriedOver,
+  kVerificationCarriedOver,
 };
 
 /// Model of several VMs, with the real views, registrations and claims of
@@ -42,7 +42,7 @@
 class era_model
 {
 public:
-  era_model(std::uint32_t aSeed, era_mistake aMistake);
+  era_model(std::uint32_t aSeed, seeded_bug aMistake);
   ~era_model();
   era_model(const era_model&) = delete;
   era_model& operator=(const era_model&) = delete;
@@ -95,7 +95,7 @@
   void Step();
   void Trouble();
   void Lose();
-  void Return(clock::time_point aTo);
+  void RestoreSnapshot(clock::time_point aTo);
   void Configure();
   void Put(const std::string& aKey,
            const std::string& aValue,
@@ -118,7 +118,7 @@
 
   timeline mTime;
   std::mt19937 mRandom;
-  era_mistake mMistake;
+  seeded_bug mMistake;
   content mStore;
   store::era_id mEra = 0;
   std::deque<copy> mCopies;
--- a/test/currantshed/store/era_model_test.cpp
+++ b/test/currantshed/store/era_model_test.cpp
@@ -7,8 +7,8 @@
 #include <CppUTest/TestHarness.h>
 
 using namespace std::chrono_literals;
-using currantshed::test::era_mistake;
 using currantshed::test::era_model;
+using currantshed::test::seeded_bug;
 
 namespace {
 
@@ -26,27 +26,27 @@
 struct mistake_row
 {
   const char* name;
-  era_mistake what;
+  seeded_bug what;
 };
 
 constexpr mistake_row kMistakes[] = {
-  { "the era is ignored", era_mistake::kEraIgnored },
-  { "the era in which a response arrives", era_mistake::kEraOfArrival },
-  { "the epoch is the revision", era_mistake::kEpochFromRevision },
+  { "the era is ignored", seeded_bug::kEraIgnored },
+  { "the era in which a response arrives", seeded_bug::kEraOfArrival },
+  { "the epoch is the revision", seeded_bug::kEpochFromRevision },
   { "verification is carried over to a new era",
-    era_mistake::kEvidenceCarriedOver },
+    seeded_bug::kVerificationCarriedOver },
 };
 
 } // namespace
 
 TEST_GROUP(era_model){};
 
-TEST(era_model, What_rests_on_the_store_holds_through_its_returns)
+TEST(era_model, Invariants_hold_across_restores_of_the_store)
 {
   std::uint64_t returns = 0;
   std::uint64_t orders = 0;
   for (std::uint32_t seed = 1; seed <= Seeds(); ++seed) {
-    era_model model(seed, era_mistake::kNone);
+    era_model model(seed, seeded_bug::kNone);
     model.Run(kSpan);
     const auto what = model.wrong.empty() ? std::string() : model.wrong.front();
     CHECK_TEXT(model.wrong.empty(),
@@ -59,7 +59,7 @@
   CHECK(orders > Seeds() * 20ULL);
 }
 
-TEST(era_model, Each_mistake_is_found)
+TEST(era_model, Each_seeded_bug_is_found)
 {
   for (const auto& row : kMistakes) {
     bool found = false;
--- a/test/currantshed/store/fake_client.hpp
+++ b/test/currantshed/store/fake_client.hpp
@@ -45,14 +45,14 @@
 
   void Watch(std::string aKey,
              index aKnown,
-             std::chrono::milliseconds aAtMost,
+             std::chrono::milliseconds aMaxWait,
              entry_callback aDone) override
   {
     ++mCounts.watches;
     mWatches.push_back({ std::move(aKey),
                          aKnown,
                          mNow + mDelay,
-                         mNow + mDelay + aAtMost,
+                         mNow + mDelay + aMaxWait,
                          std::move(aDone) });
   }
 
--- a/test/currantshed/store/fake_key_value.hpp
+++ b/test/currantshed/store/fake_key_value.hpp
@@ -39,7 +39,7 @@
   /// Whether commits are applied but their responses lost.
   bool losesAnswers = false;
   std::vector<watch> watches;
-  std::chrono::milliseconds patience{ 0 };
+  std::chrono::milliseconds callTimeout{ 0 };
   /// The era that responses report; none if they report no era.
   std::optional<store::era_id> era;
   /// Leases that a call has renewed or ended.
@@ -49,11 +49,14 @@
   int commits = 0;
 
   /// Takes the snapshot that RestoreSnapshot goes back to.
-  void Copy() { mCopy = { items, history, revision, leases, lastLease }; }
+  void TakeSnapshot()
+  {
+    mCopy = { items, history, revision, leases, lastLease };
+  }
 
   /// Restores the snapshot: later writes are lost, revisions and lease numbers
   /// are issued again, and watches fail.
-  void Return()
+  void RestoreSnapshot()
   {
     CutWatches(store::errc::kTimeout);
     items = mCopy.items;
@@ -134,9 +137,9 @@
     }
   }
 
-  void SetPatience(std::chrono::milliseconds aPatience) override
+  void SetCallTimeout(std::chrono::milliseconds aTimeout) override
   {
-    patience = aPatience;
+    callTimeout = aTimeout;
   }
 
   void Get(std::string aKey, item_callback aDone) override
@@ -227,19 +230,19 @@
     });
   }
 
-  void Keep(store::lease_id aLease, keep_callback aDone) override
+  void KeepAlive(store::lease_id aLease, keep_alive_callback aDone) override
   {
     mCalls.push_back([this, aLease, aDone] {
       touched.insert(aLease.number);
       const bool lives = leases.contains(aLease.number);
       aDone(failing ? failing
             : lives ? std::error_code{}
-                    : make_error_code(store::errc::kNoLease),
+                    : make_error_code(store::errc::kLeaseNotFound),
             Reply());
     });
   }
 
-  void End(store::lease_id aLease) override
+  void Revoke(store::lease_id aLease) override
   {
     touched.insert(aLease.number);
     EndLease(aLease.number);
@@ -265,17 +268,17 @@
   [[nodiscard]] std::error_code ErrorAt(store::revision aAfter) const
   {
     return !failing && aAfter.number > revision
-             ? make_error_code(store::errc::kHistoryGone)
+             ? make_error_code(store::errc::kHistoryCompacted)
              : failing;
   }
 
-  [[nodiscard]] store::call_answer Reply() const { return { now, era }; }
+  [[nodiscard]] store::response_info Reply() const { return { now, era }; }
 
   void AnswerWatches()
   {
     for (auto& one : std::exchange(watches, {})) {
       if (one.after.number > revision) {
-        one.done(store::errc::kHistoryGone, {}, {}, Reply());
+        one.done(store::errc::kHistoryCompacted, {}, {}, Reply());
         continue;
       }
       const auto changes = Changes(one.prefix, one.after);
--- a/test/currantshed/store/fed_view.cpp
+++ b/test/currantshed/store/forwarded_view.cpp
@@ -52,19 +52,19 @@
   {
     for (const auto end = store.now + aSpan; store.now < end;
          store.now += 10ms) {
-      feeder.view.Tick(store.now, 0.5);
-      fed.view.Tick(store.now, 0.5);
+      forwarder.view.Tick(store.now, 0.5);
+      forwarded.view.Tick(store.now, 0.5);
       store.Answer();
     }
   }
 
   /// Sends the other VM the changes that it lacks.
-  bool Feed(std::chrono::milliseconds aFor = 2000ms)
+  bool Forward(std::chrono::milliseconds aFor = 2000ms)
   {
-    const bool taken =
-      fed.view.Take(feeder.view.After(fed.view.Seen()), store.now);
+    const bool taken = forwarded.view.ApplyUpdate(
+      forwarder.view.UpdateSince(forwarded.view.Seen()), store.now);
     if (taken) {
-      fed.view.FedUntil(store.now + aFor);
+      forwarded.view.ForwardedUntil(store.now + aFor);
     }
     return taken;
   }
@@ -72,26 +72,26 @@
   /// Both read the keys; from now on only the first one watches the store.
   void Begin()
   {
-    fed.view.FedUntil(store.now + 1h);
+    forwarded.view.ForwardedUntil(store.now + 1h);
     Run(100ms);
-    fed.view.FedUntil(store.now);
-    CHECK(Feed());
+    forwarded.view.ForwardedUntil(store.now);
+    CHECK(Forward());
   }
 
   test::fake_key_value store;
-  one_view feeder{ store };
-  one_view fed{ store };
+  one_view forwarder{ store };
+  one_view forwarded{ store };
 };
 
-struct feed_row
+struct forwarding_row
 {
   const char* name;
   std::function<void(pair&)> given;
   std::string keys;
-  bool mayBeOld = false;
+  bool mayBeStale = false;
 };
 
-const feed_row kRows[] = {
+const forwarding_row kRows[] = {
   { "nothing new", [](pair&) {}, "a/1=one a/2=two ", true },
   { "a new key",
     [](pair& aPair) { aPair.store.Put("a/3", "three"); },
@@ -126,7 +126,7 @@
     [](pair& aPair) {
       aPair.store.Remove("a/1");
       aPair.store.history.clear();
-      aPair.store.CutWatches(store::errc::kHistoryGone);
+      aPair.store.CutWatches(store::errc::kHistoryCompacted);
     },
     "a/2=two ",
     true },
@@ -141,123 +141,127 @@
 
 } // namespace
 
-TEST_GROUP(fed_view){};
+TEST_GROUP(forwarded_view){};
 
-TEST(fed_view, knows_what_is_passed_on)
+TEST(forwarded_view, knows_what_is_passed_on)
 {
   for (const auto& row : kRows) {
     pair made;
     made.Begin();
     row.given(made);
     made.Run(800ms);
-    CHECK_TEXT(made.Feed(), row.name);
-    STRCMP_EQUAL_TEXT(row.keys.c_str(), made.fed.Keys().c_str(), row.name);
-    CHECK_TEXT(made.feeder.view.Seen() == made.fed.view.Seen(), row.name);
-    CHECK_EQUAL_TEXT(row.mayBeOld, made.fed.view.MayBeOld(), row.name);
+    CHECK_TEXT(made.Forward(), row.name);
+    STRCMP_EQUAL_TEXT(
+      row.keys.c_str(), made.forwarded.Keys().c_str(), row.name);
+    CHECK_TEXT(made.forwarder.view.Seen() == made.forwarded.view.Seen(),
+               row.name);
+    CHECK_EQUAL_TEXT(
+      row.mayBeStale, made.forwarded.view.MayBeStale(), row.name);
   }
 }
 
-TEST(fed_view, begins_no_watch_while_it_is_fed)
+TEST(forwarded_view, begins_no_watch_while_changes_are_forwarded)
 {
   pair made;
   made.Begin();
   made.Run(1500ms);
   CHECK_EQUAL(1U, made.store.watches.size());
-  made.Feed();
+  made.Forward();
   made.Run(1500ms);
   CHECK_EQUAL(1U, made.store.watches.size());
 }
 
-TEST(fed_view, follows_the_store_itself_once_nobody_feeds_it)
+TEST(forwarded_view, follows_the_store_itself_once_nobody_forwards_changes)
 {
   pair made;
   made.Begin();
   made.store.Put("a/1", "uno");
   made.Run(1900ms);
-  STRCMP_EQUAL("a/1=one a/2=two ", made.fed.Keys().c_str());
+  STRCMP_EQUAL("a/1=one a/2=two ", made.forwarded.Keys().c_str());
   made.Run(200ms);
-  STRCMP_EQUAL("a/1=uno a/2=two ", made.fed.Keys().c_str());
+  STRCMP_EQUAL("a/1=uno a/2=two ", made.forwarded.Keys().c_str());
 }
 
-TEST(fed_view, follows_the_store_itself_when_others_know_more)
+TEST(forwarded_view, follows_the_store_itself_when_others_know_more)
 {
   pair made;
   made.Begin();
-  made.fed.view.FedUntil(made.store.now + 1h);
+  made.forwarded.view.ForwardedUntil(made.store.now + 1h);
   made.store.Put("a/1", "uno");
   for (int i = 0; i < 120; ++i) {
-    made.fed.view.HeardOf(made.store.At(), made.store.now);
+    made.forwarded.view.NotifyRevision(made.store.At(), made.store.now);
     made.Run(10ms);
   }
-  STRCMP_EQUAL("a/1=uno a/2=two ", made.fed.Keys().c_str());
+  STRCMP_EQUAL("a/1=uno a/2=two ", made.forwarded.Keys().c_str());
 }
 
-TEST(fed_view, never_goes_back)
+TEST(forwarded_view, never_goes_back)
 {
   pair made;
   made.Begin();
-  const auto old = made.feeder.view.After({});
-  auto oldChanges = made.feeder.view.After({ 0, 1 });
+  const auto old = made.forwarder.view.UpdateSince({});
+  auto oldChanges = made.forwarder.view.UpdateSince({ 0, 1 });
   made.store.Put("a/1", "uno");
   made.store.Remove("a/2");
   made.Run(800ms);
-  CHECK(made.Feed());
+  CHECK(made.Forward());
   // Delayed updates are accepted as known and change nothing.
-  CHECK(made.fed.view.Take(old, made.store.now));
-  CHECK(made.fed.view.Take(oldChanges, made.store.now));
-  STRCMP_EQUAL("a/1=uno ", made.fed.Keys().c_str());
+  CHECK(made.forwarded.view.ApplyUpdate(old, made.store.now));
+  CHECK(made.forwarded.view.ApplyUpdate(oldChanges, made.store.now));
+  STRCMP_EQUAL("a/1=uno ", made.forwarded.Keys().c_str());
   // There is nothing newer to forward.
-  oldChanges = made.feeder.view.After(made.fed.view.Seen());
+  oldChanges = made.forwarder.view.UpdateSince(made.forwarded.view.Seen());
   CHECK(oldChanges.changes.empty());
 }
 
 // A VM that called the store later than the one that forwards changes to it has
 // the same content as long as nothing has changed below the prefix.
-TEST(fed_view, is_fed_by_one_whose_last_call_is_older)
+TEST(forwarded_view, accepts_changes_of_a_forwarder_whose_last_call_is_older)
 {
   pair made;
-  made.feeder.view.Tick(made.store.now, 0.5);
+  made.forwarder.view.Tick(made.store.now, 0.5);
   made.store.Answer();
   made.store.Put("b/1", "elsewhere");
   made.Run(100ms);
-  CHECK(made.feeder.view.Seen() < made.fed.view.Seen());
-  CHECK(made.Feed());
+  CHECK(made.forwarder.view.Seen() < made.forwarded.view.Seen());
+  CHECK(made.Forward());
   made.store.Put("a/1", "uno");
   made.Run(800ms);
-  CHECK(made.Feed());
-  STRCMP_EQUAL("a/1=uno a/2=two ", made.fed.Keys().c_str());
+  CHECK(made.Forward());
+  STRCMP_EQUAL("a/1=uno a/2=two ", made.forwarded.Keys().c_str());
 }
 
-TEST(fed_view, takes_no_changes_that_leave_a_gap)
+TEST(forwarded_view, takes_no_changes_that_leave_a_gap)
 {
   pair made;
   made.Begin();
-  const auto known = made.fed.view.Seen();
+  const auto known = made.forwarded.view.Seen();
   made.store.Put("a/1", "uno");
   made.Run(800ms);
-  const auto between = made.feeder.view.Seen();
+  const auto between = made.forwarder.view.Seen();
   made.store.Put("a/2", "due");
   made.Run(800ms);
-  CHECK_FALSE(
-    made.fed.view.Take(made.feeder.view.After(between), made.store.now));
-  CHECK(known == made.fed.view.Seen());
-  STRCMP_EQUAL("a/1=one a/2=two ", made.fed.Keys().c_str());
+  CHECK_FALSE(made.forwarded.view.ApplyUpdate(
+    made.forwarder.view.UpdateSince(between), made.store.now));
+  CHECK(known == made.forwarded.view.Seen());
+  STRCMP_EQUAL("a/1=one a/2=two ", made.forwarded.Keys().c_str());
 }
 
-TEST(fed_view, a_reading_older_than_what_was_passed_on_is_dropped)
+TEST(forwarded_view, a_reading_older_than_what_was_passed_on_is_dropped)
 {
   pair made;
   made.Run(100ms);
-  made.fed.view.Renew(made.store.now);
+  made.forwarded.view.Refresh(made.store.now);
   // The change arrives from another VM while the read is in progress.
-  made.fed.view.Tick(made.store.now, 0.5);
+  made.forwarded.view.Tick(made.store.now, 0.5);
   made.store.Put("a/1", "uno");
   store::key_update update{ false, { 0, 1 }, made.store.At(), false, {} };
   update.changes.push_back({ made.store.items["a/1"], false });
-  const auto fed = made.fed.view.Take(update, made.store.now);
+  const auto forwarded =
+    made.forwarded.view.ApplyUpdate(update, made.store.now);
   made.Run(500ms);
-  CHECK(fed);
-  STRCMP_EQUAL("a/1=uno a/2=two ", made.fed.Keys().c_str());
+  CHECK(forwarded);
+  STRCMP_EQUAL("a/1=uno a/2=two ", made.forwarded.Keys().c_str());
 }
 
 struct current_row
@@ -286,14 +290,14 @@
     100ms },
 };
 
-TEST(fed_view, tells_how_old_its_keys_may_be)
+TEST(forwarded_view, tells_how_old_its_keys_may_be)
 {
   for (const auto& row : kCurrent) {
     pair made;
     made.Run(10ms);
     row.given(made);
     const auto age =
-      made.store.now - made.feeder.view.CurrentAt(made.store.now);
+      made.store.now - made.forwarder.view.CurrentAt(made.store.now);
     CHECK_EQUAL_TEXT(
       row.age.count(),
       std::chrono::duration_cast<std::chrono::milliseconds>(age).count(),
@@ -301,46 +305,46 @@
   }
 }
 
-TEST(fed_view, asks_nothing_while_it_is_held)
+TEST(forwarded_view, asks_nothing_while_it_is_held)
 {
   pair made;
   made.Run(100ms);
   made.store.failing = store::errc::kUnavailable;
-  made.feeder.view.SetHeld(true);
+  made.forwarder.view.SetPaused(true);
   made.store.CutWatches(store::errc::kUnavailable);
   const auto ranges = made.store.ranges;
   for (int i = 0; i < 50; ++i) {
     made.store.now += 100ms;
-    made.feeder.view.Tick(made.store.now, 0.5);
+    made.forwarder.view.Tick(made.store.now, 0.5);
     made.store.Answer();
   }
   CHECK_EQUAL(ranges, made.store.ranges);
   CHECK(made.store.watches.empty());
   made.store.failing = {};
   made.store.Put("a/1", "uno");
-  made.feeder.view.SetHeld(false);
+  made.forwarder.view.SetPaused(false);
   made.Run(50ms);
-  STRCMP_EQUAL("a/1=uno a/2=two ", made.feeder.Keys().c_str());
+  STRCMP_EQUAL("a/1=uno a/2=two ", made.forwarder.Keys().c_str());
 }
 
-TEST(fed_view, is_not_fed_by_one_that_knows_an_earlier_era)
+TEST(forwarded_view, rejects_changes_of_a_forwarder_of_an_earlier_era)
 {
   pair made;
   made.store.SetEra(1);
-  made.feeder.view.Renew(made.store.now);
+  made.forwarder.view.Refresh(made.store.now);
   made.Run(100ms);
   made.Begin();
-  const auto old = made.feeder.view.After(made.fed.view.Seen());
-  made.store.Copy();
+  const auto old = made.forwarder.view.UpdateSince(made.forwarded.view.Seen());
+  made.store.TakeSnapshot();
   made.store.Put("a/1", "uno");
-  made.store.Return();
-  made.feeder.view.EraEnded(made.store.now);
+  made.store.RestoreSnapshot();
+  made.forwarder.view.OnEraChanged(made.store.now);
   made.Run(1000ms);
-  CHECK(made.Feed());
-  STRCMP_EQUAL("a/1=one a/2=two ", made.fed.Keys().c_str());
-  CHECK(made.fed.view.Seen().era == 2);
-  CHECK_FALSE(made.fed.view.Take(old, made.store.now));
-  CHECK(made.fed.view.Seen().era == 2);
+  CHECK(made.Forward());
+  STRCMP_EQUAL("a/1=one a/2=two ", made.forwarded.Keys().c_str());
+  CHECK(made.forwarded.view.Seen().era == 2);
+  CHECK_FALSE(made.forwarded.view.ApplyUpdate(old, made.store.now));
+  CHECK(made.forwarded.view.Seen().era == 2);
 }
 
 namespace {
@@ -348,7 +352,7 @@
 /// Returns how many keys are examined to compute the update for a VM that lacks
 /// only the last changes, with so many keys in all.
 std::uint64_t
-LookedAtFor(std::size_t aKeys, std::size_t aChanges)
+KeysExaminedFor(std::size_t aKeys, std::size_t aChanges)
 {
   test::fake_key_value store;
   one_view view(store);
@@ -367,10 +371,10 @@
     store.Put("a/" + std::to_string(i), "two");
   }
   run();
-  const auto before = view.view.LookedAt();
-  const auto update = view.view.After(known);
+  const auto before = view.view.KeysExamined();
+  const auto update = view.view.UpdateSince(known);
   CHECK_EQUAL(aChanges, update.changes.size());
-  return view.view.LookedAt() - before;
+  return view.view.KeysExamined() - before;
 }
 
 } // namespace
@@ -378,41 +382,41 @@
 // A VM that watches the store on behalf of a hundred others is queried by each
 // of them several times per second, so the cost of a response must depend on
 // the number of changes, not on the number of keys.
-TEST(fed_view, an_answer_costs_the_changes_not_the_keys)
+TEST(forwarded_view, an_answer_costs_the_changes_not_the_keys)
 {
   for (const std::size_t keys : { 50, 100, 200 }) {
     for (const std::size_t changes : { 0, 1, 5 }) {
-      CHECK(LookedAtFor(keys, changes) <= changes);
+      CHECK(KeysExaminedFor(keys, changes) <= changes);
     }
   }
 }
 
-TEST(fed_view, tells_its_reader_what_has_changed)
+TEST(forwarded_view, tells_its_reader_what_has_changed)
 {
   pair both;
   both.Begin();
-  CHECK(both.fed.view.TakeChangedKeys().isAll);
-  CHECK(both.fed.view.TakeChangedKeys().keys.empty());
+  CHECK(both.forwarded.view.TakeChangedKeys().isAll);
+  CHECK(both.forwarded.view.TakeChangedKeys().keys.empty());
   both.store.Put("a/1", "uno");
   both.store.Put("a/1", "ein");
   both.store.Remove("a/2");
   both.Run(1s);
-  CHECK(both.Feed());
-  const auto changed = both.fed.view.TakeChangedKeys();
+  CHECK(both.Forward());
+  const auto changed = both.forwarded.view.TakeChangedKeys();
   CHECK_FALSE(changed.isAll);
   CHECK(changed.keys == (std::vector<std::string>{ "a/1", "a/2" }));
 }
 
-TEST(fed_view, what_is_too_long_is_left_out)
+TEST(forwarded_view, what_is_too_long_is_left_out)
 {
   pair both;
   both.Begin();
-  const auto known = both.feeder.view.Seen();
+  const auto known = both.forwarder.view.Seen();
   both.store.Put("a/1", std::string(100, 'x'));
   both.Run(1s);
-  CHECK_FALSE(both.feeder.view.After(known, 103).isTooLong);
-  const auto update = both.feeder.view.After(known, 102);
-  CHECK(update.isTooLong);
+  CHECK_FALSE(both.forwarder.view.UpdateSince(known, 103).isTooLarge);
+  const auto update = both.forwarder.view.UpdateSince(known, 102);
+  CHECK(update.isTooLarge);
   CHECK(update.changes.empty());
-  CHECK(both.feeder.view.After({}, 102).isTooLong);
+  CHECK(both.forwarder.view.UpdateSince({}, 102).isTooLarge);
 }
--- a/test/currantshed/store/http_client.cpp
+++ b/test/currantshed/store/http_client.cpp
@@ -14,9 +14,9 @@
 using currantshed::store::client;
 using currantshed::store::entry;
 using currantshed::store::errc;
-using currantshed::store::http_answer;
 using currantshed::store::http_method;
 using currantshed::store::http_request;
+using currantshed::store::http_response;
 using currantshed::store::listing;
 using currantshed::store::MakeClient;
 using currantshed::store::swap_outcome;
@@ -51,23 +51,23 @@
   std::vector<sent_call>& mSent;
 };
 
-http_answer
+http_response
 Answer(int aStatus, const std::string& aBody, std::uint64_t aIndex = 0)
 {
-  return http_answer{ {}, aStatus, aIndex, aBody };
+  return http_response{ {}, aStatus, aIndex, aBody };
 }
 
-http_answer
+http_response
 Failure(errc aError)
 {
-  return http_answer{ aError, 0, 0, {} };
+  return http_response{ aError, 0, 0, {} };
 }
 
 struct list_row
 {
   const char* name;
-  http_answer vms;
-  http_answer groups;
+  http_response vms;
+  http_response groups;
   std::error_code error;
 };
 
--- a/test/currantshed/store/prefix_view.cpp
+++ b/test/currantshed/store/prefix_view.cpp
@@ -61,7 +61,7 @@
   /// The expected keys at the end.
   std::string keys;
   /// Whether the last change may have been made long before it was seen.
-  bool mayBeOld = false;
+  bool mayBeStale = false;
 };
 
 const change_row kRows[] = {
@@ -87,7 +87,7 @@
       aFollower.store.Put("a/2", "two");
       aFollower.store.Remove("a/1");
       aFollower.store.history.clear();
-      aFollower.store.CutWatches(store::errc::kHistoryGone);
+      aFollower.store.CutWatches(store::errc::kHistoryCompacted);
     },
     "a/2=two ",
     true },
@@ -127,7 +127,7 @@
     made.Run(3000ms);
     CHECK_TEXT(Print(made.view) == row.keys, row.name);
     CHECK_TEXT(made.reached, row.name);
-    CHECK_EQUAL_TEXT(row.mayBeOld, made.view.MayBeOld(), row.name);
+    CHECK_EQUAL_TEXT(row.mayBeStale, made.view.MayBeStale(), row.name);
   }
 }
 
@@ -138,7 +138,7 @@
   made.store.Put("a/2", "two");
   made.store.history.clear();
   made.Run(1000ms);
-  made.view.Renew(made.store.now);
+  made.view.Refresh(made.store.now);
   made.Run(1000ms);
   CHECK(Print(made.view) == "a/1=one a/2=two ");
 }
@@ -153,7 +153,7 @@
   CHECK_FALSE(made.reached);
   made.store.failing = {};
   made.store.Put("a/2", "two");
-  made.view.Renew(made.store.now);
+  made.view.Refresh(made.store.now);
   made.Run(30ms);
   CHECK(made.reached);
   CHECK(Print(made.view) == "a/1=one a/2=two ");
@@ -170,11 +170,11 @@
   const auto change = made.store.At();
   made.Run(1000ms);
   CHECK(Print(made.view) == "a/1=one ");
-  made.view.HeardOf(change, made.store.now);
+  made.view.NotifyRevision(change, made.store.now);
   // An announcement by a VM that lags behind does not reset the wait.
-  made.view.HeardOf({ 0, 1 }, made.store.now);
+  made.view.NotifyRevision({ 0, 1 }, made.store.now);
   made.Run(500ms);
-  made.view.HeardOf(change, made.store.now);
+  made.view.NotifyRevision(change, made.store.now);
   made.Run(1000ms);
   CHECK(Print(made.view) == "a/1=one a/2=two ");
   CHECK_EQUAL(ranges + 1, made.store.ranges);
@@ -186,7 +186,7 @@
 {
   const char* name;
   std::size_t bytes;
-  std::chrono::nanoseconds byteTime;
+  std::chrono::nanoseconds timePerByte;
   /// Maximum number of changes reported within 3 s while the key is written
   /// every 50 ms.
   std::size_t atMost;
@@ -209,9 +209,9 @@
     store::prefix_view view(
       store,
       "a/",
-      { .afterChange = 200ms,
-        .afterChangeByKey = 0ms,
-        .byteTime = row.byteTime },
+      { .pauseAfterChange = 200ms,
+        .pausePerKey = 0ms,
+        .timePerByte = row.timePerByte },
       { [&](clock::time_point) { ++changes; }, [](bool, std::error_code) {} });
     store.Put("a/1", std::string(row.bytes, 'x'));
     for (int step = 0; step < 300; ++step) {
@@ -234,7 +234,7 @@
   store::prefix_view view(
     store,
     "a/",
-    { .afterChange = 100ms, .afterChangeByKey = 40ms, .longestByKeys = 500ms },
+    { .pauseAfterChange = 100ms, .pausePerKey = 40ms, .maxPauseByKeys = 500ms },
     { [&](clock::time_point aNow) { changedAt = aNow; },
       [](bool, std::error_code) {} });
   for (int key = 0; key < 100; ++key) {
@@ -255,16 +255,16 @@
   store::prefix_view view(
     store,
     "a/",
-    { .afterChange = 600ms, .afterChangeByKey = 0ms },
+    { .pauseAfterChange = 600ms, .pausePerKey = 0ms },
     { [](clock::time_point) {}, [](bool, std::error_code) {} });
   store.Put("a/1", "one");
   const auto pass = [&](std::chrono::milliseconds aSpan) {
     for (const auto end = store.now + aSpan; store.now < end;
          store.now += 10ms) {
-      view.HeardOf(store.At(), store.now);
+      view.NotifyRevision(store.At(), store.now);
       view.Tick(store.now, 0.5);
       // The response is still in transit when other VMs announce the revision.
-      view.HeardOf(store.At(), store.now);
+      view.NotifyRevision(store.At(), store.now);
       store.Answer();
     }
   };
@@ -286,11 +286,11 @@
   const auto before = made.store.At();
   made.store.Put("b/2", "other");
   // While the read is in progress, another VM sends a later change.
-  made.view.Renew(made.store.now);
+  made.view.Refresh(made.store.now);
   made.view.Tick(made.store.now, 0.5);
   const auto read = made.store.At();
-  made.view.Take({ false, before, { 7, read.number + 5 }, false, {} },
-                 made.store.now);
+  made.view.ApplyUpdate({ false, before, { 7, read.number + 5 }, false, {} },
+                        made.store.now);
   made.Run(100ms);
   LONGS_EQUAL(1, made.ignored.size());
   CHECK(made.ignored.front().read == read);
--- a/test/currantshed/store/registration.cpp
+++ b/test/currantshed/store/registration.cpp
@@ -107,7 +107,7 @@
 {
   keeper made;
   int regained = 0;
-  made.registration.OnRegained([&regained] { ++regained; });
+  made.registration.OnRecovered([&regained] { ++regained; });
   made.Run(2500ms);
   CHECK_EQUAL(0, regained);
   made.store.failing = store::errc::kTimeout;
@@ -121,7 +121,7 @@
 {
   keeper made;
   made.Run(500ms);
-  made.registration.End();
+  made.registration.Revoke();
   CHECK(!made.store.items.contains("vm/a"));
   made.Run(3000ms);
   CHECK(!made.store.items.contains("vm/a"));
@@ -189,15 +189,15 @@
     const auto run = [&](std::chrono::milliseconds aSpan) {
       for (const auto end = store.now + aSpan; store.now < end;
            store.now += 10ms) {
-        view.EraEnded(store.now);
+        view.OnEraChanged(store.now);
         view.Tick(store.now, 0.5);
         made.Tick(store.now, 0.5);
         store.Answer();
       }
     };
-    store.Copy();
+    store.TakeSnapshot();
     run(500ms);
-    store.Return();
+    store.RestoreSnapshot();
     const auto others = ++store.lastLease;
     store.leases.insert(others);
     store.Put("vm/b", "there", others);
@@ -209,7 +209,7 @@
     CHECK(made.IsListed() && made.ValidUntil() > store.now);
     CHECK(store.items["vm/a"].lease != store.items["vm/b"].lease);
     if (endsThere) {
-      made.End();
+      made.Revoke();
       CHECK(store.items.contains("vm/b"));
     }
     CHECK(!store.touched.contains(others));
--- a/test/currantshed/store/returned_store.cpp
+++ b/test/currantshed/store/restored_store.cpp
@@ -53,9 +53,9 @@
     store.era = 1;
     store.Put("a/1", "one");
     store.Put("a/2", "two");
-    fed.FedUntil(store.now + 1h);
+    forwarded.ForwardedUntil(store.now + 1h);
     Run(100ms);
-    store.Copy();
+    store.TakeSnapshot();
     for (const auto* value : { "uno", "ein", "un" }) {
       store.Put("a/1", value);
     }
@@ -70,17 +70,18 @@
     for (const auto end = store.now + aSpan; store.now < end;
          store.now += 10ms) {
       if (store.now >= nextRenewal) {
-        guard.Keep({ guard.Era().value_or(0), 1 },
-                   [](std::error_code, store::call_answer) {});
+        guard.KeepAlive({ guard.Era().value_or(0), 1 },
+                        [](std::error_code, store::response_info) {});
         nextRenewal = store.now + kRenewal;
       }
-      feeder.Tick(store.now, 0.5);
+      forwarder.Tick(store.now, 0.5);
       store.Answer();
       for (const auto& call : std::exchange(later, {})) {
         call();
       }
-      if (fed.Take(feeder.After(fed.Seen()), store.now)) {
-        fed.FedUntil(store.now + 2s);
+      if (forwarded.ApplyUpdate(forwarder.UpdateSince(forwarded.Seen()),
+                                store.now)) {
+        forwarded.ForwardedUntil(store.now + 2s);
       }
     }
   }
@@ -96,10 +97,10 @@
                            },
                             [this](std::optional<store::era_id>,
                                    store::era_id) {
-                              feeder.EraEnded(store.now);
+                              forwarder.OnEraChanged(store.now);
                             } } };
-  store::prefix_view feeder{ guard, "a/", {}, listener };
-  store::prefix_view fed{ guard, "a/", {}, listener };
+  store::prefix_view forwarder{ guard, "a/", {}, listener };
+  store::prefix_view forwarded{ guard, "a/", {}, listener };
 };
 
 struct return_row
@@ -111,18 +112,18 @@
 
 const return_row kRows[] = {
   { "nothing is written afterwards",
-    [](two_vms& aVms) { aVms.store.Return(); },
+    [](two_vms& aVms) { aVms.store.RestoreSnapshot(); },
     "a/1=one a/2=two " },
   { "a key is written at a revision below the known one",
     [](two_vms& aVms) {
-      aVms.store.Return();
+      aVms.store.RestoreSnapshot();
       aVms.Run(200ms);
       aVms.store.Put("a/1", "trois");
     },
     "a/1=trois a/2=two " },
   { "keys are written before the VM's next call, beyond the known revision",
     [](two_vms& aVms) {
-      aVms.store.Return();
+      aVms.store.RestoreSnapshot();
       for (int i = 0; i < 9; ++i) {
         aVms.store.Put("a/4", std::to_string(i));
       }
@@ -130,17 +131,17 @@
     "a/1=one a/2=two a/4=8 " },
   { "it is restored twice",
     [](two_vms& aVms) {
-      aVms.store.Return();
+      aVms.store.RestoreSnapshot();
       aVms.Run(200ms);
       aVms.store.Put("a/1", "trois");
       aVms.Run(200ms);
-      aVms.store.Return();
+      aVms.store.RestoreSnapshot();
       aVms.store.Put("a/2", "deux");
     },
     "a/1=one a/2=deux " },
   { "it does not respond at first",
     [](two_vms& aVms) {
-      aVms.store.Return();
+      aVms.store.RestoreSnapshot();
       aVms.store.failing = store::errc::kTimeout;
       aVms.Run(1000ms);
       aVms.store.failing = {};
@@ -151,27 +152,29 @@
 
 } // namespace
 
-TEST_GROUP(returned_store){};
+TEST_GROUP(restored_store){};
 
-TEST(returned_store, is_followed_from_its_new_revisions)
+TEST(restored_store, is_followed_from_its_new_revisions)
 {
   for (const auto& row : kRows) {
     two_vms made;
     row.given(made);
     made.Run(kInForce);
-    STRCMP_EQUAL_TEXT(row.keys.c_str(), Print(made.feeder).c_str(), row.name);
-    STRCMP_EQUAL_TEXT(row.keys.c_str(), Print(made.fed).c_str(), row.name);
+    STRCMP_EQUAL_TEXT(
+      row.keys.c_str(), Print(made.forwarder).c_str(), row.name);
+    STRCMP_EQUAL_TEXT(
+      row.keys.c_str(), Print(made.forwarded).c_str(), row.name);
   }
 }
 
 // A store that reports no era cannot be distinguished from one that lags
 // behind. Its reads are discarded until its revisions exceed the known one, at
 // a bounded call rate.
-TEST(returned_store, is_not_called_in_a_loop_where_it_tells_no_era)
+TEST(restored_store, is_not_called_in_a_loop_where_it_tells_no_era)
 {
   test::fake_key_value silent;
   silent.Put("a/1", "one");
-  silent.Copy();
+  silent.TakeSnapshot();
   silent.Put("a/1", "uno");
   store::prefix_view view(
     silent,
@@ -186,7 +189,7 @@
     }
   };
   run(100ms);
-  silent.Return();
+  silent.RestoreSnapshot();
   silent.ranges = 0;
   run(kInForce);
   CHECK(silent.ranges <= kMostReadingsUntold);
@@ -197,7 +200,7 @@
   STRCMP_EQUAL("a/1=zwei ", Print(view).c_str());
 }
 
-TEST(returned_store, is_not_called_in_a_loop)
+TEST(restored_store, is_not_called_in_a_loop)
 {
   for (const auto& row : kRows) {
     two_vms made;
--- a/test/currantshed/store/proved_view.cpp
+++ b/test/currantshed/store/verified_view.cpp
@@ -47,30 +47,30 @@
 
 } // namespace
 
-TEST_GROUP(proved_view){};
+TEST_GROUP(verified_view){};
 
-TEST(proved_view, A_reading_proves_as_of_its_asking)
+TEST(verified_view, A_read_verifies_as_of_its_start)
 {
   proved one;
-  CHECK(one.view.ProvedAt() == one.asked);
+  CHECK(one.view.VerifiedAt() == one.asked);
 }
 
-TEST(proved_view, A_watch_that_waits_proves_nothing)
+TEST(verified_view, A_pending_watch_verifies_nothing)
 {
   proved one;
-  const auto before = one.view.ProvedAt();
+  const auto before = one.view.VerifiedAt();
   one.view.Tick(one.store.now, 0);
   one.store.now += 20s;
   one.store.Answer();
-  CHECK(one.view.ProvedAt() == before);
+  CHECK(one.view.VerifiedAt() == before);
 }
 
-TEST(proved_view, A_check_proves_as_of_its_asking_and_brings_changes)
+TEST(verified_view, A_check_verifies_as_of_its_start_and_applies_changes)
 {
   proved one;
   one.Check();
   CHECK(one.isProof);
-  CHECK(one.view.ProvedAt() == one.asked);
+  CHECK(one.view.VerifiedAt() == one.asked);
   const auto before = one.changes;
   one.store.Put("a/1", "y");
   one.Check();
@@ -78,18 +78,18 @@
   STRCMP_EQUAL("y", one.view.Items().at("a/1").value.c_str());
 }
 
-TEST(proved_view, A_check_that_fails_proves_nothing)
+TEST(verified_view, A_failed_check_verifies_nothing)
 {
   proved one;
-  const auto before = one.view.ProvedAt();
+  const auto before = one.view.VerifiedAt();
   one.store.failing = store::make_error_code(store::errc::kTimeout);
   one.Check();
   CHECK(!one.isProof);
-  CHECK(one.view.ProvedAt() == before);
+  CHECK(one.view.VerifiedAt() == before);
 }
 
 // The watch in progress delivers the same change a second time.
-TEST(proved_view, A_change_counts_once_beside_a_watch)
+TEST(verified_view, A_change_counts_once_beside_a_watch)
 {
   proved one;
   one.view.Tick(one.store.now, 0);
@@ -99,53 +99,53 @@
   LONGS_EQUAL(before + 1, one.changes);
 }
 
-TEST(proved_view, Another_VMs_proof_takes_nothing_back)
+TEST(verified_view, An_older_verification_by_another_VM_is_ignored)
 {
   proved one;
-  const auto before = one.view.ProvedAt();
-  one.view.Prove(before - 1s);
-  CHECK(one.view.ProvedAt() == before);
-  one.view.Prove(before + 1s);
-  CHECK(one.view.ProvedAt() == before + 1s);
+  const auto before = one.view.VerifiedAt();
+  one.view.MarkVerified(before - 1s);
+  CHECK(one.view.VerifiedAt() == before);
+  one.view.MarkVerified(before + 1s);
+  CHECK(one.view.VerifiedAt() == before + 1s);
 }
 
 // A store restored from an older snapshot may have lost an acknowledged
 // configuration, and with it the revocation of an API key; operators write it
 // again within 2 s.
-TEST(proved_view, A_store_that_has_just_lost_changes_proves_nothing)
+TEST(verified_view, A_store_restored_a_moment_ago_verifies_nothing)
 {
   proved one;
   one.store.SetEra(1);
   one.Check();
-  one.store.Copy();
+  one.store.TakeSnapshot();
   one.store.Put("a/1", "y");
   one.Check();
-  const auto before = one.view.ProvedAt();
-  one.store.Return();
-  one.view.EraEnded(one.store.now);
+  const auto before = one.view.VerifiedAt();
+  one.store.RestoreSnapshot();
+  one.view.OnEraChanged(one.store.now);
   one.view.Tick(one.store.now, 0);
   one.store.Answer();
   STRCMP_EQUAL("x", one.view.Items().at("a/1").value.c_str());
   one.store.now += 1s;
   one.Check();
-  CHECK(one.view.ProvedAt() == before);
+  CHECK(one.view.VerifiedAt() == before);
   one.store.now += 1s;
   one.store.Put("a/1", "y");
   one.store.now += 1s;
   one.Check();
-  CHECK(one.view.ProvedAt() == one.asked);
+  CHECK(one.view.VerifiedAt() == one.asked);
   STRCMP_EQUAL("y", one.view.Items().at("a/1").value.c_str());
 }
 
 // The store is restored while a VM that has just started waits for its first
 // read. The VM learns of the restore from its lease. The read lacks a
 // configuration acknowledged 2 s before, so it must not count as verification.
-TEST(proved_view, A_first_reading_beside_a_return_proves_nothing)
+TEST(verified_view, A_first_read_during_a_restore_verifies_nothing)
 {
   test::fake_key_value store;
   store.SetEra(1);
   store.Put("a/1", "x");
-  store.Copy();
+  store.TakeSnapshot();
   store.Put("a/1", "y");
   store::prefix_view view(
     store,
@@ -153,15 +153,15 @@
     {},
     { [](clock::time_point) {}, [](bool, std::error_code) {} });
   view.Tick(store.now, 0);
-  store.Return();
+  store.RestoreSnapshot();
   store.now += 100ms;
-  view.EraEnded(store.now);
+  view.OnEraChanged(store.now);
   store.Answer();
   CHECK(view.IsKnown());
-  CHECK(view.ProvedAt() == clock::time_point{});
+  CHECK(view.VerifiedAt() == clock::time_point{});
   store.now += 3s;
   const auto asked = store.now;
   view.Check(store.now, [](bool, clock::time_point) {});
   store.Answer();
-  CHECK(view.ProvedAt() == asked);
+  CHECK(view.VerifiedAt() == asked);
 }
--- a/test/currantshed/store/watcher.cpp
+++ b/test/currantshed/store/watcher.cpp
@@ -123,7 +123,7 @@
   const auto actions = subject.TakeActions();
   LONGS_EQUAL(1, actions.size());
   CHECK(std::get<start_watch>(actions[0]).known == 0);
-  CHECK(std::get<start_watch>(actions[0]).atMost == 10s);
+  CHECK(std::get<start_watch>(actions[0]).maxWait == 10s);
   CHECK_FALSE(subject.NextTick().has_value());
   CHECK_FALSE(subject.LastAnswer().has_value());
 }
--- a/test/currantshed/wire/codec.cpp
+++ b/test/currantshed/wire/codec.cpp
@@ -290,7 +290,7 @@
   const auto beat = std::get<member::heartbeat>(
     wire::Decode(wire::Encode(WholeHeartbeat(), kNow), kNow).body);
   CHECK(beat.sender == WholeVm());
-  CHECK(beat.heardOf == std::vector{ WholeVm() });
+  CHECK(beat.peerSample == std::vector{ WholeVm() });
   CHECK(beat.answer);
   CHECK(beat.lost == WholeHeartbeat().lost);
   const auto configuration = std::get<wire::configuration>(
--- a/test/matrix/world.cpp
+++ b/test/matrix/world.cpp
@@ -4,7 +4,7 @@
 #include <chrono>
 #include <utility>
 
-#include "currantshed/member/roster.hpp"
+#include "currantshed/member/membership.hpp"
 #include "currantshed/policy/configuration_record.hpp"
 #include "test/matrix/steps.hpp"
 
--- a/test/platform/documents.cpp
+++ b/test/platform/documents.cpp
@@ -164,7 +164,7 @@
            std::string("\"tenants\":") + row.customers + ",\"services\"");
     const auto read = documents.ReadConfiguration(text, whyNot);
     CHECK_TEXT(read != nullptr && read->customers != nullptr, row.name);
-    const auto found = read->customers->Find(row.key);
+    const auto found = read->customers->FindByKey(row.key);
     CHECK_TEXT((found == nullptr) == (row.customer == nullptr), row.name);
     if (found == nullptr) {
       continue;
