--- a/src/currantshed/node/control.cpp
+++ b/src/currantshed/node/control.cpp
@@ -459,7 +459,7 @@
 bool
 control::ReachesStore() const
 {
-  return mOwnView.IsReached() && !mRegistration.IsFailing();
+  return mOwnView.IsReachable() && !mRegistration.IsFailing();
 }
 
 void
--- a/src/currantshed/store/apply.cpp
+++ b/src/currantshed/store/apply.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Delay before a retry, so that a failing platform is not overloaded.
-constexpr std::chrono::milliseconds kReadAgainAfter{ 200 };
+constexpr std::chrono::milliseconds kRetryDelay{ 200 };
 
 } // namespace
 
@@ -29,11 +29,11 @@
     return;
   }
   if (aError) {
-    mReadAt = aNow + kReadAgainAfter;
+    mReadAt = aNow + kRetryDelay;
     return;
   }
   if (aEntry.version == 0) {
-    Judge(policy::configuration_record{}, 0);
+    Evaluate(policy::configuration_record{}, 0);
     return;
   }
   const auto found = policy::ParseConfigurationRecord(aEntry.value);
@@ -41,7 +41,7 @@
     Finish(mInDoubt ? apply_outcome::kUnknown : apply_outcome::kUnreadable);
     return;
   }
-  Judge(*found, aEntry.version);
+  Evaluate(*found, aEntry.version);
 }
 
 void
@@ -61,7 +61,7 @@
       return;
     case swap_outcome::kUnknown:
       mInDoubt = true;
-      mReadAt = aNow + kReadAgainAfter;
+      mReadAt = aNow + kRetryDelay;
       return;
   }
 }
@@ -73,8 +73,8 @@
     return;
   }
   if (aNow >= mGiveUpAt) {
-    const bool mayBeMade = mInDoubt || mWriting;
-    Finish(mayBeMade ? apply_outcome::kUnknown : apply_outcome::kNotReached);
+    const bool mayBeApplied = mInDoubt || mWriting;
+    Finish(mayBeApplied ? apply_outcome::kUnknown : apply_outcome::kNotReached);
     return;
   }
   if (mReadAt && aNow >= *mReadAt) {
@@ -107,7 +107,7 @@
 }
 
 void
-applier::Judge(const policy::configuration_record& aFound, index aKeyVersion)
+applier::Evaluate(const policy::configuration_record& aFound, index aKeyVersion)
 {
   mInForce = aFound.version;
   if (aFound.version == mRequest.expectedVersion) {
@@ -115,7 +115,7 @@
     return;
   }
   if (aFound.version > mRequest.expectedVersion) {
-    JudgeLater(aFound);
+    EvaluateNewer(aFound);
     return;
   }
   // The store holds an older version than the operator saw. A write in progress
@@ -124,7 +124,7 @@
 }
 
 void
-applier::JudgeLater(const policy::configuration_record& aFound)
+applier::EvaluateNewer(const policy::configuration_record& aFound)
 {
   using policy::change_status;
   switch (policy::FindChange(aFound, mRequest.change, NextVersion())) {
@@ -141,10 +141,10 @@
 }
 
 void
-applier::Write(const policy::configuration_record& aFormer, index aKeyVersion)
+applier::Write(const policy::configuration_record& aPrevious, index aKeyVersion)
 {
   auto record = policy::NextConfigurationRecord(
-    aFormer, mRequest.change, mRequest.declaration);
+    aPrevious, mRequest.change, mRequest.declaration);
   record.appliedBy = mRequest.appliedBy;
   record.appliedAt = mRequest.appliedAt;
   auto value = policy::PrintConfigurationRecord(record);
--- a/src/currantshed/store/apply.hpp
+++ b/src/currantshed/store/apply.hpp
@@ -112,9 +112,9 @@
 
 private:
   [[nodiscard]] std::uint64_t NextVersion() const noexcept;
-  void Judge(const policy::configuration_record& aFound, index aKeyVersion);
-  void JudgeLater(const policy::configuration_record& aFound);
-  void Write(const policy::configuration_record& aFormer, index aKeyVersion);
+  void Evaluate(const policy::configuration_record& aFound, index aKeyVersion);
+  void EvaluateNewer(const policy::configuration_record& aFound);
+  void Write(const policy::configuration_record& aPrevious, index aKeyVersion);
   void Read();
   void Finish(apply_outcome aOutcome);
 
--- a/src/currantshed/store/backoff.cpp
+++ b/src/currantshed/store/backoff.cpp
@@ -9,7 +9,7 @@
 /// The first delay is random too: a restart of the platform disconnects all of
 /// its callers at the same moment.
 std::chrono::milliseconds
-FirstBound(const backoff_settings& aSettings)
+InitialBound(const backoff_settings& aSettings)
 {
   return std::min(aSettings.minDelay * 2, aSettings.maxDelay);
 }
@@ -18,7 +18,7 @@
 
 backoff::backoff(backoff_settings aSettings)
   : mSettings(aSettings)
-  , mBound(FirstBound(aSettings))
+  , mBound(InitialBound(aSettings))
 {
 }
 
@@ -33,15 +33,15 @@
 void
 backoff::Reset() noexcept
 {
-  mBound = FirstBound(mSettings);
+  mBound = InitialBound(mSettings);
 }
 
 clock::duration
 Between(clock::duration aLow, clock::duration aHigh, double aRandom)
 {
   const auto span = static_cast<double>((aHigh - aLow).count());
-  const auto part = static_cast<clock::duration::rep>(span * aRandom);
-  return aLow + clock::duration(part);
+  const auto offset = static_cast<clock::duration::rep>(span * aRandom);
+  return aLow + clock::duration(offset);
 }
 
 } // namespace currantshed::store
--- a/src/currantshed/store/call_timeout.cpp
+++ b/src/currantshed/store/call_timeout.cpp
@@ -9,10 +9,10 @@
 using std::chrono::milliseconds;
 
 // The store responds within milliseconds, or within 250 ms when it is slow.
-constexpr milliseconds kUsual{ 1000 };
+constexpr milliseconds kNormalTimeout{ 1000 };
 // 250 ms for a slow store, plus the transfer time of a large configuration.
-constexpr milliseconds kAtFirst{ 400 };
-constexpr milliseconds kLongest{ 4000 };
+constexpr milliseconds kInitialTimeout{ 400 };
+constexpr milliseconds kMaxTimeout{ 4000 };
 
 } // namespace
 
@@ -20,10 +20,10 @@
 CallTimeout(clock::duration aSinceStart, bool aHasRead) noexcept
 {
   if (aHasRead) {
-    return kUsual;
+    return kNormalTimeout;
   }
   const auto half = std::chrono::duration_cast<milliseconds>(aSinceStart / 2);
-  return std::clamp(half, kAtFirst, kLongest);
+  return std::clamp(half, kInitialTimeout, kMaxTimeout);
 }
 
 } // namespace currantshed::store
--- a/src/currantshed/store/consul_responses.cpp
+++ b/src/currantshed/store/consul_responses.cpp
@@ -61,7 +61,7 @@
 }
 
 bool
-FitsPort(std::uint64_t aNumber, std::uint16_t& aTo)
+ToPort(std::uint64_t aNumber, std::uint16_t& aTo)
 {
   constexpr std::uint64_t kLastPort = 65535;
   if (aNumber == 0 || aNumber > kLastPort) {
@@ -82,7 +82,7 @@
   }
   boost::system::error_code failure;
   const auto number = found->to_number<std::uint64_t>(failure);
-  return !failure && FitsPort(number, aTo);
+  return !failure && ToPort(number, aTo);
 }
 
 /// Reads a number above zero. All metadata values in the catalog are strings.
@@ -102,7 +102,7 @@
              std::uint16_t& aTo)
 {
   std::uint32_t number = 0;
-  return ReadMetaNumber(aMeta, aName, number) && FitsPort(number, aTo);
+  return ReadMetaNumber(aMeta, aName, number) && ToPort(number, aTo);
 }
 
 bool
@@ -149,10 +149,10 @@
 
 /// Checks the status of a response for which 404 is an error as well.
 std::error_code
-FoundError(const http_response& aAnswer)
+ListStatusError(const http_response& aResponse)
 {
-  const auto failure = StatusError(aAnswer);
-  if (!failure && aAnswer.status != kOk) {
+  const auto failure = StatusError(aResponse);
+  if (!failure && aResponse.status != kOk) {
     return errc::kRejected;
   }
   return failure;
@@ -160,7 +160,7 @@
 
 template<typename Item, typename Id>
 bool
-AllDistinct(std::vector<Item>& aItems, Id aId)
+SortAndCheckUnique(std::vector<Item>& aItems, Id aId)
 {
   std::sort(aItems.begin(),
             aItems.end(),
@@ -185,29 +185,30 @@
 } // namespace
 
 std::error_code
-StatusError(const http_response& aAnswer)
+StatusError(const http_response& aResponse)
 {
-  if (aAnswer.error) {
-    return aAnswer.error;
+  if (aResponse.error) {
+    return aResponse.error;
   }
-  if (aAnswer.status == kOk || aAnswer.status == kNotFound) {
+  if (aResponse.status == kOk || aResponse.status == kNotFound) {
     return {};
   }
-  if (aAnswer.status == kTooManyRequests) {
+  if (aResponse.status == kTooManyRequests) {
     return errc::kRateLimited;
   }
-  return aAnswer.status >= kServerErrors ? errc::kUnavailable : errc::kRejected;
+  return aResponse.status >= kServerErrors ? errc::kUnavailable
+                                           : errc::kRejected;
 }
 
 std::error_code
-ReadEntry(const http_response& aAnswer, entry& aEntry)
+ReadEntry(const http_response& aResponse, entry& aEntry)
 {
   aEntry = entry{};
-  const auto failure = StatusError(aAnswer);
-  if (failure || aAnswer.status == kNotFound) {
+  const auto failure = StatusError(aResponse);
+  if (failure || aResponse.status == kNotFound) {
     return failure;
   }
-  const auto list = ParseList(aAnswer.body);
+  const auto list = ParseList(aResponse.body);
   if (!list || list->size() != 1) {
     return errc::kMalformed;
   }
@@ -216,9 +217,9 @@
   if (value == nullptr || version == nullptr || !version->is_number()) {
     return errc::kMalformed;
   }
-  boost::system::error_code wrong;
-  const auto number = version->to_number<index>(wrong);
-  if (wrong || number == 0) {
+  boost::system::error_code conversionError;
+  const auto number = version->to_number<index>(conversionError);
+  if (conversionError || number == 0) {
     return errc::kMalformed;
   }
   std::string decoded;
@@ -236,12 +237,12 @@
 }
 
 swap_outcome
-ReadSwap(const http_response& aAnswer)
+ReadSwap(const http_response& aResponse)
 {
-  if (aAnswer.error || aAnswer.status != kOk) {
+  if (aResponse.error || aResponse.status != kOk) {
     return swap_outcome::kUnknown;
   }
-  const auto text = absl::StripAsciiWhitespace(aAnswer.body);
+  const auto text = absl::StripAsciiWhitespace(aResponse.body);
   if (text == "true") {
     return swap_outcome::kApplied;
   }
@@ -249,13 +250,13 @@
 }
 
 std::error_code
-ReadVms(const http_response& aAnswer, std::vector<vm>& aVms)
+ReadVms(const http_response& aResponse, std::vector<vm>& aVms)
 {
   aVms.clear();
-  if (const auto failure = FoundError(aAnswer)) {
+  if (const auto failure = ListStatusError(aResponse)) {
     return failure;
   }
-  const auto list = ParseList(aAnswer.body);
+  const auto list = ParseList(aResponse.body);
   if (!list) {
     return errc::kMalformed;
   }
@@ -265,7 +266,7 @@
       return errc::kMalformed;
     }
   }
-  if (!AllDistinct(vms, [](const vm& aVm) { return aVm.id; })) {
+  if (!SortAndCheckUnique(vms, [](const vm& aVm) { return aVm.id; })) {
     return errc::kMalformed;
   }
   aVms = std::move(vms);
@@ -273,14 +274,14 @@
 }
 
 std::error_code
-ReadGroups(const http_response& aAnswer,
+ReadGroups(const http_response& aResponse,
            std::vector<group::description>& aGroups)
 {
   aGroups.clear();
-  if (const auto failure = FoundError(aAnswer)) {
+  if (const auto failure = ListStatusError(aResponse)) {
     return failure;
   }
-  const auto list = ParseList(aAnswer.body);
+  const auto list = ParseList(aResponse.body);
   if (!list) {
     return errc::kMalformed;
   }
@@ -295,8 +296,8 @@
   }
   std::vector<group::description> groups;
   for (auto& [name, members] : byName) {
-    if (!AllDistinct(members,
-                     [](const group::member& aMember) { return aMember.id; })) {
+    if (!SortAndCheckUnique(
+          members, [](const group::member& aMember) { return aMember.id; })) {
       return errc::kMalformed;
     }
     groups.push_back({ name, std::move(members) });
--- a/src/currantshed/store/curl_transport.cpp
+++ b/src/currantshed/store/curl_transport.cpp
@@ -44,7 +44,7 @@
   list_ptr headers;
   std::string url;
   std::string body;
-  http_response answer;
+  http_response response;
   bool overLimit = false;
   transport::callback done;
 };
@@ -99,11 +99,11 @@
 {
   auto& call = *static_cast<transfer*>(aTransfer);
   const std::size_t length = aSize * aCount;
-  if (call.answer.body.size() + length > kMaxResponseBytes) {
+  if (call.response.body.size() + length > kMaxResponseBytes) {
     call.overLimit = true;
     return 0;
   }
-  call.answer.body.append(aData, length);
+  call.response.body.append(aData, length);
   return length;
 }
 
@@ -117,7 +117,7 @@
     const auto value = line.substr(kIndexHeader.size());
     std::uint64_t index = 0;
     if (absl::SimpleAtoi(absl::StripAsciiWhitespace(value), &index)) {
-      call.answer.index = index;
+      call.response.index = index;
     }
   }
   return length;
@@ -326,15 +326,15 @@
       if (mStopped) {
         return;
       }
-      call->done(std::move(call->answer));
+      call->done(std::move(call->response));
     }
   }
 
   std::vector<std::unique_ptr<transfer>> TakeEnded()
   {
     std::vector<std::unique_ptr<transfer>> ended;
-    int left = 0;
-    while (const CURLMsg* message = curl_multi_info_read(mMulti, &left)) {
+    int remaining = 0;
+    while (const CURLMsg* message = curl_multi_info_read(mMulti, &remaining)) {
       if (message->msg != CURLMSG_DONE) {
         continue;
       }
@@ -352,12 +352,12 @@
   {
     const auto error = FromCurl(aCode, aCall.overLimit);
     if (error) {
-      aCall.answer = http_response{ error, 0, 0, {} };
+      aCall.response = http_response{ error, 0, 0, {} };
       return;
     }
     long status = 0;
     curl_easy_getinfo(aCall.easy.get(), CURLINFO_RESPONSE_CODE, &status);
-    aCall.answer.status = static_cast<int>(status);
+    aCall.response.status = static_cast<int>(status);
   }
 
   boost::asio::io_context& mLoop;
--- a/src/currantshed/store/era_guard.cpp
+++ b/src/currantshed/store/era_guard.cpp
@@ -17,45 +17,47 @@
 // Records the era of a response. Returns the call's error, or errc::kStaleEra
 // if the response is of an earlier era.
 std::error_code
-era_guard::Heard(std::error_code aError, const response_info& aAnswer)
+era_guard::RecordEra(std::error_code aError, const response_info& aInfo)
 {
-  const auto told = aAnswer.era;
-  if (told && (!mEra || *told > *mEra)) {
-    mListener.eraChanged(std::exchange(mEra, told), *told);
+  const auto reported = aInfo.era;
+  if (reported && (!mEra || *reported > *mEra)) {
+    mListener.eraChanged(std::exchange(mEra, reported), *reported);
   }
-  const bool isLate = told && *told < *mEra;
-  return isLate && !aError ? make_error_code(errc::kStaleEra) : aError;
+  const bool isStale = reported && *reported < *mEra;
+  return isStale && !aError ? make_error_code(errc::kStaleEra) : aError;
 }
 
 bool
-era_guard::IsPast(era_id aEra) const noexcept
+era_guard::IsStale(era_id aEra) const noexcept
 {
   return mEra && aEra < *mEra;
 }
 
 bool
-era_guard::IsPast(const std::vector<condition>& aConditions) const noexcept
+era_guard::IsStale(const std::vector<condition>& aConditions) const noexcept
 {
   return std::any_of(
     aConditions.begin(), aConditions.end(), [this](const auto& aOne) {
-      return IsPast(aOne.changed.era);
+      return IsStale(aOne.changed.era);
     });
 }
 
 // Returns the outcome of a transaction that must not be sent; none if it may
 // be.
 std::optional<commit_outcome>
-era_guard::RefusalOf(const transaction& aWhat) const
+era_guard::RejectionOf(const transaction& aTransaction) const
 {
-  if (IsPast(aWhat.conditions)) {
+  if (IsStale(aTransaction.conditions)) {
     return commit_outcome::kConflict;
   }
-  const bool hasPastLease =
-    std::any_of(aWhat.puts.begin(), aWhat.puts.end(), [this](const auto& aOne) {
-      return aOne.lease != lease_id{} && IsPast(aOne.lease.era);
-    });
-  return hasPastLease ? std::optional(commit_outcome::kLeaseNotFound)
-                      : std::nullopt;
+  const bool hasStaleLease =
+    std::any_of(aTransaction.puts.begin(),
+                aTransaction.puts.end(),
+                [this](const auto& aOne) {
+                  return aOne.lease != lease_id{} && IsStale(aOne.lease.era);
+                });
+  return hasStaleLease ? std::optional(commit_outcome::kLeaseNotFound)
+                       : std::nullopt;
 }
 
 void
@@ -70,8 +72,8 @@
   mStore.Get(std::move(aKey),
              [this, done = std::move(aDone)](std::error_code aError,
                                              std::optional<item> aItem,
-                                             response_info aAnswer) {
-               done(Heard(aError, aAnswer), std::move(aItem), aAnswer);
+                                             response_info aInfo) {
+               done(RecordEra(aError, aInfo), std::move(aItem), aInfo);
              });
 }
 
@@ -83,8 +85,8 @@
     [this, done = std::move(aDone)](std::error_code aError,
                                     std::vector<item> aItems,
                                     revision aRevision,
-                                    response_info aAnswer) {
-      done(Heard(aError, aAnswer), std::move(aItems), aRevision, aAnswer);
+                                    response_info aInfo) {
+      done(RecordEra(aError, aInfo), std::move(aItems), aRevision, aInfo);
     });
 }
 
@@ -94,11 +96,12 @@
                  std::chrono::milliseconds aMaxWait,
                  watch_callback aDone)
 {
-  if (IsPast(aAfter.era)) {
+  if (IsStale(aAfter.era)) {
     Reject(std::move(aDone));
     return;
   }
-  mStore.Watch(std::move(aPrefix), aAfter, aMaxWait, Guarded(std::move(aDone)));
+  mStore.Watch(
+    std::move(aPrefix), aAfter, aMaxWait, WithEraCheck(std::move(aDone)));
 }
 
 void
@@ -106,21 +109,22 @@
                         revision aAfter,
                         watch_callback aDone)
 {
-  if (IsPast(aAfter.era)) {
+  if (IsStale(aAfter.era)) {
     Reject(std::move(aDone));
     return;
   }
-  mStore.ChangesSince(std::move(aPrefix), aAfter, Guarded(std::move(aDone)));
+  mStore.ChangesSince(
+    std::move(aPrefix), aAfter, WithEraCheck(std::move(aDone)));
 }
 
 key_value::watch_callback
-era_guard::Guarded(watch_callback aDone)
+era_guard::WithEraCheck(watch_callback aDone)
 {
   return [this, done = std::move(aDone)](std::error_code aError,
                                          std::vector<key_change> aChanges,
                                          revision aRevision,
-                                         response_info aAnswer) {
-    done(Heard(aError, aAnswer), std::move(aChanges), aRevision, aAnswer);
+                                         response_info aInfo) {
+    done(RecordEra(aError, aInfo), std::move(aChanges), aRevision, aInfo);
   };
 }
 
@@ -139,24 +143,23 @@
 }
 
 void
-era_guard::Commit(transaction aWhat, commit_callback aDone)
+era_guard::Commit(transaction aTransaction, commit_callback aDone)
 {
-  if (const auto refusal = RefusalOf(aWhat)) {
-    mListener.post([done = std::move(aDone), outcome = *refusal] {
+  if (const auto rejection = RejectionOf(aTransaction)) {
+    mListener.post([done = std::move(aDone), outcome = *rejection] {
       done(outcome, {}, { clock::Now() });
     });
     return;
   }
-  auto conditions = aWhat.conditions;
+  auto conditions = aTransaction.conditions;
   mStore.Commit(
-    std::move(aWhat),
+    std::move(aTransaction),
     [this, conditions = std::move(conditions), done = std::move(aDone)](
-      commit_outcome aOutcome, revision aRevision, response_info aAnswer) {
-      (void)Heard({}, aAnswer);
-      const bool isDoubtful =
-        aOutcome == commit_outcome::kApplied && IsPast(conditions);
-      done(
-        isDoubtful ? commit_outcome::kUnknown : aOutcome, aRevision, aAnswer);
+      commit_outcome aOutcome, revision aRevision, response_info aInfo) {
+      (void)RecordEra({}, aInfo);
+      const bool isUncertain =
+        aOutcome == commit_outcome::kApplied && IsStale(conditions);
+      done(isUncertain ? commit_outcome::kUnknown : aOutcome, aRevision, aInfo);
     });
 }
 
@@ -164,17 +167,16 @@
 era_guard::Grant(std::chrono::milliseconds aTtl, grant_callback aDone)
 {
   mStore.Grant(aTtl,
-               [this, done = std::move(aDone)](std::error_code aError,
-                                               lease_id aLease,
-                                               response_info aAnswer) {
-                 done(Heard(aError, aAnswer), aLease, aAnswer);
+               [this, done = std::move(aDone)](
+                 std::error_code aError, lease_id aLease, response_info aInfo) {
+                 done(RecordEra(aError, aInfo), aLease, aInfo);
                });
 }
 
 void
 era_guard::KeepAlive(lease_id aLease, keep_alive_callback aDone)
 {
-  if (IsPast(aLease.era)) {
+  if (IsStale(aLease.era)) {
     mListener.post([done = std::move(aDone)] {
       done(errc::kLeaseNotFound, { clock::Now() });
     });
@@ -183,17 +185,17 @@
   mStore.KeepAlive(
     aLease,
     [this, aLease, done = std::move(aDone)](std::error_code aError,
-                                            response_info aAnswer) {
-      const auto error = Heard(aError, aAnswer);
-      const bool isOther = !error && IsPast(aLease.era);
-      done(isOther ? make_error_code(errc::kLeaseNotFound) : error, aAnswer);
+                                            response_info aInfo) {
+      const auto error = RecordEra(aError, aInfo);
+      const bool isReused = !error && IsStale(aLease.era);
+      done(isReused ? make_error_code(errc::kLeaseNotFound) : error, aInfo);
     });
 }
 
 void
 era_guard::Revoke(lease_id aLease)
 {
-  if (!IsPast(aLease.era)) {
+  if (!IsStale(aLease.era)) {
     mStore.Revoke(aLease);
   }
 }
--- a/src/currantshed/store/era_guard.hpp
+++ b/src/currantshed/store/era_guard.hpp
@@ -52,7 +52,7 @@
   /// (kLeaseNotFound). If the transaction was sent in one era and applied in a
   /// later one, its conditions may have held by coincidence, so the outcome is
   /// kUnknown.
-  void Commit(transaction aWhat, commit_callback aDone) override;
+  void Commit(transaction aTransaction, commit_callback aDone) override;
 
   void Grant(std::chrono::milliseconds aTtl, grant_callback aDone) override;
 
@@ -62,14 +62,14 @@
   void Revoke(lease_id aLease) override;
 
 private:
-  [[nodiscard]] std::error_code Heard(std::error_code aError,
-                                      const response_info& aAnswer);
-  [[nodiscard]] bool IsPast(era_id aEra) const noexcept;
-  [[nodiscard]] bool IsPast(
+  [[nodiscard]] std::error_code RecordEra(std::error_code aError,
+                                          const response_info& aInfo);
+  [[nodiscard]] bool IsStale(era_id aEra) const noexcept;
+  [[nodiscard]] bool IsStale(
     const std::vector<condition>& aConditions) const noexcept;
-  [[nodiscard]] std::optional<commit_outcome> RefusalOf(
-    const transaction& aWhat) const;
-  [[nodiscard]] watch_callback Guarded(watch_callback aDone);
+  [[nodiscard]] std::optional<commit_outcome> RejectionOf(
+    const transaction& aTransaction) const;
+  [[nodiscard]] watch_callback WithEraCheck(watch_callback aDone);
   void Reject(watch_callback aDone);
 
   key_value& mStore;
--- a/src/currantshed/store/http_client.cpp
+++ b/src/currantshed/store/http_client.cpp
@@ -15,20 +15,20 @@
 constexpr char kGroupsTarget[] = "/v1/catalog/service/upstream";
 
 /// Combines the two responses that make up a listing.
-struct listing_call
+struct listing_request
 {
   listing value;
   std::error_code error;
-  int missing = 2;
+  int pending = 2;
   client::listing_callback done;
 
   /// Records the result of one response, and calls back after the second.
-  void Arrived(std::error_code aError)
+  void OnResponse(std::error_code aError)
   {
     if (!error) {
       error = aError;
     }
-    if (--missing > 0) {
+    if (--pending > 0) {
       return;
     }
     if (error) {
@@ -60,7 +60,7 @@
              entry_callback aDone) override
   {
     auto target = KeyTarget(aKey);
-    if (const index known = aKnown != 0 ? aKnown : AbsentSince(aKey)) {
+    if (const index known = aKnown != 0 ? aKnown : AbsentIndex(aKey)) {
       absl::StrAppend(
         &target, "?index=", known, "&wait=", aMaxWait.count(), "ms");
     }
@@ -81,22 +81,23 @@
     request.body = std::move(aValue);
     request.timeout = mTimeout;
     mTransport->Send(std::move(request),
-                     [done = std::move(aDone)](const http_response& aAnswer) {
-                       done(ReadSwap(aAnswer));
+                     [done = std::move(aDone)](const http_response& aResponse) {
+                       done(ReadSwap(aResponse));
                      });
   }
 
   void List(listing_callback aDone) override
   {
-    auto call = std::make_shared<listing_call>();
+    auto call = std::make_shared<listing_request>();
     call->done = std::move(aDone);
     mTransport->Send(ReadRequest(kVmsTarget, mTimeout),
-                     [call](const http_response& aAnswer) {
-                       call->Arrived(ReadVms(aAnswer, call->value.vms));
+                     [call](const http_response& aResponse) {
+                       call->OnResponse(ReadVms(aResponse, call->value.vms));
                      });
     mTransport->Send(ReadRequest(kGroupsTarget, mTimeout),
-                     [call](const http_response& aAnswer) {
-                       call->Arrived(ReadGroups(aAnswer, call->value.groups));
+                     [call](const http_response& aResponse) {
+                       call->OnResponse(
+                         ReadGroups(aResponse, call->value.groups));
                      });
   }
 
@@ -117,11 +118,11 @@
   {
     mTransport->Send(ReadRequest(std::move(aTarget), aTimeout),
                      [this, key = std::move(aKey), done = std::move(aDone)](
-                       const http_response& aAnswer) {
+                       const http_response& aResponse) {
                        entry found;
-                       const auto failure = ReadEntry(aAnswer, found);
+                       const auto failure = ReadEntry(aResponse, found);
                        if (!failure) {
-                         Remember(key, found, aAnswer.index);
+                         RecordAbsentIndex(key, found, aResponse.index);
                        }
                        done(failure, std::move(found));
                      });
@@ -129,23 +130,25 @@
 
   /// A key that does not exist has no version to wait on, so the store's index
   /// in the last response is used instead.
-  void Remember(const std::string& aKey, const entry& aFound, index aIndex)
+  void RecordAbsentIndex(const std::string& aKey,
+                         const entry& aFound,
+                         index aIndex)
   {
     if (aFound.version != 0) {
-      mAbsentSince.erase(aKey);
+      mAbsentIndexes.erase(aKey);
       return;
     }
-    mAbsentSince[aKey] = aIndex;
+    mAbsentIndexes[aKey] = aIndex;
   }
 
-  [[nodiscard]] index AbsentSince(const std::string& aKey) const
+  [[nodiscard]] index AbsentIndex(const std::string& aKey) const
   {
-    const auto found = mAbsentSince.find(aKey);
-    return found == mAbsentSince.end() ? 0 : found->second;
+    const auto found = mAbsentIndexes.find(aKey);
+    return found == mAbsentIndexes.end() ? 0 : found->second;
   }
 
   std::chrono::milliseconds mTimeout;
-  absl::flat_hash_map<std::string, index> mAbsentSince;
+  absl::flat_hash_map<std::string, index> mAbsentIndexes;
   /// Declared last, so that it is destroyed first and no callback runs on
   /// destroyed members.
   std::unique_ptr<transport> mTransport;
--- a/src/currantshed/store/key_value.hpp
+++ b/src/currantshed/store/key_value.hpp
@@ -149,7 +149,7 @@
   /// Cancels the watch of the prefix; its callback runs with an error.
   virtual void CancelWatch(const std::string& aPrefix) = 0;
 
-  virtual void Commit(transaction aWhat, commit_callback aDone) = 0;
+  virtual void Commit(transaction aTransaction, commit_callback aDone) = 0;
 
   /// Creates a lease with the given time to live.
   virtual void Grant(std::chrono::milliseconds aTtl, grant_callback aDone) = 0;
--- a/src/currantshed/store/lister.cpp
+++ b/src/currantshed/store/lister.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// The jitter is the interval divided by this, in either direction.
-constexpr int kSpreadPart = 5;
+constexpr int kJitterDivisor = 5;
 
 } // namespace
 
@@ -39,9 +39,9 @@
   }
   mBackoff.Reset();
   mLastAnswer = aNow;
-  const auto spread = mSettings.interval / kSpreadPart;
+  const auto jitter = mSettings.interval / kJitterDivisor;
   const auto interval =
-    Between(mSettings.interval - spread, mSettings.interval + spread, aRandom);
+    Between(mSettings.interval - jitter, mSettings.interval + jitter, aRandom);
   mStartAt = std::max(aNow, mStartedAt + interval);
 }
 
--- a/src/currantshed/store/prefix_view.cpp
+++ b/src/currantshed/store/prefix_view.cpp
@@ -17,21 +17,21 @@
 
 // Length of the pause in multiples of the transfer time of all keys. Continuous
 // changes then use at most a seventh of the link.
-constexpr int kPauseByWay = 6;
+constexpr int kPausePerTransferTime = 6;
 // Number of removals kept for updates. A VM that lacks more is sent all keys.
-constexpr std::size_t kMostRemovals = 1024;
+constexpr std::size_t kMaxRemovals = 1024;
 // Number of changes of any kind kept for updates. For a VM that lacks more, the
 // update is computed by scanning all keys.
-constexpr std::size_t kMostRecent = 1024;
+constexpr std::size_t kMaxRecentChanges = 1024;
 // How long a restored store may lack acknowledged changes: their writers write
 // them again within 2 s.
-constexpr std::chrono::milliseconds kWrittenAgain{ 3000 };
+constexpr std::chrono::milliseconds kRewriteTime{ 3000 };
 // Pause after a read that was discarded: a watch from the known revision is
 // rejected immediately, and the next read is likely to be discarded too.
-constexpr std::chrono::milliseconds kIgnoredPause{ 500 };
+constexpr std::chrono::milliseconds kDiscardedReadPause{ 500 };
 
 std::size_t
-LengthOf(const item& aItem)
+SizeOf(const item& aItem)
 {
   return aItem.key.size() + aItem.value.size();
 }
@@ -39,7 +39,7 @@
 // Sorts the changes by revision: an update lists keys by name, with removals
 // last.
 std::vector<const key_change*>
-InOrder(const std::vector<key_change>& aChanges)
+SortedByRevision(const std::vector<key_change>& aChanges)
 {
   std::vector<const key_change*> ordered;
   ordered.reserve(aChanges.size());
@@ -55,7 +55,7 @@
 
 // Whether the store cannot return the changes after the known revision.
 bool
-IsPast(std::error_code aError)
+IsHistoryLost(std::error_code aError)
 {
   return aError == errc::kHistoryCompacted || aError == errc::kStaleEra;
 }
@@ -84,22 +84,23 @@
 {
   mRandom = aRandom;
   const bool isForwarded = mIsKnown && !mMustRead && aNow < mForwardedUntil;
-  const bool waits = !mIsKnown && aNow < mFirstReadNotBefore;
-  if (mIsCalling || mIsHeld || isForwarded || waits || aNow < mNotBefore) {
+  const bool isWaiting = !mIsKnown && aNow < mFirstReadNotBefore;
+  if (mIsCalling || mIsPaused || isForwarded || isWaiting ||
+      aNow < mNotBefore) {
     return;
   }
   mIsCalling = true;
   if (mMustRead) {
     Read(aNow);
   } else {
-    Follow(aNow);
+    StartWatch(aNow);
   }
 }
 
 clock::time_point
 prefix_view::NextTick() const noexcept
 {
-  if (mIsCalling || mIsHeld) {
+  if (mIsCalling || mIsPaused) {
     return clock::time_point::max();
   }
   if (!mIsKnown) {
@@ -115,14 +116,14 @@
   if (aChange <= mSeen || !mIsKnown) {
     return;
   }
-  if (!mBehindSince) {
-    mBehindSince = aNow;
+  if (!mLaggingSince) {
+    mLaggingSince = aNow;
   }
   // The VM that watches the store on behalf of this one pauses after each
   // change as well.
   const auto maxWatchLag =
     mIsCalling ? mSettings.maxWatchLag : mSettings.maxWatchLag + Pause();
-  if (aNow - *mBehindSince > maxWatchLag) {
+  if (aNow - *mLaggingSince > maxWatchLag) {
     ReadAgain();
     mForwardedUntil = {};
   }
@@ -150,34 +151,34 @@
 prefix_view::Read(clock::time_point aNow)
 {
   mStore.Range(mPrefix,
-               [this, alive = mAlive, asked = aNow](std::error_code aError,
-                                                    std::vector<item> aItems,
-                                                    revision aRevision,
-                                                    response_info aAnswer) {
+               [this, alive = mAlive, sentAt = aNow](std::error_code aError,
+                                                     std::vector<item> aItems,
+                                                     revision aRevision,
+                                                     response_info aInfo) {
                  if (!*alive) {
                    return;
                  }
                  mIsCalling = false;
                  if (aError) {
-                   Failed(aError, aAnswer.at);
+                   OnFailure(aError, aInfo.at);
                    return;
                  }
-                 mAnsweredAt = aAnswer.at;
-                 const bool isTaken =
-                   TakeAll(std::move(aItems), aRevision, aAnswer.at);
-                 if (!isTaken) {
-                   NoteIgnored(aRevision);
+                 mAnsweredAt = aInfo.at;
+                 const bool isApplied =
+                   ReplaceAll(std::move(aItems), aRevision, aInfo.at);
+                 if (!isApplied) {
+                   ReportDiscardedRead(aRevision);
                  }
-                 MarkVerified(asked);
+                 MarkVerified(sentAt);
                  mMustRead = false;
                  mIsKnown = true;
-                 mMayBeOld = true;
-                 mMissedSome = false;
-                 Succeeded(false, aAnswer.at);
-                 if (isTaken) {
-                   mListener.changed(aAnswer.at);
+                 mMayBeStale = true;
+                 mMayHaveMissedChanges = false;
+                 OnSuccess(false, aInfo.at);
+                 if (isApplied) {
+                   mListener.changed(aInfo.at);
                  } else {
-                   mNotBefore = aAnswer.at + kIgnoredPause;
+                   mNotBefore = aInfo.at + kDiscardedReadPause;
                  }
                });
 }
@@ -193,46 +194,46 @@
   mStore.ChangesSince(
     mPrefix,
     mSeen,
-    [this, alive = mAlive, asked = aNow, done = std::move(aDone)](
+    [this, alive = mAlive, sentAt = aNow, done = std::move(aDone)](
       std::error_code aError,
       std::vector<key_change> aChanges,
       revision aRevision,
-      response_info aAnswer) {
+      response_info aInfo) {
       if (!*alive) {
         return;
       }
       mIsChecking = false;
       if (!aError && aRevision.era != mSeen.era) {
-        ReadAtOnce(aAnswer.at);
-        done(false, aAnswer.at);
+        ReadImmediately(aInfo.at);
+        done(false, aInfo.at);
         return;
       }
       if (!aError) {
-        const bool isChanged = TakeChanges(std::move(aChanges), aRevision);
-        MarkVerified(asked);
+        const bool isChanged = ApplyChanges(std::move(aChanges), aRevision);
+        MarkVerified(sentAt);
         if (isChanged) {
-          mListener.changed(aAnswer.at);
+          mListener.changed(aInfo.at);
         }
       }
-      done(!aError, aAnswer.at);
+      done(!aError, aInfo.at);
     });
 }
 
 void
 prefix_view::MarkVerified(clock::time_point aAt) noexcept
 {
-  if (aAt >= mProvesFrom) {
-    mProvedAt = std::max(mProvedAt, aAt);
+  if (aAt >= mVerifiableFrom) {
+    mVerifiedAt = std::max(mVerifiedAt, aAt);
   }
 }
 
 // Returns whether any change was new.
 bool
-prefix_view::TakeChanges(std::vector<key_change> aChanges, revision aUpTo)
+prefix_view::ApplyChanges(std::vector<key_change> aChanges, revision aUpTo)
 {
   bool isChanged = false;
   for (auto& one : aChanges) {
-    isChanged = TakeOne(std::move(one)) || isChanged;
+    isChanged = ApplyChange(std::move(one)) || isChanged;
   }
   mSeen = std::max(mSeen, aUpTo);
   return isChanged;
@@ -241,42 +242,42 @@
 // Revisions that other VMs announced before are being fetched now, so the lag
 // starts anew: only a watch that stays silent for maxWatchLag counts as hung.
 void
-prefix_view::Follow(clock::time_point aNow)
+prefix_view::StartWatch(clock::time_point aNow)
 {
-  mBehindSince.reset();
+  mLaggingSince.reset();
   mStore.Watch(
     mPrefix,
     mSeen,
     mSettings.wait,
-    [this, alive = mAlive, asked = aNow](std::error_code aError,
-                                         std::vector<key_change> aChanges,
-                                         revision aRevision,
-                                         response_info aAnswer) {
+    [this, alive = mAlive, sentAt = aNow](std::error_code aError,
+                                          std::vector<key_change> aChanges,
+                                          revision aRevision,
+                                          response_info aInfo) {
       if (!*alive) {
         return;
       }
       mIsCalling = false;
       if (aError) {
         // Changes made while there was no watch may no longer be available.
-        mMustRead = mMustRead || IsPast(aError);
-        Failed(aError, aAnswer.at);
+        mMustRead = mMustRead || IsHistoryLost(aError);
+        OnFailure(aError, aInfo.at);
         return;
       }
       if (aRevision.era != mSeen.era) {
         // The changes between the known revision and the start of the watch are
         // unknown.
-        ReadAtOnce(aAnswer.at);
+        ReadImmediately(aInfo.at);
         return;
       }
-      mAnsweredAt = aAnswer.at;
-      const bool hasSome = !aChanges.empty();
-      const bool isChanged = TakeChanges(std::move(aChanges), aRevision);
-      MarkVerified(asked);
-      mMayBeOld = mMissedSome;
-      mMissedSome = false;
-      Succeeded(hasSome, aAnswer.at);
+      mAnsweredAt = aInfo.at;
+      const bool hasChanges = !aChanges.empty();
+      const bool isChanged = ApplyChanges(std::move(aChanges), aRevision);
+      MarkVerified(sentAt);
+      mMayBeStale = mMayHaveMissedChanges;
+      mMayHaveMissedChanges = false;
+      OnSuccess(hasChanges, aInfo.at);
       if (isChanged) {
-        mListener.changed(aAnswer.at);
+        mListener.changed(aInfo.at);
       }
     });
 }
@@ -284,30 +285,30 @@
 // Replaces all keys by those of a read or of another VM. Returns false if they
 // are older than the known ones.
 bool
-prefix_view::TakeAll(std::vector<item> aItems,
-                     revision aRevision,
-                     clock::time_point aNow)
+prefix_view::ReplaceAll(std::vector<item> aItems,
+                        revision aRevision,
+                        clock::time_point aNow)
 {
   // Another VM has sent a newer state while the read was in progress.
   if (mIsKnown && aRevision < mSeen) {
     return false;
   }
   if (mIsKnown && aRevision.era != mSeen.era) {
-    mProvesFrom = aNow + kWrittenAgain;
+    mVerifiableFrom = aNow + kRewriteTime;
   }
   mItems.clear();
   mBytes = 0;
   for (auto& one : aItems) {
     auto key = one.key;
     mChanged = std::max(mChanged, one.changed);
-    mBytes += LengthOf(one);
+    mBytes += SizeOf(one);
     mItems.emplace(std::move(key), std::move(one));
   }
   mSeen = aRevision;
   mRemovals.clear();
   mRemovalsAfter = aRevision;
-  mRecent.clear();
-  mRecentAfter = aRevision;
+  mRecentChanges.clear();
+  mRecentChangesAfter = aRevision;
   mChangedKeys = { true, {} };
   return true;
 }
@@ -317,17 +318,17 @@
 {
   // A read in progress, perhaps the first one, may also reflect a store that
   // lacks changes which are yet to be written again.
-  mProvesFrom = std::max(mProvesFrom, aNow + kWrittenAgain);
+  mVerifiableFrom = std::max(mVerifiableFrom, aNow + kRewriteTime);
   if (mIsKnown && aNow >= mForwardedUntil) {
-    ReadAtOnce(aNow);
+    ReadImmediately(aNow);
   }
 }
 
 // Called when the keys belong to another era than the store.
 void
-prefix_view::ReadAtOnce(clock::time_point aNow)
+prefix_view::ReadImmediately(clock::time_point aNow)
 {
-  mMissedSome = true;
+  mMayHaveMissedChanges = true;
   mForwardedUntil = {};
   ReadAgain();
   mMustRead = true;
@@ -336,16 +337,17 @@
 
 // Discarding the same revision repeatedly is reported only once.
 void
-prefix_view::NoteIgnored(revision aRead)
+prefix_view::ReportDiscardedRead(revision aRead)
 {
-  if (std::exchange(mIgnored, aRead) != aRead && mListener.staleReadIgnored) {
+  if (std::exchange(mDiscardedRead, aRead) != aRead &&
+      mListener.staleReadIgnored) {
     mListener.staleReadIgnored(aRead, mSeen);
   }
 }
 
 // Returns whether the change was new.
 bool
-prefix_view::TakeOne(key_change aChange)
+prefix_view::ApplyChange(key_change aChange)
 {
   const auto found = mItems.find(aChange.now.key);
   const bool isOld =
@@ -354,12 +356,12 @@
     return false;
   }
   mChanged = std::max(mChanged, aChange.now.changed);
-  NoteChanged(aChange.now.key, aChange.now.changed);
+  RecordChange(aChange.now.key, aChange.now.changed);
   if (found != mItems.end()) {
-    mBytes -= LengthOf(found->second);
+    mBytes -= SizeOf(found->second);
   }
   if (!aChange.removed) {
-    mBytes += LengthOf(aChange.now);
+    mBytes += SizeOf(aChange.now);
     mItems[aChange.now.key] = std::move(aChange.now);
     return true;
   }
@@ -367,7 +369,7 @@
     mItems.erase(found);
   }
   mRemovals.push_back(std::move(aChange));
-  if (mRemovals.size() > kMostRemovals) {
+  if (mRemovals.size() > kMaxRemovals) {
     mRemovalsAfter = mRemovals.front().now.changed;
     mRemovals.pop_front();
   }
@@ -393,19 +395,19 @@
     for (const auto& one : aUpdate.changes) {
       items.push_back(one.now);
     }
-    isChanged = TakeAll(std::move(items), aUpdate.upTo, aNow);
+    isChanged = ReplaceAll(std::move(items), aUpdate.upTo, aNow);
   } else if (!aUpdate.isSnapshot) {
-    for (const auto* one : InOrder(aUpdate.changes)) {
-      isChanged = TakeOne(*one) || isChanged;
+    for (const auto* one : SortedByRevision(aUpdate.changes)) {
+      isChanged = ApplyChange(*one) || isChanged;
     }
   }
   mIsKnown = true;
   mMustRead = mMustRead && mIsCalling;
   mSeen = std::max(mSeen, aUpdate.upTo);
-  mMayBeOld = !wasKnown || aUpdate.isSnapshot || aUpdate.mayBeStale ||
-              mMissedSome || aNow >= mForwardedUntil;
-  mMissedSome = false;
-  mBehindSince.reset();
+  mMayBeStale = !wasKnown || aUpdate.isSnapshot || aUpdate.mayBeStale ||
+                mMayHaveMissedChanges || aNow >= mForwardedUntil;
+  mMayHaveMissedChanges = false;
+  mLaggingSince.reset();
   if (isChanged) {
     mListener.changed(aNow);
   }
@@ -413,23 +415,24 @@
 }
 
 void
-prefix_view::NoteChanged(const std::string& aKey, revision aAt)
+prefix_view::RecordChange(const std::string& aKey, revision aAt)
 {
   const auto later =
-    std::find_if(mRecent.rbegin(), mRecent.rend(), [aAt](const auto& aOne) {
-      return aOne.first <= aAt;
-    });
-  mRecent.emplace(later.base(), aAt, aKey);
-  if (mRecent.size() > kMostRecent) {
-    mRecentAfter = std::max(mRecentAfter, mRecent.front().first);
-    mRecent.pop_front();
+    std::find_if(mRecentChanges.rbegin(),
+                 mRecentChanges.rend(),
+                 [aAt](const auto& aOne) { return aOne.first <= aAt; });
+  mRecentChanges.emplace(later.base(), aAt, aKey);
+  if (mRecentChanges.size() > kMaxRecentChanges) {
+    mRecentChangesAfter =
+      std::max(mRecentChangesAfter, mRecentChanges.front().first);
+    mRecentChanges.pop_front();
   }
   if (mChangedKeys.isAll) {
     return;
   }
   mChangedKeys.keys.push_back(aKey);
   // Bounds the list if TakeChangedKeys is never called.
-  if (mChangedKeys.keys.size() > mItems.size() + kMostRecent) {
+  if (mChangedKeys.keys.size() > mItems.size() + kMaxRecentChanges) {
     mChangedKeys = { true, {} };
   }
 }
@@ -445,45 +448,46 @@
 }
 
 key_update
-prefix_view::UpdateSince(revision aKnown, std::size_t aLongest) const
+prefix_view::UpdateSince(revision aKnown, std::size_t aMaxBytes) const
 {
-  key_update made;
-  made.isSnapshot = aKnown < mRemovalsAfter;
-  made.after = made.isSnapshot ? revision{} : aKnown;
-  made.upTo = mSeen;
-  made.mayBeStale = mMayBeOld;
-  const bool isRecent = !made.isSnapshot && aKnown >= mRecentAfter;
-  if (made.isSnapshot && mBytes > aLongest) {
-    made.isTooLarge = true;
+  key_update update;
+  update.isSnapshot = aKnown < mRemovalsAfter;
+  update.after = update.isSnapshot ? revision{} : aKnown;
+  update.upTo = mSeen;
+  update.mayBeStale = mMayBeStale;
+  const bool isRecent = !update.isSnapshot && aKnown >= mRecentChangesAfter;
+  if (update.isSnapshot && mBytes > aMaxBytes) {
+    update.isTooLarge = true;
   } else if (isRecent) {
-    AddRecent(made, aLongest);
+    AddRecentChanges(update, aMaxBytes);
   } else {
-    AddByLook(made, aLongest);
+    AddByScan(update, aMaxBytes);
   }
-  return made;
+  return update;
 }
 
 // Adds the recently changed keys, each once, from the newest back to the known
 // revision.
 void
-prefix_view::AddRecent(key_update& aTo, std::size_t aLongest) const
+prefix_view::AddRecentChanges(key_update& aTo, std::size_t aMaxBytes) const
 {
-  absl::flat_hash_set<std::string_view> told;
+  absl::flat_hash_set<std::string_view> added;
   std::size_t bytes = 0;
-  for (auto one = mRecent.rbegin(); one != mRecent.rend(); ++one) {
+  for (auto one = mRecentChanges.rbegin(); one != mRecentChanges.rend();
+       ++one) {
     if (one->first <= aTo.after) {
       break;
     }
-    ++mLookedAt;
-    if (!told.insert(one->second).second) {
+    ++mKeysExamined;
+    if (!added.insert(one->second).second) {
       continue;
     }
     const auto found = mItems.find(one->second);
     if (found == mItems.end()) {
       continue;
     }
-    bytes += LengthOf(found->second);
-    if (bytes > aLongest) {
+    bytes += SizeOf(found->second);
+    if (bytes > aMaxBytes) {
       aTo.isTooLarge = true;
       aTo.changes.clear();
       return;
@@ -494,16 +498,16 @@
 }
 
 void
-prefix_view::AddByLook(key_update& aTo, std::size_t aLongest) const
+prefix_view::AddByScan(key_update& aTo, std::size_t aMaxBytes) const
 {
   std::size_t bytes = 0;
-  mLookedAt += mItems.size();
+  mKeysExamined += mItems.size();
   for (const auto& [key, one] : mItems) {
     if (one.changed <= aTo.after) {
       continue;
     }
-    bytes += LengthOf(one);
-    if (bytes > aLongest) {
+    bytes += SizeOf(one);
+    if (bytes > aMaxBytes) {
       aTo.isTooLarge = true;
       aTo.changes.clear();
       return;
@@ -531,21 +535,21 @@
 clock::time_point
 prefix_view::CurrentAt(clock::time_point aLastAnswer) const noexcept
 {
-  const bool waits = mIsCalling && !mMustRead && mIsReached;
-  return waits ? std::max(mAnsweredAt, aLastAnswer) : mAnsweredAt;
+  const bool isWaiting = mIsCalling && !mMustRead && mIsReachable;
+  return isWaiting ? std::max(mAnsweredAt, aLastAnswer) : mAnsweredAt;
 }
 
 void
-prefix_view::Failed(std::error_code aError, clock::time_point aNow)
+prefix_view::OnFailure(std::error_code aError, clock::time_point aNow)
 {
-  mMissedSome = true;
-  if (IsPast(aError)) {
+  mMayHaveMissedChanges = true;
+  if (IsHistoryLost(aError)) {
     mNotBefore = aNow;
     return;
   }
   mNotBefore = aNow + mBackoff.Next(mRandom);
-  if (mIsReached) {
-    mIsReached = false;
+  if (mIsReachable) {
+    mIsReachable = false;
     mListener.reachabilityChanged(false, aError);
   }
 }
@@ -553,23 +557,26 @@
 std::chrono::milliseconds
 prefix_view::Pause() const
 {
-  const auto way = std::chrono::duration_cast<std::chrono::milliseconds>(
-    mSettings.timePerByte * static_cast<std::int64_t>(mBytes));
+  const auto transferTime =
+    std::chrono::duration_cast<std::chrono::milliseconds>(
+      mSettings.timePerByte * static_cast<std::int64_t>(mBytes));
   const auto keys = static_cast<int>(mItems.size());
-  const auto usual =
+  const auto pauseByKeys =
     std::min(mSettings.pauseAfterChange + mSettings.pausePerKey * keys,
              mSettings.maxPauseByKeys);
-  return std::max(usual, std::min(way * kPauseByWay, mSettings.maxPause));
+  return std::max(
+    pauseByKeys,
+    std::min(transferTime * kPausePerTransferTime, mSettings.maxPause));
 }
 
 void
-prefix_view::Succeeded(bool aChanged, clock::time_point aNow)
+prefix_view::OnSuccess(bool aChanged, clock::time_point aNow)
 {
   mBackoff.Reset();
-  mBehindSince.reset();
+  mLaggingSince.reset();
   mNotBefore = aChanged ? aNow + Pause() : clock::time_point{};
-  if (!mIsReached) {
-    mIsReached = true;
+  if (!mIsReachable) {
+    mIsReachable = true;
     mListener.reachabilityChanged(true, {});
   }
 }
--- a/src/currantshed/store/prefix_view.hpp
+++ b/src/currantshed/store/prefix_view.hpp
@@ -157,7 +157,7 @@
   /// than these keys.
   [[nodiscard]] clock::time_point VerifiedAt() const noexcept
   {
-    return mProvedAt;
+    return mVerifiedAt;
   }
 
   /// Applies an update from another VM. Changes that would leave a gap, or that
@@ -172,7 +172,7 @@
   /// in bytes, they are omitted and isTooLarge is set.
   [[nodiscard]] key_update UpdateSince(
     revision aKnown,
-    std::size_t aLongest = std::numeric_limits<std::size_t>::max()) const;
+    std::size_t aMaxBytes = std::numeric_limits<std::size_t>::max()) const;
 
   /// Returns the keys that have changed since the last call, so that readers
   /// can process them incrementally.
@@ -182,12 +182,12 @@
   /// of their cost.
   [[nodiscard]] std::uint64_t KeysExamined() const noexcept
   {
-    return mLookedAt;
+    return mKeysExamined;
   }
 
   /// Suspends calls to the store while this VM's calls fail; another kind of
   /// call detects when the store answers again.
-  void SetPaused(bool aIsHeld) noexcept { mIsHeld = aIsHeld; }
+  void SetPaused(bool aIsPaused) noexcept { mIsPaused = aIsPaused; }
 
   /// The latest time at which the keys were known to match the store. A pending
   /// watch reports nothing, so while one is waiting, the time of the last
@@ -202,32 +202,32 @@
   [[nodiscard]] bool IsKnown() const noexcept { return mIsKnown; }
   /// Whether the store is reachable, as last reported to
   /// listener::reachabilityChanged.
-  [[nodiscard]] bool IsReached() const noexcept { return mIsReached; }
+  [[nodiscard]] bool IsReachable() const noexcept { return mIsReachable; }
   /// Whether the last changes may have been made long before they were seen:
   /// they came with a read of all keys, or after a watch had failed.
-  [[nodiscard]] bool MayBeStale() const noexcept { return mMayBeOld; }
+  [[nodiscard]] bool MayBeStale() const noexcept { return mMayBeStale; }
   /// The revision up to which all changes are known.
   [[nodiscard]] revision Seen() const noexcept { return mSeen; }
   [[nodiscard]] const items& Items() const noexcept { return mItems; }
 
 private:
   void ReadAgain();
-  void ReadAtOnce(clock::time_point aNow);
+  void ReadImmediately(clock::time_point aNow);
   void Read(clock::time_point aNow);
-  [[nodiscard]] bool TakeAll(std::vector<item> aItems,
-                             revision aRevision,
-                             clock::time_point aNow);
-  void NoteIgnored(revision aRead);
-  [[nodiscard]] bool TakeOne(key_change aChange);
-  void NoteChanged(const std::string& aKey, revision aAt);
-  void AddRecent(key_update& aTo, std::size_t aLongest) const;
-  void AddByLook(key_update& aTo, std::size_t aLongest) const;
+  [[nodiscard]] bool ReplaceAll(std::vector<item> aItems,
+                                revision aRevision,
+                                clock::time_point aNow);
+  void ReportDiscardedRead(revision aRead);
+  [[nodiscard]] bool ApplyChange(key_change aChange);
+  void RecordChange(const std::string& aKey, revision aAt);
+  void AddRecentChanges(key_update& aTo, std::size_t aMaxBytes) const;
+  void AddByScan(key_update& aTo, std::size_t aMaxBytes) const;
   void AddRemovals(key_update& aTo) const;
-  [[nodiscard]] bool TakeChanges(std::vector<key_change> aChanges,
-                                 revision aUpTo);
-  void Follow(clock::time_point aNow);
-  void Failed(std::error_code aError, clock::time_point aNow);
-  void Succeeded(bool aChanged, clock::time_point aNow);
+  [[nodiscard]] bool ApplyChanges(std::vector<key_change> aChanges,
+                                  revision aUpTo);
+  void StartWatch(clock::time_point aNow);
+  void OnFailure(std::error_code aError, clock::time_point aNow);
+  void OnSuccess(bool aChanged, clock::time_point aNow);
   [[nodiscard]] std::chrono::milliseconds Pause() const;
 
   key_value& mStore;
@@ -238,21 +238,21 @@
   items mItems;
   revision mSeen;
   revision mChanged;
-  std::optional<clock::time_point> mBehindSince;
+  std::optional<clock::time_point> mLaggingSince;
   bool mIsKnown = false;
   bool mMustRead = true;
-  bool mIsReached = false;
-  bool mMayBeOld = true;
+  bool mIsReachable = false;
+  bool mMayBeStale = true;
   // Whether a watch has failed since the last response.
-  bool mMissedSome = true;
+  bool mMayHaveMissedChanges = true;
   bool mIsCalling = false;
-  bool mIsHeld = false;
+  bool mIsPaused = false;
   bool mIsChecking = false;
   // The revision of the last read that was discarded.
-  revision mIgnored;
-  clock::time_point mProvedAt{};
+  revision mDiscardedRead;
+  clock::time_point mVerifiedAt{};
   // From when on responses of the current era count as verification.
-  clock::time_point mProvesFrom{};
+  clock::time_point mVerifiableFrom{};
   clock::time_point mForwardedUntil{};
   clock::time_point mFirstReadNotBefore{};
   // When the last response to a call for these keys arrived.
@@ -260,14 +260,14 @@
   // The removals after mRemovalsAfter, oldest first, for updates to other VMs.
   std::deque<key_change> mRemovals;
   revision mRemovalsAfter;
-  // The last changes, oldest first, complete from mRecentAfter on. Most updates
-  // to other VMs are computed from these alone.
-  std::deque<std::pair<revision, std::string>> mRecent;
-  revision mRecentAfter;
+  // The last changes, oldest first, complete from mRecentChangesAfter on. Most
+  // updates to other VMs are computed from these alone.
+  std::deque<std::pair<revision, std::string>> mRecentChanges;
+  revision mRecentChangesAfter;
   // Total size of all keys and values.
   std::size_t mBytes = 0;
   changed_keys mChangedKeys;
-  mutable std::uint64_t mLookedAt = 0;
+  mutable std::uint64_t mKeysExamined = 0;
   clock::time_point mNotBefore{};
   double mRandom = 0;
   std::shared_ptr<bool> mAlive = std::make_shared<bool>(true);
--- a/src/currantshed/store/registration.cpp
+++ b/src/currantshed/store/registration.cpp
@@ -36,7 +36,7 @@
 registration::SetValue(std::string aValue)
 {
   mValue = std::move(aValue);
-  mWriteSeenBy = {};
+  mWriteVisibleBy = {};
 }
 
 void
@@ -84,7 +84,7 @@
     Grant(aNow);
   } else if (aNow >= mRenewAt) {
     Renew(aNow);
-  } else if (!IsListed() && mView.IsKnown() && aNow >= mWriteSeenBy) {
+  } else if (!IsListed() && mView.IsKnown() && aNow >= mWriteVisibleBy) {
     Write(aNow);
   }
 }
@@ -98,7 +98,7 @@
   if (mMustGrant) {
     return mNotBefore;
   }
-  const auto due = IsListed() ? mRenewAt : std::min(mRenewAt, mWriteSeenBy);
+  const auto due = IsListed() ? mRenewAt : std::min(mRenewAt, mWriteVisibleBy);
   return std::max(mNotBefore, due);
 }
 
@@ -106,67 +106,66 @@
 registration::Grant(clock::time_point aNow)
 {
   mIsCalling = true;
-  mStore.Grant(
-    mSettings.lease.ttl,
-    [this, alive = mAlive, aNow, lease = mSettings.lease](
-      std::error_code aError, lease_id aLease, response_info aAnswer) {
+  mStore.Grant(mSettings.lease.ttl,
+               [this, alive = mAlive, aNow, lease = mSettings.lease](
+                 std::error_code aError, lease_id aLease, response_info aInfo) {
+                 if (!*alive) {
+                   return;
+                 }
+                 mIsCalling = false;
+                 if (aError) {
+                   OnFailure(aInfo.at);
+                   return;
+                 }
+                 OnResponse(aNow);
+                 mLease = aLease;
+                 mMustGrant = lease != mSettings.lease;
+                 mValidUntil = aNow + lease.ttl;
+                 mRenewAt = aNow + lease.renewAfter;
+                 mWriteVisibleBy = {};
+               });
+}
+
+void
+registration::Renew(clock::time_point aNow)
+{
+  mIsCalling = true;
+  mStore.KeepAlive(
+    mLease,
+    [this, alive = mAlive, aNow](std::error_code aError, response_info aInfo) {
       if (!*alive) {
         return;
       }
       mIsCalling = false;
+      if (aError == errc::kLeaseNotFound) {
+        OnResponse(aNow);
+        OnLeaseLost();
+        return;
+      }
       if (aError) {
-        Failed(aAnswer.at);
+        OnFailure(aInfo.at);
         return;
       }
-      Answered(aNow);
-      mLease = aLease;
-      mMustGrant = lease != mSettings.lease;
-      mValidUntil = aNow + lease.ttl;
-      mRenewAt = aNow + lease.renewAfter;
-      mWriteSeenBy = {};
+      OnResponse(aNow);
+      mValidUntil = aNow + mSettings.lease.ttl;
+      mRenewAt = aNow + mSettings.lease.renewAfter;
     });
 }
 
-void
-registration::Renew(clock::time_point aNow)
-{
-  mIsCalling = true;
-  mStore.KeepAlive(mLease,
-                   [this, alive = mAlive, aNow](std::error_code aError,
-                                                response_info aAnswer) {
-                     if (!*alive) {
-                       return;
-                     }
-                     mIsCalling = false;
-                     if (aError == errc::kLeaseNotFound) {
-                       Answered(aNow);
-                       Lapsed();
-                       return;
-                     }
-                     if (aError) {
-                       Failed(aAnswer.at);
-                       return;
-                     }
-                     Answered(aNow);
-                     mValidUntil = aNow + mSettings.lease.ttl;
-                     mRenewAt = aNow + mSettings.lease.renewAfter;
-                   });
-}
-
 void
 registration::Write(clock::time_point aNow)
 {
   mIsCalling = true;
-  mWriteSeenBy = aNow + kViewDelay;
-  transaction made;
+  mWriteVisibleBy = aNow + kViewDelay;
+  transaction change;
   const auto found = mView.Items().find(mKey);
   const auto seen = found == mView.Items().end() ? revision{ mView.Seen().era }
                                                  : found->second.changed;
-  made.conditions.push_back({ mKey, seen });
-  made.puts.push_back({ mKey, mValue, {}, mLease });
-  mStore.Commit(std::move(made),
+  change.conditions.push_back({ mKey, seen });
+  change.puts.push_back({ mKey, mValue, {}, mLease });
+  mStore.Commit(std::move(change),
                 [this, alive = mAlive, aNow, lease = mLease](
-                  commit_outcome aOutcome, revision, response_info aAnswer) {
+                  commit_outcome aOutcome, revision, response_info aInfo) {
                   if (!*alive) {
                     return;
                   }
@@ -175,21 +174,21 @@
                     case commit_outcome::kApplied:
                       mIsWritten = true;
                       mWrittenLease = lease;
-                      Answered(aNow);
-                      if (mWritten) {
-                        mWritten();
+                      OnResponse(aNow);
+                      if (mOnWritten) {
+                        mOnWritten();
                       }
                       break;
                     case commit_outcome::kLeaseNotFound:
-                      Lapsed();
+                      OnLeaseLost();
                       break;
                     case commit_outcome::kConflict:
                       // The view does not yet show the conflicting change.
-                      mWriteSeenBy = aAnswer.at + kCheckInterval;
+                      mWriteVisibleBy = aInfo.at + kCheckInterval;
                       break;
                     default:
-                      mWriteSeenBy = aAnswer.at + kCheckInterval;
-                      Failed(aAnswer.at);
+                      mWriteVisibleBy = aInfo.at + kCheckInterval;
+                      OnFailure(aInfo.at);
                       break;
                   }
                 });
@@ -197,7 +196,7 @@
 
 // The lease has ended, and the key was removed with it.
 void
-registration::Lapsed()
+registration::OnLeaseLost()
 {
   mLease = {};
   mMustGrant = true;
@@ -206,29 +205,29 @@
 }
 
 void
-registration::OnWritten(std::function<void()> aWritten)
+registration::OnWritten(std::function<void()> aCallback)
 {
-  mWritten = std::move(aWritten);
+  mOnWritten = std::move(aCallback);
 }
 
 void
-registration::OnRecovered(std::function<void()> aRegained)
+registration::OnRecovered(std::function<void()> aCallback)
 {
-  mRegained = std::move(aRegained);
+  mOnRecovered = std::move(aCallback);
 }
 
 void
-registration::Answered(clock::time_point aAsked)
+registration::OnResponse(clock::time_point aSentAt)
 {
-  mAnsweredFor = aAsked;
+  mLastAnsweredSentAt = aSentAt;
   mBackoff.Reset();
-  if (std::exchange(mIsFailing, false) && mRegained) {
-    mRegained();
+  if (std::exchange(mIsFailing, false) && mOnRecovered) {
+    mOnRecovered();
   }
 }
 
 void
-registration::Failed(clock::time_point aNow)
+registration::OnFailure(clock::time_point aNow)
 {
   mIsFailing = true;
   mNotBefore = aNow + mBackoff.Next(mRandom);
--- a/src/currantshed/store/registration.hpp
+++ b/src/currantshed/store/registration.hpp
@@ -67,15 +67,15 @@
   /// When the most recent call that was answered had been sent.
   [[nodiscard]] clock::time_point LastAnsweredSentAt() const noexcept
   {
-    return mAnsweredFor;
+    return mLastAnsweredSentAt;
   }
 
   /// Sets the callback that runs when the store answers again after failed
   /// calls.
-  void OnRecovered(std::function<void()> aRegained);
+  void OnRecovered(std::function<void()> aCallback);
 
   /// Sets the callback that runs whenever the store has accepted the key.
-  void OnWritten(std::function<void()> aWritten);
+  void OnWritten(std::function<void()> aCallback);
 
   /// Ends the lease, which removes the key.
   void Revoke();
@@ -105,9 +105,9 @@
   void Grant(clock::time_point aNow);
   void Renew(clock::time_point aNow);
   void Write(clock::time_point aNow);
-  void Lapsed();
-  void Answered(clock::time_point aAsked);
-  void Failed(clock::time_point aNow);
+  void OnLeaseLost();
+  void OnResponse(clock::time_point aSentAt);
+  void OnFailure(clock::time_point aNow);
 
   key_value& mStore;
   const prefix_view& mView;
@@ -123,16 +123,16 @@
   clock::time_point mNotBefore{};
   /// Until when to wait for the view to show the last write before writing
   /// again.
-  clock::time_point mWriteSeenBy{};
+  clock::time_point mWriteVisibleBy{};
   bool mIsCalling = false;
   bool mIsEnded = false;
   /// Whether a new lease is needed: there is none, or its times have changed.
   bool mMustGrant = true;
   bool mIsWritten = false;
-  std::function<void()> mWritten;
+  std::function<void()> mOnWritten;
   bool mIsFailing = false;
-  clock::time_point mAnsweredFor{};
-  std::function<void()> mRegained;
+  clock::time_point mLastAnsweredSentAt{};
+  std::function<void()> mOnRecovered;
   double mRandom = 0;
   std::shared_ptr<bool> mAlive = std::make_shared<bool>(true);
 };
--- a/src/currantshed/store/watcher.cpp
+++ b/src/currantshed/store/watcher.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// The pause is random between watcher_settings::pause and this multiple of it.
-constexpr int kPauseSpread = 2;
+constexpr int kMaxPauseFactor = 2;
 
 } // namespace
 
@@ -31,13 +31,13 @@
   }
   mBackoff.Reset();
   mLastAnswer = aNow;
-  mSeen = aEntry.version;
+  mLastVersion = aEntry.version;
   if (Deliver(aEntry)) {
     Start(aNow);
     return;
   }
   const auto pause =
-    Between(mSettings.pause, kPauseSpread * mSettings.pause, aRandom);
+    Between(mSettings.pause, kMaxPauseFactor * mSettings.pause, aRandom);
   mStartAt = std::max(aNow, mStartedAt + pause);
   Tick(aNow);
 }
@@ -73,7 +73,7 @@
 {
   mStartAt.reset();
   mStartedAt = aNow;
-  mActions.emplace_back(start_watch{ mSeen, mSettings.wait });
+  mActions.emplace_back(start_watch{ mLastVersion, mSettings.wait });
 }
 
 bool
--- a/src/currantshed/store/watcher.hpp
+++ b/src/currantshed/store/watcher.hpp
@@ -79,7 +79,7 @@
   clock::time_point mStartedAt;
   /// The version in the platform's last response, to which the next watch
   /// refers. May be older than the version delivered.
-  index mSeen = 0;
+  index mLastVersion = 0;
   /// The newest version delivered.
   std::optional<index> mDelivered;
   std::optional<clock::time_point> mLastAnswer;
--- a/test/currantshed/store/apply.cpp
+++ b/test/currantshed/store/apply.cpp
@@ -31,7 +31,7 @@
 
 namespace {
 
-constexpr char kMine[] = "mine";
+constexpr char kChange[] = "mine";
 constexpr std::uint64_t kSeen = 3;
 constexpr time_point kStart{ 1h };
 constexpr auto kLongWait = 1min;
@@ -40,22 +40,22 @@
 enum class step
 {
   /// The call is executed, and its response arrives.
-  kAnswer,
+  kRespond,
   /// The call fails without effect; a write may still take effect later.
   kLose,
   /// The call takes effect, but its response is lost.
-  kLoseAnswer,
+  kLoseResponse,
   /// The first lost write takes effect after all.
-  kArriveLate,
+  kDeliverLost,
   /// Another operator makes a change.
   kOther,
   /// The key is overwritten with an invalid record.
-  kGarble,
+  kCorrupt,
 };
 
-constexpr std::array kAllSteps = { step::kAnswer,     step::kLose,
-                                   step::kLoseAnswer, step::kArriveLate,
-                                   step::kOther,      step::kGarble };
+constexpr std::array kAllSteps = { step::kRespond,      step::kLose,
+                                   step::kLoseResponse, step::kDeliverLost,
+                                   step::kOther,        step::kCorrupt };
 
 /// The store, other operators, and the network in between.
 class world
@@ -82,7 +82,7 @@
     Store(PrintConfigurationRecord(NextConfigurationRecord(former, name, "o")));
   }
 
-  void Garble() { Store("{"); }
+  void Corrupt() { Store("{"); }
 
   bool Swap(const swap_configuration& aSwap)
   {
@@ -90,13 +90,13 @@
       return false;
     }
     Store(aSwap.value);
-    mTimesMine += Record().change == kMine ? 1 : 0;
+    mTimesApplied += Record().change == kChange ? 1 : 0;
     return true;
   }
 
   void Lose(const swap_configuration& aSwap) { mLost.push_back(aSwap); }
 
-  void ArriveLate()
+  void DeliverLost()
   {
     if (!mLost.empty()) {
       const auto swap = mLost.front();
@@ -105,15 +105,15 @@
     }
   }
 
-  void ArriveAll()
+  void DeliverAllLost()
   {
     while (!mLost.empty()) {
-      ArriveLate();
+      DeliverLost();
     }
   }
 
   /// How many times the change under test was made.
-  [[nodiscard]] int TimesMine() const { return mTimesMine; }
+  [[nodiscard]] int TimesApplied() const { return mTimesApplied; }
 
 private:
   void Store(const std::string& aValue)
@@ -125,7 +125,7 @@
   entry mEntry;
   configuration_record mLastGood;
   std::vector<swap_configuration> mLost;
-  int mTimesMine = 0;
+  int mTimesApplied = 0;
 };
 
 /// Runs an applier through a sequence of steps.
@@ -136,20 +136,20 @@
     : mWorld(aVersion)
     , mSubject(std::move(aRequest), kStart)
   {
-    Take();
+    TakeAction();
   }
 
   void Do(step aStep)
   {
     switch (aStep) {
-      case step::kArriveLate:
-        mWorld.ArriveLate();
+      case step::kDeliverLost:
+        mWorld.DeliverLost();
         return;
       case step::kOther:
         mWorld.ChangeByOther();
         return;
-      case step::kGarble:
-        mWorld.Garble();
+      case step::kCorrupt:
+        mWorld.Corrupt();
         return;
       default:
         EndCall(aStep);
@@ -165,7 +165,7 @@
     }
     mNow += kLongWait;
     mSubject.Tick(mNow);
-    mWorld.ArriveAll();
+    mWorld.DeliverAllLost();
   }
 
   [[nodiscard]] const std::optional<apply_result>& Result() const
@@ -173,10 +173,10 @@
     return mSubject.Result();
   }
 
-  [[nodiscard]] int TimesMine() const { return mWorld.TimesMine(); }
+  [[nodiscard]] int TimesApplied() const { return mWorld.TimesApplied(); }
 
 private:
-  void Take()
+  void TakeAction()
   {
     auto actions = mSubject.TakeActions();
     mTooMany = mTooMany || actions.size() + (mCall ? 1 : 0) > 1;
@@ -190,7 +190,7 @@
     if (!mCall && !mSubject.Result()) {
       mNow = mSubject.NextTick();
       mSubject.Tick(mNow);
-      Take();
+      TakeAction();
     }
     if (!mCall) {
       return;
@@ -199,12 +199,12 @@
     mCall.reset();
     if (const auto* swap = std::get_if<swap_configuration>(&call)) {
       mSubject.ConfigurationSwapped(EndSwap(*swap, aStep), mNow);
-    } else if (aStep == step::kAnswer) {
+    } else if (aStep == step::kRespond) {
       mSubject.ConfigurationRead({}, mWorld.Entry(), mNow);
     } else {
       mSubject.ConfigurationRead(errc::kTimeout, {}, mNow);
     }
-    Take();
+    TakeAction();
     CHECK_FALSE_TEXT(mTooMany, "more than one call in progress");
   }
 
@@ -215,7 +215,7 @@
       return swap_outcome::kUnknown;
     }
     const bool applied = mWorld.Swap(aSwap);
-    if (aStep == step::kLoseAnswer) {
+    if (aStep == step::kLoseResponse) {
       return swap_outcome::kUnknown;
     }
     return applied ? swap_outcome::kApplied : swap_outcome::kConflict;
@@ -233,7 +233,7 @@
 {
   apply_request request;
   request.declaration = "d";
-  request.change = kMine;
+  request.change = kChange;
   request.expectedVersion = aSeen;
   return request;
 }
@@ -245,104 +245,104 @@
   std::vector<step> steps;
   apply_outcome outcome;
   std::uint64_t inForce;
-  int timesMine;
+  int timesApplied;
 };
 
 std::vector<step>
-Then(std::vector<step> aFirst, std::size_t aTimes, step aLast)
+FollowedBy(std::vector<step> aFirst, std::size_t aTimes, step aLast)
 {
   aFirst.insert(aFirst.end(), aTimes, aLast);
   return aFirst;
 }
 
 std::vector<step>
-LostAnswerThenOthers(std::size_t aOthers)
+LostResponseThenOthers(std::size_t aOthers)
 {
   auto steps =
-    Then({ step::kAnswer, step::kLoseAnswer }, aOthers, step::kOther);
-  steps.push_back(step::kAnswer);
+    FollowedBy({ step::kRespond, step::kLoseResponse }, aOthers, step::kOther);
+  steps.push_back(step::kRespond);
   return steps;
 }
 
 const apply_row kRows[] = {
   { "no faults",
     kSeen,
-    { step::kAnswer, step::kAnswer },
+    { step::kRespond, step::kRespond },
     apply_outcome::kApplied,
     4,
     1 },
   { "another change was made before the start",
     5,
-    { step::kAnswer },
+    { step::kRespond },
     apply_outcome::kLostRace,
     5,
     0 },
   { "another change is made between read and write",
     kSeen,
-    { step::kAnswer, step::kOther, step::kAnswer, step::kAnswer },
+    { step::kRespond, step::kOther, step::kRespond, step::kRespond },
     apply_outcome::kLostRace,
     4,
     0 },
   { "the response to an applied write is lost",
     kSeen,
-    { step::kAnswer, step::kLoseAnswer, step::kAnswer },
+    { step::kRespond, step::kLoseResponse, step::kRespond },
     apply_outcome::kApplied,
     4,
     1 },
   { "response lost, then changes by others",
     kSeen,
-    LostAnswerThenOthers(2),
+    LostResponseThenOthers(2),
     apply_outcome::kApplied,
     6,
     1 },
   { "response lost, then as many changes by others as a record lists",
     kSeen,
-    LostAnswerThenOthers(kEarlierChanges),
+    LostResponseThenOthers(kEarlierChanges),
     apply_outcome::kApplied,
     4 + kEarlierChanges,
     1 },
   { "response lost, then more changes by others than a record lists",
     kSeen,
-    LostAnswerThenOthers(kEarlierChanges + 1),
+    LostResponseThenOthers(kEarlierChanges + 1),
     apply_outcome::kUnknown,
     5 + kEarlierChanges,
     1 },
   { "response lost, after a change by another operator",
     kSeen,
-    { step::kAnswer, step::kOther, step::kLoseAnswer, step::kAnswer },
+    { step::kRespond, step::kOther, step::kLoseResponse, step::kRespond },
     apply_outcome::kLostRace,
     4,
     0 },
   { "write lost, then retried",
     kSeen,
-    { step::kAnswer, step::kLose, step::kAnswer, step::kAnswer },
+    { step::kRespond, step::kLose, step::kRespond, step::kRespond },
     apply_outcome::kApplied,
     4,
     1 },
   { "write lost, then a change by another operator",
     kSeen,
-    { step::kAnswer, step::kLose, step::kOther, step::kAnswer },
+    { step::kRespond, step::kLose, step::kOther, step::kRespond },
     apply_outcome::kLostRace,
     4,
     0 },
   { "a lost write takes effect between the read and the retry",
     kSeen,
-    { step::kAnswer,
+    { step::kRespond,
       step::kLose,
-      step::kAnswer,
-      step::kArriveLate,
-      step::kAnswer,
-      step::kAnswer },
+      step::kRespond,
+      step::kDeliverLost,
+      step::kRespond,
+      step::kRespond },
     apply_outcome::kApplied,
     4,
     1 },
   { "write lost, then the response to its retry lost",
     kSeen,
-    { step::kAnswer,
+    { step::kRespond,
       step::kLose,
-      step::kAnswer,
-      step::kLoseAnswer,
-      step::kAnswer },
+      step::kRespond,
+      step::kLoseResponse,
+      step::kRespond },
     apply_outcome::kApplied,
     4,
     1 },
@@ -354,49 +354,49 @@
     0 },
   { "an outage after an applied write",
     kSeen,
-    { step::kAnswer, step::kLoseAnswer, step::kLose, step::kLose },
+    { step::kRespond, step::kLoseResponse, step::kLose, step::kLose },
     apply_outcome::kUnknown,
     3,
     1 },
   { "an outage after an applied write that ends in time",
     kSeen,
-    { step::kAnswer, step::kLoseAnswer, step::kLose, step::kAnswer },
+    { step::kRespond, step::kLoseResponse, step::kLose, step::kRespond },
     apply_outcome::kApplied,
     4,
     1 },
   { "an outage after a rejected write",
     kSeen,
-    { step::kAnswer, step::kOther, step::kAnswer, step::kLose },
+    { step::kRespond, step::kOther, step::kRespond, step::kLose },
     apply_outcome::kNotReached,
     3,
     0 },
   { "a write without a response at the timeout",
     kSeen,
-    { step::kAnswer },
+    { step::kRespond },
     apply_outcome::kUnknown,
     3,
     0 },
   { "an invalid record at the start",
     kSeen,
-    { step::kGarble, step::kAnswer },
+    { step::kCorrupt, step::kRespond },
     apply_outcome::kUnreadable,
     0,
     0 },
   { "an invalid record while a write is in doubt",
     kSeen,
-    { step::kAnswer, step::kLoseAnswer, step::kGarble, step::kAnswer },
+    { step::kRespond, step::kLoseResponse, step::kCorrupt, step::kRespond },
     apply_outcome::kUnknown,
     3,
     1 },
   { "the store was restored from an older snapshot",
     2,
-    { step::kAnswer },
+    { step::kRespond },
     apply_outcome::kLostRace,
     2,
     0 },
 };
 
-struct truth
+struct allowed_count
 {
   apply_outcome outcome;
   int fewest;
@@ -404,20 +404,22 @@
 };
 
 /// How many times the change may have been made for each reported outcome.
-constexpr truth kTruths[] = {
+constexpr allowed_count kAllowedCounts[] = {
   { apply_outcome::kApplied, 1, 1 },    { apply_outcome::kLostRace, 0, 0 },
   { apply_outcome::kNotReached, 0, 0 }, { apply_outcome::kUnknown, 0, 1 },
   { apply_outcome::kUnreadable, 0, 0 }, { apply_outcome::kTooLarge, 0, 0 },
 };
 
 bool
-IsTrue(apply_outcome aOutcome, int aTimesMade)
+IsAccurate(apply_outcome aOutcome, int aTimesMade)
 {
-  return std::any_of(
-    std::begin(kTruths), std::end(kTruths), [&](const truth& aTruth) {
-      return aTruth.outcome == aOutcome && aTimesMade >= aTruth.fewest &&
-             aTimesMade <= aTruth.most;
-    });
+  return std::any_of(std::begin(kAllowedCounts),
+                     std::end(kAllowedCounts),
+                     [&](const allowed_count& aCount) {
+                       return aCount.outcome == aOutcome &&
+                              aTimesMade >= aCount.fewest &&
+                              aTimesMade <= aCount.most;
+                     });
 }
 
 } // namespace
@@ -431,20 +433,20 @@
     for (const auto next : row.steps) {
       subject.Do(next);
     }
-    const int made = subject.TimesMine();
+    const int made = subject.TimesApplied();
     subject.End();
     CHECK_TEXT(subject.Result()->outcome == row.outcome, row.name);
     CHECK_TEXT(subject.Result()->inForce == row.inForce, row.name);
     CHECK_TEXT(subject.Result()->version == kSeen + 1, row.name);
-    LONGS_EQUAL_TEXT(row.timesMine, made, row.name);
+    LONGS_EQUAL_TEXT(row.timesApplied, made, row.name);
   }
 }
 
 TEST(apply, the_first_configuration)
 {
   trial subject(Request(0), 0);
-  subject.Do(step::kAnswer);
-  subject.Do(step::kAnswer);
+  subject.Do(step::kRespond);
+  subject.Do(step::kRespond);
   CHECK(subject.Result()->outcome == apply_outcome::kApplied);
   CHECK(subject.Result()->version == 1);
 }
@@ -454,7 +456,7 @@
   apply_request request = Request();
   request.askedBefore = true;
   applier subject(request, kStart);
-  const configuration_record mine{ 4, kMine, "d", "", "", {} };
+  const configuration_record mine{ 4, kChange, "d", "", "", {} };
   subject.ConfigurationRead(
     {}, entry{ PrintConfigurationRecord(mine), 9 }, kStart);
   CHECK(subject.Result()->outcome == apply_outcome::kApplied);
@@ -474,7 +476,7 @@
   apply_request request = Request();
   request.declaration.assign(currantshed::store::kMaxValueBytes, 'x');
   trial subject(request, kSeen);
-  subject.Do(step::kAnswer);
+  subject.Do(step::kRespond);
   CHECK(subject.Result()->outcome == apply_outcome::kTooLarge);
 }
 
@@ -491,10 +493,10 @@
 
 /// For every sequence of steps up to a length, the reported outcome is
 /// accurate, also with regard to writes that take effect afterwards.
-TEST(apply, every_interleaving_is_told_truthfully)
+TEST(apply, every_interleaving_is_reported_accurately)
 {
   constexpr std::size_t kLength = 6;
-  std::array<int, std::size(kTruths)> seen{};
+  std::array<int, std::size(kAllowedCounts)> seen{};
   std::size_t orders = 1;
   for (std::size_t at = 0; at < kLength; ++at) {
     orders *= kAllSteps.size();
@@ -508,7 +510,7 @@
     }
     subject.End();
     const auto outcome = subject.Result()->outcome;
-    CHECK_TEXT(IsTrue(outcome, subject.TimesMine()),
+    CHECK_TEXT(IsAccurate(outcome, subject.TimesApplied()),
                std::to_string(order).c_str());
     ++seen.at(static_cast<std::size_t>(outcome));
   }
--- a/test/currantshed/store/consul_responses.cpp
+++ b/test/currantshed/store/consul_responses.cpp
@@ -22,20 +22,20 @@
 namespace {
 
 http_response
-Answer(int aStatus, const std::string& aBody)
+Response(int aStatus, const std::string& aBody)
 {
-  http_response answer;
-  answer.status = aStatus;
-  answer.body = aBody;
-  return answer;
+  http_response response;
+  response.status = aStatus;
+  response.body = aBody;
+  return response;
 }
 
 http_response
 Failure(errc aError)
 {
-  http_response answer;
-  answer.error = aError;
-  return answer;
+  http_response response;
+  response.error = aError;
+  return response;
 }
 
 struct entry_row
@@ -49,41 +49,41 @@
 
 const entry_row kEntryRows[] = {
   { "a key",
-    Answer(200, R"([{"Value":"YWJj","ModifyIndex":7,"Key":"k"}])"),
+    Response(200, R"([{"Value":"YWJj","ModifyIndex":7,"Key":"k"}])"),
     {},
     "abc",
     7 },
   { "an empty value is null",
-    Answer(200, R"([{"Value":null,"ModifyIndex":7}])"),
+    Response(200, R"([{"Value":null,"ModifyIndex":7}])"),
     {},
     "",
     7 },
-  { "no such key", Answer(404, ""), {}, "", 0 },
+  { "no such key", Response(404, ""), {}, "", 0 },
   { "down", Failure(errc::kUnreachable), errc::kUnreachable, "", 0 },
   { "late", Failure(errc::kTimeout), errc::kTimeout, "", 0 },
-  { "failing", Answer(503, "x"), errc::kUnavailable, "", 0 },
-  { "over the rate", Answer(429, ""), errc::kRateLimited, "", 0 },
-  { "refused", Answer(400, ""), errc::kRejected, "", 0 },
-  { "not JSON", Answer(200, "[{"), errc::kMalformed, "", 0 },
-  { "no list", Answer(200, "{}"), errc::kMalformed, "", 0 },
-  { "an empty list", Answer(200, "[]"), errc::kMalformed, "", 0 },
+  { "failing", Response(503, "x"), errc::kUnavailable, "", 0 },
+  { "over the rate", Response(429, ""), errc::kRateLimited, "", 0 },
+  { "refused", Response(400, ""), errc::kRejected, "", 0 },
+  { "not JSON", Response(200, "[{"), errc::kMalformed, "", 0 },
+  { "no list", Response(200, "{}"), errc::kMalformed, "", 0 },
+  { "an empty list", Response(200, "[]"), errc::kMalformed, "", 0 },
   { "no version",
-    Answer(200, R"([{"Value":"YWJj"}])"),
+    Response(200, R"([{"Value":"YWJj"}])"),
     errc::kMalformed,
     "",
     0 },
   { "version zero would mean no key",
-    Answer(200, R"([{"Value":"YWJj","ModifyIndex":0}])"),
+    Response(200, R"([{"Value":"YWJj","ModifyIndex":0}])"),
     errc::kMalformed,
     "",
     0 },
   { "a negative version",
-    Answer(200, R"([{"Value":"YWJj","ModifyIndex":-1}])"),
+    Response(200, R"([{"Value":"YWJj","ModifyIndex":-1}])"),
     errc::kMalformed,
     "",
     0 },
   { "not base64",
-    Answer(200, R"([{"Value":"*","ModifyIndex":7}])"),
+    Response(200, R"([{"Value":"*","ModifyIndex":7}])"),
     errc::kMalformed,
     "",
     0 },
@@ -97,13 +97,13 @@
 };
 
 const swap_row kSwapRows[] = {
-  { "done", Answer(200, "true"), swap_outcome::kApplied },
-  { "done, with a line end", Answer(200, "true\n"), swap_outcome::kApplied },
-  { "another version", Answer(200, "false"), swap_outcome::kConflict },
-  { "torn", Answer(200, "tru"), swap_outcome::kUnknown },
-  { "empty", Answer(200, ""), swap_outcome::kUnknown },
-  { "failing", Answer(500, "false"), swap_outcome::kUnknown },
-  { "over the rate", Answer(429, ""), swap_outcome::kUnknown },
+  { "done", Response(200, "true"), swap_outcome::kApplied },
+  { "done, with a line end", Response(200, "true\n"), swap_outcome::kApplied },
+  { "another version", Response(200, "false"), swap_outcome::kConflict },
+  { "torn", Response(200, "tru"), swap_outcome::kUnknown },
+  { "empty", Response(200, ""), swap_outcome::kUnknown },
+  { "failing", Response(500, "false"), swap_outcome::kUnknown },
+  { "over the rate", Response(429, ""), swap_outcome::kUnknown },
   { "late", Failure(errc::kTimeout), swap_outcome::kUnknown },
   { "down", Failure(errc::kUnreachable), swap_outcome::kUnknown },
 };
@@ -132,7 +132,7 @@
 
 /// The item with one of its parts replaced.
 std::string
-With(std::string aItem, const std::string& aOld, const std::string& aNew)
+Replace(std::string aItem, const std::string& aOld, const std::string& aNew)
 {
   return aItem.replace(aItem.find(aOld), aOld.size(), aNew);
 }
@@ -146,49 +146,49 @@
 };
 
 const list_row kVmRows[] = {
-  { "none", Answer(200, "[]"), {}, 0 },
-  { "two", Answer(200, List({ kVm, kLeavingVm })), {}, 2 },
-  { "duplicate VM", Answer(200, List({ kVm, kVm })), errc::kMalformed, 0 },
-  { "no such service", Answer(404, ""), errc::kRejected, 0 },
+  { "none", Response(200, "[]"), {}, 0 },
+  { "two", Response(200, List({ kVm, kLeavingVm })), {}, 2 },
+  { "duplicate VM", Response(200, List({ kVm, kVm })), errc::kMalformed, 0 },
+  { "no such service", Response(404, ""), errc::kRejected, 0 },
   { "down", Failure(errc::kUnreachable), errc::kUnreachable, 0 },
   { "port out of range",
-    Answer(200, List({ With(kVm, "27000", "65536") })),
+    Response(200, List({ Replace(kVm, "27000", "65536") })),
     errc::kMalformed,
     0 },
   { "port zero",
-    Answer(200, List({ With(kVm, "\"27001\"", "\"0\"") })),
+    Response(200, List({ Replace(kVm, "\"27001\"", "\"0\"") })),
     errc::kMalformed,
     0 },
   { "no address",
-    Answer(200, List({ With(kVm, "127.0.0.1", "") })),
+    Response(200, List({ Replace(kVm, "127.0.0.1", "") })),
     errc::kMalformed,
     0 },
   { "one invalid entry rejects the list",
-    Answer(200, List({ kLeavingVm, With(kVm, "peer_port", "x") })),
+    Response(200, List({ kLeavingVm, Replace(kVm, "peer_port", "x") })),
     errc::kMalformed,
     0 },
 };
 
 const list_row kGroupRows[] = {
-  { "none", Answer(200, "[]"), {}, 0 },
+  { "none", Response(200, "[]"), {}, 0 },
   { "one group of two",
-    Answer(200, List({ kServer, With(kServer, "db-1", "db-0") })),
+    Response(200, List({ kServer, Replace(kServer, "db-1", "db-0") })),
     {},
     1 },
   { "two groups",
-    Answer(200, List({ kServer, With(kServer, "book-1", "book-2") })),
+    Response(200, List({ kServer, Replace(kServer, "book-1", "book-2") })),
     {},
     2 },
   { "a member twice",
-    Answer(200, List({ kServer, kServer })),
+    Response(200, List({ kServer, kServer })),
     errc::kMalformed,
     0 },
   { "no slots",
-    Answer(200, List({ With(kServer, "\"2\"", "\"0\"") })),
+    Response(200, List({ Replace(kServer, "\"2\"", "\"0\"") })),
     errc::kMalformed,
     0 },
   { "one invalid entry rejects the list",
-    Answer(200, List({ kServer, With(kServer, "connections", "x") })),
+    Response(200, List({ kServer, Replace(kServer, "connections", "x") })),
     errc::kMalformed,
     0 },
 };
@@ -239,7 +239,7 @@
 TEST(consul_responses, vm_fields_in_order_of_id)
 {
   std::vector<vm> vms;
-  CHECK_FALSE(ReadVms(Answer(200, List({ kVm, kLeavingVm })), vms));
+  CHECK_FALSE(ReadVms(Response(200, List({ kVm, kLeavingVm })), vms));
   CHECK(
     (vms[0] == vm{ "vm-0", "127.0.0.1", "marka", 27010, 27011, 27012, true }));
   CHECK(
@@ -258,7 +258,7 @@
 TEST(consul_responses, group_fields)
 {
   std::vector<description> groups;
-  CHECK_FALSE(ReadGroups(Answer(200, List({ kServer })), groups));
+  CHECK_FALSE(ReadGroups(Response(200, List({ kServer })), groups));
   const description expected{
     "claimsbook-1", { { "db-1", "127.0.0.1", 27100, "marka", 2, 16, false } }
   };
--- a/test/currantshed/store/curl_transport.cpp
+++ b/test/currantshed/store/curl_transport.cpp
@@ -155,7 +155,7 @@
          "Content-Length: " + std::to_string(aBody.size()) + kHeadEnd + aBody;
 }
 
-struct answer_row
+struct response_row
 {
   const char* name;
   reaction given;
@@ -166,7 +166,7 @@
   const char* body;
 };
 
-const answer_row kAnswerRows[] = {
+const response_row kResponseRows[] = {
   { "whole",
     { WithLength("X-Consul-Index: 42\r\n", "text"), false },
     kLongTimeout,
@@ -250,14 +250,14 @@
     transport& aTransport,
     const http_request& aRequest)
 {
-  std::optional<http_response> answer;
-  aTransport.Send(aRequest, [&answer](http_response aAnswer) {
-    answer = std::move(aAnswer);
+  std::optional<http_response> response;
+  aTransport.Send(aRequest, [&response](http_response aResponse) {
+    response = std::move(aResponse);
   });
-  while (!answer) {
+  while (!response) {
     aLoop.run_one();
   }
-  return *answer;
+  return *response;
 }
 
 } // namespace
@@ -266,16 +266,16 @@
 
 TEST(curl_transport, answers)
 {
-  for (const auto& row : kAnswerRows) {
+  for (const auto& row : kResponseRows) {
     boost::asio::io_context loop;
     scripted_server server(loop, { row.given });
     const auto subject = MakeCurlTransport(loop, Base());
-    const auto answer =
+    const auto response =
       Ask(loop, *subject, Request(http_method::kGet, row.timeout));
-    CHECK_TEXT(answer.error == row.error, row.name);
-    LONGS_EQUAL_TEXT(row.status, answer.status, row.name);
-    CHECK_TEXT(answer.index == row.index, row.name);
-    STRCMP_EQUAL_TEXT(row.body, answer.body.c_str(), row.name);
+    CHECK_TEXT(response.error == row.error, row.name);
+    LONGS_EQUAL_TEXT(row.status, response.status, row.name);
+    CHECK_TEXT(response.index == row.index, row.name);
+    STRCMP_EQUAL_TEXT(row.body, response.body.c_str(), row.name);
   }
 }
 
@@ -288,9 +288,9 @@
     loop, { { WithLength("", "text"), false }, { "", true }, { "", true } });
   const auto subject = MakeCurlTransport(loop, Base());
   Ask(loop, *subject, Request(http_method::kGet, kLongTimeout));
-  const auto answer =
+  const auto response =
     Ask(loop, *subject, Request(http_method::kPut, kLongTimeout));
-  CHECK(answer.error == errc::kUnreachable);
+  CHECK(response.error == errc::kUnreachable);
   LONGS_EQUAL(2, server.Requests().size());
   STRCMP_EQUAL("PUT /v1/kv/k HTTP/1.1", server.Requests().back().c_str());
   LONGS_EQUAL(2, server.Connections());
@@ -312,9 +312,9 @@
 {
   boost::asio::io_context loop;
   const auto subject = MakeCurlTransport(loop, Base());
-  const auto answer =
+  const auto response =
     Ask(loop, *subject, Request(http_method::kPut, kLongTimeout));
-  CHECK(answer.error == errc::kUnreachable);
+  CHECK(response.error == errc::kUnreachable);
 }
 
 TEST(curl_transport, may_be_destroyed_by_a_callback_with_calls_under_way)
--- a/test/currantshed/store/era_guard.cpp
+++ b/test/currantshed/store/era_guard.cpp
@@ -19,36 +19,37 @@
 struct guarded
 {
   /// Lets the guard learn of an era from the response to another call.
-  void Hear(std::optional<store::era_id> aEra)
+  void ReportEra(std::optional<store::era_id> aEra)
   {
-    below.era = aEra;
+    inner.era = aEra;
     guard.KeepAlive({ guard.Era().value_or(0), 1 },
                     [](std::error_code, store::response_info) {});
-    below.Answer();
+    inner.Answer();
   }
 
   void Answer()
   {
-    below.Answer();
-    for (const auto& call : std::exchange(later, {})) {
+    inner.Answer();
+    for (const auto& call : std::exchange(posted, {})) {
       call();
     }
   }
 
-  test::fake_key_value below;
-  std::vector<std::function<void()>> later;
-  std::vector<std::pair<std::optional<store::era_id>, store::era_id>> began;
-  store::era_guard guard{ below,
+  test::fake_key_value inner;
+  std::vector<std::function<void()>> posted;
+  std::vector<std::pair<std::optional<store::era_id>, store::era_id>>
+    eraChanges;
+  store::era_guard guard{ inner,
                           { [this](std::function<void()> aCall) {
-                             later.push_back(std::move(aCall));
+                             posted.push_back(std::move(aCall));
                            },
                             [this](std::optional<store::era_id> aBefore,
                                    store::era_id aNow) {
-                              began.emplace_back(aBefore, aNow);
+                              eraChanges.emplace_back(aBefore, aNow);
                             } } };
-  std::optional<std::error_code> ended;
-  store::key_value::watch_callback watched =
-    [this](std::error_code aError, const auto&, auto, auto) { ended = aError; };
+  std::optional<std::error_code> error;
+  store::key_value::watch_callback onWatch =
+    [this](std::error_code aError, const auto&, auto, auto) { error = aError; };
 };
 
 struct guard_row
@@ -56,8 +57,8 @@
   const char* name;
   /// The eras that the guard knows, of the call, and of its response.
   std::optional<store::era_id> known;
-  store::era_id asked;
-  std::optional<store::era_id> answered;
+  store::era_id callEra;
+  std::optional<store::era_id> responseEra;
   std::error_code expect;
 };
 
@@ -83,27 +84,27 @@
   for (const auto& row : kRows) {
     for (const bool isWatch : { true, false }) {
       guarded made;
-      made.below.Put("a/1", "one");
-      made.Hear(row.known);
-      made.below.era = row.answered;
-      const store::revision after{ row.asked, 1 };
+      made.inner.Put("a/1", "one");
+      made.ReportEra(row.known);
+      made.inner.era = row.responseEra;
+      const store::revision after{ row.callEra, 1 };
       if (isWatch) {
-        made.guard.Watch("a/", after, 1s, made.watched);
+        made.guard.Watch("a/", after, 1s, made.onWatch);
       } else {
-        made.guard.ChangesSince("a/", after, made.watched);
+        made.guard.ChangesSince("a/", after, made.onWatch);
       }
-      CHECK_TEXT(!made.ended, row.name);
+      CHECK_TEXT(!made.error, row.name);
       made.Answer();
-      CHECK_TEXT(made.ended && *made.ended == row.expect, row.name);
+      CHECK_TEXT(made.error && *made.error == row.expect, row.name);
     }
   }
 }
 
-TEST(era_guard, makes_late_readings_fail)
+TEST(era_guard, rejects_reads_of_earlier_eras)
 {
   guarded made;
-  made.Hear(4);
-  made.below.era = 3;
+  made.ReportEra(4);
+  made.inner.era = 3;
   std::error_code read;
   std::error_code got;
   made.guard.Range(
@@ -121,12 +122,12 @@
   const std::vector<std::optional<store::era_id>> heard{ {}, 0, 0, {},
                                                          1,  3, 1, 3 };
   for (const auto& era : heard) {
-    made.Hear(era);
+    made.ReportEra(era);
   }
-  LONGS_EQUAL(3, made.began.size());
-  CHECK(!made.began[0].first && made.began[0].second == 0);
-  CHECK(made.began[1].first == 0 && made.began[1].second == 1);
-  CHECK(made.began[2].first == 1 && made.began[2].second == 3);
+  LONGS_EQUAL(3, made.eraChanges.size());
+  CHECK(!made.eraChanges[0].first && made.eraChanges[0].second == 0);
+  CHECK(made.eraChanges[1].first == 0 && made.eraChanges[1].second == 1);
+  CHECK(made.eraChanges[2].first == 1 && made.eraChanges[2].second == 3);
   CHECK(made.guard.Era() == 3);
 }
 
@@ -138,13 +139,13 @@
   /// The eras that the guard knows, of the condition, and of the response.
   std::optional<store::era_id> known;
   store::era_id read;
-  std::optional<store::era_id> answered;
+  std::optional<store::era_id> responseEra;
   store::commit_outcome expect;
   /// Whether the transaction is sent to the store.
   bool isSent;
 };
 
-const commit_row kCommits[] = {
+const commit_row kCommitRows[] = {
   { "a store that reports no era",
     {},
     0,
@@ -177,14 +178,14 @@
 // holds a value that the sender has not read.
 TEST(era_guard, takes_no_change_as_done_that_was_read_in_an_earlier_era)
 {
-  for (const auto& row : kCommits) {
+  for (const auto& row : kCommitRows) {
     for (const std::uint64_t number : { 0, 2 }) {
       guarded made;
       if (number != 0) {
-        made.below.Put("a/1", "one");
+        made.inner.Put("a/1", "one");
       }
-      made.Hear(row.known);
-      made.below.SetEra(row.answered);
+      made.ReportEra(row.known);
+      made.inner.SetEra(row.responseEra);
       std::optional<store::commit_outcome> outcome;
       store::transaction change;
       change.conditions.push_back({ "a/1", { row.read, number } });
@@ -193,7 +194,7 @@
         change, [&outcome](auto aOutcome, auto, auto) { outcome = aOutcome; });
       made.Answer();
       CHECK_TEXT(outcome == row.expect, row.name);
-      CHECK_EQUAL_TEXT(row.isSent ? 1 : 0, made.below.commits, row.name);
+      CHECK_EQUAL_TEXT(row.isSent ? 1 : 0, made.inner.commits, row.name);
     }
   }
 }
@@ -201,7 +202,7 @@
 TEST(era_guard, writes_no_key_under_a_lease_of_an_earlier_era)
 {
   guarded made;
-  made.Hear(4);
+  made.ReportEra(4);
   for (const store::era_id era : { 3, 4 }) {
     std::optional<store::commit_outcome> outcome;
     store::transaction change;
@@ -212,6 +213,6 @@
     made.Answer();
     CHECK(outcome == (era == 4 ? store::commit_outcome::kApplied
                                : store::commit_outcome::kLeaseNotFound));
-    CHECK_EQUAL(era == 4, made.below.items.contains("a/1"));
+    CHECK_EQUAL(era == 4, made.inner.items.contains("a/1"));
   }
 }
--- a/test/currantshed/store/era_model.cpp
+++ b/test/currantshed/store/era_model.cpp
@@ -22,14 +22,14 @@
 // Time within which an acknowledged configuration must be applied in the
 // absence of faults.
 constexpr auto kInForce = 3000ms;
-constexpr auto kCopyInterval = 200ms;
-constexpr auto kCopiesReach = 6000ms;
+constexpr auto kSnapshotInterval = 200ms;
+constexpr auto kSnapshotRetention = 6000ms;
 // Time after which the operator writes lost changes again.
-constexpr auto kWrittenAgain = 1500ms;
+constexpr auto kRewriteTime = 1500ms;
 constexpr auto kLeaseTime = 2000ms;
 constexpr auto kCallTime = 1000ms;
 // Maximum time between an order and the read that permits it.
-constexpr auto kOrderLife = 300ms;
+constexpr auto kOrderValidity = 300ms;
 
 std::string
 Name(std::size_t aVm)
@@ -42,13 +42,13 @@
 /// A VM: the real components, connected as in node::control.
 struct era_model::modelled_vm
 {
-  modelled_vm(era_model& aModel, std::size_t aNumber, std::uint64_t aLife);
+  modelled_vm(era_model& aModel, std::size_t aNumber, std::uint64_t aProcessId);
 
   // Callbacks of a VM that has stopped are ignored.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
   std::size_t number;
-  std::uint64_t life;
-  bool isCut = false;
+  std::uint64_t processId;
+  bool isDisconnected = false;
   std::unique_ptr<store_link> calls;
   store::era_guard guard;
   store::prefix_view configuration;
@@ -59,8 +59,8 @@
   bool isClaiming = false;
   clock::time_point nextClaim{};
   clock::time_point nextCheck{};
-  clock::time_point provedAt{};
-  clock::time_point calmSince;
+  clock::time_point verifiedAt{};
+  clock::time_point stableSince;
 };
 
 /// The connection of a VM to the store.
@@ -81,7 +81,8 @@
   {
     Call([this, aKey, aDone](bool aIsLost) -> std::function<void()> {
       if (aIsLost) {
-        return [this, aDone] { aDone(store::errc::kTimeout, {}, None()); };
+        return
+          [this, aDone] { aDone(store::errc::kTimeout, {}, NoResponse()); };
       }
       const auto& items = mModel.mStore.items;
       const auto found = items.find(aKey);
@@ -93,7 +94,7 @@
       return [this, aDone, item, era] {
         auto read = item;
         if (read) {
-          read = Stamped(*read, era);
+          read = WithEra(*read, era);
         }
         aDone({}, read, Reply(era));
       };
@@ -104,7 +105,8 @@
   {
     Call([this, aPrefix, aDone](bool aIsLost) -> std::function<void()> {
       if (aIsLost) {
-        return [this, aDone] { aDone(store::errc::kTimeout, {}, {}, None()); };
+        return
+          [this, aDone] { aDone(store::errc::kTimeout, {}, {}, NoResponse()); };
       }
       std::vector<store::item> items;
       for (const auto& [key, item] : mModel.mStore.items) {
@@ -116,7 +118,7 @@
       return [this, aDone, items, era, number = mModel.mStore.number] {
         auto read = items;
         for (auto& one : read) {
-          one = Stamped(one, era);
+          one = WithEra(one, era);
         }
         aDone({}, read, { EraOf(era), number }, Reply(era));
       };
@@ -150,8 +152,9 @@
     const auto known = Known();
     Call([this, aWhat, aDone, known](bool aIsLost) -> std::function<void()> {
       if (aIsLost) {
-        return
-          [this, aDone] { aDone(store::commit_outcome::kUnknown, {}, None()); };
+        return [this, aDone] {
+          aDone(store::commit_outcome::kUnknown, {}, NoResponse());
+        };
       }
       const auto outcome = Do(aWhat, known);
       const auto era = mModel.mEra;
@@ -165,13 +168,14 @@
   {
     Call([this, aDone](bool aIsLost) -> std::function<void()> {
       if (aIsLost) {
-        return [this, aDone] { aDone(store::errc::kTimeout, {}, None()); };
+        return
+          [this, aDone] { aDone(store::errc::kTimeout, {}, NoResponse()); };
       }
-      auto& kept = mModel.mStore;
-      kept.leases[++kept.lastLease] = mModel.mTime.Now() + kLeaseTime;
-      kept.owners[kept.lastLease] = mVm;
+      auto& state = mModel.mStore;
+      state.leases[++state.lastLease] = mModel.mTime.Now() + kLeaseTime;
+      state.owners[state.lastLease] = mVm;
       const auto era = mModel.mEra;
-      return [this, aDone, era, lease = kept.lastLease] {
+      return [this, aDone, era, lease = state.lastLease] {
         aDone({}, { EraOf(era), lease }, Reply(era));
       };
     });
@@ -182,18 +186,18 @@
     const auto known = Known();
     Call([this, aLease, aDone, known](bool aIsLost) -> std::function<void()> {
       if (aIsLost) {
-        return [this, aDone] { aDone(store::errc::kTimeout, None()); };
+        return [this, aDone] { aDone(store::errc::kTimeout, NoResponse()); };
       }
       const auto found = mModel.mStore.leases.find(aLease.number);
-      const bool lives = found != mModel.mStore.leases.end();
-      if (lives) {
-        mModel.Touched(mVm, aLease.number, known);
+      const bool exists = found != mModel.mStore.leases.end();
+      if (exists) {
+        mModel.CheckLeaseOwner(mVm, aLease.number, known);
         found->second = mModel.mTime.Now() + kLeaseTime;
       }
       const auto era = mModel.mEra;
-      return [this, aDone, era, lives] {
-        aDone(lives ? std::error_code{}
-                    : make_error_code(store::errc::kLeaseNotFound),
+      return [this, aDone, era, exists] {
+        aDone(exists ? std::error_code{}
+                     : make_error_code(store::errc::kLeaseNotFound),
               Reply(era));
       };
     });
@@ -202,7 +206,7 @@
   void Revoke(store::lease_id) override {}
 
 private:
-  [[nodiscard]] store::response_info None() const
+  [[nodiscard]] store::response_info NoResponse() const
   {
     return { mModel.mTime.Now() };
   }
@@ -215,7 +219,7 @@
 
   [[nodiscard]] store::era_id EraOf(store::era_id aGivenIn) const
   {
-    switch (mModel.mMistake) {
+    switch (mModel.mBug) {
       case seeded_bug::kEraIgnored:
         return 0;
       case seeded_bug::kEraOfArrival:
@@ -230,7 +234,7 @@
     return { mModel.mTime.Now(), EraOf(aGivenIn) };
   }
 
-  [[nodiscard]] store::item Stamped(store::item aItem,
+  [[nodiscard]] store::item WithEra(store::item aItem,
                                     store::era_id aGivenIn) const
   {
     aItem.changed.era = EraOf(aGivenIn);
@@ -249,8 +253,9 @@
       }
     };
     mModel.mTime.After(kCallTime, [end, aWhat] { end(aWhat(true)); });
-    const bool isCut = mModel.mVms[mVm] != nullptr && mModel.mVms[mVm]->isCut;
-    if (isCut || mModel.Chance(10)) {
+    const bool isDisconnected =
+      mModel.mVms[mVm] != nullptr && mModel.mVms[mVm]->isDisconnected;
+    if (isDisconnected || mModel.Chance(10)) {
       return;
     }
     const auto run = [this, end, aWhat, alive = mAlive, ended] {
@@ -266,10 +271,10 @@
       if (!*alive) {
         return;
       }
-      if (mModel.mTime.Now() >= mModel.mAwayUntil) {
+      if (mModel.mTime.Now() >= mModel.mDownUntil) {
         run();
       } else if (mModel.Chance(500)) {
-        mModel.mHeld.push_back(run);
+        mModel.mDelayedCalls.push_back(run);
       }
     });
   }
@@ -287,14 +292,14 @@
       }
     };
     const auto fail = [this, end, aDone] {
-      end([&] { aDone(store::errc::kTimeout, {}, {}, None()); });
+      end([&] { aDone(store::errc::kTimeout, {}, {}, NoResponse()); });
     };
     const auto until = mModel.mTime.Now() + aMaxWait;
     // Responds if there are changes or the wait time is over.
     const auto tryOnce =
       [this, ended, end, alive = mAlive, aPrefix, aAfter, aDone, until](
-        bool aIsCut) {
-        if (*ended || aIsCut || !*alive) {
+        bool aIsFailed) {
+        if (*ended || aIsFailed || !*alive) {
           return true;
         }
         const auto era = mModel.mEra;
@@ -322,7 +327,7 @@
             end([&] {
               auto told = changes;
               for (auto& one : told) {
-                one.now = Stamped(one.now, era);
+                one.now = WithEra(one.now, era);
               }
               aDone({}, told, { EraOf(era), number }, Reply(era));
             });
@@ -330,10 +335,10 @@
         return true;
       };
     mModel.mTime.After(aMaxWait + 2 * kCallTime, fail);
-    const bool isCut = mModel.mVms[mVm]->isCut;
-    if (!isCut) {
+    const bool isDisconnected = mModel.mVms[mVm]->isDisconnected;
+    if (!isDisconnected) {
       mModel.mTime.After(mModel.Delay(), [&model = mModel, tryOnce] {
-        model.mWaiting.push_back(tryOnce);
+        model.mPendingWatches.push_back(tryOnce);
       });
     }
     return [this, fail] { mModel.mTime.After(1ms, fail); };
@@ -342,22 +347,22 @@
   store::commit_outcome Do(const store::transaction& aWhat,
                            store::era_id aKnown)
   {
-    auto& kept = mModel.mStore;
+    auto& state = mModel.mStore;
     for (const auto& one : aWhat.conditions) {
-      const auto found = kept.items.find(one.key);
+      const auto found = state.items.find(one.key);
       const auto now =
-        found == kept.items.end() ? 0 : found->second.changed.number;
+        found == state.items.end() ? 0 : found->second.changed.number;
       if (now != one.changed.number) {
         return store::commit_outcome::kConflict;
       }
     }
     for (const auto& one : aWhat.puts) {
       const auto lease = one.lease.number;
-      if (lease != 0 && !kept.leases.contains(lease)) {
+      if (lease != 0 && !state.leases.contains(lease)) {
         return store::commit_outcome::kLeaseNotFound;
       }
       if (lease != 0) {
-        mModel.Touched(mVm, lease, aKnown);
+        mModel.CheckLeaseOwner(mVm, lease, aKnown);
       }
     }
     for (const auto& one : aWhat.puts) {
@@ -374,9 +379,9 @@
 
 era_model::modelled_vm::modelled_vm(era_model& aModel,
                                     std::size_t aNumber,
-                                    std::uint64_t aLife)
+                                    std::uint64_t aProcessId)
   : number(aNumber)
-  , life(aLife)
+  , processId(aProcessId)
   , calls(std::make_unique<store_link>(aModel, aNumber))
   , guard(*calls,
           { [&aModel, alive = alive](const std::function<void()>& aCall) {
@@ -407,22 +412,22 @@
         {},
         { [](clock::time_point) {}, [](bool, std::error_code) {} })
   , registration(guard, own, node::VmKey(Name(aNumber)), {})
-  , calmSince(aModel.mTime.Now())
+  , stableSince(aModel.mTime.Now())
 {
   node::vm_record record;
   record.where = { Name(aNumber), "10.0.0.1", 7440 };
   record.failureDomain = "here";
-  record.incarnation = aLife;
+  record.incarnation = aProcessId;
   registration.SetValue(node::SerializeVm(record));
 }
 
-era_model::era_model(std::uint32_t aSeed, seeded_bug aMistake)
+era_model::era_model(std::uint32_t aSeed, seeded_bug aBug)
   : mRandom(aSeed)
-  , mMistake(aMistake)
+  , mBug(aBug)
   , mNextVersion(mTime.Now() + 2s)
-  , mCalmSince(mTime.Now())
+  , mStableSince(mTime.Now())
 {
-  Configure();
+  WriteConfiguration();
   for (std::size_t i = 0; i < kVms; ++i) {
     mVms.push_back(std::make_unique<modelled_vm>(*this, i, i + 1));
   }
@@ -449,18 +454,18 @@
 }
 
 void
-era_model::Fault(const std::string& aWhat)
+era_model::ReportViolation(const std::string& aWhat)
 {
   const auto at = std::chrono::duration_cast<std::chrono::milliseconds>(
     mTime.Now().time_since_epoch() - 1h);
-  wrong.push_back(std::to_string(at.count()) + " ms: " + aWhat);
+  violations.push_back(std::to_string(at.count()) + " ms: " + aWhat);
 }
 
 void
 era_model::Run(std::chrono::seconds aSpan)
 {
   const auto end = mTime.Now() + aSpan;
-  while (mTime.Now() < end && wrong.empty()) {
+  while (mTime.Now() < end && violations.empty()) {
     mTime.RunUntil(mTime.Now() + kStep);
     Step();
   }
@@ -469,49 +474,49 @@
 void
 era_model::Step()
 {
-  Trouble();
+  InjectFaults();
   const auto now = mTime.Now();
-  if (now >= mAwayUntil) {
-    for (const auto& call : std::exchange(mHeld, {})) {
+  if (now >= mDownUntil) {
+    for (const auto& call : std::exchange(mDelayedCalls, {})) {
       call();
     }
     Expire();
     if (now >= mNextVersion) {
       mNextVersion = now + std::chrono::milliseconds{ 300 + mRandom() % 7000 };
-      Configure();
+      WriteConfiguration();
     }
-    AnswerWaiting();
-    if (mCopies.empty() || now >= mCopies.back().at + kCopyInterval) {
-      mCopies.push_back({ now, mStore });
+    AnswerWatches();
+    if (mSnapshots.empty() || now >= mSnapshots.back().at + kSnapshotInterval) {
+      mSnapshots.push_back({ now, mStore });
     }
-    while (mCopies.front().at < now - kCopiesReach) {
-      mCopies.pop_front();
+    while (mSnapshots.front().at < now - kSnapshotRetention) {
+      mSnapshots.pop_front();
     }
   }
   for (std::size_t i = 0; i < kVms; ++i) {
     ++steps;
-    Work(i);
+    RunVm(i);
     CheckVersions(i);
-    CheckEvidence(i);
+    CheckVerification(i);
   }
 }
 
 void
-era_model::Trouble()
+era_model::InjectFaults()
 {
   const auto now = mTime.Now();
-  if (now >= mAwayUntil && Chance(2)) {
-    Lose();
+  if (now >= mDownUntil && Chance(2)) {
+    StartOutage();
   }
   for (std::size_t i = 0; i < kVms; ++i) {
     auto& one = *mVms[i];
     if (Chance(1) && Chance(500)) {
-      one.isCut = !one.isCut;
-      one.calmSince = now;
+      one.isDisconnected = !one.isDisconnected;
+      one.stableSince = now;
     }
-    if (one.isCut) {
-      one.calmSince = now;
-      one.isCut = !Chance(5);
+    if (one.isDisconnected) {
+      one.stableSince = now;
+      one.isDisconnected = !Chance(5);
     }
   }
   if (Chance(1) && Chance(300)) {
@@ -526,49 +531,51 @@
 
 // The store is down for a moment, then restored from an older snapshot.
 void
-era_model::Lose()
+era_model::StartOutage()
 {
-  ++returns;
+  ++restores;
   const auto now = mTime.Now();
-  const auto away = std::chrono::milliseconds{ mRandom() % 2000 };
+  const auto downtime = std::chrono::milliseconds{ mRandom() % 2000 };
   const auto back = now - std::chrono::milliseconds{ mRandom() % 4000 };
-  mAwayUntil = now + away;
-  mCalmSince = mAwayUntil + kWrittenAgain + 500ms;
-  mTime.At(mAwayUntil, [this, back] { RestoreSnapshot(back); });
+  mDownUntil = now + downtime;
+  mStableSince = mDownUntil + kRewriteTime + 500ms;
+  mTime.At(mDownUntil, [this, back] { RestoreSnapshot(back); });
 }
 
 void
 era_model::RestoreSnapshot(clock::time_point aTo)
 {
-  while (mCopies.size() > 1 && mCopies.back().at > aTo) {
-    mCopies.pop_back();
+  while (mSnapshots.size() > 1 && mSnapshots.back().at > aTo) {
+    mSnapshots.pop_back();
   }
-  if (!mCopies.empty()) {
-    mStore = mCopies.back().kept;
+  if (!mSnapshots.empty()) {
+    mStore = mSnapshots.back().state;
   }
   for (auto& [lease, until] : mStore.leases) {
     until = std::max(until, mTime.Now() + kLeaseTime);
   }
   ++mEra;
   // Pending watches continue to wait, or fail.
-  const bool areCut = Chance(500);
-  std::erase_if(mWaiting,
-                [areCut](const auto& aOne) { return areCut && aOne(true); });
+  const bool areFailed = Chance(500);
+  std::erase_if(mPendingWatches, [areFailed](const auto& aOne) {
+    return areFailed && aOne(true);
+  });
   const auto era = mEra;
-  mTime.After(kWrittenAgain, [this, era] {
-    const bool isLast = era == mEra && mTime.Now() >= mAwayUntil;
+  mTime.After(kRewriteTime, [this, era] {
+    const bool isLast = era == mEra && mTime.Now() >= mDownUntil;
     if (isLast) {
-      Put(kConfiguration, std::to_string(mWritten.back().version), 0);
+      Put(kConfiguration, std::to_string(mAcknowledged.back().version), 0);
     }
   });
 }
 
 void
-era_model::Configure()
+era_model::WriteConfiguration()
 {
-  const auto version = mWritten.empty() ? 1 : mWritten.back().version + 1;
+  const auto version =
+    mAcknowledged.empty() ? 1 : mAcknowledged.back().version + 1;
   Put(kConfiguration, std::to_string(version), 0);
-  mWritten.push_back({ version, mTime.Now() });
+  mAcknowledged.push_back({ version, mTime.Now() });
 }
 
 void
@@ -614,12 +621,12 @@
 }
 
 void
-era_model::AnswerWaiting()
+era_model::AnswerWatches()
 {
-  auto waiting = std::exchange(mWaiting, {});
+  auto waiting = std::exchange(mPendingWatches, {});
   for (const auto& one : waiting) {
     if (!one(false)) {
-      mWaiting.push_back(one);
+      mPendingWatches.push_back(one);
     }
   }
 }
@@ -627,13 +634,13 @@
 void
 era_model::Restart(std::size_t aVm)
 {
-  const auto life = mVms[aVm]->life + kVms;
+  const auto processId = mVms[aVm]->processId + kVms;
   *mVms[aVm]->alive = false;
-  mVms[aVm] = std::make_unique<modelled_vm>(*this, aVm, life);
+  mVms[aVm] = std::make_unique<modelled_vm>(*this, aVm, processId);
 }
 
 void
-era_model::Work(std::size_t aVm)
+era_model::RunVm(std::size_t aVm)
 {
   auto& one = *mVms[aVm];
   const auto now = mTime.Now();
@@ -645,10 +652,10 @@
     one.isChecking = true;
     one.nextCheck = now + 600ms;
     one.configuration.Check(
-      now, [&one, now, this](bool aIsProof, clock::time_point) {
+      now, [&one, now, this](bool aIsAnswered, clock::time_point) {
         one.isChecking = false;
-        if (aIsProof && mMistake == seeded_bug::kVerificationCarriedOver) {
-          one.provedAt = now;
+        if (aIsAnswered && mBug == seeded_bug::kVerificationCarriedOver) {
+          one.verifiedAt = now;
         }
       });
   }
@@ -668,12 +675,12 @@
   }
   node::vm_record self;
   self.where.vm = Name(aVm);
-  self.incarnation = one.life;
+  self.incarnation = one.processId;
   const auto keys = node::ReadClusterState(one.own.Items());
   const auto found = keys.locks.find(kGroup);
   const bool isPast =
     found != keys.locks.end() && found->second.record.holder == Name(aVm) &&
-    found->second.record.incarnation == one.life &&
+    found->second.record.incarnation == one.processId &&
     !node::IsFromEra(found->second.record, one.own.Seen().era);
   if (!isPast && node::IsLockHeld(keys, kGroup)) {
     return;
@@ -681,7 +688,7 @@
   one.isClaiming = true;
   one.nextClaim = now + 300ms;
   auto claim = node::MakeLockClaim(keys, kGroup, self, one.own.Seen(), 0);
-  if (mMistake == seeded_bug::kEpochFromRevision) {
+  if (mBug == seeded_bug::kEpochFromRevision) {
     auto made = *node::ParseFailoverLock(claim.puts.front());
     made.epoch = std::max<std::uint64_t>(
       one.own.Seen().number,
@@ -711,13 +718,13 @@
                     aItem ? node::ParseFailoverLock(*aItem) : std::nullopt;
                   const bool isHeld = !aError && duty &&
                                       duty->holder == Name(one.number) &&
-                                      duty->incarnation == one.life &&
-                                      mTime.Now() < asked + kOrderLife;
+                                      duty->incarnation == one.processId &&
+                                      mTime.Now() < asked + kOrderValidity;
                   const bool isOfEra =
-                    isHeld && (mMistake == seeded_bug::kEpochFromRevision ||
+                    isHeld && (mBug == seeded_bug::kEpochFromRevision ||
                                node::IsFromEra(*duty, aItem->changed.era));
                   if (isOfEra) {
-                    Ordered({ one.number, duty->epoch, asked });
+                    CheckOrder({ one.number, duty->epoch, asked });
                   }
                 });
 }
@@ -725,7 +732,7 @@
 // An epoch identifies one holder, and a holder that has read the record later
 // has no lower epoch.
 void
-era_model::Ordered(const order& aOrder)
+era_model::CheckOrder(const order& aOrder)
 {
   ++orders;
   for (const auto& before : mOrders) {
@@ -733,11 +740,11 @@
       continue;
     }
     if (before.epoch == aOrder.epoch) {
-      Fault("two holders have the same epoch");
+      ReportViolation("two holders have the same epoch");
     }
-    const bool isLater = aOrder.readAt > before.readAt + 2 * kOrderLife;
+    const bool isLater = aOrder.readAt > before.readAt + 2 * kOrderValidity;
     if (isLater && aOrder.epoch < before.epoch) {
-      Fault("a later order has a lower epoch");
+      ReportViolation("a later order has a lower epoch");
     }
   }
   mOrders.push_back(aOrder);
@@ -745,21 +752,23 @@
 
 // A VM that knows the current era does not touch the leases of others.
 void
-era_model::Touched(std::size_t aVm, std::uint64_t aLease, store::era_id aKnown)
+era_model::CheckLeaseOwner(std::size_t aVm,
+                           std::uint64_t aLease,
+                           store::era_id aKnown)
 {
   const bool isOther = mStore.owners[aLease] != aVm;
-  const bool couldKnow = aKnown == mEra || mMistake == seeded_bug::kEraIgnored;
+  const bool couldKnow = aKnown == mEra || mBug == seeded_bug::kEraIgnored;
   if (isOther && couldKnow) {
-    Fault("a lease of another VM was renewed or used for a write");
+    ReportViolation("a lease of another VM was renewed or used for a write");
   }
 }
 
 // The newest version that had been acknowledged by then.
 std::uint64_t
-era_model::WrittenBy(clock::time_point aAt) const
+era_model::VersionAcknowledgedBy(clock::time_point aAt) const
 {
   std::uint64_t version = 0;
-  for (const auto& one : mWritten) {
+  for (const auto& one : mAcknowledged) {
     version = one.at <= aAt ? one.version : version;
   }
   return version;
@@ -770,14 +779,14 @@
 {
   const auto& one = *mVms[aVm];
   const auto now = mTime.Now();
-  const auto calm = std::max(mCalmSince, one.calmSince);
+  const auto stableFrom = std::max(mStableSince, one.stableSince);
   // Calls may also be lost, which is detected after their timeout.
   const auto bound = kInForce + kCallTime;
-  if (one.isCut || now < mAwayUntil || now < calm + bound) {
+  if (one.isDisconnected || now < mDownUntil || now < stableFrom + bound) {
     return;
   }
-  if (one.version < WrittenBy(now - bound)) {
-    Fault("an acknowledged configuration is not applied");
+  if (one.version < VersionAcknowledgedBy(now - bound)) {
+    ReportViolation("an acknowledged configuration is not applied");
   }
 }
 
@@ -785,20 +794,22 @@
 // configuration is verified. VMs that have started since the restore are
 // exempt, since they cannot know of it.
 void
-era_model::CheckEvidence(std::size_t aVm)
+era_model::CheckVerification(std::size_t aVm)
 {
   auto& one = *mVms[aVm];
   const auto& items = one.configuration.Items();
   const auto found = items.find(kConfiguration);
   const bool isInForce =
     found != items.end() && std::stoull(found->second.value) == one.version;
-  if (isInForce && mMistake != seeded_bug::kVerificationCarriedOver) {
-    one.provedAt = std::max(one.provedAt, one.configuration.VerifiedAt());
-  }
-  const bool startedSince = one.calmSince + 500ms >= mCalmSince - 4s;
-  if (!startedSince && one.version < WrittenBy(one.provedAt - 1ms)) {
-    Fault("a configuration was verified although a newer one had been "
-          "acknowledged");
+  if (isInForce && mBug != seeded_bug::kVerificationCarriedOver) {
+    one.verifiedAt = std::max(one.verifiedAt, one.configuration.VerifiedAt());
+  }
+  const bool startedSince = one.stableSince + 500ms >= mStableSince - 4s;
+  if (!startedSince &&
+      one.version < VersionAcknowledgedBy(one.verifiedAt - 1ms)) {
+    ReportViolation(
+      "a configuration was verified although a newer one had been "
+      "acknowledged");
   }
 }
 
--- a/test/currantshed/store/era_model.hpp
+++ b/test/currantshed/store/era_model.hpp
@@ -42,7 +42,7 @@
 class era_model
 {
 public:
-  era_model(std::uint32_t aSeed, seeded_bug aMistake);
+  era_model(std::uint32_t aSeed, seeded_bug aBug);
   ~era_model();
   era_model(const era_model&) = delete;
   era_model& operator=(const era_model&) = delete;
@@ -50,9 +50,9 @@
   void Run(std::chrono::seconds aSpan);
 
   /// Violations found, one per line.
-  std::vector<std::string> wrong;
+  std::vector<std::string> violations;
   std::uint64_t steps = 0;
-  std::uint64_t returns = 0;
+  std::uint64_t restores = 0;
   std::uint64_t orders = 0;
 
 private:
@@ -70,14 +70,14 @@
     std::uint64_t lastLease = 0;
   };
 
-  struct copy
+  struct snapshot
   {
     clock::time_point at;
-    content kept;
+    content state;
   };
 
   /// A version of the configuration that the operator wrote.
-  struct written
+  struct acknowledged_version
   {
     std::uint64_t version = 0;
     clock::time_point at;
@@ -93,41 +93,44 @@
   };
 
   void Step();
-  void Trouble();
-  void Lose();
+  void InjectFaults();
+  void StartOutage();
   void RestoreSnapshot(clock::time_point aTo);
-  void Configure();
+  void WriteConfiguration();
   void Put(const std::string& aKey,
            const std::string& aValue,
            std::uint64_t aLease);
   void Remove(const std::string& aKey);
   void Expire();
-  void AnswerWaiting();
-  void Work(std::size_t aVm);
+  void AnswerWatches();
+  void RunVm(std::size_t aVm);
   void TryToClaim(std::size_t aVm);
   void TryToOrder(std::size_t aVm);
-  void Ordered(const order& aOrder);
-  void Touched(std::size_t aVm, std::uint64_t aLease, store::era_id aKnown);
+  void CheckOrder(const order& aOrder);
+  void CheckLeaseOwner(std::size_t aVm,
+                       std::uint64_t aLease,
+                       store::era_id aKnown);
   void Restart(std::size_t aVm);
   void CheckVersions(std::size_t aVm);
-  void CheckEvidence(std::size_t aVm);
-  [[nodiscard]] std::uint64_t WrittenBy(clock::time_point aAt) const;
+  void CheckVerification(std::size_t aVm);
+  [[nodiscard]] std::uint64_t VersionAcknowledgedBy(
+    clock::time_point aAt) const;
   [[nodiscard]] bool Chance(unsigned aOfThousand);
   [[nodiscard]] std::chrono::milliseconds Delay();
-  void Fault(const std::string& aWhat);
+  void ReportViolation(const std::string& aWhat);
 
   timeline mTime;
   std::mt19937 mRandom;
-  seeded_bug mMistake;
+  seeded_bug mBug;
   content mStore;
   store::era_id mEra = 0;
-  std::deque<copy> mCopies;
-  clock::time_point mAwayUntil{};
-  std::vector<std::function<void()>> mHeld;
-  std::vector<std::function<bool(bool)>> mWaiting;
-  std::vector<written> mWritten;
+  std::deque<snapshot> mSnapshots;
+  clock::time_point mDownUntil{};
+  std::vector<std::function<void()>> mDelayedCalls;
+  std::vector<std::function<bool(bool)>> mPendingWatches;
+  std::vector<acknowledged_version> mAcknowledged;
   clock::time_point mNextVersion;
-  clock::time_point mCalmSince;
+  clock::time_point mStableSince;
   std::vector<order> mOrders;
   std::vector<std::unique_ptr<modelled_vm>> mVms;
 };
--- a/test/currantshed/store/era_model_test.cpp
+++ b/test/currantshed/store/era_model_test.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::uint32_t kSeeds = 30;
 // Some bugs show only if rare faults coincide.
-constexpr std::uint32_t kMistakeSeeds = 600;
+constexpr std::uint32_t kBugSeeds = 600;
 constexpr auto kSpan = 60s;
 
 std::uint32_t
@@ -23,13 +23,13 @@
   return currantshed::test::ModelSeeds(kSeeds);
 }
 
-struct mistake_row
+struct bug_row
 {
   const char* name;
   seeded_bug what;
 };
 
-constexpr mistake_row kMistakes[] = {
+constexpr bug_row kBugRows[] = {
   { "the era is ignored", seeded_bug::kEraIgnored },
   { "the era in which a response arrives", seeded_bug::kEraOfArrival },
   { "the epoch is the revision", seeded_bug::kEpochFromRevision },
@@ -43,30 +43,31 @@
 
 TEST(era_model, Invariants_hold_across_restores_of_the_store)
 {
-  std::uint64_t returns = 0;
+  std::uint64_t restores = 0;
   std::uint64_t orders = 0;
   for (std::uint32_t seed = 1; seed <= Seeds(); ++seed) {
     era_model model(seed, seeded_bug::kNone);
     model.Run(kSpan);
-    const auto what = model.wrong.empty() ? std::string() : model.wrong.front();
-    CHECK_TEXT(model.wrong.empty(),
+    const auto what =
+      model.violations.empty() ? std::string() : model.violations.front();
+    CHECK_TEXT(model.violations.empty(),
                (what + ", seed " + std::to_string(seed)).c_str());
-    returns += model.returns;
+    restores += model.restores;
     orders += model.orders;
   }
   // The model must have made progress.
-  CHECK(returns > Seeds() * 3ULL);
+  CHECK(restores > Seeds() * 3ULL);
   CHECK(orders > Seeds() * 20ULL);
 }
 
 TEST(era_model, Each_seeded_bug_is_found)
 {
-  for (const auto& row : kMistakes) {
+  for (const auto& row : kBugRows) {
     bool found = false;
-    for (std::uint32_t seed = 1; seed <= kMistakeSeeds && !found; ++seed) {
+    for (std::uint32_t seed = 1; seed <= kBugSeeds && !found; ++seed) {
       era_model model(seed, row.what);
       model.Run(kSpan);
-      found = !model.wrong.empty();
+      found = !model.violations.empty();
     }
     CHECK_TEXT(found, row.name);
   }
--- a/test/currantshed/store/fake_client.hpp
+++ b/test/currantshed/store/fake_client.hpp
@@ -130,7 +130,7 @@
 
   [[nodiscard]] const call_counts& Counts() const { return mCounts; }
 
-  [[nodiscard]] std::size_t WaitingWatches() const { return mWatches.size(); }
+  [[nodiscard]] std::size_t PendingWatches() const { return mWatches.size(); }
 
   /// Advances the time and runs all callbacks due by then in order, including
   /// those of calls made meanwhile.
--- a/test/currantshed/store/fake_key_value.hpp
+++ b/test/currantshed/store/fake_key_value.hpp
@@ -37,7 +37,7 @@
   std::error_code failing;
   store::commit_outcome commitOutcome = store::commit_outcome::kApplied;
   /// Whether commits are applied but their responses lost.
-  bool losesAnswers = false;
+  bool losesResponses = false;
   std::vector<watch> watches;
   std::chrono::milliseconds callTimeout{ 0 };
   /// The era that responses report; none if they report no era.
@@ -51,19 +51,19 @@
   /// Takes the snapshot that RestoreSnapshot goes back to.
   void TakeSnapshot()
   {
-    mCopy = { items, history, revision, leases, lastLease };
+    mSnapshot = { items, history, revision, leases, lastLease };
   }
 
   /// Restores the snapshot: later writes are lost, revisions and lease numbers
   /// are issued again, and watches fail.
   void RestoreSnapshot()
   {
-    CutWatches(store::errc::kTimeout);
-    items = mCopy.items;
-    history = mCopy.history;
-    revision = mCopy.revision;
-    leases = mCopy.leases;
-    lastLease = mCopy.lastLease;
+    FailWatches(store::errc::kTimeout);
+    items = mSnapshot.items;
+    history = mSnapshot.history;
+    revision = mSnapshot.revision;
+    leases = mSnapshot.leases;
+    lastLease = mSnapshot.lastLease;
     SetEra(era ? std::optional(*era + 1) : std::nullopt);
   }
 
@@ -130,7 +130,7 @@
   }
 
   /// Fails all watches.
-  void CutWatches(std::error_code aError)
+  void FailWatches(std::error_code aError)
   {
     for (auto& one : std::exchange(watches, {})) {
       one.done(aError, {}, {}, Reply());
@@ -180,7 +180,7 @@
   {
     ++checks;
     mCalls.push_back([this, aPrefix, aAfter, aDone] {
-      aDone(ErrorAt(aAfter), Changes(aPrefix, aAfter), At(), Reply());
+      aDone(HistoryError(aAfter), Changes(aPrefix, aAfter), At(), Reply());
     });
   }
 
@@ -196,12 +196,12 @@
     }
   }
 
-  void Commit(store::transaction aWhat, commit_callback aDone) override
+  void Commit(store::transaction aTransaction, commit_callback aDone) override
   {
     ++commits;
-    mCalls.push_back([this, aWhat, aDone] {
+    mCalls.push_back([this, aTransaction, aDone] {
       auto outcome = commitOutcome;
-      for (const auto& one : aWhat.conditions) {
+      for (const auto& one : aTransaction.conditions) {
         const auto found = items.find(one.key);
         const auto now =
           found == items.end() ? 0 : found->second.changed.number;
@@ -210,11 +210,11 @@
         }
       }
       if (outcome == store::commit_outcome::kApplied) {
-        for (const auto& one : aWhat.puts) {
+        for (const auto& one : aTransaction.puts) {
           Put(one.key, one.value, one.lease.number);
         }
       }
-      aDone(losesAnswers ? store::commit_outcome::kUnknown : outcome,
+      aDone(losesResponses ? store::commit_outcome::kUnknown : outcome,
             At(),
             Reply());
     });
@@ -234,10 +234,10 @@
   {
     mCalls.push_back([this, aLease, aDone] {
       touched.insert(aLease.number);
-      const bool lives = leases.contains(aLease.number);
-      aDone(failing ? failing
-            : lives ? std::error_code{}
-                    : make_error_code(store::errc::kLeaseNotFound),
+      const bool exists = leases.contains(aLease.number);
+      aDone(failing  ? failing
+            : exists ? std::error_code{}
+                     : make_error_code(store::errc::kLeaseNotFound),
             Reply());
     });
   }
@@ -265,7 +265,7 @@
 
   // The error of a call that asks for changes after a revision: the store
   // rejects revisions above its own.
-  [[nodiscard]] std::error_code ErrorAt(store::revision aAfter) const
+  [[nodiscard]] std::error_code HistoryError(store::revision aAfter) const
   {
     return !failing && aAfter.number > revision
              ? make_error_code(store::errc::kHistoryCompacted)
@@ -290,7 +290,7 @@
     }
   }
 
-  struct copy
+  struct snapshot
   {
     std::map<std::string, store::item> items;
     std::vector<store::key_change> history;
@@ -300,7 +300,7 @@
   };
 
   std::deque<std::function<void()>> mCalls;
-  copy mCopy;
+  snapshot mSnapshot;
 };
 
 } // namespace currantshed::test
--- a/test/currantshed/store/forwarded_view.cpp
+++ b/test/currantshed/store/forwarded_view.cpp
@@ -40,9 +40,9 @@
 
 /// A VM that watches the store, and another one to which it forwards the
 /// changes.
-struct pair
+struct vm_pair
 {
-  pair()
+  vm_pair()
   {
     store.Put("a/1", "one");
     store.Put("a/2", "two");
@@ -86,33 +86,33 @@
 struct forwarding_row
 {
   const char* name;
-  std::function<void(pair&)> given;
+  std::function<void(vm_pair&)> given;
   std::string keys;
   bool mayBeStale = false;
 };
 
 const forwarding_row kRows[] = {
-  { "nothing new", [](pair&) {}, "a/1=one a/2=two ", true },
+  { "nothing new", [](vm_pair&) {}, "a/1=one a/2=two ", true },
   { "a new key",
-    [](pair& aPair) { aPair.store.Put("a/3", "three"); },
+    [](vm_pair& aPair) { aPair.store.Put("a/3", "three"); },
     "a/1=one a/2=two a/3=three " },
   { "a key overwritten repeatedly",
-    [](pair& aPair) {
+    [](vm_pair& aPair) {
       aPair.store.Put("a/1", "uno");
       aPair.store.Put("a/1", "ein");
     },
     "a/1=ein a/2=two " },
   { "a key removed",
-    [](pair& aPair) { aPair.store.Remove("a/1"); },
+    [](vm_pair& aPair) { aPair.store.Remove("a/1"); },
     "a/2=two " },
   { "a key removed and written again",
-    [](pair& aPair) {
+    [](vm_pair& aPair) {
       aPair.store.Remove("a/1");
       aPair.store.Put("a/1", "uno");
     },
     "a/1=uno a/2=two " },
   { "more removals than are retained",
-    [](pair& aPair) {
+    [](vm_pair& aPair) {
       for (int i = 0; i < 1200; ++i) {
         const auto key = "a/x" + std::to_string(i);
         aPair.store.Put(key, "x");
@@ -123,16 +123,16 @@
     "a/1=one ",
     true },
   { "the watching VM has read all keys again",
-    [](pair& aPair) {
+    [](vm_pair& aPair) {
       aPair.store.Remove("a/1");
       aPair.store.history.clear();
-      aPair.store.CutWatches(store::errc::kHistoryCompacted);
+      aPair.store.FailWatches(store::errc::kHistoryCompacted);
     },
     "a/2=two ",
     true },
   { "the watch had failed before the change",
-    [](pair& aPair) {
-      aPair.store.CutWatches(store::errc::kTimeout);
+    [](vm_pair& aPair) {
+      aPair.store.FailWatches(store::errc::kTimeout);
       aPair.store.Put("a/1", "uno");
     },
     "a/1=uno a/2=two ",
@@ -146,7 +146,7 @@
 TEST(forwarded_view, knows_what_is_passed_on)
 {
   for (const auto& row : kRows) {
-    pair made;
+    vm_pair made;
     made.Begin();
     row.given(made);
     made.Run(800ms);
@@ -162,7 +162,7 @@
 
 TEST(forwarded_view, begins_no_watch_while_changes_are_forwarded)
 {
-  pair made;
+  vm_pair made;
   made.Begin();
   made.Run(1500ms);
   CHECK_EQUAL(1U, made.store.watches.size());
@@ -173,7 +173,7 @@
 
 TEST(forwarded_view, follows_the_store_itself_once_nobody_forwards_changes)
 {
-  pair made;
+  vm_pair made;
   made.Begin();
   made.store.Put("a/1", "uno");
   made.Run(1900ms);
@@ -184,7 +184,7 @@
 
 TEST(forwarded_view, follows_the_store_itself_when_others_know_more)
 {
-  pair made;
+  vm_pair made;
   made.Begin();
   made.forwarded.view.ForwardedUntil(made.store.now + 1h);
   made.store.Put("a/1", "uno");
@@ -197,7 +197,7 @@
 
 TEST(forwarded_view, never_goes_back)
 {
-  pair made;
+  vm_pair made;
   made.Begin();
   const auto old = made.forwarder.view.UpdateSince({});
   auto oldChanges = made.forwarder.view.UpdateSince({ 0, 1 });
@@ -218,7 +218,7 @@
 // the same content as long as nothing has changed below the prefix.
 TEST(forwarded_view, accepts_changes_of_a_forwarder_whose_last_call_is_older)
 {
-  pair made;
+  vm_pair made;
   made.forwarder.view.Tick(made.store.now, 0.5);
   made.store.Answer();
   made.store.Put("b/1", "elsewhere");
@@ -233,7 +233,7 @@
 
 TEST(forwarded_view, takes_no_changes_that_leave_a_gap)
 {
-  pair made;
+  vm_pair made;
   made.Begin();
   const auto known = made.forwarded.view.Seen();
   made.store.Put("a/1", "uno");
@@ -249,7 +249,7 @@
 
 TEST(forwarded_view, a_reading_older_than_what_was_passed_on_is_dropped)
 {
-  pair made;
+  vm_pair made;
   made.Run(100ms);
   made.forwarded.view.Refresh(made.store.now);
   // The change arrives from another VM while the read is in progress.
@@ -267,22 +267,22 @@
 struct current_row
 {
   const char* name;
-  std::function<void(pair&)> given;
+  std::function<void(vm_pair&)> given;
   /// Expected age of the keys if another call of the VM was answered just now.
   std::chrono::milliseconds age;
 };
 
-const current_row kCurrent[] = {
-  { "a watch waits", [](pair& aPair) { aPair.Run(2000ms); }, 0ms },
+const current_row kCurrentRows[] = {
+  { "a watch waits", [](vm_pair& aPair) { aPair.Run(2000ms); }, 0ms },
   { "the watch failed",
-    [](pair& aPair) {
+    [](vm_pair& aPair) {
       aPair.store.failing = store::errc::kUnavailable;
-      aPair.store.CutWatches(store::errc::kUnavailable);
+      aPair.store.FailWatches(store::errc::kUnavailable);
       aPair.store.now += 700ms;
     },
     710ms },
   { "a pause after a change",
-    [](pair& aPair) {
+    [](vm_pair& aPair) {
       aPair.store.Put("a/3", "three");
       aPair.Run(10ms);
       aPair.store.now += 90ms;
@@ -292,8 +292,8 @@
 
 TEST(forwarded_view, tells_how_old_its_keys_may_be)
 {
-  for (const auto& row : kCurrent) {
-    pair made;
+  for (const auto& row : kCurrentRows) {
+    vm_pair made;
     made.Run(10ms);
     row.given(made);
     const auto age =
@@ -307,11 +307,11 @@
 
 TEST(forwarded_view, asks_nothing_while_it_is_held)
 {
-  pair made;
+  vm_pair made;
   made.Run(100ms);
   made.store.failing = store::errc::kUnavailable;
   made.forwarder.view.SetPaused(true);
-  made.store.CutWatches(store::errc::kUnavailable);
+  made.store.FailWatches(store::errc::kUnavailable);
   const auto ranges = made.store.ranges;
   for (int i = 0; i < 50; ++i) {
     made.store.now += 100ms;
@@ -329,7 +329,7 @@
 
 TEST(forwarded_view, rejects_changes_of_a_forwarder_of_an_earlier_era)
 {
-  pair made;
+  vm_pair made;
   made.store.SetEra(1);
   made.forwarder.view.Refresh(made.store.now);
   made.Run(100ms);
@@ -393,7 +393,7 @@
 
 TEST(forwarded_view, tells_its_reader_what_has_changed)
 {
-  pair both;
+  vm_pair both;
   both.Begin();
   CHECK(both.forwarded.view.TakeChangedKeys().isAll);
   CHECK(both.forwarded.view.TakeChangedKeys().keys.empty());
@@ -409,7 +409,7 @@
 
 TEST(forwarded_view, what_is_too_long_is_left_out)
 {
-  pair both;
+  vm_pair both;
   both.Begin();
   const auto known = both.forwarder.view.Seen();
   both.store.Put("a/1", std::string(100, 'x'));
--- a/test/currantshed/store/http_client.cpp
+++ b/test/currantshed/store/http_client.cpp
@@ -52,7 +52,7 @@
 };
 
 http_response
-Answer(int aStatus, const std::string& aBody, std::uint64_t aIndex = 0)
+Response(int aStatus, const std::string& aBody, std::uint64_t aIndex = 0)
 {
   return http_response{ {}, aStatus, aIndex, aBody };
 }
@@ -72,13 +72,13 @@
 };
 
 const list_row kListRows[] = {
-  { "both", Answer(200, "[]"), Answer(200, "[]"), {} },
+  { "both", Response(200, "[]"), Response(200, "[]"), {} },
   { "first response lost",
     Failure(errc::kTimeout),
-    Answer(200, "[]"),
+    Response(200, "[]"),
     errc::kTimeout },
   { "second response lost",
-    Answer(200, "[]"),
+    Response(200, "[]"),
     Failure(errc::kUnreachable),
     errc::kUnreachable },
   { "both lost: the first error is reported",
@@ -111,7 +111,7 @@
                sent[0].request.target.c_str());
   STRCMP_EQUAL("text", sent[0].request.body.c_str());
   CHECK(sent[0].request.timeout == kTimeout);
-  sent[0].done(Answer(200, "true"));
+  sent[0].done(Response(200, "true"));
   CHECK(outcome == swap_outcome::kApplied);
 }
 
@@ -128,11 +128,11 @@
   WatchFrom(0);
   STRCMP_EQUAL("/v1/kv/currantshed/configuration",
                sent[0].request.target.c_str());
-  sent[0].done(Answer(404, "", 33));
+  sent[0].done(Response(404, "", 33));
   WatchFrom(0);
   STRCMP_EQUAL("/v1/kv/currantshed/configuration?index=33&wait=10000ms",
                sent[1].request.target.c_str());
-  sent[1].done(Answer(200, R"([{"Value":"YWJj","ModifyIndex":34}])", 34));
+  sent[1].done(Response(200, R"([{"Value":"YWJj","ModifyIndex":34}])", 34));
   WatchFrom(0);
   STRCMP_EQUAL("/v1/kv/currantshed/configuration",
                sent[2].request.target.c_str());
--- a/test/currantshed/store/prefix_view.cpp
+++ b/test/currantshed/store/prefix_view.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 /// A read that was discarded.
-struct ignored_reading
+struct discarded_read
 {
   store::revision read;
   store::revision seen;
@@ -29,9 +29,11 @@
            "a/",
            {},
            { [this](clock::time_point) { ++changes; },
-             [this](bool aIsReached, std::error_code) { reached = aIsReached; },
+             [this](bool aIsReachable, std::error_code) {
+               isReachable = aIsReachable;
+             },
              [this](store::revision aRead, store::revision aSeen) {
-               ignored.push_back({ aRead, aSeen });
+               discarded.push_back({ aRead, aSeen });
              } })
   {
     store.Put("a/1", "one");
@@ -50,8 +52,8 @@
   test::fake_key_value store;
   store::prefix_view view;
   int changes = 0;
-  bool reached = false;
-  std::vector<ignored_reading> ignored;
+  bool isReachable = false;
+  std::vector<discarded_read> discarded;
 };
 
 struct change_row
@@ -77,7 +79,7 @@
     "" },
   { "changes after the watch failed",
     [](follower& aFollower) {
-      aFollower.store.CutWatches(store::errc::kTimeout);
+      aFollower.store.FailWatches(store::errc::kTimeout);
       aFollower.store.Put("a/2", "two");
     },
     "a/1=one a/2=two ",
@@ -87,14 +89,14 @@
       aFollower.store.Put("a/2", "two");
       aFollower.store.Remove("a/1");
       aFollower.store.history.clear();
-      aFollower.store.CutWatches(store::errc::kHistoryCompacted);
+      aFollower.store.FailWatches(store::errc::kHistoryCompacted);
     },
     "a/2=two ",
     true },
   { "an outage with changes",
     [](follower& aFollower) {
       aFollower.store.failing = store::errc::kUnavailable;
-      aFollower.store.CutWatches(store::errc::kUnavailable);
+      aFollower.store.FailWatches(store::errc::kUnavailable);
       aFollower.Run(500ms);
       aFollower.store.Put("a/2", "two");
       aFollower.store.failing = {};
@@ -122,11 +124,11 @@
   for (const auto& row : kRows) {
     follower made;
     made.Run(100ms);
-    CHECK_TEXT(made.view.IsKnown() && made.reached, row.name);
+    CHECK_TEXT(made.view.IsKnown() && made.isReachable, row.name);
     row.given(made);
     made.Run(3000ms);
     CHECK_TEXT(Print(made.view) == row.keys, row.name);
-    CHECK_TEXT(made.reached, row.name);
+    CHECK_TEXT(made.isReachable, row.name);
     CHECK_EQUAL_TEXT(row.mayBeStale, made.view.MayBeStale(), row.name);
   }
 }
@@ -148,18 +150,18 @@
   follower made;
   made.Run(100ms);
   made.store.failing = store::errc::kUnavailable;
-  made.store.CutWatches(store::errc::kUnavailable);
+  made.store.FailWatches(store::errc::kUnavailable);
   made.Run(6000ms);
-  CHECK_FALSE(made.reached);
+  CHECK_FALSE(made.isReachable);
   made.store.failing = {};
   made.store.Put("a/2", "two");
   made.view.Refresh(made.store.now);
   made.Run(30ms);
-  CHECK(made.reached);
+  CHECK(made.isReachable);
   CHECK(Print(made.view) == "a/1=one a/2=two ");
 }
 
-TEST(prefix_view, a_hung_watch_is_given_up_on_anothers_word)
+TEST(prefix_view, a_hung_watch_is_cancelled_after_an_announcement)
 {
   follower made;
   made.Run(100ms);
@@ -278,7 +280,7 @@
   CHECK_EQUAL(ranges, store.ranges);
 }
 
-TEST(prefix_view, tells_once_of_a_reading_that_it_leaves_out)
+TEST(prefix_view, reports_a_discarded_read_once)
 {
   follower made;
   made.store.SetEra(7);
@@ -292,8 +294,8 @@
   made.view.ApplyUpdate({ false, before, { 7, read.number + 5 }, false, {} },
                         made.store.now);
   made.Run(100ms);
-  LONGS_EQUAL(1, made.ignored.size());
-  CHECK(made.ignored.front().read == read);
+  LONGS_EQUAL(1, made.discarded.size());
+  CHECK(made.discarded.front().read == read);
   const store::revision passedOn{ 7, read.number + 5 };
-  CHECK(made.ignored.front().seen == passedOn);
+  CHECK(made.discarded.front().seen == passedOn);
 }
--- a/test/currantshed/store/registration.cpp
+++ b/test/currantshed/store/registration.cpp
@@ -14,9 +14,9 @@
 namespace {
 
 /// A VM's registered key, with its view and its store.
-struct keeper
+struct registered_vm
 {
-  keeper()
+  registered_vm()
     : view(store,
            "vm/",
            {},
@@ -36,7 +36,7 @@
     }
   }
 
-  [[nodiscard]] bool Holds() const
+  [[nodiscard]] bool IsRegistered() const
   {
     const auto found = store.items.find("vm/a");
     return found != store.items.end() && found->second.value == "here" &&
@@ -49,41 +49,41 @@
   store::registration registration;
 };
 
-struct trouble_row
+struct fault_row
 {
   const char* name;
-  std::function<void(keeper&)> given;
+  std::function<void(registered_vm&)> given;
 };
 
-const trouble_row kRows[] = {
-  { "none", [](keeper&) {} },
+const fault_row kRows[] = {
+  { "none", [](registered_vm&) {} },
   { "the key of a previous process exists",
-    [](keeper& aKeeper) { aKeeper.store.Put("vm/a", "before", 99); } },
+    [](registered_vm& aVm) { aVm.store.Put("vm/a", "before", 99); } },
   { "the lease ended unnoticed",
-    [](keeper& aKeeper) { aKeeper.store.EndLease(aKeeper.store.lastLease); } },
+    [](registered_vm& aVm) { aVm.store.EndLease(aVm.store.lastLease); } },
   { "the key was removed, the lease was not",
-    [](keeper& aKeeper) { aKeeper.store.Remove("vm/a"); } },
+    [](registered_vm& aVm) { aVm.store.Remove("vm/a"); } },
   { "an outage longer than the lease",
-    [](keeper& aKeeper) {
-      aKeeper.store.failing = store::errc::kUnavailable;
-      aKeeper.Run(5000ms);
-      CHECK(aKeeper.registration.ValidUntil() < aKeeper.store.now);
-      aKeeper.store.EndLease(aKeeper.store.lastLease);
-      aKeeper.store.failing = {};
+    [](registered_vm& aVm) {
+      aVm.store.failing = store::errc::kUnavailable;
+      aVm.Run(5000ms);
+      CHECK(aVm.registration.ValidUntil() < aVm.store.now);
+      aVm.store.EndLease(aVm.store.lastLease);
+      aVm.store.failing = {};
     } },
   { "writes with unknown outcome",
-    [](keeper& aKeeper) {
-      aKeeper.store.commitOutcome = store::commit_outcome::kUnknown;
-      aKeeper.store.Remove("vm/a");
-      aKeeper.Run(1000ms);
-      aKeeper.store.commitOutcome = store::commit_outcome::kApplied;
+    [](registered_vm& aVm) {
+      aVm.store.commitOutcome = store::commit_outcome::kUnknown;
+      aVm.store.Remove("vm/a");
+      aVm.Run(1000ms);
+      aVm.store.commitOutcome = store::commit_outcome::kApplied;
     } },
   { "a write that was applied but its response lost",
-    [](keeper& aKeeper) {
-      aKeeper.store.losesAnswers = true;
-      aKeeper.store.EndLease(aKeeper.store.lastLease);
-      aKeeper.Run(4000ms);
-      aKeeper.store.losesAnswers = false;
+    [](registered_vm& aVm) {
+      aVm.store.losesResponses = true;
+      aVm.store.EndLease(aVm.store.lastLease);
+      aVm.Run(4000ms);
+      aVm.store.losesResponses = false;
     } },
 };
 
@@ -91,35 +91,35 @@
 
 TEST_GROUP(registration){};
 
-TEST(registration, stands_again_after_each_trouble)
+TEST(registration, is_written_again_after_each_fault)
 {
   for (const auto& row : kRows) {
-    keeper made;
+    registered_vm made;
     made.Run(500ms);
-    CHECK_TEXT(made.Holds(), row.name);
+    CHECK_TEXT(made.IsRegistered(), row.name);
     row.given(made);
     made.Run(4000ms);
-    CHECK_TEXT(made.Holds(), row.name);
+    CHECK_TEXT(made.IsRegistered(), row.name);
   }
 }
 
-TEST(registration, tells_that_the_store_is_back)
+TEST(registration, reports_that_the_store_has_recovered)
 {
-  keeper made;
-  int regained = 0;
-  made.registration.OnRecovered([&regained] { ++regained; });
+  registered_vm made;
+  int recovered = 0;
+  made.registration.OnRecovered([&recovered] { ++recovered; });
   made.Run(2500ms);
-  CHECK_EQUAL(0, regained);
+  CHECK_EQUAL(0, recovered);
   made.store.failing = store::errc::kTimeout;
   made.Run(2500ms);
   made.store.failing = {};
   made.Run(2500ms);
-  CHECK_EQUAL(1, regained);
+  CHECK_EQUAL(1, recovered);
 }
 
 TEST(registration, ends_with_its_lease)
 {
-  keeper made;
+  registered_vm made;
   made.Run(500ms);
   made.registration.Revoke();
   CHECK(!made.store.items.contains("vm/a"));
@@ -172,7 +172,7 @@
 // lease may identify another VM's lease.
 TEST(registration, leaves_a_lease_alone_that_another_vm_was_given)
 {
-  for (const bool endsThere : { false, true }) {
+  for (const bool isRevoked : { false, true }) {
     test::fake_key_value store;
     store.era = 1;
     store::era_guard guard(
@@ -208,7 +208,7 @@
     run(1000ms);
     CHECK(made.IsListed() && made.ValidUntil() > store.now);
     CHECK(store.items["vm/a"].lease != store.items["vm/b"].lease);
-    if (endsThere) {
+    if (isRevoked) {
       made.Revoke();
       CHECK(store.items.contains("vm/b"));
     }
--- a/test/currantshed/store/restored_store.cpp
+++ b/test/currantshed/store/restored_store.cpp
@@ -26,10 +26,10 @@
 // Time within which an acknowledged change must be applied.
 constexpr auto kInForce = 3000ms;
 // Maximum number of reads in that time.
-constexpr int kMostReadings = 3;
+constexpr int kMaxReads = 3;
 // The same for a store that reports no era, whose reads are discarded: two per
 // second.
-constexpr int kMostReadingsUntold = 6;
+constexpr int kMaxReadsWithoutEra = 6;
 
 std::string
 Print(const store::prefix_view& aView)
@@ -76,7 +76,7 @@
       }
       forwarder.Tick(store.now, 0.5);
       store.Answer();
-      for (const auto& call : std::exchange(later, {})) {
+      for (const auto& call : std::exchange(posted, {})) {
         call();
       }
       if (forwarded.ApplyUpdate(forwarder.UpdateSince(forwarded.Seen()),
@@ -90,10 +90,10 @@
   store::prefix_view::listener listener{ [](clock::time_point) {},
                                          [](bool, std::error_code) {} };
   clock::time_point nextRenewal{};
-  std::vector<std::function<void()>> later;
+  std::vector<std::function<void()>> posted;
   store::era_guard guard{ store,
                           { [this](std::function<void()> aCall) {
-                             later.push_back(std::move(aCall));
+                             posted.push_back(std::move(aCall));
                            },
                             [this](std::optional<store::era_id>,
                                    store::era_id) {
@@ -103,14 +103,14 @@
   store::prefix_view forwarded{ guard, "a/", {}, listener };
 };
 
-struct return_row
+struct restore_row
 {
   const char* name;
   std::function<void(two_vms&)> given;
   std::string keys;
 };
 
-const return_row kRows[] = {
+const restore_row kRows[] = {
   { "nothing is written afterwards",
     [](two_vms& aVms) { aVms.store.RestoreSnapshot(); },
     "a/1=one a/2=two " },
@@ -170,32 +170,32 @@
 // A store that reports no era cannot be distinguished from one that lags
 // behind. Its reads are discarded until its revisions exceed the known one, at
 // a bounded call rate.
-TEST(restored_store, is_not_called_in_a_loop_where_it_tells_no_era)
+TEST(restored_store, is_not_called_in_a_loop_if_it_reports_no_era)
 {
-  test::fake_key_value silent;
-  silent.Put("a/1", "one");
-  silent.TakeSnapshot();
-  silent.Put("a/1", "uno");
+  test::fake_key_value eraless;
+  eraless.Put("a/1", "one");
+  eraless.TakeSnapshot();
+  eraless.Put("a/1", "uno");
   store::prefix_view view(
-    silent,
+    eraless,
     "a/",
     {},
     { [](clock::time_point) {}, [](bool, std::error_code) {} });
   const auto run = [&](std::chrono::milliseconds aSpan) {
-    for (const auto end = silent.now + aSpan; silent.now < end;
-         silent.now += 10ms) {
-      view.Tick(silent.now, 0.5);
-      silent.Answer();
+    for (const auto end = eraless.now + aSpan; eraless.now < end;
+         eraless.now += 10ms) {
+      view.Tick(eraless.now, 0.5);
+      eraless.Answer();
     }
   };
   run(100ms);
-  silent.RestoreSnapshot();
-  silent.ranges = 0;
+  eraless.RestoreSnapshot();
+  eraless.ranges = 0;
   run(kInForce);
-  CHECK(silent.ranges <= kMostReadingsUntold);
+  CHECK(eraless.ranges <= kMaxReadsWithoutEra);
   STRCMP_EQUAL("a/1=uno ", Print(view).c_str());
-  silent.Put("a/1", "due");
-  silent.Put("a/1", "zwei");
+  eraless.Put("a/1", "due");
+  eraless.Put("a/1", "zwei");
   run(kInForce);
   STRCMP_EQUAL("a/1=zwei ", Print(view).c_str());
 }
@@ -207,6 +207,6 @@
     row.given(made);
     made.store.ranges = 0;
     made.Run(kInForce);
-    CHECK_TEXT(made.store.ranges <= kMostReadings, row.name);
+    CHECK_TEXT(made.store.ranges <= kMaxReads, row.name);
   }
 }
--- a/test/currantshed/store/verified_view.cpp
+++ b/test/currantshed/store/verified_view.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 /// A view of one key after its first read, with the results of its callbacks.
-struct proved
+struct verified_fixture
 {
-  proved()
+  verified_fixture()
     : view(store,
            "a/",
            {},
@@ -31,8 +31,8 @@
   void Check()
   {
     asked = store.now;
-    view.Check(store.now, [this](bool aIsProof, clock::time_point) {
-      isProof = aIsProof;
+    view.Check(store.now, [this](bool aIsAnswered, clock::time_point) {
+      isAnswered = aIsAnswered;
     });
     store.now += 300ms;
     store.Answer();
@@ -40,7 +40,7 @@
 
   test::fake_key_value store;
   int changes = 0;
-  bool isProof = false;
+  bool isAnswered = false;
   clock::time_point asked;
   store::prefix_view view;
 };
@@ -51,13 +51,13 @@
 
 TEST(verified_view, A_read_verifies_as_of_its_start)
 {
-  proved one;
+  verified_fixture one;
   CHECK(one.view.VerifiedAt() == one.asked);
 }
 
 TEST(verified_view, A_pending_watch_verifies_nothing)
 {
-  proved one;
+  verified_fixture one;
   const auto before = one.view.VerifiedAt();
   one.view.Tick(one.store.now, 0);
   one.store.now += 20s;
@@ -67,9 +67,9 @@
 
 TEST(verified_view, A_check_verifies_as_of_its_start_and_applies_changes)
 {
-  proved one;
+  verified_fixture one;
   one.Check();
-  CHECK(one.isProof);
+  CHECK(one.isAnswered);
   CHECK(one.view.VerifiedAt() == one.asked);
   const auto before = one.changes;
   one.store.Put("a/1", "y");
@@ -80,18 +80,18 @@
 
 TEST(verified_view, A_failed_check_verifies_nothing)
 {
-  proved one;
+  verified_fixture one;
   const auto before = one.view.VerifiedAt();
   one.store.failing = store::make_error_code(store::errc::kTimeout);
   one.Check();
-  CHECK(!one.isProof);
+  CHECK(!one.isAnswered);
   CHECK(one.view.VerifiedAt() == before);
 }
 
 // The watch in progress delivers the same change a second time.
 TEST(verified_view, A_change_counts_once_beside_a_watch)
 {
-  proved one;
+  verified_fixture one;
   one.view.Tick(one.store.now, 0);
   one.store.Put("a/1", "y");
   const auto before = one.changes;
@@ -101,7 +101,7 @@
 
 TEST(verified_view, An_older_verification_by_another_VM_is_ignored)
 {
-  proved one;
+  verified_fixture one;
   const auto before = one.view.VerifiedAt();
   one.view.MarkVerified(before - 1s);
   CHECK(one.view.VerifiedAt() == before);
@@ -114,7 +114,7 @@
 // again within 2 s.
 TEST(verified_view, A_store_restored_a_moment_ago_verifies_nothing)
 {
-  proved one;
+  verified_fixture one;
   one.store.SetEra(1);
   one.Check();
   one.store.TakeSnapshot();
--- a/test/currantshed/store/watcher.cpp
+++ b/test/currantshed/store/watcher.cpp
@@ -36,7 +36,7 @@
 }
 
 /// The result of one call, and the expected reaction.
-struct answer_step
+struct call_step
 {
   std::error_code error;
   std::uint64_t version;
@@ -54,7 +54,7 @@
 struct watcher_row
 {
   const char* name;
-  std::vector<answer_step> steps;
+  std::vector<call_step> steps;
 };
 
 const watcher_row kRows[] = {
--- a/test/platform/corpus_replay.cpp
+++ b/test/platform/corpus_replay.cpp
@@ -15,16 +15,16 @@
 
 /// Runs the check on each file of the folder. Returns the number of files.
 std::size_t
-Play(const char* aFolder, void (*aCheck)(std::string_view))
+Replay(const char* aFolder, void (*aCheck)(std::string_view))
 {
-  std::size_t played = 0;
+  std::size_t count = 0;
   for (const auto& entry : std::filesystem::directory_iterator(aFolder)) {
     std::ifstream file(entry.path(), std::ios::binary);
     const std::string text{ std::istreambuf_iterator<char>(file), {} };
     aCheck(text);
-    ++played;
+    ++count;
   }
-  return played;
+  return count;
 }
 
 } // namespace
@@ -33,12 +33,12 @@
 
 TEST(line_corpus, every_line_keeps_its_promises)
 {
-  CHECK(Play(CURRANTSHED_LINE_CORPUS, test::CheckLine) >= 30);
+  CHECK(Replay(CURRANTSHED_LINE_CORPUS, test::CheckLine) >= 30);
 }
 
 TEST_GROUP(entry_corpus){};
 
 TEST(entry_corpus, every_entry_keeps_its_promises)
 {
-  CHECK(Play(CURRANTSHED_ENTRY_CORPUS, test::CheckEntry) >= 29);
+  CHECK(Replay(CURRANTSHED_ENTRY_CORPUS, test::CheckEntry) >= 29);
 }
--- a/test/platform/documents.cpp
+++ b/test/platform/documents.cpp
@@ -28,7 +28,7 @@
 
 /// Replaces a part of a text.
 std::string
-With(std::string aText, const std::string& aOld, const std::string& aNew)
+Replace(std::string aText, const std::string& aOld, const std::string& aNew)
 {
   const auto at = aText.find(aOld);
   return at == std::string::npos ? aText : aText.replace(at, aOld.size(), aNew);
@@ -69,9 +69,9 @@
 
 TEST(documents, a_configuration)
 {
-  std::string whyNot;
+  std::string reason;
   const auto read =
-    platform::json_documents().ReadConfiguration(kConfiguration, whyNot);
+    platform::json_documents().ReadConfiguration(kConfiguration, reason);
   CHECK(read != nullptr);
   CHECK_EQUAL(7, static_cast<int>(read->version));
   CHECK_EQUAL(2, static_cast<int>(read->routes.size()));
@@ -85,12 +85,12 @@
 TEST(documents, broken_configurations)
 {
   for (const auto& row : kBrokenConfigurations) {
-    std::string whyNot;
-    const auto text = With(kConfiguration, row.old, row.now);
-    CHECK_TEXT(platform::json_documents().ReadConfiguration(text, whyNot) ==
+    std::string reason;
+    const auto text = Replace(kConfiguration, row.old, row.now);
+    CHECK_TEXT(platform::json_documents().ReadConfiguration(text, reason) ==
                  nullptr,
                row.name);
-    CHECK_TEXT(!whyNot.empty(), row.name);
+    CHECK_TEXT(!reason.empty(), row.name);
   }
 }
 
@@ -153,16 +153,16 @@
 
 TEST(documents, customers)
 {
-  std::string whyNot;
+  std::string reason;
   const platform::json_documents documents;
-  CHECK(documents.ReadConfiguration(kConfiguration, whyNot)->customers ==
+  CHECK(documents.ReadConfiguration(kConfiguration, reason)->customers ==
         nullptr);
   for (const auto& row : kCustomersRows) {
     const auto text =
-      With(kConfiguration,
-           "\"services\"",
-           std::string("\"tenants\":") + row.customers + ",\"services\"");
-    const auto read = documents.ReadConfiguration(text, whyNot);
+      Replace(kConfiguration,
+              "\"services\"",
+              std::string("\"tenants\":") + row.customers + ",\"services\"");
+    const auto read = documents.ReadConfiguration(text, reason);
     CHECK_TEXT(read != nullptr && read->customers != nullptr, row.name);
     const auto found = read->customers->FindByKey(row.key);
     CHECK_TEXT((found == nullptr) == (row.customer == nullptr), row.name);
@@ -181,9 +181,9 @@
 
 TEST(documents, routes_for_anyone)
 {
-  std::string whyNot;
+  std::string reason;
   const auto read = platform::json_documents().ReadConfiguration(
-    With(kConfiguration, "\"prefix\":\"/\"", "\"public\":true"), whyNot);
+    Replace(kConfiguration, "\"prefix\":\"/\"", "\"public\":true"), reason);
   CHECK(read->routes.at("db1")->isPublic);
   CHECK(!read->routes.at("db2")->isPublic);
 }
@@ -208,29 +208,31 @@
 TEST(documents, how_long_keys_may_be_trusted)
 {
   for (const auto& row : kBoundRows) {
-    std::string whyNot;
+    std::string reason;
     const auto read = platform::ReadSettings(
-      With(kSettings, "\"grace_s\"", std::string(row.bounds) + "\"grace_s\""),
-      whyNot);
+      Replace(
+        kSettings, "\"grace_s\"", std::string(row.bounds) + "\"grace_s\""),
+      reason);
     CHECK_TEXT(read && read->keyBound == row.expect, row.name);
   }
 }
 
 TEST(documents, how_soon_a_configuration_must_be_in_force)
 {
-  std::string whyNot;
-  const auto usual = platform::ReadSettings(kSettings, whyNot);
+  std::string reason;
+  const auto usual = platform::ReadSettings(kSettings, reason);
   CHECK(usual && usual->configurationBound == std::chrono::seconds{ 3 });
-  const auto told = platform::ReadSettings(
-    With(kSettings, "\"config_apply_ms\":3000", "\"config_apply_ms\":8000"),
-    whyNot);
-  CHECK(told && told->configurationBound == std::chrono::seconds{ 8 });
+  const auto configured = platform::ReadSettings(
+    Replace(kSettings, "\"config_apply_ms\":3000", "\"config_apply_ms\":8000"),
+    reason);
+  CHECK(configured &&
+        configured->configurationBound == std::chrono::seconds{ 8 });
 }
 
 TEST(documents, settings)
 {
-  std::string whyNot;
-  const auto read = platform::ReadSettings(kSettings, whyNot);
+  std::string reason;
+  const auto read = platform::ReadSettings(kSettings, reason);
   CHECK(read && read->vm == "front-1" && read->callers.port == 8784);
   CHECK_EQUAL(7440, read->peers.port);
   CHECK_EQUAL(7441, read->relays.port);
@@ -238,11 +240,11 @@
   CHECK(read->stopTime == std::chrono::seconds{ 6 });
   CHECK(read->leavingTime == std::chrono::seconds{ 9 });
   for (const auto& row : kBrokenSettings) {
-    whyNot.clear();
+    reason.clear();
     CHECK_TEXT(
-      !platform::ReadSettings(With(kSettings, row.old, row.now), whyNot),
+      !platform::ReadSettings(Replace(kSettings, row.old, row.now), reason),
       row.name);
-    CHECK_TEXT(!whyNot.empty(), row.name);
+    CHECK_TEXT(!reason.empty(), row.name);
   }
-  CHECK(!platform::ReadSettingsFile("/nonexistent/file", whyNot));
+  CHECK(!platform::ReadSettingsFile("/nonexistent/file", reason));
 }
--- a/test/platform/fuzz_entry.cpp
+++ b/test/platform/fuzz_entry.cpp
@@ -13,9 +13,9 @@
 namespace {
 
 void
-Require(bool aHolds, const char* aWhat, std::string_view aText)
+Require(bool aCondition, const char* aWhat, std::string_view aText)
 {
-  if (!aHolds) {
+  if (!aCondition) {
     std::cerr << aWhat << ": " << aText << '\n';
     std::abort();
   }
--- a/test/platform/fuzz_line.cpp
+++ b/test/platform/fuzz_line.cpp
@@ -13,9 +13,9 @@
 const platform::statement_line_codec kCodec;
 
 void
-Require(bool aHolds, const char* aWhat, std::string_view aLine)
+Require(bool aCondition, const char* aWhat, std::string_view aLine)
 {
-  if (!aHolds) {
+  if (!aCondition) {
     std::cerr << aWhat << ": " << aLine << '\n';
     std::abort();
   }
--- a/test/platform/server_entry.cpp
+++ b/test/platform/server_entry.cpp
@@ -17,7 +17,7 @@
 
 /// Replaces a part of a text.
 std::string
-With(std::string aText, const std::string& aOld, const std::string& aNew)
+Replace(std::string aText, const std::string& aOld, const std::string& aNew)
 {
   const auto at = aText.find(aOld);
   return at == std::string::npos ? aText : aText.replace(at, aOld.size(), aNew);
@@ -156,17 +156,17 @@
 {
   const platform::json_documents documents;
   for (const auto& row : kGoodRows) {
-    std::error_code whyNot;
-    const auto text = With(kEntry, row.old, row.now);
-    const auto read = documents.ReadServer("servers/i-7f", text, whyNot);
-    CHECK_TEXT(read && !whyNot, row.name);
+    std::error_code reason;
+    const auto text = Replace(kEntry, row.old, row.now);
+    const auto read = documents.ReadServer("servers/i-7f", text, reason);
+    CHECK_TEXT(read && !reason, row.name);
     CHECK_TEXT(read->id == "i-7f" && read->service == "s", row.name);
     CHECK_TEXT(read->address == "10.1.0.9" && read->port == 8080, row.name);
     CHECK_TEXT(read->failureDomain == "marka" && !read->draining, row.name);
   }
-  std::error_code whyNot;
+  std::error_code reason;
   const auto read = documents.ReadServer(
-    "servers/i-7f", With(kEntry, "\"ready\"", "\"draining\""), whyNot);
+    "servers/i-7f", Replace(kEntry, "\"ready\"", "\"draining\""), reason);
   CHECK(read && read->draining);
   CHECK(read->startedAt.time_since_epoch().count() == 1795000000123);
 }
@@ -175,15 +175,15 @@
 {
   const platform::json_documents documents;
   for (const auto& row : kBadRows) {
-    std::error_code whyNot;
-    const auto text = With(kEntry, row.old, row.now);
+    std::error_code reason;
+    const auto text = Replace(kEntry, row.old, row.now);
     CHECK_TEXT(text != kEntry, row.name);
-    CHECK_TEXT(!documents.ReadServer("servers/i-7f", text, whyNot), row.name);
-    CHECK_TEXT(whyNot == row.why, row.name);
+    CHECK_TEXT(!documents.ReadServer("servers/i-7f", text, reason), row.name);
+    CHECK_TEXT(reason == row.why, row.name);
   }
   for (const auto& row : kBadKeys) {
-    std::error_code whyNot;
-    CHECK_TEXT(!documents.ReadServer(row.key, kEntry, whyNot), row.name);
-    CHECK_TEXT(whyNot == entry_errc::kNoId, row.name);
+    std::error_code reason;
+    CHECK_TEXT(!documents.ReadServer(row.key, kEntry, reason), row.name);
+    CHECK_TEXT(reason == entry_errc::kNoId, row.name);
   }
 }
