--- a/src/currantshed/node/control.cpp
+++ b/src/currantshed/node/control.cpp
@@ -459,7 +459,7 @@
 bool
 control::ReachesStore() const
 {
-  return mOwnView.IsReachable() && !mRegistration.IsFailing();
+  return mOwnView.IsReached() && !mRegistration.IsFailing();
 }
 
 void
--- a/src/currantshed/store/prefix_view.hpp
+++ b/src/currantshed/store/prefix_view.hpp
@@ -202,7 +202,7 @@
   [[nodiscard]] bool IsKnown() const noexcept { return mIsKnown; }
   /// Whether the store is reachable, as last reported to
   /// listener::reachabilityChanged.
-  [[nodiscard]] bool IsReachable() const noexcept { return mIsReachable; }
+  [[nodiscard]] bool IsReached() const noexcept { return mIsReachable; }
   /// Whether the last changes may have been made long before they were seen:
   /// they came with a read of all keys, or after a watch had failed.
   [[nodiscard]] bool MayBeStale() const noexcept { return mMayBeStale; }
