--- a/src/currantshed/store/prefix_view.cpp
+++ b/src/currantshed/store/prefix_view.cpp
@@ -119,8 +119,7 @@
   if (!mLaggingSince) {
     mLaggingSince = aNow;
   }
-  // The VM that watches the store on behalf of this one pauses after each
-  // change as well.
+  // The forwarder pauses after each change as well.
   const auto maxWatchLag =
     mIsCalling ? mSettings.maxWatchLag : mSettings.maxWatchLag + Pause();
   if (aNow - *mLaggingSince > maxWatchLag) {
--- a/src/currantshed/store/prefix_view.hpp
+++ b/src/currantshed/store/prefix_view.hpp
@@ -75,9 +75,9 @@
 
 /// A local copy of the keys below one prefix. The keys are read once and then
 /// followed by watches. They are read again if the store has dropped the
-/// changes in between or has been restored from an older snapshot. Another VM
-/// may watch the store on behalf of this one and forward the changes; while it
-/// does, the view does not call the store. Not thread-safe.
+/// changes in between or has been restored from an older snapshot. Another VM,
+/// the forwarder, may watch the store on behalf of this one and forward the
+/// changes; while it does, the view does not call the store. Not thread-safe.
 class prefix_view
 {
 public:
@@ -119,13 +119,12 @@
   void Refresh(clock::time_point aNow);
 
   /// Reports that the store has been restored from an older snapshot. A view
-  /// whose changes are forwarded by another VM receives the new content from
-  /// there. Reads count as verification only after lost changes have had time
-  /// to be written again.
+  /// with a forwarder receives the new content from there. Reads count as
+  /// verification only after lost changes have had time to be written again.
   void OnEraChanged(clock::time_point aNow);
 
-  /// Sets until when another VM forwards the changes. No watch is started
-  /// before then.
+  /// Sets until when a forwarder sends the changes. No watch is started before
+  /// then.
   void ForwardedUntil(clock::time_point aUntil) noexcept
   {
     mForwardedUntil = aUntil;
--- a/test/currantshed/store/apply.cpp
+++ b/test/currantshed/store/apply.cpp
@@ -497,13 +497,13 @@
 {
   constexpr std::size_t kLength = 6;
   std::array<int, std::size(kAllowedCounts)> seen{};
-  std::size_t orders = 1;
+  std::size_t sequences = 1;
   for (std::size_t at = 0; at < kLength; ++at) {
-    orders *= kAllSteps.size();
+    sequences *= kAllSteps.size();
   }
-  for (std::size_t order = 0; order < orders; ++order) {
+  for (std::size_t sequence = 0; sequence < sequences; ++sequence) {
     trial subject(Request(), kSeen);
-    auto rest = order;
+    auto rest = sequence;
     for (std::size_t at = 0; at < kLength; ++at) {
       subject.Do(kAllSteps.at(rest % kAllSteps.size()));
       rest /= kAllSteps.size();
@@ -511,7 +511,7 @@
     subject.End();
     const auto outcome = subject.Result()->outcome;
     CHECK_TEXT(IsAccurate(outcome, subject.TimesApplied()),
-               std::to_string(order).c_str());
+               std::to_string(sequence).c_str());
     ++seen.at(static_cast<std::size_t>(outcome));
   }
   const auto reached = std::count_if(
--- a/test/currantshed/store/era_model.cpp
+++ b/test/currantshed/store/era_model.cpp
@@ -28,8 +28,8 @@
 constexpr auto kRewriteTime = 1500ms;
 constexpr auto kLeaseTime = 2000ms;
 constexpr auto kCallTime = 1000ms;
-// Maximum time between an order and the read that permits it.
-constexpr auto kOrderValidity = 300ms;
+// Maximum time between a command and the read that permits it.
+constexpr auto kCommandValidity = 300ms;
 
 std::string
 Name(std::size_t aVm)
@@ -42,12 +42,14 @@
 /// A VM: the real components, connected as in node::control.
 struct era_model::modelled_vm
 {
-  modelled_vm(era_model& aModel, std::size_t aNumber, std::uint64_t aProcessId);
+  modelled_vm(era_model& aModel,
+              std::size_t aNumber,
+              std::uint64_t aIncarnation);
 
   // Callbacks of a VM that has stopped are ignored.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
   std::size_t number;
-  std::uint64_t processId;
+  std::uint64_t incarnation;
   bool isDisconnected = false;
   std::unique_ptr<store_link> calls;
   store::era_guard guard;
@@ -379,9 +381,9 @@
 
 era_model::modelled_vm::modelled_vm(era_model& aModel,
                                     std::size_t aNumber,
-                                    std::uint64_t aProcessId)
+                                    std::uint64_t aIncarnation)
   : number(aNumber)
-  , processId(aProcessId)
+  , incarnation(aIncarnation)
   , calls(std::make_unique<store_link>(aModel, aNumber))
   , guard(*calls,
           { [&aModel, alive = alive](const std::function<void()>& aCall) {
@@ -417,7 +419,7 @@
   node::vm_record record;
   record.where = { Name(aNumber), "10.0.0.1", 7440 };
   record.failureDomain = "here";
-  record.incarnation = aProcessId;
+  record.incarnation = aIncarnation;
   registration.SetValue(node::SerializeVm(record));
 }
 
@@ -634,9 +636,9 @@
 void
 era_model::Restart(std::size_t aVm)
 {
-  const auto processId = mVms[aVm]->processId + kVms;
+  const auto incarnation = mVms[aVm]->incarnation + kVms;
   *mVms[aVm]->alive = false;
-  mVms[aVm] = std::make_unique<modelled_vm>(*this, aVm, processId);
+  mVms[aVm] = std::make_unique<modelled_vm>(*this, aVm, incarnation);
 }
 
 void
@@ -660,11 +662,11 @@
       });
   }
   TryToClaim(aVm);
-  TryToOrder(aVm);
+  TryToCommand(aVm);
 }
 
-// As in node::control: a holder from an earlier era claims the duty again, and
-// a duty without holder is claimed by one of the VMs.
+// As in node::control: a holder from an earlier era claims the failover lock
+// again, and if nobody holds it, one of the VMs claims it.
 void
 era_model::TryToClaim(std::size_t aVm)
 {
@@ -675,14 +677,14 @@
   }
   node::vm_record self;
   self.where.vm = Name(aVm);
-  self.incarnation = one.processId;
+  self.incarnation = one.incarnation;
   const auto keys = node::ReadClusterState(one.own.Items());
   const auto found = keys.locks.find(kGroup);
-  const bool isPast =
+  const bool isStaleHolder =
     found != keys.locks.end() && found->second.record.holder == Name(aVm) &&
-    found->second.record.incarnation == one.processId &&
+    found->second.record.incarnation == one.incarnation &&
     !node::IsFromEra(found->second.record, one.own.Seen().era);
-  if (!isPast && node::IsLockHeld(keys, kGroup)) {
+  if (!isStaleHolder && node::IsLockHeld(keys, kGroup)) {
     return;
   }
   one.isClaiming = true;
@@ -701,9 +703,9 @@
                           store::response_info) { one.isClaiming = false; });
 }
 
-// The duty's record is read before each order.
+// The failover lock is read before each command.
 void
-era_model::TryToOrder(std::size_t aVm)
+era_model::TryToCommand(std::size_t aVm)
 {
   auto& one = *mVms[aVm];
   if (!Chance(10)) {
@@ -714,40 +716,40 @@
                 [this, &one, asked](std::error_code aError,
                                     std::optional<store::item> aItem,
                                     store::response_info) {
-                  const auto duty =
+                  const auto lock =
                     aItem ? node::ParseFailoverLock(*aItem) : std::nullopt;
-                  const bool isHeld = !aError && duty &&
-                                      duty->holder == Name(one.number) &&
-                                      duty->incarnation == one.processId &&
-                                      mTime.Now() < asked + kOrderValidity;
-                  const bool isOfEra =
+                  const bool isHeld = !aError && lock &&
+                                      lock->holder == Name(one.number) &&
+                                      lock->incarnation == one.incarnation &&
+                                      mTime.Now() < asked + kCommandValidity;
+                  const bool isFromEra =
                     isHeld && (mBug == seeded_bug::kEpochFromRevision ||
-                               node::IsFromEra(*duty, aItem->changed.era));
-                  if (isOfEra) {
-                    CheckOrder({ one.number, duty->epoch, asked });
+                               node::IsFromEra(*lock, aItem->changed.era));
+                  if (isFromEra) {
+                    CheckCommand({ one.number, lock->epoch, asked });
                   }
                 });
 }
 
-// An epoch identifies one holder, and a holder that has read the record later
-// has no lower epoch.
+// A fencing token identifies one holder, and a holder that has read the lock
+// later has no lower token.
 void
-era_model::CheckOrder(const order& aOrder)
+era_model::CheckCommand(const command& aCommand)
 {
-  ++orders;
-  for (const auto& before : mOrders) {
-    if (before.holder == aOrder.holder) {
+  ++commands;
+  for (const auto& before : mCommands) {
+    if (before.holder == aCommand.holder) {
       continue;
     }
-    if (before.epoch == aOrder.epoch) {
-      ReportViolation("two holders have the same epoch");
+    if (before.epoch == aCommand.epoch) {
+      ReportViolation("two holders have the same fencing token");
     }
-    const bool isLater = aOrder.readAt > before.readAt + 2 * kOrderValidity;
-    if (isLater && aOrder.epoch < before.epoch) {
-      ReportViolation("a later order has a lower epoch");
+    const bool isLater = aCommand.readAt > before.readAt + 2 * kCommandValidity;
+    if (isLater && aCommand.epoch < before.epoch) {
+      ReportViolation("a later command has a lower fencing token");
     }
   }
-  mOrders.push_back(aOrder);
+  mCommands.push_back(aCommand);
 }
 
 // A VM that knows the current era does not touch the leases of others.
--- a/test/currantshed/store/era_model.hpp
+++ b/test/currantshed/store/era_model.hpp
@@ -27,18 +27,18 @@
   /// A response reports the era in which it arrives instead of the one in which
   /// the store sent it.
   kEraOfArrival,
-  /// The epoch of a duty is the store's revision.
+  /// The fencing token is the store's revision.
   kEpochFromRevision,
   /// Any read counts as verification, even if the store has lost changes.
   kVerificationCarriedOver,
 };
 
 /// Model of several VMs, with the real views, registrations and claims of
-/// duties, on a store that may lose its last seconds at any moment, also twice
-/// in a row. Runs in virtual time. Calls are delayed and may be executed in a
-/// later era than they were sent in; responses are delayed or lost; VMs are
-/// disconnected and restarted. The operator occasionally writes a newer
-/// configuration, and writes again what was lost.
+/// failover locks, on a store that may lose its last seconds at any moment,
+/// also twice in a row. Runs in virtual time. Calls are delayed and may be
+/// executed in a later era than they were sent in; responses are delayed or
+/// lost; VMs are disconnected and restarted. The operator occasionally writes a
+/// newer configuration, and writes again what was lost.
 class era_model
 {
 public:
@@ -53,7 +53,7 @@
   std::vector<std::string> violations;
   std::uint64_t steps = 0;
   std::uint64_t restores = 0;
-  std::uint64_t orders = 0;
+  std::uint64_t commands = 0;
 
 private:
   class store_link;
@@ -83,9 +83,9 @@
     clock::time_point at;
   };
 
-  /// An order sent by the holder of a duty, with the time of the read that
-  /// permitted it.
-  struct order
+  /// A command sent by the holder of the failover lock, with the time of the
+  /// read that permitted it.
+  struct command
   {
     std::size_t holder = 0;
     std::uint64_t epoch = 0;
@@ -105,8 +105,8 @@
   void AnswerWatches();
   void RunVm(std::size_t aVm);
   void TryToClaim(std::size_t aVm);
-  void TryToOrder(std::size_t aVm);
-  void CheckOrder(const order& aOrder);
+  void TryToCommand(std::size_t aVm);
+  void CheckCommand(const command& aCommand);
   void CheckLeaseOwner(std::size_t aVm,
                        std::uint64_t aLease,
                        store::era_id aKnown);
@@ -131,7 +131,7 @@
   std::vector<acknowledged_version> mAcknowledged;
   clock::time_point mNextVersion;
   clock::time_point mStableSince;
-  std::vector<order> mOrders;
+  std::vector<command> mCommands;
   std::vector<std::unique_ptr<modelled_vm>> mVms;
 };
 
--- a/test/currantshed/store/era_model_test.cpp
+++ b/test/currantshed/store/era_model_test.cpp
@@ -32,7 +32,7 @@
 constexpr bug_row kBugRows[] = {
   { "the era is ignored", seeded_bug::kEraIgnored },
   { "the era in which a response arrives", seeded_bug::kEraOfArrival },
-  { "the epoch is the revision", seeded_bug::kEpochFromRevision },
+  { "the fencing token is the revision", seeded_bug::kEpochFromRevision },
   { "verification is carried over to a new era",
     seeded_bug::kVerificationCarriedOver },
 };
@@ -44,7 +44,7 @@
 TEST(era_model, Invariants_hold_across_restores_of_the_store)
 {
   std::uint64_t restores = 0;
-  std::uint64_t orders = 0;
+  std::uint64_t commands = 0;
   for (std::uint32_t seed = 1; seed <= Seeds(); ++seed) {
     era_model model(seed, seeded_bug::kNone);
     model.Run(kSpan);
@@ -53,11 +53,11 @@
     CHECK_TEXT(model.violations.empty(),
                (what + ", seed " + std::to_string(seed)).c_str());
     restores += model.restores;
-    orders += model.orders;
+    commands += model.commands;
   }
   // The model must have made progress.
   CHECK(restores > Seeds() * 3ULL);
-  CHECK(orders > Seeds() * 20ULL);
+  CHECK(commands > Seeds() * 20ULL);
 }
 
 TEST(era_model, Each_seeded_bug_is_found)
--- a/test/currantshed/store/forwarded_view.cpp
+++ b/test/currantshed/store/forwarded_view.cpp
@@ -122,7 +122,7 @@
     },
     "a/1=one ",
     true },
-  { "the watching VM has read all keys again",
+  { "the forwarder has read all keys again",
     [](vm_pair& aPair) {
       aPair.store.Remove("a/1");
       aPair.store.history.clear();
@@ -130,7 +130,7 @@
     },
     "a/2=two ",
     true },
-  { "the watch had failed before the change",
+  { "the forwarder's watch had failed",
     [](vm_pair& aPair) {
       aPair.store.FailWatches(store::errc::kTimeout);
       aPair.store.Put("a/1", "uno");
@@ -143,7 +143,7 @@
 
 TEST_GROUP(forwarded_view){};
 
-TEST(forwarded_view, knows_what_is_passed_on)
+TEST(forwarded_view, applies_forwarded_changes)
 {
   for (const auto& row : kRows) {
     vm_pair made;
@@ -214,8 +214,8 @@
   CHECK(oldChanges.changes.empty());
 }
 
-// A VM that called the store later than the one that forwards changes to it has
-// the same content as long as nothing has changed below the prefix.
+// A VM that called the store later than its forwarder has the same content as
+// long as nothing has changed below the prefix.
 TEST(forwarded_view, accepts_changes_of_a_forwarder_whose_last_call_is_older)
 {
   vm_pair made;
@@ -247,7 +247,7 @@
   STRCMP_EQUAL("a/1=one a/2=two ", made.forwarded.Keys().c_str());
 }
 
-TEST(forwarded_view, a_reading_older_than_what_was_passed_on_is_dropped)
+TEST(forwarded_view, a_read_older_than_a_forwarded_update_is_discarded)
 {
   vm_pair made;
   made.Run(100ms);
@@ -305,7 +305,7 @@
   }
 }
 
-TEST(forwarded_view, asks_nothing_while_it_is_held)
+TEST(forwarded_view, makes_no_calls_while_it_is_paused)
 {
   vm_pair made;
   made.Run(100ms);
@@ -379,9 +379,9 @@
 
 } // namespace
 
-// A VM that watches the store on behalf of a hundred others is queried by each
-// of them several times per second, so the cost of a response must depend on
-// the number of changes, not on the number of keys.
+// A forwarder is queried by a hundred other VMs several times per second each,
+// so the cost of a response must depend on the number of changes, not on the
+// number of keys.
 TEST(forwarded_view, an_answer_costs_the_changes_not_the_keys)
 {
   for (const std::size_t keys : { 50, 100, 200 }) {
@@ -407,7 +407,7 @@
   CHECK(changed.keys == (std::vector<std::string>{ "a/1", "a/2" }));
 }
 
-TEST(forwarded_view, what_is_too_long_is_left_out)
+TEST(forwarded_view, an_update_that_is_too_large_is_omitted)
 {
   vm_pair both;
   both.Begin();
