--- a/src/currantshed/store/prefix_view.cpp
+++ b/src/currantshed/store/prefix_view.cpp
@@ -238,8 +238,9 @@
   return isChanged;
 }
 
-// Revisions that other VMs announced before are being fetched now, so the lag
-// starts anew: only a watch that stays silent for maxWatchLag counts as hung.
+// The new watch will deliver the revisions that other VMs have announced, so
+// the lag is reset: only a watch that stays silent for maxWatchLag counts as
+// hung.
 void
 prefix_view::StartWatch(clock::time_point aNow)
 {
--- a/test/currantshed/store/era_model.cpp
+++ b/test/currantshed/store/era_model.cpp
@@ -21,7 +21,7 @@
 constexpr const char* kGroup = "group";
 // Time within which an acknowledged configuration must be applied in the
 // absence of faults.
-constexpr auto kInForce = 3000ms;
+constexpr auto kApplyBound = 3000ms;
 constexpr auto kSnapshotInterval = 200ms;
 constexpr auto kSnapshotRetention = 6000ms;
 // Time after which the operator writes lost changes again.
@@ -327,11 +327,11 @@
         mModel.mTime.After(
           mModel.Delay(), [this, end, aDone, era, number, changes] {
             end([&] {
-              auto told = changes;
-              for (auto& one : told) {
+              auto stamped = changes;
+              for (auto& one : stamped) {
                 one.now = WithEra(one.now, era);
               }
-              aDone({}, told, { EraOf(era), number }, Reply(era));
+              aDone({}, stamped, { EraOf(era), number }, Reply(era));
             });
           });
         return true;
@@ -711,22 +711,22 @@
   if (!Chance(10)) {
     return;
   }
-  const auto asked = mTime.Now();
+  const auto sentAt = mTime.Now();
   one.guard.Get(node::FailoverLockKey(kGroup),
-                [this, &one, asked](std::error_code aError,
-                                    std::optional<store::item> aItem,
-                                    store::response_info) {
+                [this, &one, sentAt](std::error_code aError,
+                                     std::optional<store::item> aItem,
+                                     store::response_info) {
                   const auto lock =
                     aItem ? node::ParseFailoverLock(*aItem) : std::nullopt;
                   const bool isHeld = !aError && lock &&
                                       lock->holder == Name(one.number) &&
                                       lock->incarnation == one.incarnation &&
-                                      mTime.Now() < asked + kCommandValidity;
+                                      mTime.Now() < sentAt + kCommandValidity;
                   const bool isFromEra =
                     isHeld && (mBug == seeded_bug::kEpochFromRevision ||
                                node::IsFromEra(*lock, aItem->changed.era));
                   if (isFromEra) {
-                    CheckCommand({ one.number, lock->epoch, asked });
+                    CheckCommand({ one.number, lock->epoch, sentAt });
                   }
                 });
 }
@@ -783,7 +783,7 @@
   const auto now = mTime.Now();
   const auto stableFrom = std::max(mStableSince, one.stableSince);
   // Calls may also be lost, which is detected after their timeout.
-  const auto bound = kInForce + kCallTime;
+  const auto bound = kApplyBound + kCallTime;
   if (one.isDisconnected || now < mDownUntil || now < stableFrom + bound) {
     return;
   }
--- a/test/currantshed/store/restored_store.cpp
+++ b/test/currantshed/store/restored_store.cpp
@@ -24,7 +24,7 @@
 namespace {
 
 // Time within which an acknowledged change must be applied.
-constexpr auto kInForce = 3000ms;
+constexpr auto kApplyBound = 3000ms;
 // Maximum number of reads in that time.
 constexpr int kMaxReads = 3;
 // The same for a store that reports no era, whose reads are discarded: two per
@@ -159,7 +159,7 @@
   for (const auto& row : kRows) {
     two_vms made;
     row.given(made);
-    made.Run(kInForce);
+    made.Run(kApplyBound);
     STRCMP_EQUAL_TEXT(
       row.keys.c_str(), Print(made.forwarder).c_str(), row.name);
     STRCMP_EQUAL_TEXT(
@@ -191,12 +191,12 @@
   run(100ms);
   eraless.RestoreSnapshot();
   eraless.ranges = 0;
-  run(kInForce);
+  run(kApplyBound);
   CHECK(eraless.ranges <= kMaxReadsWithoutEra);
   STRCMP_EQUAL("a/1=uno ", Print(view).c_str());
   eraless.Put("a/1", "due");
   eraless.Put("a/1", "zwei");
-  run(kInForce);
+  run(kApplyBound);
   STRCMP_EQUAL("a/1=zwei ", Print(view).c_str());
 }
 
@@ -206,7 +206,7 @@
     two_vms made;
     row.given(made);
     made.store.ranges = 0;
-    made.Run(kInForce);
+    made.Run(kApplyBound);
     CHECK_TEXT(made.store.ranges <= kMaxReads, row.name);
   }
 }
--- a/test/currantshed/store/verified_view.cpp
+++ b/test/currantshed/store/verified_view.cpp
@@ -23,14 +23,14 @@
   {
     store.Put("a/1", "x");
     view.Tick(store.now, 0);
-    asked = store.now;
+    sentAt = store.now;
     store.now += 100ms;
     store.Answer();
   }
 
   void Check()
   {
-    asked = store.now;
+    sentAt = store.now;
     view.Check(store.now, [this](bool aIsAnswered, clock::time_point) {
       isAnswered = aIsAnswered;
     });
@@ -41,7 +41,7 @@
   test::fake_key_value store;
   int changes = 0;
   bool isAnswered = false;
-  clock::time_point asked;
+  clock::time_point sentAt;
   store::prefix_view view;
 };
 
@@ -52,7 +52,7 @@
 TEST(verified_view, A_read_verifies_as_of_its_start)
 {
   verified_fixture one;
-  CHECK(one.view.VerifiedAt() == one.asked);
+  CHECK(one.view.VerifiedAt() == one.sentAt);
 }
 
 TEST(verified_view, A_pending_watch_verifies_nothing)
@@ -70,7 +70,7 @@
   verified_fixture one;
   one.Check();
   CHECK(one.isAnswered);
-  CHECK(one.view.VerifiedAt() == one.asked);
+  CHECK(one.view.VerifiedAt() == one.sentAt);
   const auto before = one.changes;
   one.store.Put("a/1", "y");
   one.Check();
@@ -133,7 +133,7 @@
   one.store.Put("a/1", "y");
   one.store.now += 1s;
   one.Check();
-  CHECK(one.view.VerifiedAt() == one.asked);
+  CHECK(one.view.VerifiedAt() == one.sentAt);
   STRCMP_EQUAL("y", one.view.Items().at("a/1").value.c_str());
 }
 
@@ -160,8 +160,8 @@
   CHECK(view.IsKnown());
   CHECK(view.VerifiedAt() == clock::time_point{});
   store.now += 3s;
-  const auto asked = store.now;
+  const auto sentAt = store.now;
   view.Check(store.now, [](bool, clock::time_point) {});
   store.Answer();
-  CHECK(view.VerifiedAt() == asked);
+  CHECK(view.VerifiedAt() == sentAt);
 }
--- a/test/currantshed/store/watcher.cpp
+++ b/test/currantshed/store/watcher.cpp
@@ -22,8 +22,8 @@
 namespace {
 
 constexpr time_point kStart{ 1h };
-constexpr auto kShortest = 200ms;
-constexpr auto kLongest = 1600ms;
+constexpr auto kMinDelay = 200ms;
+constexpr auto kMaxDelay = 1600ms;
 constexpr auto kPause = 1000ms;
 constexpr double kLowest = 0.0;
 constexpr double kHalf = 0.5;
@@ -32,7 +32,7 @@
 watcher_settings
 Settings()
 {
-  return { 10s, kPause, { kShortest, kLongest } };
+  return { 10s, kPause, { kMinDelay, kMaxDelay } };
 }
 
 /// The result of one call, and the expected reaction.
@@ -82,12 +82,12 @@
       { {}, 0, 5s, kHalf, false, 0ms, 0 },
       { {}, 9, 5s, kHalf, true, 0ms, 9 } } },
   { "the backoff doubles up to its bound",
-    { { errc::kUnreachable, 0, 0ms, kLowest, false, kShortest, 0 },
+    { { errc::kUnreachable, 0, 0ms, kLowest, false, kMinDelay, 0 },
       { errc::kUnreachable, 0, 0ms, kHalf, false, 500ms, 0 },
       { errc::kTimeout, 0, 0ms, kHalf, false, 900ms, 0 },
       { errc::kUnavailable, 0, 0ms, kHalf, false, 900ms, 0 },
       { errc::kRateLimited, 0, 0ms, kHalf, false, 900ms, 0 },
-      { errc::kMalformed, 0, 0ms, kLowest, false, kShortest, 0 } } },
+      { errc::kMalformed, 0, 0ms, kLowest, false, kMinDelay, 0 } } },
   { "a response resets the backoff; a failure keeps the known version",
     { { {}, 7, 0ms, kHalf, true, 0ms, 7 },
       { errc::kUnreachable, 0, 0ms, kHalf, false, 300ms, 7 },
@@ -184,8 +184,9 @@
       subject.Tick(now);
     }
     subject.Ended(errc::kUnreachable, {}, now, (caller + kHalf) / kCallers);
-    const auto wait = *subject.NextTick() - now - kShortest;
-    ++perTenth.at(static_cast<std::size_t>(10 * wait / (kLongest - kShortest)));
+    const auto wait = *subject.NextTick() - now - kMinDelay;
+    ++perTenth.at(
+      static_cast<std::size_t>(10 * wait / (kMaxDelay - kMinDelay)));
   }
   for (const auto callers : perTenth) {
     LONGS_EQUAL(kCallers / 10, callers);
