--- a/src/currantshed/store/prefix_view.cpp
+++ b/src/currantshed/store/prefix_view.cpp
@@ -350,9 +350,9 @@
 prefix_view::ApplyChange(key_change aChange)
 {
   const auto found = mItems.find(aChange.now.key);
-  const bool isOld =
+  const bool isKnown =
     found != mItems.end() && found->second.changed >= aChange.now.changed;
-  if (isOld || (aChange.now.changed <= mSeen && found == mItems.end())) {
+  if (isKnown || (aChange.now.changed <= mSeen && found == mItems.end())) {
     return false;
   }
   mChanged = std::max(mChanged, aChange.now.changed);
--- a/test/currantshed/store/apply.cpp
+++ b/test/currantshed/store/apply.cpp
@@ -58,10 +58,10 @@
                                    step::kOther,        step::kCorrupt };
 
 /// The store, other operators, and the network in between.
-class world
+class simulated_store
 {
 public:
-  explicit world(std::uint64_t aVersion)
+  explicit simulated_store(std::uint64_t aVersion)
   {
     while (Record().version < aVersion) {
       ChangeByOther();
@@ -129,11 +129,11 @@
 };
 
 /// Runs an applier through a sequence of steps.
-class trial
+class simulation
 {
 public:
-  trial(apply_request aRequest, std::uint64_t aVersion)
-    : mWorld(aVersion)
+  simulation(apply_request aRequest, std::uint64_t aVersion)
+    : mStore(aVersion)
     , mSubject(std::move(aRequest), kStart)
   {
     TakeAction();
@@ -143,13 +143,13 @@
   {
     switch (aStep) {
       case step::kDeliverLost:
-        mWorld.DeliverLost();
+        mStore.DeliverLost();
         return;
       case step::kOther:
-        mWorld.ChangeByOther();
+        mStore.ChangeByOther();
         return;
       case step::kCorrupt:
-        mWorld.Corrupt();
+        mStore.Corrupt();
         return;
       default:
         EndCall(aStep);
@@ -161,11 +161,11 @@
   void End()
   {
     if (mCall && std::holds_alternative<swap_configuration>(*mCall)) {
-      mWorld.Lose(std::get<swap_configuration>(*mCall));
+      mStore.Lose(std::get<swap_configuration>(*mCall));
     }
     mNow += kLongWait;
     mSubject.Tick(mNow);
-    mWorld.DeliverAllLost();
+    mStore.DeliverAllLost();
   }
 
   [[nodiscard]] const std::optional<apply_result>& Result() const
@@ -173,13 +173,14 @@
     return mSubject.Result();
   }
 
-  [[nodiscard]] int TimesApplied() const { return mWorld.TimesApplied(); }
+  [[nodiscard]] int TimesApplied() const { return mStore.TimesApplied(); }
 
 private:
   void TakeAction()
   {
     auto actions = mSubject.TakeActions();
-    mTooMany = mTooMany || actions.size() + (mCall ? 1 : 0) > 1;
+    mHasOverlappingCalls =
+      mHasOverlappingCalls || actions.size() + (mCall ? 1 : 0) > 1;
     if (!actions.empty()) {
       mCall = actions.front();
     }
@@ -200,32 +201,32 @@
     if (const auto* swap = std::get_if<swap_configuration>(&call)) {
       mSubject.ConfigurationSwapped(EndSwap(*swap, aStep), mNow);
     } else if (aStep == step::kRespond) {
-      mSubject.ConfigurationRead({}, mWorld.Entry(), mNow);
+      mSubject.ConfigurationRead({}, mStore.Entry(), mNow);
     } else {
       mSubject.ConfigurationRead(errc::kTimeout, {}, mNow);
     }
     TakeAction();
-    CHECK_FALSE_TEXT(mTooMany, "more than one call in progress");
+    CHECK_FALSE_TEXT(mHasOverlappingCalls, "more than one call in progress");
   }
 
   swap_outcome EndSwap(const swap_configuration& aSwap, step aStep)
   {
     if (aStep == step::kLose) {
-      mWorld.Lose(aSwap);
+      mStore.Lose(aSwap);
       return swap_outcome::kUnknown;
     }
-    const bool applied = mWorld.Swap(aSwap);
+    const bool applied = mStore.Swap(aSwap);
     if (aStep == step::kLoseResponse) {
       return swap_outcome::kUnknown;
     }
     return applied ? swap_outcome::kApplied : swap_outcome::kConflict;
   }
 
-  world mWorld;
+  simulated_store mStore;
   time_point mNow = kStart;
   applier mSubject;
   std::optional<apply_action> mCall;
-  bool mTooMany = false;
+  bool mHasOverlappingCalls = false;
 };
 
 apply_request
@@ -429,7 +430,7 @@
 TEST(apply, rows)
 {
   for (const auto& row : kRows) {
-    trial subject(Request(), row.inStore);
+    simulation subject(Request(), row.inStore);
     for (const auto next : row.steps) {
       subject.Do(next);
     }
@@ -444,7 +445,7 @@
 
 TEST(apply, the_first_configuration)
 {
-  trial subject(Request(0), 0);
+  simulation subject(Request(0), 0);
   subject.Do(step::kRespond);
   subject.Do(step::kRespond);
   CHECK(subject.Result()->outcome == apply_outcome::kApplied);
@@ -475,7 +476,7 @@
 {
   apply_request request = Request();
   request.declaration.assign(currantshed::store::kMaxValueBytes, 'x');
-  trial subject(request, kSeen);
+  simulation subject(request, kSeen);
   subject.Do(step::kRespond);
   CHECK(subject.Result()->outcome == apply_outcome::kTooLarge);
 }
@@ -502,7 +503,7 @@
     sequences *= kAllSteps.size();
   }
   for (std::size_t sequence = 0; sequence < sequences; ++sequence) {
-    trial subject(Request(), kSeen);
+    simulation subject(Request(), kSeen);
     auto rest = sequence;
     for (std::size_t at = 0; at < kLength; ++at) {
       subject.Do(kAllSteps.at(rest % kAllSteps.size()));
--- a/test/currantshed/store/era_model.cpp
+++ b/test/currantshed/store/era_model.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr std::size_t kVms = 4;
-constexpr auto kStep = 10ms;
+constexpr auto kTickInterval = 10ms;
 constexpr const char* kConfiguration = "op/config";
 constexpr const char* kGroup = "group";
 // Time within which an acknowledged configuration must be applied in the
@@ -468,7 +468,7 @@
 {
   const auto end = mTime.Now() + aSpan;
   while (mTime.Now() < end && violations.empty()) {
-    mTime.RunUntil(mTime.Now() + kStep);
+    mTime.RunUntil(mTime.Now() + kTickInterval);
     Step();
   }
 }
--- a/test/currantshed/store/restored_store.cpp
+++ b/test/currantshed/store/restored_store.cpp
@@ -172,30 +172,31 @@
 // a bounded call rate.
 TEST(restored_store, is_not_called_in_a_loop_if_it_reports_no_era)
 {
-  test::fake_key_value eraless;
-  eraless.Put("a/1", "one");
-  eraless.TakeSnapshot();
-  eraless.Put("a/1", "uno");
+  test::fake_key_value storeWithoutEra;
+  storeWithoutEra.Put("a/1", "one");
+  storeWithoutEra.TakeSnapshot();
+  storeWithoutEra.Put("a/1", "uno");
   store::prefix_view view(
-    eraless,
+    storeWithoutEra,
     "a/",
     {},
     { [](clock::time_point) {}, [](bool, std::error_code) {} });
   const auto run = [&](std::chrono::milliseconds aSpan) {
-    for (const auto end = eraless.now + aSpan; eraless.now < end;
-         eraless.now += 10ms) {
-      view.Tick(eraless.now, 0.5);
-      eraless.Answer();
+    for (const auto end = storeWithoutEra.now + aSpan;
+         storeWithoutEra.now < end;
+         storeWithoutEra.now += 10ms) {
+      view.Tick(storeWithoutEra.now, 0.5);
+      storeWithoutEra.Answer();
     }
   };
   run(100ms);
-  eraless.RestoreSnapshot();
-  eraless.ranges = 0;
+  storeWithoutEra.RestoreSnapshot();
+  storeWithoutEra.ranges = 0;
   run(kApplyBound);
-  CHECK(eraless.ranges <= kMaxReadsWithoutEra);
+  CHECK(storeWithoutEra.ranges <= kMaxReadsWithoutEra);
   STRCMP_EQUAL("a/1=uno ", Print(view).c_str());
-  eraless.Put("a/1", "due");
-  eraless.Put("a/1", "zwei");
+  storeWithoutEra.Put("a/1", "due");
+  storeWithoutEra.Put("a/1", "zwei");
   run(kApplyBound);
   STRCMP_EQUAL("a/1=zwei ", Print(view).c_str());
 }
