--- a/src/currantshed/store/call_timeout.cpp
+++ b/src/currantshed/store/call_timeout.cpp
@@ -8,12 +8,11 @@
 
 using std::chrono::milliseconds;
 
-// The store answers within milliseconds, or within a quarter of a second when
-// it is slow.
-constexpr milliseconds kUsual{ 1000 };
-// A quarter of a second, and the way of a large configuration.
-constexpr milliseconds kAtFirst{ 400 };
-constexpr milliseconds kLongest{ 4000 };
+// The store responds within milliseconds, or within 250 ms when it is slow.
+constexpr milliseconds kNormalTimeout{ 1000 };
+// 250 ms for a slow store, plus the transfer time of a large configuration.
+constexpr milliseconds kInitialTimeout{ 400 };
+constexpr milliseconds kMaxTimeout{ 4000 };
 
 } // namespace
 
@@ -21,10 +20,10 @@
 CallTimeout(clock::duration aSinceStart, bool aHasRead) noexcept
 {
   if (aHasRead) {
-    return kUsual;
+    return kNormalTimeout;
   }
   const auto half = std::chrono::duration_cast<milliseconds>(aSinceStart / 2);
-  return std::clamp(half, kAtFirst, kLongest);
+  return std::clamp(half, kInitialTimeout, kMaxTimeout);
 }
 
 } // namespace currantshed::store
--- a/test/currantshed/store/apply.cpp
+++ b/test/currantshed/store/apply.cpp
@@ -31,37 +31,37 @@
 
 namespace {
 
-constexpr char kMine[] = "mine";
+constexpr char kChange[] = "mine";
 constexpr std::uint64_t kSeen = 3;
 constexpr time_point kStart{ 1h };
 constexpr auto kLongWait = 1min;
 
-/// What happens next: to the call under way, or around it.
+/// A simulated event, of the call in progress or outside of it.
 enum class step
 {
-  /// The call is carried out and answered.
-  kAnswer,
-  /// The call fails without effect; a write may still arrive later.
+  /// The call is executed, and its response arrives.
+  kRespond,
+  /// The call fails without effect; a write may still take effect later.
   kLose,
-  /// The call takes effect, and its answer is lost.
-  kLoseAnswer,
-  /// The first write that was lost arrives after all.
-  kArriveLate,
+  /// The call takes effect, but its response is lost.
+  kLoseResponse,
+  /// The first lost write takes effect after all.
+  kDeliverLost,
   /// Another operator makes a change.
   kOther,
-  /// The key is overwritten by what is no record.
-  kGarble,
+  /// The key is overwritten with an invalid record.
+  kCorrupt,
 };
 
-constexpr std::array kAllSteps = { step::kAnswer,     step::kLose,
-                                   step::kLoseAnswer, step::kArriveLate,
-                                   step::kOther,      step::kGarble };
+constexpr std::array kAllSteps = { step::kRespond,      step::kLose,
+                                   step::kLoseResponse, step::kDeliverLost,
+                                   step::kOther,        step::kCorrupt };
 
-/// The store, other operators, and the way between.
-class world
+/// The store, other operators, and the network in between.
+class simulated_store
 {
 public:
-  explicit world(std::uint64_t aVersion)
+  explicit simulated_store(std::uint64_t aVersion)
   {
     while (Record().version < aVersion) {
       ChangeByOther();
@@ -82,7 +82,7 @@
     Store(PrintConfigurationRecord(NextConfigurationRecord(former, name, "o")));
   }
 
-  void Garble() { Store("{"); }
+  void Corrupt() { Store("{"); }
 
   bool Swap(const swap_configuration& aSwap)
   {
@@ -90,13 +90,13 @@
       return false;
     }
     Store(aSwap.value);
-    mTimesMine += Record().change == kMine ? 1 : 0;
+    mTimesApplied += Record().change == kChange ? 1 : 0;
     return true;
   }
 
   void Lose(const swap_configuration& aSwap) { mLost.push_back(aSwap); }
 
-  void ArriveLate()
+  void DeliverLost()
   {
     if (!mLost.empty()) {
       const auto swap = mLost.front();
@@ -105,15 +105,15 @@
     }
   }
 
-  void ArriveAll()
+  void DeliverAllLost()
   {
     while (!mLost.empty()) {
-      ArriveLate();
+      DeliverLost();
     }
   }
 
-  /// How often the change under test was put in force.
-  [[nodiscard]] int TimesMine() const { return mTimesMine; }
+  /// How many times the change under test was made.
+  [[nodiscard]] int TimesApplied() const { return mTimesApplied; }
 
 private:
   void Store(const std::string& aValue)
@@ -125,31 +125,31 @@
   entry mEntry;
   configuration_record mLastGood;
   std::vector<swap_configuration> mLost;
-  int mTimesMine = 0;
+  int mTimesApplied = 0;
 };
 
-/// Runs an applier through the steps.
-class trial
+/// Runs an applier through a sequence of steps.
+class simulation
 {
 public:
-  trial(apply_request aRequest, std::uint64_t aVersion)
-    : mWorld(aVersion)
+  simulation(apply_request aRequest, std::uint64_t aVersion)
+    : mStore(aVersion)
     , mSubject(std::move(aRequest), kStart)
   {
-    Take();
+    TakeAction();
   }
 
   void Do(step aStep)
   {
     switch (aStep) {
-      case step::kArriveLate:
-        mWorld.ArriveLate();
+      case step::kDeliverLost:
+        mStore.DeliverLost();
         return;
       case step::kOther:
-        mWorld.ChangeByOther();
+        mStore.ChangeByOther();
         return;
-      case step::kGarble:
-        mWorld.Garble();
+      case step::kCorrupt:
+        mStore.Corrupt();
         return;
       default:
         EndCall(aStep);
@@ -157,15 +157,15 @@
     }
   }
 
-  /// Lets the time run out, and all that is on its way arrive.
+  /// Lets the time run out and all lost writes take effect.
   void End()
   {
     if (mCall && std::holds_alternative<swap_configuration>(*mCall)) {
-      mWorld.Lose(std::get<swap_configuration>(*mCall));
+      mStore.Lose(std::get<swap_configuration>(*mCall));
     }
     mNow += kLongWait;
     mSubject.Tick(mNow);
-    mWorld.ArriveAll();
+    mStore.DeliverAllLost();
   }
 
   [[nodiscard]] const std::optional<apply_result>& Result() const
@@ -173,13 +173,14 @@
     return mSubject.Result();
   }
 
-  [[nodiscard]] int TimesMine() const { return mWorld.TimesMine(); }
+  [[nodiscard]] int TimesApplied() const { return mStore.TimesApplied(); }
 
 private:
-  void Take()
+  void TakeAction()
   {
     auto actions = mSubject.TakeActions();
-    mTooMany = mTooMany || actions.size() + (mCall ? 1 : 0) > 1;
+    mHasOverlappingCalls =
+      mHasOverlappingCalls || actions.size() + (mCall ? 1 : 0) > 1;
     if (!actions.empty()) {
       mCall = actions.front();
     }
@@ -190,7 +191,7 @@
     if (!mCall && !mSubject.Result()) {
       mNow = mSubject.NextTick();
       mSubject.Tick(mNow);
-      Take();
+      TakeAction();
     }
     if (!mCall) {
       return;
@@ -199,33 +200,33 @@
     mCall.reset();
     if (const auto* swap = std::get_if<swap_configuration>(&call)) {
       mSubject.ConfigurationSwapped(EndSwap(*swap, aStep), mNow);
-    } else if (aStep == step::kAnswer) {
-      mSubject.ConfigurationRead({}, mWorld.Entry(), mNow);
+    } else if (aStep == step::kRespond) {
+      mSubject.ConfigurationRead({}, mStore.Entry(), mNow);
     } else {
       mSubject.ConfigurationRead(errc::kTimeout, {}, mNow);
     }
-    Take();
-    CHECK_FALSE_TEXT(mTooMany, "more than one call under way");
+    TakeAction();
+    CHECK_FALSE_TEXT(mHasOverlappingCalls, "more than one call in progress");
   }
 
   swap_outcome EndSwap(const swap_configuration& aSwap, step aStep)
   {
     if (aStep == step::kLose) {
-      mWorld.Lose(aSwap);
+      mStore.Lose(aSwap);
       return swap_outcome::kUnknown;
     }
-    const bool applied = mWorld.Swap(aSwap);
-    if (aStep == step::kLoseAnswer) {
+    const bool applied = mStore.Swap(aSwap);
+    if (aStep == step::kLoseResponse) {
       return swap_outcome::kUnknown;
     }
     return applied ? swap_outcome::kApplied : swap_outcome::kConflict;
   }
 
-  world mWorld;
+  simulated_store mStore;
   time_point mNow = kStart;
   applier mSubject;
   std::optional<apply_action> mCall;
-  bool mTooMany = false;
+  bool mHasOverlappingCalls = false;
 };
 
 apply_request
@@ -233,7 +234,7 @@
 {
   apply_request request;
   request.declaration = "d";
-  request.change = kMine;
+  request.change = kChange;
   request.expectedVersion = aSeen;
   return request;
 }
@@ -245,179 +246,181 @@
   std::vector<step> steps;
   apply_outcome outcome;
   std::uint64_t inForce;
-  int timesMine;
+  int timesApplied;
 };
 
 std::vector<step>
-Then(std::vector<step> aFirst, std::size_t aTimes, step aLast)
+FollowedBy(std::vector<step> aFirst, std::size_t aTimes, step aLast)
 {
   aFirst.insert(aFirst.end(), aTimes, aLast);
   return aFirst;
 }
 
 std::vector<step>
-LostAnswerThenOthers(std::size_t aOthers)
+LostResponseThenOthers(std::size_t aOthers)
 {
   auto steps =
-    Then({ step::kAnswer, step::kLoseAnswer }, aOthers, step::kOther);
-  steps.push_back(step::kAnswer);
+    FollowedBy({ step::kRespond, step::kLoseResponse }, aOthers, step::kOther);
+  steps.push_back(step::kRespond);
   return steps;
 }
 
 const apply_row kRows[] = {
-  { "no fault",
+  { "no faults",
     kSeen,
-    { step::kAnswer, step::kAnswer },
+    { step::kRespond, step::kRespond },
     apply_outcome::kApplied,
     4,
     1 },
-  { "race lost before the start",
+  { "another change was made before the start",
     5,
-    { step::kAnswer },
+    { step::kRespond },
     apply_outcome::kLostRace,
     5,
     0 },
-  { "race lost to the write of another",
+  { "another change is made between read and write",
     kSeen,
-    { step::kAnswer, step::kOther, step::kAnswer, step::kAnswer },
+    { step::kRespond, step::kOther, step::kRespond, step::kRespond },
     apply_outcome::kLostRace,
     4,
     0 },
-  { "answer lost after the effect",
+  { "the response to an applied write is lost",
     kSeen,
-    { step::kAnswer, step::kLoseAnswer, step::kAnswer },
+    { step::kRespond, step::kLoseResponse, step::kRespond },
     apply_outcome::kApplied,
     4,
     1 },
-  { "answer lost, others build on it",
+  { "response lost, then changes by others",
     kSeen,
-    LostAnswerThenOthers(2),
+    LostResponseThenOthers(2),
     apply_outcome::kApplied,
     6,
     1 },
-  { "answer lost, as many build on it as a record names",
+  { "response lost, then as many changes by others as a record lists",
     kSeen,
-    LostAnswerThenOthers(kEarlierChanges),
+    LostResponseThenOthers(kEarlierChanges),
     apply_outcome::kApplied,
     4 + kEarlierChanges,
     1 },
-  { "answer lost, more build on it than a record names",
+  { "response lost, then more changes by others than a record lists",
     kSeen,
-    LostAnswerThenOthers(kEarlierChanges + 1),
+    LostResponseThenOthers(kEarlierChanges + 1),
     apply_outcome::kUnknown,
     5 + kEarlierChanges,
     1 },
-  { "answer lost, race lost",
+  { "response lost, after a change by another operator",
     kSeen,
-    { step::kAnswer, step::kOther, step::kLoseAnswer, step::kAnswer },
+    { step::kRespond, step::kOther, step::kLoseResponse, step::kRespond },
     apply_outcome::kLostRace,
     4,
     0 },
-  { "lost before the effect, written again",
+  { "write lost, then retried",
     kSeen,
-    { step::kAnswer, step::kLose, step::kAnswer, step::kAnswer },
+    { step::kRespond, step::kLose, step::kRespond, step::kRespond },
     apply_outcome::kApplied,
     4,
     1 },
-  { "lost before the effect, race lost",
+  { "write lost, then a change by another operator",
     kSeen,
-    { step::kAnswer, step::kLose, step::kOther, step::kAnswer },
+    { step::kRespond, step::kLose, step::kOther, step::kRespond },
     apply_outcome::kLostRace,
     4,
     0 },
-  { "arrives late, between reading back and writing again",
+  { "a lost write takes effect between the read and the retry",
     kSeen,
-    { step::kAnswer,
+    { step::kRespond,
       step::kLose,
-      step::kAnswer,
-      step::kArriveLate,
-      step::kAnswer,
-      step::kAnswer },
+      step::kRespond,
+      step::kDeliverLost,
+      step::kRespond,
+      step::kRespond },
     apply_outcome::kApplied,
     4,
     1 },
-  { "lost twice after the effect",
+  { "write lost, then the response to its retry lost",
     kSeen,
-    { step::kAnswer,
+    { step::kRespond,
       step::kLose,
-      step::kAnswer,
-      step::kLoseAnswer,
-      step::kAnswer },
+      step::kRespond,
+      step::kLoseResponse,
+      step::kRespond },
     apply_outcome::kApplied,
     4,
     1 },
-  { "outage from the start",
+  { "an outage from the start",
     kSeen,
     { step::kLose, step::kLose },
     apply_outcome::kNotReached,
     0,
     0 },
-  { "outage in the middle, effect made",
+  { "an outage after an applied write",
     kSeen,
-    { step::kAnswer, step::kLoseAnswer, step::kLose, step::kLose },
+    { step::kRespond, step::kLoseResponse, step::kLose, step::kLose },
     apply_outcome::kUnknown,
     3,
     1 },
-  { "outage in the middle, ends in time",
+  { "an outage after an applied write that ends in time",
     kSeen,
-    { step::kAnswer, step::kLoseAnswer, step::kLose, step::kAnswer },
+    { step::kRespond, step::kLoseResponse, step::kLose, step::kRespond },
     apply_outcome::kApplied,
     4,
     1 },
-  { "outage after a refused write",
+  { "an outage after a rejected write",
     kSeen,
-    { step::kAnswer, step::kOther, step::kAnswer, step::kLose },
+    { step::kRespond, step::kOther, step::kRespond, step::kLose },
     apply_outcome::kNotReached,
     3,
     0 },
-  { "a write without an answer when the time is up",
+  { "a write without a response at the timeout",
     kSeen,
-    { step::kAnswer },
+    { step::kRespond },
     apply_outcome::kUnknown,
     3,
     0 },
-  { "garbled at the start",
+  { "an invalid record at the start",
     kSeen,
-    { step::kGarble, step::kAnswer },
+    { step::kCorrupt, step::kRespond },
     apply_outcome::kUnreadable,
     0,
     0 },
-  { "garbled while in doubt",
+  { "an invalid record while a write is in doubt",
     kSeen,
-    { step::kAnswer, step::kLoseAnswer, step::kGarble, step::kAnswer },
+    { step::kRespond, step::kLoseResponse, step::kCorrupt, step::kRespond },
     apply_outcome::kUnknown,
     3,
     1 },
-  { "the store went back",
+  { "the store was restored from an older snapshot",
     2,
-    { step::kAnswer },
+    { step::kRespond },
     apply_outcome::kLostRace,
     2,
     0 },
 };
 
-struct truth
+struct allowed_count
 {
   apply_outcome outcome;
   int fewest;
   int most;
 };
 
-/// How often the change may have been made for each word to the operator.
-constexpr truth kTruths[] = {
+/// How many times the change may have been made for each reported outcome.
+constexpr allowed_count kAllowedCounts[] = {
   { apply_outcome::kApplied, 1, 1 },    { apply_outcome::kLostRace, 0, 0 },
   { apply_outcome::kNotReached, 0, 0 }, { apply_outcome::kUnknown, 0, 1 },
   { apply_outcome::kUnreadable, 0, 0 }, { apply_outcome::kTooLarge, 0, 0 },
 };
 
 bool
-IsTrue(apply_outcome aOutcome, int aTimesMade)
+IsAccurate(apply_outcome aOutcome, int aTimesMade)
 {
-  return std::any_of(
-    std::begin(kTruths), std::end(kTruths), [&](const truth& aTruth) {
-      return aTruth.outcome == aOutcome && aTimesMade >= aTruth.fewest &&
-             aTimesMade <= aTruth.most;
-    });
+  return std::any_of(std::begin(kAllowedCounts),
+                     std::end(kAllowedCounts),
+                     [&](const allowed_count& aCount) {
+                       return aCount.outcome == aOutcome &&
+                              aTimesMade >= aCount.fewest &&
+                              aTimesMade <= aCount.most;
+                     });
 }
 
 } // namespace
@@ -427,24 +430,24 @@
 TEST(apply, rows)
 {
   for (const auto& row : kRows) {
-    trial subject(Request(), row.inStore);
+    simulation subject(Request(), row.inStore);
     for (const auto next : row.steps) {
       subject.Do(next);
     }
-    const int made = subject.TimesMine();
+    const int made = subject.TimesApplied();
     subject.End();
     CHECK_TEXT(subject.Result()->outcome == row.outcome, row.name);
     CHECK_TEXT(subject.Result()->inForce == row.inForce, row.name);
     CHECK_TEXT(subject.Result()->version == kSeen + 1, row.name);
-    LONGS_EQUAL_TEXT(row.timesMine, made, row.name);
+    LONGS_EQUAL_TEXT(row.timesApplied, made, row.name);
   }
 }
 
 TEST(apply, the_first_configuration)
 {
-  trial subject(Request(0), 0);
-  subject.Do(step::kAnswer);
-  subject.Do(step::kAnswer);
+  simulation subject(Request(0), 0);
+  subject.Do(step::kRespond);
+  subject.Do(step::kRespond);
   CHECK(subject.Result()->outcome == apply_outcome::kApplied);
   CHECK(subject.Result()->version == 1);
 }
@@ -454,7 +457,7 @@
   apply_request request = Request();
   request.askedBefore = true;
   applier subject(request, kStart);
-  const configuration_record mine{ 4, kMine, "d", "", "", {} };
+  const configuration_record mine{ 4, kChange, "d", "", "", {} };
   subject.ConfigurationRead(
     {}, entry{ PrintConfigurationRecord(mine), 9 }, kStart);
   CHECK(subject.Result()->outcome == apply_outcome::kApplied);
@@ -473,8 +476,8 @@
 {
   apply_request request = Request();
   request.declaration.assign(currantshed::store::kMaxValueBytes, 'x');
-  trial subject(request, kSeen);
-  subject.Do(step::kAnswer);
+  simulation subject(request, kSeen);
+  subject.Do(step::kRespond);
   CHECK(subject.Result()->outcome == apply_outcome::kTooLarge);
 }
 
@@ -489,27 +492,27 @@
   CHECK(subject.TakeActions().size() == 1);
 }
 
-/// Every order of steps up to a length: whatever happens, the operator is
-/// told the truth, also about what arrives afterwards.
-TEST(apply, every_interleaving_is_told_truthfully)
+/// For every sequence of steps up to a length, the reported outcome is
+/// accurate, also with regard to writes that take effect afterwards.
+TEST(apply, every_interleaving_is_reported_accurately)
 {
   constexpr std::size_t kLength = 6;
-  std::array<int, std::size(kTruths)> seen{};
-  std::size_t orders = 1;
+  std::array<int, std::size(kAllowedCounts)> seen{};
+  std::size_t sequences = 1;
   for (std::size_t at = 0; at < kLength; ++at) {
-    orders *= kAllSteps.size();
+    sequences *= kAllSteps.size();
   }
-  for (std::size_t order = 0; order < orders; ++order) {
-    trial subject(Request(), kSeen);
-    auto rest = order;
+  for (std::size_t sequence = 0; sequence < sequences; ++sequence) {
+    simulation subject(Request(), kSeen);
+    auto rest = sequence;
     for (std::size_t at = 0; at < kLength; ++at) {
       subject.Do(kAllSteps.at(rest % kAllSteps.size()));
       rest /= kAllSteps.size();
     }
     subject.End();
     const auto outcome = subject.Result()->outcome;
-    CHECK_TEXT(IsTrue(outcome, subject.TimesMine()),
-               std::to_string(order).c_str());
+    CHECK_TEXT(IsAccurate(outcome, subject.TimesApplied()),
+               std::to_string(sequence).c_str());
     ++seen.at(static_cast<std::size_t>(outcome));
   }
   const auto reached = std::count_if(
--- a/test/currantshed/store/curl_transport.cpp
+++ b/test/currantshed/store/curl_transport.cpp
@@ -36,10 +36,11 @@
 constexpr std::uint16_t kPort = 22999;
 constexpr std::uint32_t kLoopbackNet = 127U << 24U;
 constexpr char kHeadEnd[] = "\r\n\r\n";
-/// Bounds a test that goes wrong; no test waits for it otherwise.
+/// Only bounds the duration of a failing test.
 constexpr auto kLongTimeout = 10s;
 
-/// A loopback address of this process's own: tests may run side by side.
+/// A loopback address unique to this process, so that tests can run in
+/// parallel.
 boost::asio::ip::address_v4
 OwnAddress()
 {
@@ -47,17 +48,17 @@
                                      static_cast<std::uint32_t>(getpid()));
 }
 
-/// What the server does with a request, once its head is there.
+/// How the server reacts to a request after having read its header.
 struct reaction
 {
-  /// Sent as it is.
+  /// Sent unchanged.
   std::string bytes;
-  /// Whether the connection is then closed, or kept for the next request.
+  /// Whether the connection is then closed or kept for the next request.
   bool closes = false;
 };
 
-/// Serves connections with the reactions in their order, and closes a
-/// connection once there are none left.
+/// Answers requests with the scripted reactions in order, and closes a
+/// connection when none are left.
 class scripted_server
 {
 public:
@@ -68,7 +69,7 @@
     Accept();
   }
 
-  /// The first lines of all requests, as they came.
+  /// The request lines of all requests, in order.
   [[nodiscard]] const std::vector<std::string>& Requests() const
   {
     return mRequests;
@@ -154,7 +155,7 @@
          "Content-Length: " + std::to_string(aBody.size()) + kHeadEnd + aBody;
 }
 
-struct answer_row
+struct response_row
 {
   const char* name;
   reaction given;
@@ -165,7 +166,7 @@
   const char* body;
 };
 
-const answer_row kAnswerRows[] = {
+const response_row kResponseRows[] = {
   { "whole",
     { WithLength("X-Consul-Index: 42\r\n", "text"), false },
     kLongTimeout,
@@ -173,14 +174,14 @@
     200,
     42,
     "text" },
-  { "the header's name in lower case",
+  { "header name in lower case",
     { WithLength("x-consul-index:7\r\n", ""), false },
     kLongTimeout,
     {},
     200,
     7,
     "" },
-  { "an index that is no number",
+  { "an index that is not a number",
     { WithLength("X-Consul-Index: x\r\n", ""), false },
     kLongTimeout,
     {},
@@ -201,7 +202,7 @@
     0,
     0,
     "" },
-  { "closed without an answer",
+  { "closed without a response",
     { "", true },
     kLongTimeout,
     errc::kUnreachable,
@@ -215,14 +216,14 @@
     0,
     0,
     "" },
-  { "announced above the limit",
+  { "a Content-Length above the limit",
     { WithLength("", std::string(kMaxResponseBytes + 1, 'x')), true },
     kLongTimeout,
     errc::kTooLarge,
     0,
     0,
     "" },
-  { "above the limit, without a length",
+  { "a body above the limit without a Content-Length",
     { "HTTP/1.1 200 OK\r\n\r\n" + std::string(kMaxResponseBytes + 1, 'x'),
       true },
     kLongTimeout,
@@ -230,7 +231,7 @@
     0,
     0,
     "" },
-  { "never answered", { "", false }, 20ms, errc::kTimeout, 0, 0, "" },
+  { "no response", { "", false }, 20ms, errc::kTimeout, 0, 0, "" },
 };
 
 http_request
@@ -243,20 +244,20 @@
   return request;
 }
 
-/// Sends one request and runs the loop until its answer is there.
+/// Sends a request and runs the loop until its response has arrived.
 http_response
 Ask(boost::asio::io_context& aLoop,
     transport& aTransport,
     const http_request& aRequest)
 {
-  std::optional<http_response> answer;
-  aTransport.Send(aRequest, [&answer](http_response aAnswer) {
-    answer = std::move(aAnswer);
+  std::optional<http_response> response;
+  aTransport.Send(aRequest, [&response](http_response aResponse) {
+    response = std::move(aResponse);
   });
-  while (!answer) {
+  while (!response) {
     aLoop.run_one();
   }
-  return *answer;
+  return *response;
 }
 
 } // namespace
@@ -265,21 +266,21 @@
 
 TEST(curl_transport, answers)
 {
-  for (const auto& row : kAnswerRows) {
+  for (const auto& row : kResponseRows) {
     boost::asio::io_context loop;
     scripted_server server(loop, { row.given });
     const auto subject = MakeCurlTransport(loop, Base());
-    const auto answer =
+    const auto response =
       Ask(loop, *subject, Request(http_method::kGet, row.timeout));
-    CHECK_TEXT(answer.error == row.error, row.name);
-    LONGS_EQUAL_TEXT(row.status, answer.status, row.name);
-    CHECK_TEXT(answer.index == row.index, row.name);
-    STRCMP_EQUAL_TEXT(row.body, answer.body.c_str(), row.name);
+    CHECK_TEXT(response.error == row.error, row.name);
+    LONGS_EQUAL_TEXT(row.status, response.status, row.name);
+    CHECK_TEXT(response.index == row.index, row.name);
+    STRCMP_EQUAL_TEXT(row.body, response.body.c_str(), row.name);
   }
 }
 
-/// libcurl repeats a request when a connection used before ends without an
-/// answer; a compare-and-swap must not be repeated.
+/// libcurl repeats a request if a reused connection closes without a response;
+/// a compare-and-swap must not be repeated.
 TEST(curl_transport, a_write_is_sent_once_though_a_used_connection_is_there)
 {
   boost::asio::io_context loop;
@@ -287,9 +288,9 @@
     loop, { { WithLength("", "text"), false }, { "", true }, { "", true } });
   const auto subject = MakeCurlTransport(loop, Base());
   Ask(loop, *subject, Request(http_method::kGet, kLongTimeout));
-  const auto answer =
+  const auto response =
     Ask(loop, *subject, Request(http_method::kPut, kLongTimeout));
-  CHECK(answer.error == errc::kUnreachable);
+  CHECK(response.error == errc::kUnreachable);
   LONGS_EQUAL(2, server.Requests().size());
   STRCMP_EQUAL("PUT /v1/kv/k HTTP/1.1", server.Requests().back().c_str());
   LONGS_EQUAL(2, server.Connections());
@@ -311,9 +312,9 @@
 {
   boost::asio::io_context loop;
   const auto subject = MakeCurlTransport(loop, Base());
-  const auto answer =
+  const auto response =
     Ask(loop, *subject, Request(http_method::kPut, kLongTimeout));
-  CHECK(answer.error == errc::kUnreachable);
+  CHECK(response.error == errc::kUnreachable);
 }
 
 TEST(curl_transport, may_be_destroyed_by_a_callback_with_calls_under_way)
--- a/test/currantshed/store/era_model.cpp
+++ b/test/currantshed/store/era_model.cpp
@@ -16,20 +16,20 @@
 namespace {
 
 constexpr std::size_t kVms = 4;
-constexpr auto kStep = 10ms;
+constexpr auto kTickInterval = 10ms;
 constexpr const char* kConfiguration = "op/config";
 constexpr const char* kGroup = "group";
-// How soon an acknowledged configuration must be in force where nothing is
-// wrong.
-constexpr auto kInForce = 3000ms;
-constexpr auto kCopyInterval = 200ms;
-constexpr auto kCopiesReach = 6000ms;
-// When the operator writes again what was lost.
-constexpr auto kWrittenAgain = 1500ms;
+// Time within which an acknowledged configuration must be applied in the
+// absence of faults.
+constexpr auto kApplyBound = 3000ms;
+constexpr auto kSnapshotInterval = 200ms;
+constexpr auto kSnapshotRetention = 6000ms;
+// Time after which the operator writes lost changes again.
+constexpr auto kRewriteTime = 1500ms;
 constexpr auto kLeaseTime = 2000ms;
 constexpr auto kCallTime = 1000ms;
-// An order goes out this soon after the reading that allows it.
-constexpr auto kOrderLife = 300ms;
+// Maximum time between a command and the read that permits it.
+constexpr auto kCommandValidity = 300ms;
 
 std::string
 Name(std::size_t aVm)
@@ -39,16 +39,18 @@
 
 } // namespace
 
-/// One VM: the real parts, as control wires them.
+/// A VM: the real components, connected as in node::control.
 struct era_model::modelled_vm
 {
-  modelled_vm(era_model& aModel, std::size_t aNumber, std::uint64_t aLife);
+  modelled_vm(era_model& aModel,
+              std::size_t aNumber,
+              std::uint64_t aIncarnation);
 
-  // Callbacks of a VM that has ended are left out.
+  // Callbacks of a VM that has stopped are ignored.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
   std::size_t number;
-  std::uint64_t life;
-  bool isCut = false;
+  std::uint64_t incarnation;
+  bool isDisconnected = false;
   std::unique_ptr<store_link> calls;
   store::era_guard guard;
   store::prefix_view configuration;
@@ -59,11 +61,11 @@
   bool isClaiming = false;
   clock::time_point nextClaim{};
   clock::time_point nextCheck{};
-  clock::time_point provedAt{};
-  clock::time_point calmSince;
+  clock::time_point verifiedAt{};
+  clock::time_point stableSince;
 };
 
-/// A VM's way to the store.
+/// The connection of a VM to the store.
 class era_model::store_link final : public store::key_value
 {
 public:
@@ -81,7 +83,8 @@
   {
     Call([this, aKey, aDone](bool aIsLost) -> std::function<void()> {
       if (aIsLost) {
-        return [this, aDone] { aDone(store::errc::kTimeout, {}, None()); };
+        return
+          [this, aDone] { aDone(store::errc::kTimeout, {}, NoResponse()); };
       }
       const auto& items = mModel.mStore.items;
       const auto found = items.find(aKey);
@@ -93,7 +96,7 @@
       return [this, aDone, item, era] {
         auto read = item;
         if (read) {
-          read = Stamped(*read, era);
+          read = WithEra(*read, era);
         }
         aDone({}, read, Reply(era));
       };
@@ -104,7 +107,8 @@
   {
     Call([this, aPrefix, aDone](bool aIsLost) -> std::function<void()> {
       if (aIsLost) {
-        return [this, aDone] { aDone(store::errc::kTimeout, {}, {}, None()); };
+        return
+          [this, aDone] { aDone(store::errc::kTimeout, {}, {}, NoResponse()); };
       }
       std::vector<store::item> items;
       for (const auto& [key, item] : mModel.mStore.items) {
@@ -116,7 +120,7 @@
       return [this, aDone, items, era, number = mModel.mStore.number] {
         auto read = items;
         for (auto& one : read) {
-          one = Stamped(one, era);
+          one = WithEra(one, era);
         }
         aDone({}, read, { EraOf(era), number }, Reply(era));
       };
@@ -150,8 +154,9 @@
     const auto known = Known();
     Call([this, aWhat, aDone, known](bool aIsLost) -> std::function<void()> {
       if (aIsLost) {
-        return
-          [this, aDone] { aDone(store::commit_outcome::kUnknown, {}, None()); };
+        return [this, aDone] {
+          aDone(store::commit_outcome::kUnknown, {}, NoResponse());
+        };
       }
       const auto outcome = Do(aWhat, known);
       const auto era = mModel.mEra;
@@ -165,13 +170,14 @@
   {
     Call([this, aDone](bool aIsLost) -> std::function<void()> {
       if (aIsLost) {
-        return [this, aDone] { aDone(store::errc::kTimeout, {}, None()); };
+        return
+          [this, aDone] { aDone(store::errc::kTimeout, {}, NoResponse()); };
       }
-      auto& kept = mModel.mStore;
-      kept.leases[++kept.lastLease] = mModel.mTime.Now() + kLeaseTime;
-      kept.owners[kept.lastLease] = mVm;
+      auto& state = mModel.mStore;
+      state.leases[++state.lastLease] = mModel.mTime.Now() + kLeaseTime;
+      state.owners[state.lastLease] = mVm;
       const auto era = mModel.mEra;
-      return [this, aDone, era, lease = kept.lastLease] {
+      return [this, aDone, era, lease = state.lastLease] {
         aDone({}, { EraOf(era), lease }, Reply(era));
       };
     });
@@ -182,18 +188,18 @@
     const auto known = Known();
     Call([this, aLease, aDone, known](bool aIsLost) -> std::function<void()> {
       if (aIsLost) {
-        return [this, aDone] { aDone(store::errc::kTimeout, None()); };
+        return [this, aDone] { aDone(store::errc::kTimeout, NoResponse()); };
       }
       const auto found = mModel.mStore.leases.find(aLease.number);
-      const bool lives = found != mModel.mStore.leases.end();
-      if (lives) {
-        mModel.Touched(mVm, aLease.number, known);
+      const bool exists = found != mModel.mStore.leases.end();
+      if (exists) {
+        mModel.CheckLeaseOwner(mVm, aLease.number, known);
         found->second = mModel.mTime.Now() + kLeaseTime;
       }
       const auto era = mModel.mEra;
-      return [this, aDone, era, lives] {
-        aDone(lives ? std::error_code{}
-                    : make_error_code(store::errc::kLeaseNotFound),
+      return [this, aDone, era, exists] {
+        aDone(exists ? std::error_code{}
+                     : make_error_code(store::errc::kLeaseNotFound),
               Reply(era));
       };
     });
@@ -202,12 +208,12 @@
   void Revoke(store::lease_id) override {}
 
 private:
-  [[nodiscard]] store::response_info None() const
+  [[nodiscard]] store::response_info NoResponse() const
   {
     return { mModel.mTime.Now() };
   }
 
-  // What the VM knows of eras as it sends a call.
+  // The era that the VM knows when it sends a call.
   [[nodiscard]] store::era_id Known() const
   {
     return mModel.mVms[mVm]->guard.Era().value_or(0);
@@ -215,7 +221,7 @@
 
   [[nodiscard]] store::era_id EraOf(store::era_id aGivenIn) const
   {
-    switch (mModel.mMistake) {
+    switch (mModel.mBug) {
       case seeded_bug::kEraIgnored:
         return 0;
       case seeded_bug::kEraOfArrival:
@@ -230,7 +236,7 @@
     return { mModel.mTime.Now(), EraOf(aGivenIn) };
   }
 
-  [[nodiscard]] store::item Stamped(store::item aItem,
+  [[nodiscard]] store::item WithEra(store::item aItem,
                                     store::era_id aGivenIn) const
   {
     aItem.changed.era = EraOf(aGivenIn);
@@ -238,8 +244,8 @@
     return aItem;
   }
 
-  // Has the store do something after a while, and calls back once: with its
-  // answer, which may come late, or as lost.
+  // Has the store execute a call after a delay, and calls back once: with its
+  // response, which may be late, or with a failure.
   void Call(const std::function<std::function<void()>(bool)>& aWhat)
   {
     auto ended = std::make_shared<bool>(false);
@@ -249,8 +255,9 @@
       }
     };
     mModel.mTime.After(kCallTime, [end, aWhat] { end(aWhat(true)); });
-    const bool isCut = mModel.mVms[mVm] != nullptr && mModel.mVms[mVm]->isCut;
-    if (isCut || mModel.Chance(10)) {
+    const bool isDisconnected =
+      mModel.mVms[mVm] != nullptr && mModel.mVms[mVm]->isDisconnected;
+    if (isDisconnected || mModel.Chance(10)) {
       return;
     }
     const auto run = [this, end, aWhat, alive = mAlive, ended] {
@@ -266,15 +273,15 @@
       if (!*alive) {
         return;
       }
-      if (mModel.mTime.Now() >= mModel.mAwayUntil) {
+      if (mModel.mTime.Now() >= mModel.mDownUntil) {
         run();
       } else if (mModel.Chance(500)) {
-        mModel.mHeld.push_back(run);
+        mModel.mDelayedCalls.push_back(run);
       }
     });
   }
 
-  // Waits for changes; returns how to give that up.
+  // Waits for changes. Returns a function that cancels the watch.
   std::function<void()> Follow(const std::string& aPrefix,
                                store::revision aAfter,
                                std::chrono::milliseconds aMaxWait,
@@ -287,14 +294,14 @@
       }
     };
     const auto fail = [this, end, aDone] {
-      end([&] { aDone(store::errc::kTimeout, {}, {}, None()); });
+      end([&] { aDone(store::errc::kTimeout, {}, {}, NoResponse()); });
     };
     const auto until = mModel.mTime.Now() + aMaxWait;
-    // Answers where there is something to tell, or its time is up.
+    // Responds if there are changes or the wait time is over.
     const auto tryOnce =
       [this, ended, end, alive = mAlive, aPrefix, aAfter, aDone, until](
-        bool aIsCut) {
-        if (*ended || aIsCut || !*alive) {
+        bool aIsFailed) {
+        if (*ended || aIsFailed || !*alive) {
           return true;
         }
         const auto era = mModel.mEra;
@@ -320,20 +327,20 @@
         mModel.mTime.After(
           mModel.Delay(), [this, end, aDone, era, number, changes] {
             end([&] {
-              auto told = changes;
-              for (auto& one : told) {
-                one.now = Stamped(one.now, era);
+              auto stamped = changes;
+              for (auto& one : stamped) {
+                one.now = WithEra(one.now, era);
               }
-              aDone({}, told, { EraOf(era), number }, Reply(era));
+              aDone({}, stamped, { EraOf(era), number }, Reply(era));
             });
           });
         return true;
       };
     mModel.mTime.After(aMaxWait + 2 * kCallTime, fail);
-    const bool isCut = mModel.mVms[mVm]->isCut;
-    if (!isCut) {
+    const bool isDisconnected = mModel.mVms[mVm]->isDisconnected;
+    if (!isDisconnected) {
       mModel.mTime.After(mModel.Delay(), [&model = mModel, tryOnce] {
-        model.mWaiting.push_back(tryOnce);
+        model.mPendingWatches.push_back(tryOnce);
       });
     }
     return [this, fail] { mModel.mTime.After(1ms, fail); };
@@ -342,22 +349,22 @@
   store::commit_outcome Do(const store::transaction& aWhat,
                            store::era_id aKnown)
   {
-    auto& kept = mModel.mStore;
+    auto& state = mModel.mStore;
     for (const auto& one : aWhat.conditions) {
-      const auto found = kept.items.find(one.key);
+      const auto found = state.items.find(one.key);
       const auto now =
-        found == kept.items.end() ? 0 : found->second.changed.number;
+        found == state.items.end() ? 0 : found->second.changed.number;
       if (now != one.changed.number) {
         return store::commit_outcome::kConflict;
       }
     }
     for (const auto& one : aWhat.puts) {
       const auto lease = one.lease.number;
-      if (lease != 0 && !kept.leases.contains(lease)) {
+      if (lease != 0 && !state.leases.contains(lease)) {
         return store::commit_outcome::kLeaseNotFound;
       }
       if (lease != 0) {
-        mModel.Touched(mVm, lease, aKnown);
+        mModel.CheckLeaseOwner(mVm, lease, aKnown);
       }
     }
     for (const auto& one : aWhat.puts) {
@@ -374,9 +381,9 @@
 
 era_model::modelled_vm::modelled_vm(era_model& aModel,
                                     std::size_t aNumber,
-                                    std::uint64_t aLife)
+                                    std::uint64_t aIncarnation)
   : number(aNumber)
-  , life(aLife)
+  , incarnation(aIncarnation)
   , calls(std::make_unique<store_link>(aModel, aNumber))
   , guard(*calls,
           { [&aModel, alive = alive](const std::function<void()>& aCall) {
@@ -407,22 +414,22 @@
         {},
         { [](clock::time_point) {}, [](bool, std::error_code) {} })
   , registration(guard, own, node::VmKey(Name(aNumber)), {})
-  , calmSince(aModel.mTime.Now())
+  , stableSince(aModel.mTime.Now())
 {
   node::vm_record record;
   record.where = { Name(aNumber), "10.0.0.1", 7440 };
   record.failureDomain = "here";
-  record.incarnation = aLife;
+  record.incarnation = aIncarnation;
   registration.SetValue(node::SerializeVm(record));
 }
 
-era_model::era_model(std::uint32_t aSeed, seeded_bug aMistake)
+era_model::era_model(std::uint32_t aSeed, seeded_bug aBug)
   : mRandom(aSeed)
-  , mMistake(aMistake)
+  , mBug(aBug)
   , mNextVersion(mTime.Now() + 2s)
-  , mCalmSince(mTime.Now())
+  , mStableSince(mTime.Now())
 {
-  Configure();
+  WriteConfiguration();
   for (std::size_t i = 0; i < kVms; ++i) {
     mVms.push_back(std::make_unique<modelled_vm>(*this, i, i + 1));
   }
@@ -449,19 +456,19 @@
 }
 
 void
-era_model::Fault(const std::string& aWhat)
+era_model::ReportViolation(const std::string& aWhat)
 {
   const auto at = std::chrono::duration_cast<std::chrono::milliseconds>(
     mTime.Now().time_since_epoch() - 1h);
-  wrong.push_back(std::to_string(at.count()) + " ms: " + aWhat);
+  violations.push_back(std::to_string(at.count()) + " ms: " + aWhat);
 }
 
 void
 era_model::Run(std::chrono::seconds aSpan)
 {
   const auto end = mTime.Now() + aSpan;
-  while (mTime.Now() < end && wrong.empty()) {
-    mTime.RunUntil(mTime.Now() + kStep);
+  while (mTime.Now() < end && violations.empty()) {
+    mTime.RunUntil(mTime.Now() + kTickInterval);
     Step();
   }
 }
@@ -469,49 +476,49 @@
 void
 era_model::Step()
 {
-  Trouble();
+  InjectFaults();
   const auto now = mTime.Now();
-  if (now >= mAwayUntil) {
-    for (const auto& call : std::exchange(mHeld, {})) {
+  if (now >= mDownUntil) {
+    for (const auto& call : std::exchange(mDelayedCalls, {})) {
       call();
     }
     Expire();
     if (now >= mNextVersion) {
       mNextVersion = now + std::chrono::milliseconds{ 300 + mRandom() % 7000 };
-      Configure();
+      WriteConfiguration();
     }
-    AnswerWaiting();
-    if (mCopies.empty() || now >= mCopies.back().at + kCopyInterval) {
-      mCopies.push_back({ now, mStore });
+    AnswerWatches();
+    if (mSnapshots.empty() || now >= mSnapshots.back().at + kSnapshotInterval) {
+      mSnapshots.push_back({ now, mStore });
     }
-    while (mCopies.front().at < now - kCopiesReach) {
-      mCopies.pop_front();
+    while (mSnapshots.front().at < now - kSnapshotRetention) {
+      mSnapshots.pop_front();
     }
   }
   for (std::size_t i = 0; i < kVms; ++i) {
     ++steps;
-    Work(i);
+    RunVm(i);
     CheckVersions(i);
-    CheckEvidence(i);
+    CheckVerification(i);
   }
 }
 
 void
-era_model::Trouble()
+era_model::InjectFaults()
 {
   const auto now = mTime.Now();
-  if (now >= mAwayUntil && Chance(2)) {
-    Lose();
+  if (now >= mDownUntil && Chance(2)) {
+    StartOutage();
   }
   for (std::size_t i = 0; i < kVms; ++i) {
     auto& one = *mVms[i];
     if (Chance(1) && Chance(500)) {
-      one.isCut = !one.isCut;
-      one.calmSince = now;
+      one.isDisconnected = !one.isDisconnected;
+      one.stableSince = now;
     }
-    if (one.isCut) {
-      one.calmSince = now;
-      one.isCut = !Chance(5);
+    if (one.isDisconnected) {
+      one.stableSince = now;
+      one.isDisconnected = !Chance(5);
     }
   }
   if (Chance(1) && Chance(300)) {
@@ -524,51 +531,53 @@
   }
 }
 
-// The store is away for a moment, and comes back from an older copy.
+// The store is down for a moment, then restored from an older snapshot.
 void
-era_model::Lose()
+era_model::StartOutage()
 {
-  ++returns;
+  ++restores;
   const auto now = mTime.Now();
-  const auto away = std::chrono::milliseconds{ mRandom() % 2000 };
+  const auto downtime = std::chrono::milliseconds{ mRandom() % 2000 };
   const auto back = now - std::chrono::milliseconds{ mRandom() % 4000 };
-  mAwayUntil = now + away;
-  mCalmSince = mAwayUntil + kWrittenAgain + 500ms;
-  mTime.At(mAwayUntil, [this, back] { RestoreSnapshot(back); });
+  mDownUntil = now + downtime;
+  mStableSince = mDownUntil + kRewriteTime + 500ms;
+  mTime.At(mDownUntil, [this, back] { RestoreSnapshot(back); });
 }
 
 void
 era_model::RestoreSnapshot(clock::time_point aTo)
 {
-  while (mCopies.size() > 1 && mCopies.back().at > aTo) {
-    mCopies.pop_back();
+  while (mSnapshots.size() > 1 && mSnapshots.back().at > aTo) {
+    mSnapshots.pop_back();
   }
-  if (!mCopies.empty()) {
-    mStore = mCopies.back().kept;
+  if (!mSnapshots.empty()) {
+    mStore = mSnapshots.back().state;
   }
   for (auto& [lease, until] : mStore.leases) {
     until = std::max(until, mTime.Now() + kLeaseTime);
   }
   ++mEra;
-  // Watches go on waiting, or are cut.
-  const bool areCut = Chance(500);
-  std::erase_if(mWaiting,
-                [areCut](const auto& aOne) { return areCut && aOne(true); });
+  // Pending watches continue to wait, or fail.
+  const bool areFailed = Chance(500);
+  std::erase_if(mPendingWatches, [areFailed](const auto& aOne) {
+    return areFailed && aOne(true);
+  });
   const auto era = mEra;
-  mTime.After(kWrittenAgain, [this, era] {
-    const bool isLast = era == mEra && mTime.Now() >= mAwayUntil;
+  mTime.After(kRewriteTime, [this, era] {
+    const bool isLast = era == mEra && mTime.Now() >= mDownUntil;
     if (isLast) {
-      Put(kConfiguration, std::to_string(mWritten.back().version), 0);
+      Put(kConfiguration, std::to_string(mAcknowledged.back().version), 0);
     }
   });
 }
 
 void
-era_model::Configure()
+era_model::WriteConfiguration()
 {
-  const auto version = mWritten.empty() ? 1 : mWritten.back().version + 1;
+  const auto version =
+    mAcknowledged.empty() ? 1 : mAcknowledged.back().version + 1;
   Put(kConfiguration, std::to_string(version), 0);
-  mWritten.push_back({ version, mTime.Now() });
+  mAcknowledged.push_back({ version, mTime.Now() });
 }
 
 void
@@ -614,12 +623,12 @@
 }
 
 void
-era_model::AnswerWaiting()
+era_model::AnswerWatches()
 {
-  auto waiting = std::exchange(mWaiting, {});
+  auto waiting = std::exchange(mPendingWatches, {});
   for (const auto& one : waiting) {
     if (!one(false)) {
-      mWaiting.push_back(one);
+      mPendingWatches.push_back(one);
     }
   }
 }
@@ -627,13 +636,13 @@
 void
 era_model::Restart(std::size_t aVm)
 {
-  const auto life = mVms[aVm]->life + kVms;
+  const auto incarnation = mVms[aVm]->incarnation + kVms;
   *mVms[aVm]->alive = false;
-  mVms[aVm] = std::make_unique<modelled_vm>(*this, aVm, life);
+  mVms[aVm] = std::make_unique<modelled_vm>(*this, aVm, incarnation);
 }
 
 void
-era_model::Work(std::size_t aVm)
+era_model::RunVm(std::size_t aVm)
 {
   auto& one = *mVms[aVm];
   const auto now = mTime.Now();
@@ -645,19 +654,19 @@
     one.isChecking = true;
     one.nextCheck = now + 600ms;
     one.configuration.Check(
-      now, [&one, now, this](bool aIsProof, clock::time_point) {
+      now, [&one, now, this](bool aIsAnswered, clock::time_point) {
         one.isChecking = false;
-        if (aIsProof && mMistake == seeded_bug::kVerificationCarriedOver) {
-          one.provedAt = now;
+        if (aIsAnswered && mBug == seeded_bug::kVerificationCarriedOver) {
+          one.verifiedAt = now;
         }
       });
   }
   TryToClaim(aVm);
-  TryToOrder(aVm);
+  TryToCommand(aVm);
 }
 
-// As control does: whoever holds the lock from an earlier era claims it anew,
-// and one of the others what nobody holds.
+// As in node::control: a holder from an earlier era claims the failover lock
+// again, and if nobody holds it, one of the VMs claims it.
 void
 era_model::TryToClaim(std::size_t aVm)
 {
@@ -668,20 +677,20 @@
   }
   node::vm_record self;
   self.where.vm = Name(aVm);
-  self.incarnation = one.life;
+  self.incarnation = one.incarnation;
   const auto keys = node::ReadClusterState(one.own.Items());
   const auto found = keys.locks.find(kGroup);
-  const bool isPast =
+  const bool isStaleHolder =
     found != keys.locks.end() && found->second.record.holder == Name(aVm) &&
-    found->second.record.incarnation == one.life &&
+    found->second.record.incarnation == one.incarnation &&
     !node::IsFromEra(found->second.record, one.own.Seen().era);
-  if (!isPast && node::IsLockHeld(keys, kGroup)) {
+  if (!isStaleHolder && node::IsLockHeld(keys, kGroup)) {
     return;
   }
   one.isClaiming = true;
   one.nextClaim = now + 300ms;
   auto claim = node::MakeLockClaim(keys, kGroup, self, one.own.Seen(), 0);
-  if (mMistake == seeded_bug::kEpochFromRevision) {
+  if (mBug == seeded_bug::kEpochFromRevision) {
     auto made = *node::ParseFailoverLock(claim.puts.front());
     made.epoch = std::max<std::uint64_t>(
       one.own.Seen().number,
@@ -694,72 +703,74 @@
                           store::response_info) { one.isClaiming = false; });
 }
 
-// The record is read before each order.
+// The failover lock is read before each command.
 void
-era_model::TryToOrder(std::size_t aVm)
+era_model::TryToCommand(std::size_t aVm)
 {
   auto& one = *mVms[aVm];
   if (!Chance(10)) {
     return;
   }
-  const auto asked = mTime.Now();
+  const auto sentAt = mTime.Now();
   one.guard.Get(node::FailoverLockKey(kGroup),
-                [this, &one, asked](std::error_code aError,
-                                    std::optional<store::item> aItem,
-                                    store::response_info) {
-                  const auto duty =
+                [this, &one, sentAt](std::error_code aError,
+                                     std::optional<store::item> aItem,
+                                     store::response_info) {
+                  const auto lock =
                     aItem ? node::ParseFailoverLock(*aItem) : std::nullopt;
-                  const bool isHeld = !aError && duty &&
-                                      duty->holder == Name(one.number) &&
-                                      duty->incarnation == one.life &&
-                                      mTime.Now() < asked + kOrderLife;
-                  const bool isOfEra =
-                    isHeld && (mMistake == seeded_bug::kEpochFromRevision ||
-                               node::IsFromEra(*duty, aItem->changed.era));
-                  if (isOfEra) {
-                    Ordered({ one.number, duty->epoch, asked });
+                  const bool isHeld = !aError && lock &&
+                                      lock->holder == Name(one.number) &&
+                                      lock->incarnation == one.incarnation &&
+                                      mTime.Now() < sentAt + kCommandValidity;
+                  const bool isFromEra =
+                    isHeld && (mBug == seeded_bug::kEpochFromRevision ||
+                               node::IsFromEra(*lock, aItem->changed.era));
+                  if (isFromEra) {
+                    CheckCommand({ one.number, lock->epoch, sentAt });
                   }
                 });
 }
 
-// A token names one holder, and whoever has read the lock later has none that
-// is lower.
+// A fencing token identifies one holder, and a holder that has read the lock
+// later has no lower token.
 void
-era_model::Ordered(const order& aOrder)
+era_model::CheckCommand(const command& aCommand)
 {
-  ++orders;
-  for (const auto& before : mOrders) {
-    if (before.holder == aOrder.holder) {
+  ++commands;
+  for (const auto& before : mCommands) {
+    if (before.holder == aCommand.holder) {
       continue;
     }
-    if (before.epoch == aOrder.epoch) {
-      Fault("an epoch for two holders");
+    if (before.epoch == aCommand.epoch) {
+      ReportViolation("two holders have the same fencing token");
     }
-    const bool isLater = aOrder.readAt > before.readAt + 2 * kOrderLife;
-    if (isLater && aOrder.epoch < before.epoch) {
-      Fault("a lower epoch after a higher one");
+    const bool isLater = aCommand.readAt > before.readAt + 2 * kCommandValidity;
+    if (isLater && aCommand.epoch < before.epoch) {
+      ReportViolation("a later command has a lower fencing token");
     }
   }
-  mOrders.push_back(aOrder);
+  mCommands.push_back(aCommand);
 }
 
-// A VM that knows the present era leaves others' leases alone.
+// A VM that knows the current era does not touch the leases of others.
 void
-era_model::Touched(std::size_t aVm, std::uint64_t aLease, store::era_id aKnown)
+era_model::CheckLeaseOwner(std::size_t aVm,
+                           std::uint64_t aLease,
+                           store::era_id aKnown)
 {
   const bool isOther = mStore.owners[aLease] != aVm;
-  const bool couldKnow = aKnown == mEra || mMistake == seeded_bug::kEraIgnored;
+  const bool couldKnow = aKnown == mEra || mBug == seeded_bug::kEraIgnored;
   if (isOther && couldKnow) {
-    Fault("a lease of another VM was renewed or written under");
+    ReportViolation("a lease of another VM was renewed or used for a write");
   }
 }
 
-// The newest configuration that was acknowledged by then.
+// The newest version that had been acknowledged by then.
 std::uint64_t
-era_model::WrittenBy(clock::time_point aAt) const
+era_model::VersionAcknowledgedBy(clock::time_point aAt) const
 {
   std::uint64_t version = 0;
-  for (const auto& one : mWritten) {
+  for (const auto& one : mAcknowledged) {
     version = one.at <= aAt ? one.version : version;
   }
   return version;
@@ -770,33 +781,37 @@
 {
   const auto& one = *mVms[aVm];
   const auto now = mTime.Now();
-  const auto calm = std::max(mCalmSince, one.calmSince);
-  // A call may be lost as well, and is found out after its time.
-  const auto bound = kInForce + kCallTime;
-  if (one.isCut || now < mAwayUntil || now < calm + bound) {
+  const auto stableFrom = std::max(mStableSince, one.stableSince);
+  // Calls may also be lost, which is detected after their timeout.
+  const auto bound = kApplyBound + kCallTime;
+  if (one.isDisconnected || now < mDownUntil || now < stableFrom + bound) {
     return;
   }
-  if (one.version < WrittenBy(now - bound)) {
-    Fault("an acknowledged configuration is not in force");
+  if (one.version < VersionAcknowledgedBy(now - bound)) {
+    ReportViolation("an acknowledged configuration is not applied");
   }
 }
 
-// Nothing newer was acknowledged up to the time that a VM has evidence for. One
-// that has started since the return can't know of it.
+// No newer version had been acknowledged at the time as of which a VM's
+// configuration is verified. VMs that have started since the restore are
+// exempt, since they cannot know of it.
 void
-era_model::CheckEvidence(std::size_t aVm)
+era_model::CheckVerification(std::size_t aVm)
 {
   auto& one = *mVms[aVm];
   const auto& items = one.configuration.Items();
   const auto found = items.find(kConfiguration);
   const bool isInForce =
     found != items.end() && std::stoull(found->second.value) == one.version;
-  if (isInForce && mMistake != seeded_bug::kVerificationCarriedOver) {
-    one.provedAt = std::max(one.provedAt, one.configuration.VerifiedAt());
-  }
-  const bool startedSince = one.calmSince + 500ms >= mCalmSince - 4s;
-  if (!startedSince && one.version < WrittenBy(one.provedAt - 1ms)) {
-    Fault("evidence that a newer configuration contradicts");
+  if (isInForce && mBug != seeded_bug::kVerificationCarriedOver) {
+    one.verifiedAt = std::max(one.verifiedAt, one.configuration.VerifiedAt());
+  }
+  const bool startedSince = one.stableSince + 500ms >= mStableSince - 4s;
+  if (!startedSince &&
+      one.version < VersionAcknowledgedBy(one.verifiedAt - 1ms)) {
+    ReportViolation(
+      "a configuration was verified although a newer one had been "
+      "acknowledged");
   }
 }
 
--- a/test/currantshed/store/era_model.hpp
+++ b/test/currantshed/store/era_model.hpp
@@ -18,47 +18,48 @@
 
 namespace currantshed::test {
 
-/// A mistake that the model must find.
+/// A bug seeded into the model, which the test must detect.
 enum class seeded_bug
 {
   kNone,
-  /// All answers count as of one era.
+  /// All responses report the same era.
   kEraIgnored,
-  /// An answer counts as of the era in which it comes, not of the one in which
-  /// it was given.
+  /// A response reports the era in which it arrives instead of the one in which
+  /// the store sent it.
   kEraOfArrival,
-  /// An epoch is the store's revision.
+  /// The fencing token is the store's revision.
   kEpochFromRevision,
-  /// A reading proves that nothing newer was written, whatever the store lost.
+  /// Any read counts as verification, even if the store has lost changes.
   kVerificationCarriedOver,
 };
 
-/// VMs with the real views, leases and claims before one store that loses its
-/// last seconds at any moment, also twice in a row, in virtual time: calls are
-/// done late, in another era than they were sent in, their answers come late or
-/// are lost, and VMs are cut off and start again. The operator writes a newer
-/// configuration now and then, and again what was lost.
+/// Model of several VMs, with the real views, registrations and claims of
+/// failover locks, on a store that may lose its last seconds at any moment,
+/// also twice in a row. Runs in virtual time. Calls are delayed and may be
+/// executed in a later era than they were sent in; responses are delayed or
+/// lost; VMs are disconnected and restarted. The operator occasionally writes a
+/// newer configuration, and writes again what was lost.
 class era_model
 {
 public:
-  era_model(std::uint32_t aSeed, seeded_bug aMistake);
+  era_model(std::uint32_t aSeed, seeded_bug aBug);
   ~era_model();
   era_model(const era_model&) = delete;
   era_model& operator=(const era_model&) = delete;
 
   void Run(std::chrono::seconds aSpan);
 
-  /// What is wrong, a line each.
-  std::vector<std::string> wrong;
+  /// Violations found, one per line.
+  std::vector<std::string> violations;
   std::uint64_t steps = 0;
-  std::uint64_t returns = 0;
-  std::uint64_t orders = 0;
+  std::uint64_t restores = 0;
+  std::uint64_t commands = 0;
 
 private:
   class store_link;
   struct modelled_vm;
 
-  /// What the store holds.
+  /// The content of the store.
   struct content
   {
     std::map<std::string, store::item> items;
@@ -69,21 +70,22 @@
     std::uint64_t lastLease = 0;
   };
 
-  struct copy
+  struct snapshot
   {
     clock::time_point at;
-    content kept;
+    content state;
   };
 
-  /// A configuration that the operator wrote.
-  struct written
+  /// A version of the configuration that the operator wrote.
+  struct acknowledged_version
   {
     std::uint64_t version = 0;
     clock::time_point at;
   };
 
-  /// An order that a holder gave, by the reading that allowed it.
-  struct order
+  /// A command sent by the holder of the failover lock, with the time of the
+  /// read that permitted it.
+  struct command
   {
     std::size_t holder = 0;
     std::uint64_t epoch = 0;
@@ -91,42 +93,45 @@
   };
 
   void Step();
-  void Trouble();
-  void Lose();
+  void InjectFaults();
+  void StartOutage();
   void RestoreSnapshot(clock::time_point aTo);
-  void Configure();
+  void WriteConfiguration();
   void Put(const std::string& aKey,
            const std::string& aValue,
            std::uint64_t aLease);
   void Remove(const std::string& aKey);
   void Expire();
-  void AnswerWaiting();
-  void Work(std::size_t aVm);
+  void AnswerWatches();
+  void RunVm(std::size_t aVm);
   void TryToClaim(std::size_t aVm);
-  void TryToOrder(std::size_t aVm);
-  void Ordered(const order& aOrder);
-  void Touched(std::size_t aVm, std::uint64_t aLease, store::era_id aKnown);
+  void TryToCommand(std::size_t aVm);
+  void CheckCommand(const command& aCommand);
+  void CheckLeaseOwner(std::size_t aVm,
+                       std::uint64_t aLease,
+                       store::era_id aKnown);
   void Restart(std::size_t aVm);
   void CheckVersions(std::size_t aVm);
-  void CheckEvidence(std::size_t aVm);
-  [[nodiscard]] std::uint64_t WrittenBy(clock::time_point aAt) const;
+  void CheckVerification(std::size_t aVm);
+  [[nodiscard]] std::uint64_t VersionAcknowledgedBy(
+    clock::time_point aAt) const;
   [[nodiscard]] bool Chance(unsigned aOfThousand);
   [[nodiscard]] std::chrono::milliseconds Delay();
-  void Fault(const std::string& aWhat);
+  void ReportViolation(const std::string& aWhat);
 
   timeline mTime;
   std::mt19937 mRandom;
-  seeded_bug mMistake;
+  seeded_bug mBug;
   content mStore;
   store::era_id mEra = 0;
-  std::deque<copy> mCopies;
-  clock::time_point mAwayUntil{};
-  std::vector<std::function<void()>> mHeld;
-  std::vector<std::function<bool(bool)>> mWaiting;
-  std::vector<written> mWritten;
+  std::deque<snapshot> mSnapshots;
+  clock::time_point mDownUntil{};
+  std::vector<std::function<void()>> mDelayedCalls;
+  std::vector<std::function<bool(bool)>> mPendingWatches;
+  std::vector<acknowledged_version> mAcknowledged;
   clock::time_point mNextVersion;
-  clock::time_point mCalmSince;
-  std::vector<order> mOrders;
+  clock::time_point mStableSince;
+  std::vector<command> mCommands;
   std::vector<std::unique_ptr<modelled_vm>> mVms;
 };
 
--- a/test/currantshed/store/fake_key_value.hpp
+++ b/test/currantshed/store/fake_key_value.hpp
@@ -15,8 +15,8 @@
 
 namespace currantshed::test {
 
-/// A store in memory. Calls are kept until they are answered one by one, as
-/// well or as badly as a test wants.
+/// An in-memory store. Calls are queued until a test has them answered; tests
+/// set the errors and outcomes of the responses.
 class fake_key_value final : public store::key_value
 {
 public:
@@ -33,41 +33,41 @@
   std::uint64_t revision = 1;
   std::set<std::uint64_t> leases;
   std::uint64_t lastLease = 0;
-  /// Calls that fail from now on, with this error.
+  /// Error with which calls are answered; none if they succeed.
   std::error_code failing;
   store::commit_outcome commitOutcome = store::commit_outcome::kApplied;
-  /// Whether commits are done, but their answers lost.
-  bool losesAnswers = false;
+  /// Whether commits are applied but their responses lost.
+  bool losesResponses = false;
   std::vector<watch> watches;
   std::chrono::milliseconds callTimeout{ 0 };
-  /// The era that answers tell, if they tell one.
+  /// The era that responses report; none if they report no era.
   std::optional<store::era_id> era;
-  /// Leases that were renewed or ended by a call.
+  /// Leases that a call has renewed or ended.
   std::set<std::uint64_t> touched;
   int ranges = 0;
   int checks = 0;
   int commits = 0;
 
-  /// Makes the copy that Return goes back to.
+  /// Takes the snapshot that RestoreSnapshot goes back to.
   void TakeSnapshot()
   {
-    mCopy = { items, history, revision, leases, lastLease };
+    mSnapshot = { items, history, revision, leases, lastLease };
   }
 
-  /// Comes back from the copy: what was written since is gone, revisions and
-  /// leases are given out again, and watches are cut.
+  /// Restores the snapshot: later writes are lost, revisions and lease numbers
+  /// are issued again, and watches fail.
   void RestoreSnapshot()
   {
-    CutWatches(store::errc::kTimeout);
-    items = mCopy.items;
-    history = mCopy.history;
-    revision = mCopy.revision;
-    leases = mCopy.leases;
-    lastLease = mCopy.lastLease;
+    FailWatches(store::errc::kTimeout);
+    items = mSnapshot.items;
+    history = mSnapshot.history;
+    revision = mSnapshot.revision;
+    leases = mSnapshot.leases;
+    lastLease = mSnapshot.lastLease;
     SetEra(era ? std::optional(*era + 1) : std::nullopt);
   }
 
-  /// Answers tell this era from now on, also of what was written before.
+  /// From now on responses report this era, also for keys written before.
   void SetEra(std::optional<store::era_id> aEra)
   {
     era = aEra;
@@ -81,7 +81,7 @@
     }
   }
 
-  /// The store's present state.
+  /// The store's current state.
   [[nodiscard]] store::revision At() const
   {
     return { era.value_or(0), revision };
@@ -117,7 +117,8 @@
     }
   }
 
-  /// Answers what can be answered, also calls that this leads to.
+  /// Answers all queued calls, including those made by their callbacks, and
+  /// watches with changes.
   void Answer()
   {
     while (!mCalls.empty()) {
@@ -128,8 +129,8 @@
     AnswerWatches();
   }
 
-  /// Ends every watch with an error.
-  void CutWatches(std::error_code aError)
+  /// Fails all watches.
+  void FailWatches(std::error_code aError)
   {
     for (auto& one : std::exchange(watches, {})) {
       one.done(aError, {}, {}, Reply());
@@ -179,7 +180,7 @@
   {
     ++checks;
     mCalls.push_back([this, aPrefix, aAfter, aDone] {
-      aDone(ErrorAt(aAfter), Changes(aPrefix, aAfter), At(), Reply());
+      aDone(HistoryError(aAfter), Changes(aPrefix, aAfter), At(), Reply());
     });
   }
 
@@ -195,12 +196,12 @@
     }
   }
 
-  void Commit(store::transaction aWhat, commit_callback aDone) override
+  void Commit(store::transaction aTransaction, commit_callback aDone) override
   {
     ++commits;
-    mCalls.push_back([this, aWhat, aDone] {
+    mCalls.push_back([this, aTransaction, aDone] {
       auto outcome = commitOutcome;
-      for (const auto& one : aWhat.conditions) {
+      for (const auto& one : aTransaction.conditions) {
         const auto found = items.find(one.key);
         const auto now =
           found == items.end() ? 0 : found->second.changed.number;
@@ -209,11 +210,11 @@
         }
       }
       if (outcome == store::commit_outcome::kApplied) {
-        for (const auto& one : aWhat.puts) {
+        for (const auto& one : aTransaction.puts) {
           Put(one.key, one.value, one.lease.number);
         }
       }
-      aDone(losesAnswers ? store::commit_outcome::kUnknown : outcome,
+      aDone(losesResponses ? store::commit_outcome::kUnknown : outcome,
             At(),
             Reply());
     });
@@ -233,10 +234,10 @@
   {
     mCalls.push_back([this, aLease, aDone] {
       touched.insert(aLease.number);
-      const bool lives = leases.contains(aLease.number);
-      aDone(failing ? failing
-            : lives ? std::error_code{}
-                    : make_error_code(store::errc::kLeaseNotFound),
+      const bool exists = leases.contains(aLease.number);
+      aDone(failing  ? failing
+            : exists ? std::error_code{}
+                     : make_error_code(store::errc::kLeaseNotFound),
             Reply());
     });
   }
@@ -262,8 +263,9 @@
     return changes;
   }
 
-  // What a call ends with; the store does not have revisions above its own.
-  [[nodiscard]] std::error_code ErrorAt(store::revision aAfter) const
+  // The error of a call that asks for changes after a revision: the store
+  // rejects revisions above its own.
+  [[nodiscard]] std::error_code HistoryError(store::revision aAfter) const
   {
     return !failing && aAfter.number > revision
              ? make_error_code(store::errc::kHistoryCompacted)
@@ -288,7 +290,7 @@
     }
   }
 
-  struct copy
+  struct snapshot
   {
     std::map<std::string, store::item> items;
     std::vector<store::key_change> history;
@@ -298,7 +300,7 @@
   };
 
   std::deque<std::function<void()>> mCalls;
-  copy mCopy;
+  snapshot mSnapshot;
 };
 
 } // namespace currantshed::test
--- a/test/currantshed/store/forwarded_view.cpp
+++ b/test/currantshed/store/forwarded_view.cpp
@@ -38,10 +38,11 @@
   int changes = 0;
 };
 
-/// One VM that follows the store, and another that it passes changes on to.
-struct pair
+/// A VM that watches the store, and another one to which it forwards the
+/// changes.
+struct vm_pair
 {
-  pair()
+  vm_pair()
   {
     store.Put("a/1", "one");
     store.Put("a/2", "two");
@@ -57,7 +58,7 @@
     }
   }
 
-  /// Passes on what the other lacks.
+  /// Sends the other VM the changes that it lacks.
   bool Forward(std::chrono::milliseconds aFor = 2000ms)
   {
     const bool taken = forwarded.view.ApplyUpdate(
@@ -68,7 +69,7 @@
     return taken;
   }
 
-  /// Both know the keys, and only the one follows the store from now on.
+  /// Both read the keys; from now on only the first one watches the store.
   void Begin()
   {
     forwarded.view.ForwardedUntil(store.now + 1h);
@@ -85,33 +86,33 @@
 struct forwarding_row
 {
   const char* name;
-  std::function<void(pair&)> given;
+  std::function<void(vm_pair&)> given;
   std::string keys;
   bool mayBeStale = false;
 };
 
 const forwarding_row kRows[] = {
-  { "nothing new", [](pair&) {}, "a/1=one a/2=two ", true },
+  { "nothing new", [](vm_pair&) {}, "a/1=one a/2=two ", true },
   { "a new key",
-    [](pair& aPair) { aPair.store.Put("a/3", "three"); },
+    [](vm_pair& aPair) { aPair.store.Put("a/3", "three"); },
     "a/1=one a/2=two a/3=three " },
-  { "a key written again and again",
-    [](pair& aPair) {
+  { "a key overwritten repeatedly",
+    [](vm_pair& aPair) {
       aPair.store.Put("a/1", "uno");
       aPair.store.Put("a/1", "ein");
     },
     "a/1=ein a/2=two " },
   { "a key removed",
-    [](pair& aPair) { aPair.store.Remove("a/1"); },
+    [](vm_pair& aPair) { aPair.store.Remove("a/1"); },
     "a/2=two " },
   { "a key removed and written again",
-    [](pair& aPair) {
+    [](vm_pair& aPair) {
       aPair.store.Remove("a/1");
       aPair.store.Put("a/1", "uno");
     },
     "a/1=uno a/2=two " },
-  { "more removals than are kept",
-    [](pair& aPair) {
+  { "more removals than are retained",
+    [](vm_pair& aPair) {
       for (int i = 0; i < 1200; ++i) {
         const auto key = "a/x" + std::to_string(i);
         aPair.store.Put(key, "x");
@@ -121,17 +122,17 @@
     },
     "a/1=one ",
     true },
-  { "the other has read all keys anew meanwhile",
-    [](pair& aPair) {
+  { "the forwarder has read all keys again",
+    [](vm_pair& aPair) {
       aPair.store.Remove("a/1");
       aPair.store.history.clear();
-      aPair.store.CutWatches(store::errc::kHistoryCompacted);
+      aPair.store.FailWatches(store::errc::kHistoryCompacted);
     },
     "a/2=two ",
     true },
-  { "the other had lost its watch",
-    [](pair& aPair) {
-      aPair.store.CutWatches(store::errc::kTimeout);
+  { "the forwarder's watch had failed",
+    [](vm_pair& aPair) {
+      aPair.store.FailWatches(store::errc::kTimeout);
       aPair.store.Put("a/1", "uno");
     },
     "a/1=uno a/2=two ",
@@ -142,10 +143,10 @@
 
 TEST_GROUP(forwarded_view){};
 
-TEST(forwarded_view, knows_what_is_passed_on)
+TEST(forwarded_view, applies_forwarded_changes)
 {
   for (const auto& row : kRows) {
-    pair made;
+    vm_pair made;
     made.Begin();
     row.given(made);
     made.Run(800ms);
@@ -161,7 +162,7 @@
 
 TEST(forwarded_view, begins_no_watch_while_changes_are_forwarded)
 {
-  pair made;
+  vm_pair made;
   made.Begin();
   made.Run(1500ms);
   CHECK_EQUAL(1U, made.store.watches.size());
@@ -172,7 +173,7 @@
 
 TEST(forwarded_view, follows_the_store_itself_once_nobody_forwards_changes)
 {
-  pair made;
+  vm_pair made;
   made.Begin();
   made.store.Put("a/1", "uno");
   made.Run(1900ms);
@@ -183,7 +184,7 @@
 
 TEST(forwarded_view, follows_the_store_itself_when_others_know_more)
 {
-  pair made;
+  vm_pair made;
   made.Begin();
   made.forwarded.view.ForwardedUntil(made.store.now + 1h);
   made.store.Put("a/1", "uno");
@@ -196,7 +197,7 @@
 
 TEST(forwarded_view, never_goes_back)
 {
-  pair made;
+  vm_pair made;
   made.Begin();
   const auto old = made.forwarder.view.UpdateSince({});
   auto oldChanges = made.forwarder.view.UpdateSince({ 0, 1 });
@@ -204,20 +205,20 @@
   made.store.Remove("a/2");
   made.Run(800ms);
   CHECK(made.Forward());
-  // What took a detour comes late, and all of it is known.
+  // Delayed updates are accepted as known and change nothing.
   CHECK(made.forwarded.view.ApplyUpdate(old, made.store.now));
   CHECK(made.forwarded.view.ApplyUpdate(oldChanges, made.store.now));
   STRCMP_EQUAL("a/1=uno ", made.forwarded.Keys().c_str());
-  // So does a reading of the store that began before.
+  // There is nothing newer to forward.
   oldChanges = made.forwarder.view.UpdateSince(made.forwarded.view.Seen());
   CHECK(oldChanges.changes.empty());
 }
 
-// A VM that has called the store later than its feeder knows as much, as long
-// as nothing has changed below the prefix.
+// A VM that called the store later than its forwarder has the same content as
+// long as nothing has changed below the prefix.
 TEST(forwarded_view, accepts_changes_of_a_forwarder_whose_last_call_is_older)
 {
-  pair made;
+  vm_pair made;
   made.forwarder.view.Tick(made.store.now, 0.5);
   made.store.Answer();
   made.store.Put("b/1", "elsewhere");
@@ -232,7 +233,7 @@
 
 TEST(forwarded_view, takes_no_changes_that_leave_a_gap)
 {
-  pair made;
+  vm_pair made;
   made.Begin();
   const auto known = made.forwarded.view.Seen();
   made.store.Put("a/1", "uno");
@@ -246,12 +247,12 @@
   STRCMP_EQUAL("a/1=one a/2=two ", made.forwarded.Keys().c_str());
 }
 
-TEST(forwarded_view, a_reading_older_than_what_was_passed_on_is_dropped)
+TEST(forwarded_view, a_read_older_than_a_forwarded_update_is_discarded)
 {
-  pair made;
+  vm_pair made;
   made.Run(100ms);
   made.forwarded.view.Refresh(made.store.now);
-  // The reading is on its way when the change is passed on.
+  // The change arrives from another VM while the read is in progress.
   made.forwarded.view.Tick(made.store.now, 0.5);
   made.store.Put("a/1", "uno");
   store::key_update update{ false, { 0, 1 }, made.store.At(), false, {} };
@@ -266,23 +267,22 @@
 struct current_row
 {
   const char* name;
-  std::function<void(pair&)> given;
-  /// How long ago the keys were surely those of the store, if any call of the
-  /// VM was answered just now.
+  std::function<void(vm_pair&)> given;
+  /// Expected age of the keys if another call of the VM was answered just now.
   std::chrono::milliseconds age;
 };
 
-const current_row kCurrent[] = {
-  { "a watch waits", [](pair& aPair) { aPair.Run(2000ms); }, 0ms },
-  { "the watch was cut",
-    [](pair& aPair) {
+const current_row kCurrentRows[] = {
+  { "a watch waits", [](vm_pair& aPair) { aPair.Run(2000ms); }, 0ms },
+  { "the watch failed",
+    [](vm_pair& aPair) {
       aPair.store.failing = store::errc::kUnavailable;
-      aPair.store.CutWatches(store::errc::kUnavailable);
+      aPair.store.FailWatches(store::errc::kUnavailable);
       aPair.store.now += 700ms;
     },
     710ms },
   { "a pause after a change",
-    [](pair& aPair) {
+    [](vm_pair& aPair) {
       aPair.store.Put("a/3", "three");
       aPair.Run(10ms);
       aPair.store.now += 90ms;
@@ -292,8 +292,8 @@
 
 TEST(forwarded_view, tells_how_old_its_keys_may_be)
 {
-  for (const auto& row : kCurrent) {
-    pair made;
+  for (const auto& row : kCurrentRows) {
+    vm_pair made;
     made.Run(10ms);
     row.given(made);
     const auto age =
@@ -305,13 +305,13 @@
   }
 }
 
-TEST(forwarded_view, asks_nothing_while_it_is_held)
+TEST(forwarded_view, makes_no_calls_while_it_is_paused)
 {
-  pair made;
+  vm_pair made;
   made.Run(100ms);
   made.store.failing = store::errc::kUnavailable;
   made.forwarder.view.SetPaused(true);
-  made.store.CutWatches(store::errc::kUnavailable);
+  made.store.FailWatches(store::errc::kUnavailable);
   const auto ranges = made.store.ranges;
   for (int i = 0; i < 50; ++i) {
     made.store.now += 100ms;
@@ -329,7 +329,7 @@
 
 TEST(forwarded_view, rejects_changes_of_a_forwarder_of_an_earlier_era)
 {
-  pair made;
+  vm_pair made;
   made.store.SetEra(1);
   made.forwarder.view.Refresh(made.store.now);
   made.Run(100ms);
@@ -349,8 +349,8 @@
 
 namespace {
 
-/// What a VM that knows all keys but the last changes is told costs, with so
-/// many keys in all, counted as keys looked at.
+/// Returns how many keys are examined to compute the update for a VM that lacks
+/// only the last changes, with so many keys in all.
 std::uint64_t
 KeysExaminedFor(std::size_t aKeys, std::size_t aChanges)
 {
@@ -379,8 +379,9 @@
 
 } // namespace
 
-// A VM that follows the store for a hundred others is asked by each several
-// times a second: an answer may cost what has changed, not what there is.
+// A forwarder is queried by a hundred other VMs several times per second each,
+// so the cost of a response must depend on the number of changes, not on the
+// number of keys.
 TEST(forwarded_view, an_answer_costs_the_changes_not_the_keys)
 {
   for (const std::size_t keys : { 50, 100, 200 }) {
@@ -392,7 +393,7 @@
 
 TEST(forwarded_view, tells_its_reader_what_has_changed)
 {
-  pair both;
+  vm_pair both;
   both.Begin();
   CHECK(both.forwarded.view.TakeChangedKeys().isAll);
   CHECK(both.forwarded.view.TakeChangedKeys().keys.empty());
@@ -406,9 +407,9 @@
   CHECK(changed.keys == (std::vector<std::string>{ "a/1", "a/2" }));
 }
 
-TEST(forwarded_view, what_is_too_long_is_left_out)
+TEST(forwarded_view, an_update_that_is_too_large_is_omitted)
 {
-  pair both;
+  vm_pair both;
   both.Begin();
   const auto known = both.forwarder.view.Seen();
   both.store.Put("a/1", std::string(100, 'x'));
--- a/test/currantshed/store/prefix_view.cpp
+++ b/test/currantshed/store/prefix_view.cpp
@@ -14,8 +14,8 @@
 
 namespace {
 
-/// A reading that was left out.
-struct ignored_reading
+/// A read that was discarded.
+struct discarded_read
 {
   store::revision read;
   store::revision seen;
@@ -29,9 +29,11 @@
            "a/",
            {},
            { [this](clock::time_point) { ++changes; },
-             [this](bool aIsReached, std::error_code) { reached = aIsReached; },
+             [this](bool aIsReachable, std::error_code) {
+               isReachable = aIsReachable;
+             },
              [this](store::revision aRead, store::revision aSeen) {
-               ignored.push_back({ aRead, aSeen });
+               discarded.push_back({ aRead, aSeen });
              } })
   {
     store.Put("a/1", "one");
@@ -50,15 +52,15 @@
   test::fake_key_value store;
   store::prefix_view view;
   int changes = 0;
-  bool reached = false;
-  std::vector<ignored_reading> ignored;
+  bool isReachable = false;
+  std::vector<discarded_read> discarded;
 };
 
 struct change_row
 {
   const char* name;
   std::function<void(follower&)> given;
-  /// The keys in the end.
+  /// The expected keys at the end.
   std::string keys;
   /// Whether the last change may have been made long before it was seen.
   bool mayBeStale = false;
@@ -69,15 +71,15 @@
   { "a new key",
     [](follower& aFollower) { aFollower.store.Put("a/2", "two"); },
     "a/1=one a/2=two " },
-  { "a key written again",
+  { "a key overwritten",
     [](follower& aFollower) { aFollower.store.Put("a/1", "uno"); },
     "a/1=uno " },
   { "a key removed",
     [](follower& aFollower) { aFollower.store.Remove("a/1"); },
     "" },
-  { "changes while the watch was cut",
+  { "changes after the watch failed",
     [](follower& aFollower) {
-      aFollower.store.CutWatches(store::errc::kTimeout);
+      aFollower.store.FailWatches(store::errc::kTimeout);
       aFollower.store.Put("a/2", "two");
     },
     "a/1=one a/2=two ",
@@ -87,14 +89,14 @@
       aFollower.store.Put("a/2", "two");
       aFollower.store.Remove("a/1");
       aFollower.store.history.clear();
-      aFollower.store.CutWatches(store::errc::kHistoryCompacted);
+      aFollower.store.FailWatches(store::errc::kHistoryCompacted);
     },
     "a/2=two ",
     true },
   { "an outage with changes",
     [](follower& aFollower) {
       aFollower.store.failing = store::errc::kUnavailable;
-      aFollower.store.CutWatches(store::errc::kUnavailable);
+      aFollower.store.FailWatches(store::errc::kUnavailable);
       aFollower.Run(500ms);
       aFollower.store.Put("a/2", "two");
       aFollower.store.failing = {};
@@ -122,11 +124,11 @@
   for (const auto& row : kRows) {
     follower made;
     made.Run(100ms);
-    CHECK_TEXT(made.view.IsKnown() && made.reached, row.name);
+    CHECK_TEXT(made.view.IsKnown() && made.isReachable, row.name);
     row.given(made);
     made.Run(3000ms);
     CHECK_TEXT(Print(made.view) == row.keys, row.name);
-    CHECK_TEXT(made.reached, row.name);
+    CHECK_TEXT(made.isReachable, row.name);
     CHECK_EQUAL_TEXT(row.mayBeStale, made.view.MayBeStale(), row.name);
   }
 }
@@ -148,30 +150,30 @@
   follower made;
   made.Run(100ms);
   made.store.failing = store::errc::kUnavailable;
-  made.store.CutWatches(store::errc::kUnavailable);
+  made.store.FailWatches(store::errc::kUnavailable);
   made.Run(6000ms);
-  CHECK_FALSE(made.reached);
+  CHECK_FALSE(made.isReachable);
   made.store.failing = {};
   made.store.Put("a/2", "two");
   made.view.Refresh(made.store.now);
   made.Run(30ms);
-  CHECK(made.reached);
+  CHECK(made.isReachable);
   CHECK(Print(made.view) == "a/1=one a/2=two ");
 }
 
-TEST(prefix_view, a_hung_watch_is_given_up_on_anothers_word)
+TEST(prefix_view, a_hung_watch_is_cancelled_after_an_announcement)
 {
   follower made;
   made.Run(100ms);
   const auto ranges = made.store.ranges;
-  // The change never comes through the watch.
+  // The watch does not deliver this change.
   made.store.Put("a/2", "two");
   made.store.history.clear();
   const auto change = made.store.At();
   made.Run(1000ms);
   CHECK(Print(made.view) == "a/1=one ");
   made.view.NotifyRevision(change, made.store.now);
-  // One that is behind itself takes nothing back.
+  // An announcement by a VM that lags behind does not reset the wait.
   made.view.NotifyRevision({ 0, 1 }, made.store.now);
   made.Run(500ms);
   made.view.NotifyRevision(change, made.store.now);
@@ -187,7 +189,8 @@
   const char* name;
   std::size_t bytes;
   std::chrono::nanoseconds timePerByte;
-  /// Watches in three seconds of a change every 50 ms, at most.
+  /// Maximum number of changes reported within 3 s while the key is written
+  /// every 50 ms.
   std::size_t atMost;
   std::size_t atLeast;
 };
@@ -262,7 +265,7 @@
          store.now += 10ms) {
       view.NotifyRevision(store.At(), store.now);
       view.Tick(store.now, 0.5);
-      // The answer is still on its way when the others' words come.
+      // The response is still in transit when other VMs announce the revision.
       view.NotifyRevision(store.At(), store.now);
       store.Answer();
     }
@@ -277,22 +280,22 @@
   CHECK_EQUAL(ranges, store.ranges);
 }
 
-TEST(prefix_view, tells_once_of_a_reading_that_it_leaves_out)
+TEST(prefix_view, reports_a_discarded_read_once)
 {
   follower made;
   made.store.SetEra(7);
   made.Run(100ms);
   const auto before = made.store.At();
   made.store.Put("b/2", "other");
-  // The reading is on its way as another VM passes on what came after it.
+  // While the read is in progress, another VM sends a later change.
   made.view.Refresh(made.store.now);
   made.view.Tick(made.store.now, 0.5);
   const auto read = made.store.At();
   made.view.ApplyUpdate({ false, before, { 7, read.number + 5 }, false, {} },
                         made.store.now);
   made.Run(100ms);
-  LONGS_EQUAL(1, made.ignored.size());
-  CHECK(made.ignored.front().read == read);
+  LONGS_EQUAL(1, made.discarded.size());
+  CHECK(made.discarded.front().read == read);
   const store::revision passedOn{ 7, read.number + 5 };
-  CHECK(made.ignored.front().seen == passedOn);
+  CHECK(made.discarded.front().seen == passedOn);
 }
--- a/test/currantshed/store/restored_store.cpp
+++ b/test/currantshed/store/restored_store.cpp
@@ -1,15 +1,10 @@
-// The store was away for two seconds and came back from a copy some seconds
-// old. For the next twelve seconds, four acknowledged configurations long, no
-// VM put a newer one in force: revisions were given out a second time, and each
-// VM took what it read for a state older than the one that it knew, left it
-// out, and asked again at once for changes after a revision that the store did
-// not have.
-//
-//   reading_ignored what=configuration revision=17 store_era=2 seen=45
-//   configuration_ignored version=23 in_force=23    6 to 14 times a second and
-//   VM
-//
-// It ended when the store had counted past the revision that the VMs had seen.
+// Guards against a fleet that stalls after the store has been restored from a
+// snapshot some seconds old. The store issued revisions a second time, so each
+// VM took what it read for a state older than the known one, discarded it, and
+// immediately requested changes after a revision that the store did not have.
+// No VM applied a newer configuration for 12 s, until the store's revisions
+// exceeded the known one. Meanwhile each VM called the store 6 to 14 times per
+// second.
 #include <chrono>
 #include <functional>
 #include <optional>
@@ -28,12 +23,13 @@
 
 namespace {
 
-// How soon an acknowledged change must be in force.
-constexpr auto kInForce = 3000ms;
-// Calls that may be made in that time: a reading, watches and their changes.
-constexpr int kMostReadings = 3;
-// The same while readings are left out: two a second.
-constexpr int kMostReadingsUntold = 6;
+// Time within which an acknowledged change must be applied.
+constexpr auto kApplyBound = 3000ms;
+// Maximum number of reads in that time.
+constexpr int kMaxReads = 3;
+// The same for a store that reports no era, whose reads are discarded: two per
+// second.
+constexpr int kMaxReadsWithoutEra = 6;
 
 std::string
 Print(const store::prefix_view& aView)
@@ -45,10 +41,11 @@
   return text;
 }
 
-/// Time between two renewals of a VM's lease.
+/// Interval between renewals of a VM's lease.
 constexpr auto kRenewal = 650ms;
 
-/// A VM that follows the store, and another that it passes changes on to.
+/// A VM that watches the store, and another one to which it forwards the
+/// changes.
 struct two_vms
 {
   two_vms()
@@ -79,7 +76,7 @@
       }
       forwarder.Tick(store.now, 0.5);
       store.Answer();
-      for (const auto& call : std::exchange(later, {})) {
+      for (const auto& call : std::exchange(posted, {})) {
         call();
       }
       if (forwarded.ApplyUpdate(forwarder.UpdateSince(forwarded.Seen()),
@@ -93,10 +90,10 @@
   store::prefix_view::listener listener{ [](clock::time_point) {},
                                          [](bool, std::error_code) {} };
   clock::time_point nextRenewal{};
-  std::vector<std::function<void()>> later;
+  std::vector<std::function<void()>> posted;
   store::era_guard guard{ store,
                           { [this](std::function<void()> aCall) {
-                             later.push_back(std::move(aCall));
+                             posted.push_back(std::move(aCall));
                            },
                             [this](std::optional<store::era_id>,
                                    store::era_id) {
@@ -106,25 +103,25 @@
   store::prefix_view forwarded{ guard, "a/", {}, listener };
 };
 
-struct return_row
+struct restore_row
 {
   const char* name;
   std::function<void(two_vms&)> given;
   std::string keys;
 };
 
-const return_row kRows[] = {
-  { "nothing is written again",
+const restore_row kRows[] = {
+  { "nothing is written afterwards",
     [](two_vms& aVms) { aVms.store.RestoreSnapshot(); },
     "a/1=one a/2=two " },
-  { "a key is written at a revision below the one seen",
+  { "a key is written at a revision below the known one",
     [](two_vms& aVms) {
       aVms.store.RestoreSnapshot();
       aVms.Run(200ms);
       aVms.store.Put("a/1", "trois");
     },
     "a/1=trois a/2=two " },
-  { "keys are written before the VM's next call, past the revision seen",
+  { "keys are written before the VM's next call, beyond the known revision",
     [](two_vms& aVms) {
       aVms.store.RestoreSnapshot();
       for (int i = 0; i < 9; ++i) {
@@ -132,7 +129,7 @@
       }
     },
     "a/1=one a/2=two a/4=8 " },
-  { "it comes back twice",
+  { "it is restored twice",
     [](two_vms& aVms) {
       aVms.store.RestoreSnapshot();
       aVms.Run(200ms);
@@ -142,7 +139,7 @@
       aVms.store.Put("a/2", "deux");
     },
     "a/1=one a/2=deux " },
-  { "it does not answer at first",
+  { "it does not respond at first",
     [](two_vms& aVms) {
       aVms.store.RestoreSnapshot();
       aVms.store.failing = store::errc::kTimeout;
@@ -162,7 +159,7 @@
   for (const auto& row : kRows) {
     two_vms made;
     row.given(made);
-    made.Run(kInForce);
+    made.Run(kApplyBound);
     STRCMP_EQUAL_TEXT(
       row.keys.c_str(), Print(made.forwarder).c_str(), row.name);
     STRCMP_EQUAL_TEXT(
@@ -170,35 +167,37 @@
   }
 }
 
-// A store that tells no era can't be told from one that lags. What it reads is
-// left out until it has counted on, at a bounded number of calls.
-TEST(restored_store, is_not_called_in_a_loop_where_it_tells_no_era)
+// A store that reports no era cannot be distinguished from one that lags
+// behind. Its reads are discarded until its revisions exceed the known one, at
+// a bounded call rate.
+TEST(restored_store, is_not_called_in_a_loop_if_it_reports_no_era)
 {
-  test::fake_key_value silent;
-  silent.Put("a/1", "one");
-  silent.TakeSnapshot();
-  silent.Put("a/1", "uno");
+  test::fake_key_value storeWithoutEra;
+  storeWithoutEra.Put("a/1", "one");
+  storeWithoutEra.TakeSnapshot();
+  storeWithoutEra.Put("a/1", "uno");
   store::prefix_view view(
-    silent,
+    storeWithoutEra,
     "a/",
     {},
     { [](clock::time_point) {}, [](bool, std::error_code) {} });
   const auto run = [&](std::chrono::milliseconds aSpan) {
-    for (const auto end = silent.now + aSpan; silent.now < end;
-         silent.now += 10ms) {
-      view.Tick(silent.now, 0.5);
-      silent.Answer();
+    for (const auto end = storeWithoutEra.now + aSpan;
+         storeWithoutEra.now < end;
+         storeWithoutEra.now += 10ms) {
+      view.Tick(storeWithoutEra.now, 0.5);
+      storeWithoutEra.Answer();
     }
   };
   run(100ms);
-  silent.RestoreSnapshot();
-  silent.ranges = 0;
-  run(kInForce);
-  CHECK(silent.ranges <= kMostReadingsUntold);
+  storeWithoutEra.RestoreSnapshot();
+  storeWithoutEra.ranges = 0;
+  run(kApplyBound);
+  CHECK(storeWithoutEra.ranges <= kMaxReadsWithoutEra);
   STRCMP_EQUAL("a/1=uno ", Print(view).c_str());
-  silent.Put("a/1", "due");
-  silent.Put("a/1", "zwei");
-  run(kInForce);
+  storeWithoutEra.Put("a/1", "due");
+  storeWithoutEra.Put("a/1", "zwei");
+  run(kApplyBound);
   STRCMP_EQUAL("a/1=zwei ", Print(view).c_str());
 }
 
@@ -208,7 +207,7 @@
     two_vms made;
     row.given(made);
     made.store.ranges = 0;
-    made.Run(kInForce);
-    CHECK_TEXT(made.store.ranges <= kMostReadings, row.name);
+    made.Run(kApplyBound);
+    CHECK_TEXT(made.store.ranges <= kMaxReads, row.name);
   }
 }
--- a/test/currantshed/store/verified_view.cpp
+++ b/test/currantshed/store/verified_view.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// A view of one key, and what it was told.
-struct proved
+/// A view of one key after its first read, with the results of its callbacks.
+struct verified_fixture
 {
-  proved()
+  verified_fixture()
     : view(store,
            "a/",
            {},
@@ -23,16 +23,16 @@
   {
     store.Put("a/1", "x");
     view.Tick(store.now, 0);
-    asked = store.now;
+    sentAt = store.now;
     store.now += 100ms;
     store.Answer();
   }
 
   void Check()
   {
-    asked = store.now;
-    view.Check(store.now, [this](bool aIsProof, clock::time_point) {
-      isProof = aIsProof;
+    sentAt = store.now;
+    view.Check(store.now, [this](bool aIsAnswered, clock::time_point) {
+      isAnswered = aIsAnswered;
     });
     store.now += 300ms;
     store.Answer();
@@ -40,8 +40,8 @@
 
   test::fake_key_value store;
   int changes = 0;
-  bool isProof = false;
-  clock::time_point asked;
+  bool isAnswered = false;
+  clock::time_point sentAt;
   store::prefix_view view;
 };
 
@@ -51,13 +51,13 @@
 
 TEST(verified_view, A_read_verifies_as_of_its_start)
 {
-  proved one;
-  CHECK(one.view.VerifiedAt() == one.asked);
+  verified_fixture one;
+  CHECK(one.view.VerifiedAt() == one.sentAt);
 }
 
 TEST(verified_view, A_pending_watch_verifies_nothing)
 {
-  proved one;
+  verified_fixture one;
   const auto before = one.view.VerifiedAt();
   one.view.Tick(one.store.now, 0);
   one.store.now += 20s;
@@ -67,10 +67,10 @@
 
 TEST(verified_view, A_check_verifies_as_of_its_start_and_applies_changes)
 {
-  proved one;
+  verified_fixture one;
   one.Check();
-  CHECK(one.isProof);
-  CHECK(one.view.VerifiedAt() == one.asked);
+  CHECK(one.isAnswered);
+  CHECK(one.view.VerifiedAt() == one.sentAt);
   const auto before = one.changes;
   one.store.Put("a/1", "y");
   one.Check();
@@ -80,18 +80,18 @@
 
 TEST(verified_view, A_failed_check_verifies_nothing)
 {
-  proved one;
+  verified_fixture one;
   const auto before = one.view.VerifiedAt();
   one.store.failing = store::make_error_code(store::errc::kTimeout);
   one.Check();
-  CHECK(!one.isProof);
+  CHECK(!one.isAnswered);
   CHECK(one.view.VerifiedAt() == before);
 }
 
-// The watch that is under way brings the same change a second time.
+// The watch in progress delivers the same change a second time.
 TEST(verified_view, A_change_counts_once_beside_a_watch)
 {
-  proved one;
+  verified_fixture one;
   one.view.Tick(one.store.now, 0);
   one.store.Put("a/1", "y");
   const auto before = one.changes;
@@ -101,7 +101,7 @@
 
 TEST(verified_view, An_older_verification_by_another_VM_is_ignored)
 {
-  proved one;
+  verified_fixture one;
   const auto before = one.view.VerifiedAt();
   one.view.MarkVerified(before - 1s);
   CHECK(one.view.VerifiedAt() == before);
@@ -109,12 +109,12 @@
   CHECK(one.view.VerifiedAt() == before + 1s);
 }
 
-// A store that has come back from an older copy may have lost a configuration
-// that was acknowledged, and a key that it takes away; operators write it again
-// within two seconds.
+// A store restored from an older snapshot may have lost an acknowledged
+// configuration, and with it the revocation of an API key; operators write it
+// again within 2 s.
 TEST(verified_view, A_store_restored_a_moment_ago_verifies_nothing)
 {
-  proved one;
+  verified_fixture one;
   one.store.SetEra(1);
   one.Check();
   one.store.TakeSnapshot();
@@ -133,14 +133,13 @@
   one.store.Put("a/1", "y");
   one.store.now += 1s;
   one.Check();
-  CHECK(one.view.VerifiedAt() == one.asked);
+  CHECK(one.view.VerifiedAt() == one.sentAt);
   STRCMP_EQUAL("y", one.view.Items().at("a/1").value.c_str());
 }
 
-// A VM started and asked for its first reading; the store returned from an
-// older copy meanwhile, of which the VM heard by its lease, and the reading
-// came without a configuration that had been acknowledged two seconds before:
-// "24800 ms: evidence that a newer configuration contradicts".
+// The store is restored while a VM that has just started waits for its first
+// read. The VM learns of the restore from its lease. The read lacks a
+// configuration acknowledged 2 s before, so it must not count as verification.
 TEST(verified_view, A_first_read_during_a_restore_verifies_nothing)
 {
   test::fake_key_value store;
@@ -161,8 +160,8 @@
   CHECK(view.IsKnown());
   CHECK(view.VerifiedAt() == clock::time_point{});
   store.now += 3s;
-  const auto asked = store.now;
+  const auto sentAt = store.now;
   view.Check(store.now, [](bool, clock::time_point) {});
   store.Answer();
-  CHECK(view.VerifiedAt() == asked);
+  CHECK(view.VerifiedAt() == sentAt);
 }
--- a/test/currantshed/store/watcher.cpp
+++ b/test/currantshed/store/watcher.cpp
@@ -22,8 +22,8 @@
 namespace {
 
 constexpr time_point kStart{ 1h };
-constexpr auto kShortest = 200ms;
-constexpr auto kLongest = 1600ms;
+constexpr auto kMinDelay = 200ms;
+constexpr auto kMaxDelay = 1600ms;
 constexpr auto kPause = 1000ms;
 constexpr double kLowest = 0.0;
 constexpr double kHalf = 0.5;
@@ -32,63 +32,63 @@
 watcher_settings
 Settings()
 {
-  return { 10s, kPause, { kShortest, kLongest } };
+  return { 10s, kPause, { kMinDelay, kMaxDelay } };
 }
 
-/// How one call ended, and what is to follow.
-struct answer_step
+/// The result of one call, and the expected reaction.
+struct call_step
 {
   std::error_code error;
   std::uint64_t version;
-  /// Time from the start of the call.
+  /// Time since the start of the call.
   std::chrono::milliseconds after;
   double random;
-  /// Whether the entry is handed over.
+  /// Whether the entry is delivered.
   bool delivered;
-  /// Time from this answer to the start of the next call.
+  /// Time from this response to the start of the next call.
   std::chrono::milliseconds wait;
-  /// What the next call refers to.
+  /// The version that the next call refers to.
   std::uint64_t known;
 };
 
 struct watcher_row
 {
   const char* name;
-  std::vector<answer_step> steps;
+  std::vector<call_step> steps;
 };
 
 const watcher_row kRows[] = {
-  { "a change is handed over, and the watch goes on at once",
+  { "a change is delivered, and the next watch starts immediately",
     { { {}, 7, 5s, kHalf, true, 0ms, 7 },
       { {}, 9, 1ms, kHalf, true, 0ms, 9 } } },
-  { "an absent key is handed over once",
+  { "an absent key is delivered once",
     { { {}, 0, 0ms, kLowest, true, 0ms, 0 },
       { {}, 0, 10s, kLowest, false, 0ms, 0 },
       { {}, 4, 1s, kLowest, true, 0ms, 4 } } },
-  { "time over with nothing new",
+  { "the wait ends without a change",
     { { {}, 7, 1s, kHalf, true, 0ms, 7 },
       { {}, 7, 10s, kHalf, false, 0ms, 7 } } },
-  { "a wait that ends at once brings a pause",
+  { "a wait that ends immediately is followed by a pause",
     { { {}, 7, 0ms, kLowest, true, 0ms, 7 },
       { {}, 7, 0ms, kLowest, false, kPause, 7 },
       { {}, 7, 400ms, kHalf, false, 1100ms, 7 } } },
-  { "never back: an older version is not handed over",
+  { "an older version is not delivered",
     { { {}, 7, 0ms, kHalf, true, 0ms, 7 },
       { {}, 3, 5s, kHalf, false, 0ms, 3 },
       { {}, 6, 5s, kHalf, false, 0ms, 6 },
       { {}, 8, 5s, kHalf, true, 0ms, 8 } } },
-  { "never back: a key that is gone is not handed over",
+  { "the removal of the key is not delivered",
     { { {}, 7, 0ms, kHalf, true, 0ms, 7 },
       { {}, 0, 5s, kHalf, false, 0ms, 0 },
       { {}, 9, 5s, kHalf, true, 0ms, 9 } } },
-  { "backoff doubles up to its bound",
-    { { errc::kUnreachable, 0, 0ms, kLowest, false, kShortest, 0 },
+  { "the backoff doubles up to its bound",
+    { { errc::kUnreachable, 0, 0ms, kLowest, false, kMinDelay, 0 },
       { errc::kUnreachable, 0, 0ms, kHalf, false, 500ms, 0 },
       { errc::kTimeout, 0, 0ms, kHalf, false, 900ms, 0 },
       { errc::kUnavailable, 0, 0ms, kHalf, false, 900ms, 0 },
       { errc::kRateLimited, 0, 0ms, kHalf, false, 900ms, 0 },
-      { errc::kMalformed, 0, 0ms, kLowest, false, kShortest, 0 } } },
-  { "an answer ends the backoff, and what was known stays known",
+      { errc::kMalformed, 0, 0ms, kLowest, false, kMinDelay, 0 } } },
+  { "a response resets the backoff; a failure keeps the known version",
     { { {}, 7, 0ms, kHalf, true, 0ms, 7 },
       { errc::kUnreachable, 0, 0ms, kHalf, false, 300ms, 7 },
       { errc::kUnreachable, 0, 0ms, kHalf, false, 500ms, 7 },
@@ -96,7 +96,8 @@
       { errc::kUnreachable, 0, 0ms, kHalf, false, 300ms, 8 } } },
 };
 
-/// The one start among the actions; more than one is a fault.
+/// Returns the start among the actions, if any, and counts the starts: more
+/// than one is an error.
 std::optional<start_watch>
 TakeStart(watcher& aSubject, std::vector<entry>& aDelivered, int& aStarts)
 {
@@ -168,7 +169,8 @@
   CHECK(*subject.LastAnswer() == kStart + 1s);
 }
 
-/// After a long outage, callers come back spread over the backoff's bound.
+/// After a long outage, the callers' retries are spread evenly over the range
+/// of the backoff.
 TEST(watcher, callers_come_back_spread)
 {
   constexpr int kCallers = 100;
@@ -182,8 +184,9 @@
       subject.Tick(now);
     }
     subject.Ended(errc::kUnreachable, {}, now, (caller + kHalf) / kCallers);
-    const auto wait = *subject.NextTick() - now - kShortest;
-    ++perTenth.at(static_cast<std::size_t>(10 * wait / (kLongest - kShortest)));
+    const auto wait = *subject.NextTick() - now - kMinDelay;
+    ++perTenth.at(
+      static_cast<std::size_t>(10 * wait / (kMaxDelay - kMinDelay)));
   }
   for (const auto callers : perTenth) {
     LONGS_EQUAL(kCallers / 10, callers);
