--- a/test/currantshed/node/group_scheduler.cpp
+++ b/test/currantshed/node/group_scheduler.cpp
@@ -72,7 +72,7 @@
   }
 }
 
-TEST(group_scheduler, touched_groups_are_returned_once)
+TEST(group_scheduler, pending_groups_are_returned_once)
 {
   group_scheduler scheduler;
   scheduler.MarkPending("b");
--- a/test/currantshed/node/lock_assignments.cpp
+++ b/test/currantshed/node/lock_assignments.cpp
@@ -185,7 +185,7 @@
 
 // Locks held by low-capacity VMs are taken over once there are enough
 // high-capacity VMs, and not before.
-TEST(lock_assignments, strong_vms_hold_the_locks)
+TEST(lock_assignments, high_capacity_vms_hold_the_locks)
 {
   fleet one(3);
   one.AddVm(VmName(0), 1, false, 10);
--- a/test/currantshed/node/quota_coordinators.cpp
+++ b/test/currantshed/node/quota_coordinators.cpp
@@ -62,7 +62,7 @@
 
 TEST_GROUP(quota_coordinators){};
 
-TEST(quota_coordinators, A_few_strong_VMs_of_the_domain)
+TEST(quota_coordinators, A_few_high_capacity_VMs_of_the_domain)
 {
   for (const auto& row : kRows) {
     const auto state = MakeState(row.vms);
