--- a/src/currantshed/group/links_supply.cpp
+++ b/src/currantshed/group/connection_supply.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "currantshed/group/links.hpp"
+#include "currantshed/group/statement_connections.hpp"
 
 namespace currantshed::group {
 
@@ -21,9 +21,9 @@
 } // namespace
 
 std::vector<route::candidate>
-links::Candidates(bool aReadOnly,
-                  bool aForTransaction,
-                  clock::time_point aNow) const
+statement_connections::Candidates(bool aReadOnly,
+                                  bool aForTransaction,
+                                  clock::time_point aNow) const
 {
   std::vector<route::candidate> candidates;
   candidates.reserve(mServers.size());
@@ -48,7 +48,7 @@
 }
 
 bool
-links::HasSlot() const
+statement_connections::HasSlot() const
 {
   return std::any_of(
     mServers.begin(), mServers.end(), [](const server& aServer) {
@@ -57,7 +57,7 @@
 }
 
 void
-links::BeginPass()
+statement_connections::BeginPass()
 {
   for (auto& server : mServers) {
     server.claimsReadOnly = 0;
@@ -66,7 +66,9 @@
 }
 
 std::optional<connection_id>
-links::Acquire(std::size_t aCandidate, bool aReadOnly, clock::time_point aNow)
+statement_connections::Acquire(std::size_t aCandidate,
+                               bool aReadOnly,
+                               clock::time_point aNow)
 {
   auto& server = mServers[aCandidate];
   if (const auto idle = server.pool.Idle(aReadOnly)) {
@@ -91,7 +93,7 @@
 }
 
 void
-links::KeepSpares(clock::time_point aNow)
+statement_connections::OpenSpares(clock::time_point aNow)
 {
   const auto primary = mContext.tracker.Primary(aNow);
   for (auto& server : mServers) {
@@ -116,20 +118,22 @@
 }
 
 void
-links::Open(server& aServer, bool aReadOnly)
+statement_connections::Open(server& aServer, bool aReadOnly)
 {
   const auto id = ++mLastConnection;
   aServer.pool.Add(id, aReadOnly);
-  link opened;
+  connection_state opened;
   opened.server = aServer.description.id;
   opened.readOnly = aReadOnly;
-  mLinks.emplace(id, std::move(opened));
+  mStates.emplace(id, std::move(opened));
   mActions.emplace_back(
     open_connection{ id, aServer.description.id, aReadOnly });
 }
 
 void
-links::OpenSpare(server& aServer, bool aReadOnly, clock::time_point aNow)
+statement_connections::OpenSpare(server& aServer,
+                                 bool aReadOnly,
+                                 clock::time_point aNow)
 {
   const auto& pool = aServer.pool;
   if (!pool.Idle(aReadOnly) && pool.Opening(aReadOnly) == 0 && pool.HasSlot() &&
--- a/src/currantshed/news/exchange.cpp
+++ b/src/currantshed/news/exchange.cpp
@@ -31,12 +31,12 @@
 SocketSettings()
 {
   net::socket_settings settings;
-  settings.longestMessage = kMaxMessageBytes;
-  settings.highWater = kReceiveHighWaterMark;
-  settings.sendHighWater = kSendHighWaterMark;
+  settings.maxMessageBytes = kMaxMessageBytes;
+  settings.maxQueuedReceives = kReceiveHighWaterMark;
+  settings.maxQueuedSends = kSendHighWaterMark;
   settings.pingInterval = std::chrono::milliseconds{ 0 };
   settings.pingTimeout = kUnresponsiveTimeout;
-  settings.unacknowledged = kUnresponsiveTimeout;
+  settings.unacknowledgedTimeout = kUnresponsiveTimeout;
   return settings;
 }
 
--- a/src/currantshed/node/control.cpp
+++ b/src/currantshed/node/control.cpp
@@ -520,7 +520,7 @@
   if (!mSubscribers.Empty()) {
     next = std::min(next, mForwardingBatch.NextTick());
   }
-  mTicker.At(next);
+  mTicker.ScheduleAt(next);
 }
 
 control::group*
--- a/src/currantshed/pooler/server_channel.cpp
+++ b/src/currantshed/pooler/server_channel.cpp
@@ -27,10 +27,10 @@
 
 void
 server_channel::Ask(upstream::statement aQuestion,
-                    std::chrono::milliseconds aAtMost,
+                    std::chrono::milliseconds aTimeout,
                     answer aDone)
 {
-  const auto due = std::chrono::steady_clock::now() + aAtMost;
+  const auto due = std::chrono::steady_clock::now() + aTimeout;
   mQuestions.push_back({ std::move(aQuestion), due, std::move(aDone), {} });
   if (!mConnection) {
     Open();
@@ -78,7 +78,7 @@
 void
 server_channel::Replied(upstream::reply aReply)
 {
-  if (aReply.end == upstream::batch_end::kTorn) {
+  if (aReply.end == upstream::batch_end::kIndeterminate) {
     // Lost follows and fails the question.
     return;
   }
@@ -135,7 +135,7 @@
 server_channel::Schedule()
 {
   if (!mQuestions.empty()) {
-    mTimer.At(mQuestions.front().due);
+    mTimer.ScheduleAt(mQuestions.front().due);
   }
 }
 
--- a/test/currantshed/group/fake_group.cpp
+++ b/test/currantshed/group/fake_group.cpp
@@ -333,7 +333,7 @@
     Close(close->connection);
   } else if (const auto* batch = std::get_if<group::run_batch>(&aAction)) {
     RunBatch(*batch);
-  } else if (const auto* ask = std::get_if<group::ask_status>(&aAction)) {
+  } else if (const auto* ask = std::get_if<group::request_status>(&aAction)) {
     Ask(ask->server);
   } else if (const auto* given = std::get_if<group::give_answer>(&aAction)) {
     mAnswers[given->reply.request] = given->reply;
@@ -425,9 +425,9 @@
   }
   if (isDropped || (isCallers && std::exchange(server.tearNextReply, false))) {
     reply = {};
-    reply.end = batch_end::kTorn;
+    reply.end = batch_end::kIndeterminate;
     if (server.oversize) {
-      reply.sqlState = upstream::kAnswerLimitState;
+      reply.sqlState = upstream::kAnswerLimitSqlState;
     }
   }
   At(mNow + linkDelay, [this, aAction, reply, id = link.server] {
--- a/test/matrix/pooler_node.cpp
+++ b/test/matrix/pooler_node.cpp
@@ -41,7 +41,7 @@
 Torn()
 {
   upstream::reply torn;
-  torn.end = batch_end::kTorn;
+  torn.end = batch_end::kIndeterminate;
   return torn;
 }
 
@@ -164,8 +164,9 @@
 const wire::configuration&
 pooler_node::Configuration() const
 {
-  return mAround.rules.Broken(variant::kConfigurationLastSeen) ? mLastSeen
-                                                               : mKeeper.Held();
+  return mAround.rules.Broken(variant::kConfigurationLastSeen)
+           ? mLastSeen
+           : mKeeper.Current();
 }
 
 void
@@ -408,7 +409,7 @@
 }
 
 void
-pooler_node::Do(const group::ask_status& aAction, const fate& aFate)
+pooler_node::Do(const group::request_status& aAction, const fate& aFate)
 {
   question asked;
   asked.server = aAction.server;
@@ -613,7 +614,7 @@
 pooler_node::Do(const failover::report_suspicion& aAction, const fate& aFate)
 {
   if (!aFate.lost) {
-    mWord = aAction.word;
+    mWord = aAction.report;
   }
 }
 
@@ -707,7 +708,7 @@
   if (aPeer.mNews.term > 0) {
     mCoordinator->PeerAnnounces(aPeer.mNews.term, aPeer.mNews.primary, now);
   }
-  Offer(aPeer.Configuration());
+  ApplyIfNewer(aPeer.Configuration());
 }
 
 void
@@ -718,7 +719,7 @@
     const auto record = policy::ParseConfigurationRecord(aEntry.value);
     if (aReached && record) {
       Bind([this, found = *record] {
-        Offer({ found.version, found.declaration });
+        ApplyIfNewer({ found.version, found.declaration });
       })();
     }
   };
@@ -733,13 +734,13 @@
 }
 
 void
-pooler_node::Offer(const wire::configuration& aOffered)
+pooler_node::ApplyIfNewer(const wire::configuration& aOffered)
 {
   if (aOffered.version == 0) {
     return;
   }
   const auto before = Configuration().version;
-  (void)mKeeper.Offer(aOffered);
+  (void)mKeeper.ApplyIfNewer(aOffered);
   mLastSeen = aOffered;
   if (Configuration().version != before) {
     mAround.seen.versions.push_back({ VmName() + "/" + std::to_string(Life()),
--- a/test/matrix/pooler_node.hpp
+++ b/test/matrix/pooler_node.hpp
@@ -11,7 +11,7 @@
 #include "currantshed/failover/coordinator.hpp"
 #include "currantshed/gateway/engine.hpp"
 #include "currantshed/group/engine.hpp"
-#include "currantshed/pooler/configuration_keeper.hpp"
+#include "currantshed/pooler/latest_configuration.hpp"
 #include "test/matrix/process.hpp"
 #include "test/matrix/steps.hpp"
 #include "test/matrix/surroundings.hpp"
@@ -89,7 +89,7 @@
   void Do(const group::open_connection& aAction, const fate& aFate);
   void Do(const group::close_connection& aAction, const fate& aFate);
   void Do(const group::run_batch& aAction, const fate& aFate);
-  void Do(const group::ask_status& aAction, const fate& aFate);
+  void Do(const group::request_status& aAction, const fate& aFate);
   void Do(const group::give_answer& aAction, const fate& aFate);
   void Do(const failover::probe& aAction, const fate& aFate);
   void Do(const failover::fence& aAction, const fate& aFate);
@@ -118,7 +118,7 @@
   void Beat();
   void Hear(const pooler_node& aPeer);
   void ReadConfiguration();
-  void Offer(const wire::configuration& aOffered);
+  void ApplyIfNewer(const wire::configuration& aOffered);
   void WaitForEnd();
   [[nodiscard]] std::string Incarnation() const;
   void Configure();
@@ -130,7 +130,7 @@
   unsigned mOwners = 1;
   std::unique_ptr<group::engine> mEngine;
   std::unique_ptr<failover::coordinator> mCoordinator;
-  pooler::configuration_keeper mKeeper;
+  pooler::latest_configuration mKeeper;
   wire::configuration mLastSeen;
   std::map<group::request_id, origin> mOrigins;
   group::request_id mLastRequest = 0;
--- a/test/matrix/servers.cpp
+++ b/test/matrix/servers.cpp
@@ -68,8 +68,8 @@
 List(const server& aServer, const server_session& aSession)
 {
   const auto& transaction = aSession.transaction;
-  const bool fixed = transaction && transaction->sees;
-  const auto count = fixed ? *transaction->sees : aServer.applied;
+  const bool fixed = transaction && transaction->visibleRecords;
+  const auto count = fixed ? *transaction->visibleRecords : aServer.applied;
   result_set rows;
   rows.columns = { "value" };
   for (std::size_t at = 0; at < count; ++at) {
@@ -279,8 +279,8 @@
     return std::nullopt;
   }
   if (sql == mDialect->Status().sql) {
-    if (transaction && transaction->readOnly && !transaction->sees) {
-      transaction->sees = target.applied;
+    if (transaction && transaction->readOnly && !transaction->visibleRecords) {
+      transaction->visibleRecords = target.applied;
     }
     return StatusRow(Status(aSession.server));
   }
@@ -332,7 +332,7 @@
                      !aSession.readOnly && transaction &&
                      !transaction->readOnly;
   if (!taken) {
-    aSqlState = upstream::kReadOnlyState;
+    aSqlState = upstream::kReadOnlySqlState;
     return std::nullopt;
   }
   auto& record = transaction->record;
@@ -344,7 +344,7 @@
   const bool isVoid = sql.find("'void'") != std::string::npos;
   const auto& key = *aStatement.parameters[0];
   if (FindKey(target.log, target.log.size(), key) != nullptr) {
-    aSqlState = upstream::kUniqueViolationState;
+    aSqlState = upstream::kUniqueViolationSqlState;
     return isVoid ? std::optional{ result_set{} } : std::nullopt;
   }
   record.key = key;
@@ -368,11 +368,11 @@
   }
   if (target.role != server_role::kPrimary ||
       target.term != transaction->term) {
-    return std::string{ upstream::kStaleTermState };
+    return std::string{ upstream::kStaleTermSqlState };
   }
   const auto& key = transaction->record.key;
   if (!key.empty() && FindKey(target.log, target.log.size(), key) != nullptr) {
-    return std::string{ upstream::kUniqueViolationState };
+    return std::string{ upstream::kUniqueViolationSqlState };
   }
   transaction->record.term = target.term;
   target.log.push_back(std::move(transaction->record));
