--- a/src/currantshed/burn/print.cpp
+++ b/src/currantshed/burn/print.cpp
@@ -17,7 +17,7 @@
 std::string
 PrintWindow(std::chrono::seconds aWindow)
 {
-  return settings::PrintDuration(aWindow);
+  return settings::FormatDuration(aWindow);
 }
 
 /// A burn rate; a window that the data don't cover has none.
--- a/src/currantshed/ctl/diff.cpp
+++ b/src/currantshed/ctl/diff.cpp
@@ -35,12 +35,12 @@
     { "access", reads ? "read" : "write" },
     { "served_in", List(aClass.servedIn) },
     { "may_be_repeated", aClass.repeatable ? "yes" : "no" },
-    { "deadline", settings::PrintDuration(aClass.deadline) },
+    { "deadline", settings::FormatDuration(aClass.deadline) },
     { "objective", absl::StrFormat("%.10g%%", aClass.objective * kPercent) },
     { "groups", aClass.groups.empty() ? "(all)" : List(aClass.groups) },
   };
   if (reads) {
-    fields["max_staleness"] = settings::PrintDuration(aClass.maxStaleness);
+    fields["max_staleness"] = settings::FormatDuration(aClass.maxStaleness);
   }
   return fields;
 }
@@ -54,7 +54,7 @@
   }
   for (const auto& one : aDeclaration.groups) {
     all[absl::StrCat("group ", one.name)] = {
-      { "transaction_limit", settings::PrintDuration(one.transactionLimit) }
+      { "transaction_limit", settings::FormatDuration(one.transactionLimit) }
     };
   }
   return all;
--- a/src/currantshed/ctl/vm_report.cpp
+++ b/src/currantshed/ctl/vm_report.cpp
@@ -130,7 +130,7 @@
 } // namespace
 
 vm_report
-ReadReport(const store::vm& aVm, const http::fetched& aAnswer)
+ReadReport(const store::vm& aVm, const http::fetch_result& aAnswer)
 {
   vm_report report;
   report.vm = aVm;
--- a/src/currantshed/ctl/vm_report.hpp
+++ b/src/currantshed/ctl/vm_report.hpp
@@ -43,7 +43,7 @@
 
 /// Reads the JSON of a VM's /status; what does not apply keeps its default.
 [[nodiscard]] vm_report
-ReadReport(const store::vm& aVm, const http::fetched& aAnswer);
+ReadReport(const store::vm& aVm, const http::fetch_result& aAnswer);
 
 /// What a VM's pooler and gateway say together: the lower version, and ready
 /// where both are.
--- a/src/currantshed/gateway/control.hpp
+++ b/src/currantshed/gateway/control.hpp
@@ -16,7 +16,7 @@
 
 #include "currantshed/gateway/settings.hpp"
 #include "currantshed/gateway/view.hpp"
-#include "currantshed/http/status_answer.hpp"
+#include "currantshed/http/status_response.hpp"
 #include "currantshed/net/dealer.hpp"
 #include "currantshed/wire/codec.hpp"
 
--- a/src/currantshed/gateway/pooler_links.cpp
+++ b/src/currantshed/gateway/pooler_links.cpp
@@ -117,11 +117,12 @@
 {
   aLink.socket =
     std::make_unique<net::dealer>(mContext, mZmq, net::socket_settings{});
-  aLink.socket->OnLink([this, alive = mAlive, vm = aLink.vm.id](bool aUp) {
-    if (*alive) {
-      Changed(vm, aUp);
-    }
-  });
+  aLink.socket->OnConnectionChange(
+    [this, alive = mAlive, vm = aLink.vm.id](bool aUp) {
+      if (*alive) {
+        Changed(vm, aUp);
+      }
+    });
   const auto error = aLink.socket->Connect(
     aLink.vm.address, aLink.vm.poolerPort, [this](std::string_view aBytes) {
       Received(aBytes);
--- a/src/currantshed/gateway/worker.cpp
+++ b/src/currantshed/gateway/worker.cpp
@@ -205,7 +205,7 @@
   }
   const auto due = mEngine->NextTick();
   if (due != clock::time_point::max()) {
-    mTick.At(due);
+    mTick.ScheduleAt(due);
   }
 }
 
--- a/src/currantshed/group/begin_flows.cpp
+++ b/src/currantshed/group/begin_flows.cpp
@@ -78,14 +78,14 @@
 turn
 begin_write_flow::Replied(upstream::reply aReply, clock::time_point aNow)
 {
-  if (aReply.sqlState == upstream::kAnswerLimitState) {
+  if (aReply.sqlState == upstream::kAnswerLimitSqlState) {
     return { finish{ Refused(Request(), reason::kAnswerTooLarge) },
              connection_fate::kClose };
   }
   const auto isRefusal = aReply.end == batch_end::kServerError &&
                          aReply.results.size() >= kOpeningSize &&
-                         aReply.sqlState != upstream::kStaleTermState &&
-                         aReply.sqlState != upstream::kReadOnlyState;
+                         aReply.sqlState != upstream::kStaleTermSqlState &&
+                         aReply.sqlState != upstream::kReadOnlySqlState;
   if (isRefusal) {
     return { finish{ StatementRefused(Request(), aReply) },
              connection_fate::kRollBack };
--- a/src/currantshed/group/changes.cpp
+++ b/src/currantshed/group/changes.cpp
@@ -132,7 +132,7 @@
   }
   const auto first = RecordPlace() + 1;
   const auto size = aReply.results.size();
-  if (aReply.end == batch_end::kTorn || size < first + kClosing) {
+  if (aReply.end == batch_end::kIndeterminate || size < first + kClosing) {
     return { Doubt(), connection_fate::kClose };
   }
   const auto after = size - 1;
@@ -163,7 +163,7 @@
     return { Doubt(), connection_fate::kClose };
   }
   if (failed == RecordPlace() &&
-      aReply.sqlState == upstream::kUniqueViolationState) {
+      aReply.sqlState == upstream::kUniqueViolationSqlState) {
     mPhase = phase::kLookUp;
     return { queue_again{}, connection_fate::kRollBack };
   }
--- a/src/currantshed/group/progress.cpp
+++ b/src/currantshed/group/progress.cpp
@@ -212,7 +212,7 @@
     return;
   }
   upstream::reply torn;
-  torn.end = upstream::batch_end::kTorn;
+  torn.end = upstream::batch_end::kIndeterminate;
   auto next = found->second.way->Replied(std::move(torn), aNow);
   next.fate = connection_fate::kClose;
   Take(aRequest, std::move(next), aNow);
--- a/src/currantshed/group/reads.cpp
+++ b/src/currantshed/group/reads.cpp
@@ -94,7 +94,7 @@
   if (aReply.end == batch_end::kServerError) {
     return ServerRefused(aReply);
   }
-  if (aReply.end == batch_end::kTorn) {
+  if (aReply.end == batch_end::kIndeterminate) {
     return Torn(aReply);
   }
   const auto opening = Opening().size();
@@ -189,7 +189,7 @@
 read_flow::ServerRefused(const upstream::reply& aReply)
 {
   if (Classify(aReply.sqlState) == refusal::kTransient ||
-      aReply.sqlState == upstream::kStaleTermState) {
+      aReply.sqlState == upstream::kStaleTermSqlState) {
     return { TryElsewhere(reason::kUnreachable), connection_fate::kClose };
   }
   return { finish{ StatementRefused(Request(), aReply) },
@@ -199,7 +199,7 @@
 turn
 read_flow::Torn(const upstream::reply& aReply)
 {
-  if (aReply.sqlState == upstream::kAnswerLimitState) {
+  if (aReply.sqlState == upstream::kAnswerLimitSqlState) {
     return { finish{ Refused(Request(), reason::kAnswerTooLarge) },
              connection_fate::kClose };
   }
--- a/src/currantshed/group/refusals.cpp
+++ b/src/currantshed/group/refusals.cpp
@@ -27,8 +27,8 @@
 refusal
 Classify(const std::string& aSqlState)
 {
-  if (aSqlState == upstream::kStaleTermState ||
-      aSqlState == upstream::kReadOnlyState) {
+  if (aSqlState == upstream::kStaleTermSqlState ||
+      aSqlState == upstream::kReadOnlySqlState) {
     return refusal::kNotPrimary;
   }
   const auto isTransient = std::any_of(kTransientClasses.begin(),
--- a/src/currantshed/group/transaction_flows.cpp
+++ b/src/currantshed/group/transaction_flows.cpp
@@ -75,10 +75,10 @@
     return lose(NotRun(Request(), reason::kTransactionLost));
   }
   if (aReply.end == batch_end::kServerError &&
-      aReply.sqlState != upstream::kStaleTermState) {
+      aReply.sqlState != upstream::kStaleTermSqlState) {
     return lose(StatementRefused(Request(), aReply));
   }
-  if (aReply.sqlState == upstream::kAnswerLimitState) {
+  if (aReply.sqlState == upstream::kAnswerLimitSqlState) {
     return lose(Refused(Request(), reason::kAnswerTooLarge));
   }
   const auto place = Request().statements.size();
--- a/src/currantshed/http/channel.cpp
+++ b/src/currantshed/http/channel.cpp
@@ -8,7 +8,7 @@
 #include <boost/beast/core.hpp>
 #include <boost/beast/http.hpp>
 
-#include "currantshed/net/liveness.hpp"
+#include "currantshed/net/tcp_options.hpp"
 
 namespace currantshed::http {
 
@@ -70,7 +70,7 @@
   }
 
 private:
-  struct pending
+  struct pending_call
   {
     call what;
     callback done;
@@ -120,7 +120,7 @@
           return;
         }
         self->mIsOpen = true;
-        net::SetLiveness(self->mStream.socket().native_handle());
+        net::SetTcpOptions(self->mStream.socket().native_handle());
         self->Write();
       });
   }
@@ -173,18 +173,18 @@
                                 self->Fail(aError, false);
                                 return;
                               }
-                              self->Answered();
+                              self->OnResponse();
                             });
   }
 
-  void Answered()
+  void OnResponse()
   {
     auto& response = mParser->get();
-    call_result made;
-    made.status = response.result_int();
-    made.body = std::move(response.body());
-    if (const auto& name = mCalls.front().what.wantedHeader; !name.empty()) {
-      made.wantedHeader = std::string(response[name]);
+    call_result result;
+    result.status = response.result_int();
+    result.body = std::move(response.body());
+    if (const auto& name = mCalls.front().what.responseHeader; !name.empty()) {
+      result.responseHeader = std::string(response[name]);
     }
     if (!response.keep_alive()) {
       CloseStream();
@@ -194,19 +194,19 @@
     // Memory that a large answer took is not kept.
     mBuffer = {};
     mParser.reset();
-    End(std::move(made));
+    Finish(std::move(result));
   }
 
   void Fail(const boost::system::error_code& aError, bool aNotSent)
   {
     CloseStream();
-    call_result made;
-    made.error = aError;
-    made.notSent = aNotSent;
-    End(std::move(made));
+    call_result result;
+    result.error = aError;
+    result.notSent = aNotSent;
+    Finish(std::move(result));
   }
 
-  void End(call_result aReply)
+  void Finish(call_result aReply)
   {
     auto done = std::move(mCalls.front().done);
     mCalls.pop_front();
@@ -237,7 +237,7 @@
   beast::http::request<beast::http::string_body> mRequest;
   std::string mAddress;
   std::uint16_t mPort;
-  std::deque<pending> mCalls;
+  std::deque<pending_call> mCalls;
   bool mIsOpen = false;
   bool mIsStopped = false;
 };
--- a/src/currantshed/http/channel.hpp
+++ b/src/currantshed/http/channel.hpp
@@ -36,7 +36,7 @@
   /// Time until the whole answer must be there.
   std::chrono::milliseconds timeout{ 1000 };
   /// The header of the answer that the caller wants, if any.
-  std::string wantedHeader = {};
+  std::string responseHeader = {};
 };
 
 /// The answer to one call.
@@ -50,7 +50,7 @@
   unsigned status = 0;
   std::string body;
   /// What the header that the call named holds; empty where there is none.
-  std::string wantedHeader;
+  std::string responseHeader;
 };
 
 /// One connection to a service, made when needed and kept. Calls wait for
--- a/src/currantshed/http/fetcher.cpp
+++ b/src/currantshed/http/fetcher.cpp
@@ -8,8 +8,8 @@
 namespace currantshed::http {
 namespace {
 
-constexpr std::size_t kLargestAnswerBytes = 16UL * 1024 * 1024;
-constexpr std::size_t kMostAtOnce = 64;
+constexpr std::size_t kMaxResponseBytes = 16UL * 1024 * 1024;
+constexpr std::size_t kMaxConcurrentTransfers = 64;
 constexpr int kPollMs = 100;
 
 /// One transfer; its place in memory must stay, since libcurl points to it.
@@ -19,7 +19,7 @@
     curl_easy_init(),
     &curl_easy_cleanup
   };
-  fetched result;
+  fetch_result result;
 };
 
 std::size_t
@@ -27,7 +27,7 @@
 {
   auto& body = static_cast<transfer*>(aTarget)->result.body;
   const std::size_t bytes = aSize * aCount;
-  if (body.size() + bytes > kLargestAnswerBytes) {
+  if (body.size() + bytes > kMaxResponseBytes) {
     return 0;
   }
   body.append(aData, bytes);
@@ -68,24 +68,26 @@
 class curl_fetcher : public fetcher
 {
 public:
-  std::vector<fetched> Fetch(const std::vector<std::string>& aUrls,
-                             std::chrono::milliseconds aTimeout) override
+  std::vector<fetch_result> Fetch(const std::vector<std::string>& aUrls,
+                                  std::chrono::milliseconds aTimeout) override
   {
-    std::vector<fetched> all;
+    std::vector<fetch_result> all;
     all.reserve(aUrls.size());
-    for (std::size_t first = 0; first < aUrls.size(); first += kMostAtOnce) {
-      const std::size_t last = std::min(first + kMostAtOnce, aUrls.size());
-      FetchSome(aUrls, first, last, aTimeout, all);
+    for (std::size_t first = 0; first < aUrls.size();
+         first += kMaxConcurrentTransfers) {
+      const std::size_t last =
+        std::min(first + kMaxConcurrentTransfers, aUrls.size());
+      FetchBatch(aUrls, first, last, aTimeout, all);
     }
     return all;
   }
 
 private:
-  void FetchSome(const std::vector<std::string>& aUrls,
-                 std::size_t aFirst,
-                 std::size_t aLast,
-                 std::chrono::milliseconds aTimeout,
-                 std::vector<fetched>& aAll)
+  void FetchBatch(const std::vector<std::string>& aUrls,
+                  std::size_t aFirst,
+                  std::size_t aLast,
+                  std::chrono::milliseconds aTimeout,
+                  std::vector<fetch_result>& aAll)
   {
     std::vector<transfer> transfers(aLast - aFirst);
     for (std::size_t i = aFirst; i < aLast; ++i) {
@@ -108,14 +110,14 @@
       if (curl_multi_perform(mMulti.get(), &running) != CURLM_OK) {
         break;
       }
-      TakeEnded();
+      CollectFinished();
       if (running > 0) {
         curl_multi_poll(mMulti.get(), nullptr, 0, kPollMs, nullptr);
       }
     }
   }
 
-  void TakeEnded()
+  void CollectFinished()
   {
     int left = 0;
     while (const auto* message = curl_multi_info_read(mMulti.get(), &left)) {
--- a/src/currantshed/http/fetcher.hpp
+++ b/src/currantshed/http/fetcher.hpp
@@ -12,7 +12,7 @@
 namespace currantshed::http {
 
 /// What one GET brought.
-struct fetched
+struct fetch_result
 {
   /// Zero when no whole answer came.
   long status = 0;
@@ -29,7 +29,7 @@
 
   /// GETs every URL and returns the answers in the same order, once all have
   /// ended or run out of time.
-  [[nodiscard]] virtual std::vector<fetched> Fetch(
+  [[nodiscard]] virtual std::vector<fetch_result> Fetch(
     const std::vector<std::string>& aUrls,
     std::chrono::milliseconds aTimeout) = 0;
 };
--- a/src/currantshed/http/fwd.hpp
+++ b/src/currantshed/http/fwd.hpp
@@ -5,9 +5,9 @@
 
 enum class method;
 struct call;
-struct fetched;
+struct fetch_result;
 struct call_result;
-struct status_answer;
+struct status_response;
 struct status_source;
 class channel;
 class fetcher;
--- a/src/currantshed/http/status_answer.cpp
+++ b/src/currantshed/http/status_response.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/http/status_answer.hpp"
+#include "currantshed/http/status_response.hpp"
 
 #include <prometheus/text_serializer.h>
 
@@ -15,13 +15,13 @@
 
 } // namespace
 
-status_answer
-AnswerStatus(bool aReads,
-             std::string_view aTarget,
-             const prometheus::Registry& aMetrics,
-             const status_source& aSource)
+status_response
+HandleStatusRequest(bool aIsRead,
+                    std::string_view aTarget,
+                    const prometheus::Registry& aMetrics,
+                    const status_source& aSource)
 {
-  if (!aReads) {
+  if (!aIsRead) {
     return { kMethodNotAllowed, kPlain, "only GET and HEAD\n" };
   }
   const auto path = aTarget.substr(0, aTarget.find('?'));
--- a/src/currantshed/http/status_answer.hpp
+++ b/src/currantshed/http/status_response.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_HTTP_STATUS_ANSWER_HPP
-#define CURRANTSHED_HTTP_STATUS_ANSWER_HPP
+#ifndef CURRANTSHED_HTTP_STATUS_RESPONSE_HPP
+#define CURRANTSHED_HTTP_STATUS_RESPONSE_HPP
 
 #include <string>
 #include <string_view>
@@ -27,19 +27,19 @@
 };
 
 /// The answer to one request at the status port.
-struct status_answer
+struct status_response
 {
   unsigned status = 0;
   std::string contentType;
   std::string body;
 };
 
-/// The answer to a GET or HEAD (aReads) of a path, or to another method.
-[[nodiscard]] status_answer
-AnswerStatus(bool aReads,
-             std::string_view aTarget,
-             const prometheus::Registry& aMetrics,
-             const status_source& aSource);
+/// The answer to a GET or HEAD (aIsRead) of a path, or to another method.
+[[nodiscard]] status_response
+HandleStatusRequest(bool aIsRead,
+                    std::string_view aTarget,
+                    const prometheus::Registry& aMetrics,
+                    const status_source& aSource);
 
 } // namespace currantshed::http
 
--- a/src/currantshed/http/status_server.cpp
+++ b/src/currantshed/http/status_server.cpp
@@ -16,7 +16,7 @@
 using tcp = boost::asio::ip::tcp;
 
 constexpr std::chrono::seconds kIdleTimeout{ 30 };
-constexpr std::size_t kMostConnections = 64;
+constexpr std::size_t kMaxConnections = 64;
 constexpr std::uint32_t kHeaderLimitBytes = 8 * 1024;
 constexpr std::uint64_t kBodyLimitBytes = 1024;
 
@@ -60,7 +60,7 @@
                             [self = shared_from_this()](
                               boost::system::error_code aError, std::size_t) {
                               if (aError) {
-                                self->End();
+                                self->Finish();
                                 return;
                               }
                               self->Answer();
@@ -71,10 +71,10 @@
   {
     const auto& request = mParser->get();
     const bool isHead = request.method() == beast::http::verb::head;
-    const bool reads = isHead || request.method() == beast::http::verb::get;
+    const bool isRead = isHead || request.method() == beast::http::verb::get;
     const auto target = request.target();
-    auto answer =
-      AnswerStatus(reads, { target.data(), target.size() }, mMetrics, mSource);
+    auto answer = HandleStatusRequest(
+      isRead, { target.data(), target.size() }, mMetrics, mSource);
     mResponse = {};
     mResponse.version(request.version());
     mResponse.keep_alive(request.keep_alive());
@@ -95,14 +95,14 @@
                              [self = shared_from_this()](
                                boost::system::error_code aError, std::size_t) {
                                if (aError || !self->mResponse.keep_alive()) {
-                                 self->End();
+                                 self->Finish();
                                  return;
                                }
                                self->Read();
                              });
   }
 
-  void End()
+  void Finish()
   {
     Close();
     mEnded();
@@ -193,7 +193,7 @@
 
   void Accept()
   {
-    const bool isFull = mConnections.size() >= kMostConnections;
+    const bool isFull = mConnections.size() >= kMaxConnections;
     if (mIsStopped || mIsAccepting || isFull) {
       return;
     }
--- a/src/currantshed/http/status_server.hpp
+++ b/src/currantshed/http/status_server.hpp
@@ -10,7 +10,7 @@
 #include <prometheus/registry.h>
 
 #include "currantshed/http/fwd.hpp"
-#include "currantshed/http/status_answer.hpp"
+#include "currantshed/http/status_response.hpp"
 
 namespace currantshed::http {
 
--- a/src/currantshed/load/checker.cpp
+++ b/src/currantshed/load/checker.cpp
@@ -163,9 +163,9 @@
 }
 
 void
-CheckTags(findings& aFindings, const std::vector<tag_read>& aReads)
+CheckTags(findings& aFindings, const std::vector<tag_read>& aIsRead)
 {
-  for (const tag_read& read : aReads) {
+  for (const tag_read& read : aIsRead) {
     if (read.first != read.second) {
       Note(aFindings,
            aFindings.mixedTransactions,
--- a/src/currantshed/log/log.cpp
+++ b/src/currantshed/log/log.cpp
@@ -15,7 +15,7 @@
 #include <easylogging++.h>
 
 #include "currantshed/clock/print_time.hpp"
-#include "currantshed/log/line_budget.hpp"
+#include "currantshed/log/line_rate_limiter.hpp"
 #include "currantshed/log/utf8.hpp"
 
 // The one place where the storage of easylogging++ is defined.
@@ -29,15 +29,15 @@
 // Lines a second that a process writes in the long run, and at once: more
 // would cost a small VM processor time that its callers need.
 constexpr double kLinesPerSecond = 100;
-constexpr double kLinesAtOnce = 400;
+constexpr double kLineBurst = 400;
 // A pipe that can be written to takes this much without blocking, in bytes.
-constexpr std::size_t kUnblocked = PIPE_BUF;
+constexpr std::size_t kMaxLineBytes = PIPE_BUF;
 
 bool
 CanWrite(int aDescriptor)
 {
-  pollfd asked{ aDescriptor, POLLOUT, 0 };
-  return poll(&asked, 1, 0) == 1 && (asked.revents & POLLOUT) != 0;
+  pollfd request{ aDescriptor, POLLOUT, 0 };
+  return poll(&request, 1, 0) == 1 && (request.revents & POLLOUT) != 0;
 }
 
 /// Writes each message as one line, without ever waiting for a reader. The
@@ -57,30 +57,31 @@
       return;
     }
     const auto level = aData->logMessage()->level();
-    const bool matters =
+    const bool isHighPriority =
       level == el::Level::Warning || level == el::Level::Error;
-    if (!mBudget.Take(matters, std::chrono::steady_clock::now())) {
+    if (!mRateLimiter.TryAcquire(isHighPriority,
+                                 std::chrono::steady_clock::now())) {
       return;
     }
     if (!CanWrite(STDOUT_FILENO)) {
-      mBudget.NoteDropped();
+      mRateLimiter.CountDropped();
       return;
     }
     Put(line);
-    TellDropped();
+    ReportDropped();
   }
 
 private:
   static void Put(const std::string& aLine)
   {
-    const auto size = std::min(aLine.size(), kUnblocked);
+    const auto size = std::min(aLine.size(), kMaxLineBytes);
     // A reader that has gone can't be told of it.
     (void)!write(STDOUT_FILENO, aLine.data(), size);
   }
 
-  void TellDropped()
+  void ReportDropped()
   {
-    const auto dropped = mBudget.TakeDropped();
+    const auto dropped = mRateLimiter.TakeDropped();
     if (dropped > 0 && CanWrite(STDOUT_FILENO)) {
       Put("{\"event\":\"lines_left_out\",\"count\":" + std::to_string(dropped) +
           "}\n");
@@ -88,7 +89,7 @@
   }
 
   std::atomic<bool> mIsOutput{ false };
-  line_budget mBudget{ kLinesPerSecond, kLinesAtOnce };
+  line_rate_limiter mRateLimiter{ kLinesPerSecond, kLineBurst };
 };
 
 constexpr const char* kWriterName = "line_writer";
@@ -103,7 +104,7 @@
 }
 
 el::Logger&
-TheLogger()
+GetLogger()
 {
   static el::Logger* const sLogger = MakeLogger();
   return *sLogger;
@@ -117,14 +118,14 @@
 };
 
 state&
-TheState()
+GetState()
 {
   static state sState;
   return sState;
 }
 
 std::string_view
-NameOf(level aLevel)
+ToString(level aLevel)
 {
   switch (aLevel) {
     case level::kDebug:
@@ -153,8 +154,8 @@
     }
     return aNumber;
   }
-  boost::json::value operator()(bool aTruth) const { return aTruth; }
-  boost::json::value operator()(unknown /*aLack*/) const { return nullptr; }
+  boost::json::value operator()(bool aValue) const { return aValue; }
+  boost::json::value operator()(unknown /*aUnknown*/) const { return nullptr; }
 };
 
 } // namespace
@@ -162,16 +163,16 @@
 void
 Start(const identity& aSelf, level aLowest)
 {
-  TheState().self = aSelf;
-  TheState().lowest = aLowest;
-  TheLogger();
+  GetState().self = aSelf;
+  GetState().lowest = aLowest;
+  GetLogger();
   el::Helpers::logDispatchCallback<line_writer>(kWriterName)->UseOutput();
 }
 
 bool
-Writes(level aLevel)
+IsLevelEnabled(level aLevel)
 {
-  return aLevel >= TheState().lowest.load(std::memory_order_relaxed);
+  return aLevel >= GetState().lowest.load(std::memory_order_relaxed);
 }
 
 std::string
@@ -183,7 +184,7 @@
 {
   boost::json::object line;
   line["time"] = clock::PrintTimeMs(aNow);
-  line["level"] = NameOf(aLevel);
+  line["level"] = ToString(aLevel);
   line["event"] = ToValidUtf8(aEvent);
   line["program"] = ToValidUtf8(aSelf.program);
   line["vm"] = ToValidUtf8(aSelf.vm);
@@ -201,21 +202,21 @@
       std::string_view aEvent,
       std::initializer_list<field> aFields)
 {
-  if (!Writes(aLevel)) {
+  if (!IsLevelEnabled(aLevel)) {
     return;
   }
   const std::string line = FormatLine(
-    std::chrono::system_clock::now(), TheState().self, aLevel, aEvent, aFields);
+    std::chrono::system_clock::now(), GetState().self, aLevel, aEvent, aFields);
   switch (aLevel) {
     case level::kDebug:
     case level::kInfo:
-      TheLogger().info(line);
+      GetLogger().info(line);
       break;
     case level::kWarning:
-      TheLogger().warn(line);
+      GetLogger().warn(line);
       break;
     case level::kError:
-      TheLogger().error(line);
+      GetLogger().error(line);
       break;
   }
 }
--- a/src/currantshed/log/log.hpp
+++ b/src/currantshed/log/log.hpp
@@ -54,7 +54,7 @@
 
 /// Whether lines of this level are written.
 [[nodiscard]] bool
-Writes(level aLevel);
+IsLevelEnabled(level aLevel);
 
 /// Writes one JSON object on one line. The fixed
 /// fields come first (time, level, event, program, vm, failure_domain), then
--- a/src/currantshed/log/utf8.cpp
+++ b/src/currantshed/log/utf8.cpp
@@ -16,15 +16,15 @@
 
 /// How a sequence of a given length begins, and the least code point that
 /// may be written with that length.
-struct lead
+struct sequence_form
 {
   std::size_t length;
   std::uint8_t mask;
   std::uint8_t pattern;
-  std::uint32_t least;
+  std::uint32_t minCodePoint;
 };
 
-constexpr lead kLeads[] = {
+constexpr sequence_form kSequenceForms[] = {
   { 1, 0x80, 0x00, 0x0 },
   { 2, 0xE0, 0xC0, 0x80 },
   { 3, 0xF0, 0xE0, 0x800 },
@@ -32,11 +32,12 @@
 };
 
 bool
-IsAllowed(std::uint32_t aCodePoint, std::uint32_t aLeast)
+IsAllowed(std::uint32_t aCodePoint, std::uint32_t aMinCodePoint)
 {
   const bool isSurrogate =
     aCodePoint >= kFirstSurrogate && aCodePoint <= kLastSurrogate;
-  return aCodePoint >= aLeast && aCodePoint <= kLastCodePoint && !isSurrogate;
+  return aCodePoint >= aMinCodePoint && aCodePoint <= kLastCodePoint &&
+         !isSurrogate;
 }
 
 /// Length of the valid sequence at the text's beginning; zero if there is
@@ -45,7 +46,7 @@
 SequenceLength(std::string_view aText)
 {
   const auto first = static_cast<std::uint8_t>(aText[0]);
-  for (const auto& form : kLeads) {
+  for (const auto& form : kSequenceForms) {
     if ((first & form.mask) != form.pattern) {
       continue;
     }
@@ -61,7 +62,7 @@
       codePoint = (codePoint << kContinuationBits) |
                   (next & static_cast<std::uint8_t>(~kContinuationMask));
     }
-    return IsAllowed(codePoint, form.least) ? form.length : 0;
+    return IsAllowed(codePoint, form.minCodePoint) ? form.length : 0;
   }
   return 0;
 }
--- a/src/currantshed/net/accept_queue.hpp
+++ b/src/currantshed/net/accept_queue.hpp
@@ -10,9 +10,9 @@
 /// Closes a listening socket, and passes on each connection that the operating
 /// system has taken for it so far. Closing alone would reset those: their
 /// callers count as connected and may have sent a request.
-template<typename taker>
+template<typename handler>
 void
-CloseListener(boost::asio::ip::tcp::acceptor& aAcceptor, taker aTake)
+CloseListener(boost::asio::ip::tcp::acceptor& aAcceptor, handler aHandler)
 {
   boost::system::error_code error;
   aAcceptor.non_blocking(true, error);
@@ -22,7 +22,7 @@
     if (error == boost::asio::error::connection_aborted) {
       error.clear();
     } else if (!error) {
-      aTake(std::move(socket));
+      aHandler(std::move(socket));
     }
   }
   aAcceptor.close(error);
--- a/src/currantshed/net/dealer.cpp
+++ b/src/currantshed/net/dealer.cpp
@@ -12,7 +12,7 @@
 /// A name for a socket within the process, never used again: ZeroMQ frees the
 /// name of a closed socket only some time later.
 std::string
-NextLinkName()
+NextMonitorName()
 {
   static std::atomic<std::uint64_t> sLast{ 0 };
   return "inproc://link-" + std::to_string(++sLast);
@@ -30,17 +30,17 @@
 
 /// Reads the events of one dealer's connection, which ZeroMQ gives on a
 /// socket of their own.
-class dealer::link_monitor final : public zmq_socket
+class dealer::connection_monitor final : public zmq_socket
 {
 public:
-  link_monitor(boost::asio::io_context& aContext,
-               zmq::socket_t& aWatched,
-               zmq::context_t& aZmq,
-               std::function<void(bool)> aChanged)
+  connection_monitor(boost::asio::io_context& aContext,
+                     zmq::socket_t& aWatched,
+                     zmq::context_t& aZmq,
+                     std::function<void(bool)> aChanged)
     : zmq_socket(aContext, aZmq, zmq::socket_type::pair, {})
     , mChanged(std::move(aChanged))
   {
-    const std::string name = NextLinkName();
+    const std::string name = NextMonitorName();
     constexpr int kEvents =
       ZMQ_EVENT_HANDSHAKE_SUCCEEDED | ZMQ_EVENT_DISCONNECTED;
     zmq_socket_monitor(aWatched.handle(), name.c_str(), kEvents);
@@ -49,7 +49,7 @@
   }
 
 private:
-  [[nodiscard]] bool TakeOne() override
+  [[nodiscard]] bool ReceiveOne() override
   {
     zmq::message_t event;
     if (!Receive(event)) {
@@ -75,9 +75,9 @@
 }
 
 void
-dealer::OnLink(std::function<void(bool)> aChanged)
+dealer::OnConnectionChange(std::function<void(bool)> aChanged)
 {
-  mMonitor = std::make_unique<link_monitor>(
+  mMonitor = std::make_unique<connection_monitor>(
     Context(), Socket(), mZmq, std::move(aChanged));
 }
 
@@ -101,7 +101,7 @@
 }
 
 bool
-dealer::TakeOne()
+dealer::ReceiveOne()
 {
   zmq::message_t part;
   if (!ReceiveLast(part)) {
--- a/src/currantshed/net/dealer.hpp
+++ b/src/currantshed/net/dealer.hpp
@@ -34,16 +34,16 @@
 
   /// Has the callback called whenever a connection begins to stand, with
   /// true, or is lost, with false. Call before Connect.
-  void OnLink(std::function<void(bool)> aChanged);
+  void OnConnectionChange(std::function<void(bool)> aChanged);
 
 private:
-  class link_monitor;
+  class connection_monitor;
 
-  [[nodiscard]] bool TakeOne() override;
+  [[nodiscard]] bool ReceiveOne() override;
 
   zmq::context_t& mZmq;
   receiver mReceiver;
-  std::unique_ptr<link_monitor> mMonitor;
+  std::unique_ptr<connection_monitor> mMonitor;
 };
 
 } // namespace currantshed::net
--- a/src/currantshed/net/errors.cpp
+++ b/src/currantshed/net/errors.cpp
@@ -16,11 +16,11 @@
   [[nodiscard]] std::string message(int aValue) const override
   {
     switch (static_cast<net_errc>(aValue)) {
-      case net_errc::kInUse:
+      case net_errc::kAddressInUse:
         return "port in use";
-      case net_errc::kBadAddress:
+      case net_errc::kAddressNotAvailable:
         return "address not usable on this VM";
-      case net_errc::kFull:
+      case net_errc::kQueueFull:
         return "queue to the peer is full or not connected";
       case net_errc::kUnreachable:
         return "peer has gone";
@@ -49,17 +49,17 @@
 }
 
 net_errc
-FromZmq(int aNumber) noexcept
+FromZmqError(int aNumber) noexcept
 {
   switch (aNumber) {
     case EADDRINUSE:
-      return net_errc::kInUse;
+      return net_errc::kAddressInUse;
     case EADDRNOTAVAIL:
     case EINVAL:
     case ENODEV:
-      return net_errc::kBadAddress;
+      return net_errc::kAddressNotAvailable;
     case EAGAIN:
-      return net_errc::kFull;
+      return net_errc::kQueueFull;
     case EHOSTUNREACH:
       return net_errc::kUnreachable;
     case ENOTSOCK:
--- a/src/currantshed/net/errors.hpp
+++ b/src/currantshed/net/errors.hpp
@@ -11,12 +11,12 @@
 enum class net_errc
 {
   /// The port is taken by another process.
-  kInUse = 1,
+  kAddressInUse = 1,
   /// The address is none of this VM, or none at all.
-  kBadAddress,
+  kAddressNotAvailable,
   /// The queue to the peer is full, or no connection stands; the message was
   /// not taken.
-  kFull,
+  kQueueFull,
   /// The peer has gone.
   kUnreachable,
   /// The socket is closed.
@@ -34,7 +34,7 @@
 
 /// The whole mapping from ZeroMQ's error numbers.
 [[nodiscard]] net_errc
-FromZmq(int aNumber) noexcept;
+FromZmqError(int aNumber) noexcept;
 
 } // namespace currantshed::net
 
--- a/src/currantshed/net/router.cpp
+++ b/src/currantshed/net/router.cpp
@@ -40,7 +40,7 @@
 }
 
 bool
-router::TakeOne()
+router::ReceiveOne()
 {
   zmq::message_t peer;
   if (!Receive(peer)) {
--- a/src/currantshed/net/router.hpp
+++ b/src/currantshed/net/router.hpp
@@ -39,7 +39,7 @@
                                      std::string_view aBytes);
 
 private:
-  [[nodiscard]] bool TakeOne() override;
+  [[nodiscard]] bool ReceiveOne() override;
 
   receiver mReceiver;
 };
--- a/src/currantshed/net/liveness.cpp
+++ b/src/currantshed/net/tcp_options.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/net/liveness.hpp"
+#include "currantshed/net/tcp_options.hpp"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -25,7 +25,7 @@
 } // namespace
 
 void
-SetLiveness(int aSocket)
+SetTcpOptions(int aSocket)
 {
   Set(aSocket, IPPROTO_TCP, TCP_NODELAY, 1);
   Set(aSocket, IPPROTO_TCP, TCP_USER_TIMEOUT, kUserTimeoutMs);
--- a/src/currantshed/net/liveness.hpp
+++ b/src/currantshed/net/tcp_options.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_NET_LIVENESS_HPP
-#define CURRANTSHED_NET_LIVENESS_HPP
+#ifndef CURRANTSHED_NET_TCP_OPTIONS_HPP
+#define CURRANTSHED_NET_TCP_OPTIONS_HPP
 
 namespace currantshed::net {
 
@@ -7,7 +7,7 @@
 /// stops to answer, whether bytes are under way or not, and send small
 /// messages at once.
 void
-SetLiveness(int aSocket);
+SetTcpOptions(int aSocket);
 
 } // namespace currantshed::net
 
--- a/src/currantshed/net/tick_timer.cpp
+++ b/src/currantshed/net/tick_timer.cpp
@@ -17,7 +17,7 @@
 }
 
 void
-tick_timer::At(clock::time_point aDue)
+tick_timer::ScheduleAt(clock::time_point aDue)
 {
   if (aDue >= mDue) {
     return;
--- a/src/currantshed/net/tick_timer.hpp
+++ b/src/currantshed/net/tick_timer.hpp
@@ -25,7 +25,7 @@
   ~tick_timer();
 
   /// Asks for a tick at this time at the latest.
-  void At(clock::time_point aDue);
+  void ScheduleAt(clock::time_point aDue);
 
   /// Asks for no tick any more.
   void Stop();
--- a/src/currantshed/net/zmq_context.cpp
+++ b/src/currantshed/net/zmq_context.cpp
@@ -6,7 +6,7 @@
 MakeContext()
 {
   zmq::context_t context;
-  context.set(zmq::ctxopt::max_sockets, kMostSockets);
+  context.set(zmq::ctxopt::max_sockets, kMaxSockets);
   return context;
 }
 
--- a/src/currantshed/net/zmq_socket.cpp
+++ b/src/currantshed/net/zmq_socket.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Messages handed over before others on the same thread get their turn.
-constexpr int kMostAtOnce = 128;
+constexpr int kMaxMessagesPerDrain = 128;
 
 /// When the kernel asks whether the peer of a silent connection is still there:
 /// after how many seconds, how many apart, and how often before the connection
@@ -28,7 +28,7 @@
 }
 
 void
-ApplySilence(std::chrono::milliseconds aLimit, zmq::socket_t& aSocket)
+ApplyPeerTimeout(std::chrono::milliseconds aLimit, zmq::socket_t& aSocket)
 {
   if (aLimit == std::chrono::milliseconds::zero()) {
     return;
@@ -44,20 +44,22 @@
 Apply(const socket_settings& aSettings, zmq::socket_t& aSocket)
 {
   aSocket.set(zmq::sockopt::linger, Count(aSettings.linger));
-  aSocket.set(zmq::sockopt::immediate, aSettings.onlyConnected);
-  aSocket.set(zmq::sockopt::sndhwm, aSettings.sendHighWater);
-  aSocket.set(zmq::sockopt::rcvhwm, aSettings.highWater);
-  aSocket.set(zmq::sockopt::maxmsgsize, aSettings.longestMessage);
+  aSocket.set(zmq::sockopt::immediate, aSettings.requireConnection);
+  aSocket.set(zmq::sockopt::sndhwm, aSettings.maxQueuedSends);
+  aSocket.set(zmq::sockopt::rcvhwm, aSettings.maxQueuedReceives);
+  aSocket.set(zmq::sockopt::maxmsgsize, aSettings.maxMessageBytes);
   if (aSettings.pingInterval > std::chrono::milliseconds::zero()) {
     aSocket.set(zmq::sockopt::heartbeat_ivl, Count(aSettings.pingInterval));
     aSocket.set(zmq::sockopt::heartbeat_timeout, Count(aSettings.pingTimeout));
     aSocket.set(zmq::sockopt::heartbeat_ttl, Count(aSettings.pingTimeout));
   }
-  ApplySilence(aSettings.unacknowledged, aSocket);
+  ApplyPeerTimeout(aSettings.unacknowledgedTimeout, aSocket);
   aSocket.set(zmq::sockopt::handshake_ivl, Count(aSettings.pingTimeout));
   aSocket.set(zmq::sockopt::connect_timeout, Count(aSettings.pingTimeout));
-  aSocket.set(zmq::sockopt::reconnect_ivl, Count(aSettings.reconnectFirst));
-  aSocket.set(zmq::sockopt::reconnect_ivl_max, Count(aSettings.reconnectMost));
+  aSocket.set(zmq::sockopt::reconnect_ivl,
+              Count(aSettings.initialReconnectDelay));
+  aSocket.set(zmq::sockopt::reconnect_ivl_max,
+              Count(aSettings.maxReconnectDelay));
 }
 
 std::string
@@ -122,9 +124,9 @@
 zmq_socket::Drain()
 {
   const auto alive = mAlive;
-  for (int taken = 0; taken < kMostAtOnce; ++taken) {
-    const bool wasThere = TakeOne();
-    if (!wasThere || !*alive) {
+  for (int handled = 0; handled < kMaxMessagesPerDrain; ++handled) {
+    const bool received = ReceiveOne();
+    if (!received || !*alive) {
       return;
     }
   }
@@ -166,13 +168,13 @@
 bool
 zmq_socket::ReceiveLast(zmq::message_t& aPart)
 {
-  bool wasThere = Receive(aPart);
-  while (wasThere && aPart.more()) {
+  bool received = Receive(aPart);
+  while (received && aPart.more()) {
     zmq::message_t next;
-    wasThere = Receive(next);
+    received = Receive(next);
     aPart = std::move(next);
   }
-  return wasThere;
+  return received;
 }
 
 std::error_code
@@ -186,13 +188,13 @@
     const auto more = zmq::send_flags::dontwait | zmq::send_flags::sndmore;
     if (!aPeer.empty() &&
         !mSocket.send(zmq::buffer(aPeer.data(), aPeer.size()), more)) {
-      return net_errc::kFull;
+      return net_errc::kQueueFull;
     }
     const auto sent = mSocket.send(zmq::buffer(aBytes.data(), aBytes.size()),
                                    zmq::send_flags::dontwait);
-    return sent ? std::error_code() : net_errc::kFull;
+    return sent ? std::error_code() : net_errc::kQueueFull;
   } catch (const zmq::error_t& error) {
-    return FromZmq(error.num());
+    return FromZmqError(error.num());
   }
 }
 
@@ -203,7 +205,7 @@
     mSocket.bind(Endpoint(aAddress, aPort));
     return {};
   } catch (const zmq::error_t& error) {
-    return FromZmq(error.num());
+    return FromZmqError(error.num());
   }
 }
 
@@ -214,7 +216,7 @@
     mSocket.connect(Endpoint(aAddress, aPort));
     return {};
   } catch (const zmq::error_t& error) {
-    return FromZmq(error.num());
+    return FromZmqError(error.num());
   }
 }
 
--- a/src/currantshed/net/zmq_socket.hpp
+++ b/src/currantshed/net/zmq_socket.hpp
@@ -24,25 +24,25 @@
   std::chrono::milliseconds linger{ 0 };
   /// Whether a message is refused while no connection to the peer stands. If
   /// not, it waits for one, and may arrive late.
-  bool onlyConnected = true;
+  bool requireConnection = true;
   /// Messages of one peer queued here; more wait on the way.
-  int highWater = 20000;
+  int maxQueuedReceives = 20000;
   /// Messages queued for one peer; more are refused.
-  int sendHighWater = 20000;
+  int maxQueuedSends = 20000;
   /// Longest message taken from a peer, in bytes; a peer that sends more is
   /// disconnected.
-  std::int64_t longestMessage = std::int64_t{ 16 } * 1024 * 1024;
+  std::int64_t maxMessageBytes = std::int64_t{ 16 } * 1024 * 1024;
   /// Time between the transport's own pings; zero for none.
   std::chrono::milliseconds pingInterval{ 250 };
   /// How long sent bytes may stay without the peer's acknowledgement before
   /// the kernel gives the connection up, and after how much silence it begins
   /// to ask whether the peer is there; zero leaves both to the system.
-  std::chrono::milliseconds unacknowledged{ 0 };
+  std::chrono::milliseconds unacknowledgedTimeout{ 0 };
   /// A peer that has been silent for this long is disconnected.
   std::chrono::milliseconds pingTimeout{ 1000 };
   /// Pause between attempts to connect, at first and at most.
-  std::chrono::milliseconds reconnectFirst{ 25 };
-  std::chrono::milliseconds reconnectMost{ 500 };
+  std::chrono::milliseconds initialReconnectDelay{ 25 };
+  std::chrono::milliseconds maxReconnectDelay{ 500 };
 };
 
 /// One ZeroMQ socket hung on an io_context. Belongs to the thread that runs
@@ -84,7 +84,7 @@
                                           std::uint16_t aPort);
 
   /// Reads one whole message and hands it over; false when there is none.
-  [[nodiscard]] virtual bool TakeOne() = 0;
+  [[nodiscard]] virtual bool ReceiveOne() = 0;
 
   /// Reads the next part; false when there is none.
   [[nodiscard]] bool Receive(zmq::message_t& aPart);
--- a/src/currantshed/news/exchange.cpp
+++ b/src/currantshed/news/exchange.cpp
@@ -32,12 +32,12 @@
 NewsSettings()
 {
   net::socket_settings settings;
-  settings.longestMessage = kLongestNews;
-  settings.highWater = kHighWater;
-  settings.sendHighWater = kSendHighWater;
+  settings.maxMessageBytes = kLongestNews;
+  settings.maxQueuedReceives = kHighWater;
+  settings.maxQueuedSends = kSendHighWater;
   settings.pingInterval = std::chrono::milliseconds{ 0 };
   settings.pingTimeout = kSilence;
-  settings.unacknowledged = kSilence;
+  settings.unacknowledgedTimeout = kSilence;
   return settings;
 }
 
--- a/src/currantshed/node/control.cpp
+++ b/src/currantshed/node/control.cpp
@@ -514,7 +514,7 @@
   if (!mSubscribers.Empty()) {
     next = std::min(next, mRelays.NextTick());
   }
-  mTicker.At(next);
+  mTicker.ScheduleAt(next);
 }
 
 control::group*
--- a/src/currantshed/node/line_stream.cpp
+++ b/src/currantshed/node/line_stream.cpp
@@ -3,7 +3,7 @@
 #include <array>
 #include <utility>
 
-#include "currantshed/net/liveness.hpp"
+#include "currantshed/net/tcp_options.hpp"
 
 namespace currantshed::node {
 
@@ -46,7 +46,7 @@
   mListener = std::move(aListener);
   boost::system::error_code ignored;
   mSocket.non_blocking(true, ignored);
-  net::SetLiveness(mSocket.native_handle());
+  net::SetTcpOptions(mSocket.native_handle());
   WaitToRead();
 }
 
--- a/src/currantshed/node/traffic.cpp
+++ b/src/currantshed/node/traffic.cpp
@@ -324,7 +324,7 @@
   mMetrics.Decided(aDecision);
   const auto level =
     aDecision.ordinary ? log::level::kDebug : log::level::kInfo;
-  if (!log::Writes(level)) {
+  if (!log::IsLevelEnabled(level)) {
     return;
   }
   std::string floor = "none";
@@ -378,7 +378,7 @@
 traffic::After()
 {
   mMetrics.SetSessions(mEngine.Sessions());
-  mTicker.At(mEngine.NextTick());
+  mTicker.ScheduleAt(mEngine.NextTick());
 }
 
 } // namespace currantshed::node
--- a/src/currantshed/policy/declaration_printer.cpp
+++ b/src/currantshed/policy/declaration_printer.cpp
@@ -22,13 +22,13 @@
   if (reads) {
     absl::StrAppendFormat(&aText,
                           "    max_staleness: %s\n",
-                          settings::PrintDuration(aClass.maxStaleness));
+                          settings::FormatDuration(aClass.maxStaleness));
   }
   absl::StrAppendFormat(&aText,
                         "    may_be_repeated: %s\n    deadline: %s\n"
                         "    objective: %.10g%%\n",
                         aClass.repeatable ? "yes" : "no",
-                        settings::PrintDuration(aClass.deadline),
+                        settings::FormatDuration(aClass.deadline),
                         aClass.objective * kPercent);
   if (!aClass.groups.empty()) {
     absl::StrAppendFormat(
@@ -52,7 +52,7 @@
     absl::StrAppendFormat(&text,
                           "  %s:\n    transaction_limit: %s\n",
                           one.name,
-                          settings::PrintDuration(one.transactionLimit));
+                          settings::FormatDuration(one.transactionLimit));
   }
   return text;
 }
--- a/src/currantshed/policy/yaml_reader.cpp
+++ b/src/currantshed/policy/yaml_reader.cpp
@@ -258,16 +258,16 @@
 {
   const std::string expected =
     absl::StrCat("a time from ",
-                 settings::PrintDuration(aBounds.lowest),
+                 settings::FormatDuration(aBounds.lowest),
                  " to ",
-                 settings::PrintDuration(aBounds.highest),
+                 settings::FormatDuration(aBounds.highest),
                  " with its unit (ms, s, m or h)");
   const auto text = Scalar(aField, expected);
   if (!text) {
     return std::nullopt;
   }
   const auto time =
-    settings::ParseDuration(*text, settings::bare_number::kRefused);
+    settings::ParseDuration(*text, settings::unitless_number::kRefused);
   if (!time || *time < aBounds.lowest || *time > aBounds.highest) {
     Add(aField.value.Mark(),
         absl::StrCat(aField.key, " must be ", expected, "; is ", Quote(*text)));
--- a/src/currantshed/pooler/control.cpp
+++ b/src/currantshed/pooler/control.cpp
@@ -298,7 +298,7 @@
   if (mMembership->Version() != mSeenMembership) {
     Reconsider();
   }
-  mMembershipTimer.At(mMembership->NextTick());
+  mMembershipTimer.ScheduleAt(mMembership->NextTick());
 }
 
 void
@@ -332,12 +332,12 @@
 {
   return { [this](const member::term_update& aNews) {
             mMembership->SetTerm(aNews);
-            mMembershipTimer.At(Now());
+            mMembershipTimer.ScheduleAt(Now());
             TellBoard();
           },
            [this](const failover::suspicion& aWord) {
              mMembership->SetSuspicion(aWord);
-             mMembershipTimer.At(Now());
+             mMembershipTimer.ScheduleAt(Now());
            },
            [this](const group::group_name& aGroup, bool aIsCutOff) {
              mTraffic.PassOn(aGroup, aIsCutOff);
@@ -388,7 +388,7 @@
     AskPeers();
   }
   mMetrics.SetControlTime(ThreadTime());
-  mHousekeeper.At(Now() + kHousekeeping);
+  mHousekeeper.ScheduleAt(Now() + kHousekeeping);
 }
 
 bool
--- a/src/currantshed/pooler/group_guard.cpp
+++ b/src/currantshed/pooler/group_guard.cpp
@@ -141,7 +141,7 @@
   }
   mIsPerforming = false;
   CheckReach();
-  mTimer.At(mCoordinator->NextTick());
+  mTimer.ScheduleAt(mCoordinator->NextTick());
 }
 
 void
--- a/src/currantshed/pooler/group_runner.cpp
+++ b/src/currantshed/pooler/group_runner.cpp
@@ -117,7 +117,7 @@
     actions = mEngine->TakeActions();
   }
   mIsPerforming = false;
-  mTimer.At(mEngine->NextTick());
+  mTimer.ScheduleAt(mEngine->NextTick());
 }
 
 void
--- a/src/currantshed/pooler/peer_links.cpp
+++ b/src/currantshed/pooler/peer_links.cpp
@@ -13,7 +13,7 @@
 /// Most peers with a connection of their own at a time.
 constexpr std::size_t kMostLinks = 64;
 /// Longest message between poolers; a configuration is the longest.
-constexpr std::int64_t kLongestMessage = std::int64_t{ 2 } * 1024 * 1024;
+constexpr std::int64_t kMaxMessageBytes = std::int64_t{ 2 } * 1024 * 1024;
 /// Messages waiting for one peer: a few heartbeats, no more.
 constexpr int kSendHighWater = 8;
 /// Messages of one peer waiting to be taken. ZeroMQ 4.3 aborts the process when
@@ -25,12 +25,12 @@
 PeerSettings()
 {
   net::socket_settings settings;
-  settings.longestMessage = kLongestMessage;
-  settings.highWater = kHighWater;
-  settings.sendHighWater = kSendHighWater;
+  settings.maxMessageBytes = kMaxMessageBytes;
+  settings.maxQueuedReceives = kHighWater;
+  settings.maxQueuedSends = kSendHighWater;
   // In a large fleet most heartbeats go to a peer that was not written to
   // lately, and are the first on their connection.
-  settings.onlyConnected = false;
+  settings.requireConnection = false;
   return settings;
 }
 
--- a/src/currantshed/pooler/platform_link.cpp
+++ b/src/currantshed/pooler/platform_link.cpp
@@ -70,7 +70,7 @@
 {
   mIsWatching = aIsWatching;
   if (mIsWatching && mHeldBack) {
-    mTimer.At(Now());
+    mTimer.ScheduleAt(Now());
   }
 }
 
@@ -86,7 +86,7 @@
   }
   mListInterval = interval;
   mLister = store::lister(ListerSettings(interval), Now());
-  mTimer.At(Now());
+  mTimer.ScheduleAt(Now());
 }
 
 void
@@ -95,13 +95,13 @@
   TickLister();
   TickWatcher();
   if (const auto due = mLister.NextTick()) {
-    mTimer.At(*due);
+    mTimer.ScheduleAt(*due);
   }
   if (const auto due = mWatcher.NextTick()) {
-    mTimer.At(*due);
+    mTimer.ScheduleAt(*due);
   }
   if (mHeldBack) {
-    mTimer.At(mHeldUntil);
+    mTimer.ScheduleAt(mHeldUntil);
   }
 }
 
--- a/src/currantshed/pooler/server_channel.cpp
+++ b/src/currantshed/pooler/server_channel.cpp
@@ -78,7 +78,7 @@
 void
 server_channel::Replied(upstream::reply aReply)
 {
-  if (aReply.end == upstream::batch_end::kTorn) {
+  if (aReply.end == upstream::batch_end::kIndeterminate) {
     // Lost follows and fails the question.
     return;
   }
@@ -135,7 +135,7 @@
 server_channel::Schedule()
 {
   if (!mQuestions.empty()) {
-    mTimer.At(mQuestions.front().due);
+    mTimer.ScheduleAt(mQuestions.front().due);
   }
 }
 
--- a/src/currantshed/pooler/status_board.hpp
+++ b/src/currantshed/pooler/status_board.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "currantshed/clock/time.hpp"
-#include "currantshed/http/status_answer.hpp"
+#include "currantshed/http/status_response.hpp"
 #include "currantshed/member/membership.hpp"
 #include "currantshed/pooler/fwd.hpp"
 #include "currantshed/pooler/settings.hpp"
--- a/src/currantshed/pooler/traffic.cpp
+++ b/src/currantshed/pooler/traffic.cpp
@@ -95,7 +95,7 @@
   if (error) {
     return error;
   }
-  mTimer.At(Now());
+  mTimer.ScheduleAt(Now());
   mThread = std::thread([this] { mContext.run(); });
   return {};
 }
@@ -146,7 +146,7 @@
     for (auto& [name, runner] : mRunners) {
       runner->Drain();
     }
-    mTimer.At(Now());
+    mTimer.ScheduleAt(Now());
   });
 }
 
@@ -362,7 +362,7 @@
   if (mIsDraining && mDrained) {
     CheckDrained(now);
   }
-  mTimer.At(now + (mIsDraining ? kDrainCheck : kHousekeeping));
+  mTimer.ScheduleAt(now + (mIsDraining ? kDrainCheck : kHousekeeping));
 }
 
 void
--- a/src/currantshed/settings/command_line.cpp
+++ b/src/currantshed/settings/command_line.cpp
@@ -61,9 +61,9 @@
 
 /// Drops flags without a value, with a fault for each.
 std::vector<std::string>
-DropUnfinished(const std::vector<option>& aOptions,
-               const std::vector<std::string>& aTokens,
-               std::vector<std::string>& aFaults)
+DropFlagsWithoutValue(const std::vector<option>& aOptions,
+                      const std::vector<std::string>& aTokens,
+                      std::vector<std::string>& aErrors)
 {
   std::vector<std::string> kept;
   for (std::size_t i = 0; i < aTokens.size(); ++i) {
@@ -74,7 +74,7 @@
     const bool hasValue =
       i + 1 < aTokens.size() && FindOption(aOptions, aTokens[i + 1]) == nullptr;
     if (!hasValue) {
-      aFaults.push_back(absl::StrCat(aTokens[i], ": needs a value"));
+      aErrors.push_back(absl::StrCat(aTokens[i], ": needs a value"));
       continue;
     }
     kept.push_back(aTokens[i]);
@@ -87,12 +87,13 @@
 /// Tells unknown flags from arguments. What follows an unknown flag is taken
 /// for its value.
 void
-SortRest(const std::vector<std::string>& aRest, command_line& aLine)
+ClassifyRemaining(const std::vector<std::string>& aRemaining,
+                  command_line& aLine)
 {
   bool isAfterUnknown = false;
-  for (const auto& token : aRest) {
+  for (const auto& token : aRemaining) {
     if (absl::StartsWith(token, "-") && token.size() > 1) {
-      aLine.faults.push_back(absl::StrCat("unknown flag ", token));
+      aLine.errors.push_back(absl::StrCat("unknown flag ", token));
       isAfterUnknown = !absl::StrContains(token, "=");
       continue;
     }
@@ -106,12 +107,12 @@
 } // namespace
 
 command_line
-ReadCommandLine(const std::vector<option>& aOptions,
-                const std::vector<std::string>& aArguments)
+ParseCommandLine(const std::vector<option>& aOptions,
+                 const std::vector<std::string>& aArguments)
 {
   command_line line;
-  auto tokens =
-    DropUnfinished(aOptions, SplitValues(aOptions, aArguments), line.faults);
+  auto tokens = DropFlagsWithoutValue(
+    aOptions, SplitValues(aOptions, aArguments), line.errors);
   tokens.insert(tokens.begin(), "currantshed");
   try {
     // The flags that TCLAP brings are left out: they end the process.
@@ -130,7 +131,7 @@
       version = std::make_unique<plain_flag>("", kVersion, "", reader);
     }
     const plain_flag print("", kPrintSettings, "", reader);
-    TCLAP::UnlabeledMultiArg<std::string> rest(
+    TCLAP::UnlabeledMultiArg<std::string> remaining(
       "arguments", "what is no flag", false, kUnit, reader);
     reader.parse(tokens);
     for (std::size_t i = 0; i < aOptions.size(); ++i) {
@@ -138,12 +139,12 @@
     }
     line.wantsHelp = help.isSet();
     line.wantsVersion = version != nullptr && version->isSet();
-    line.wantsSettings = print.isSet();
-    SortRest(rest.getValue(), line);
-  } catch (const TCLAP::ArgException& wrong) {
-    line.faults.push_back(absl::StrCat(wrong.argId(), ": ", wrong.error()));
+    line.wantsPrintSettings = print.isSet();
+    ClassifyRemaining(remaining.getValue(), line);
+  } catch (const TCLAP::ArgException& error) {
+    line.errors.push_back(absl::StrCat(error.argId(), ": ", error.error()));
   } catch (const TCLAP::ExitException&) {
-    line.faults.emplace_back("the command line can't be read");
+    line.errors.emplace_back("the command line can't be read");
   }
   return line;
 }
--- a/src/currantshed/settings/command_line.hpp
+++ b/src/currantshed/settings/command_line.hpp
@@ -18,17 +18,17 @@
   /// Arguments that are no flags.
   std::vector<std::string> arguments;
   /// One line for each thing that is wrong.
-  std::vector<std::string> faults;
+  std::vector<std::string> errors;
   bool wantsHelp = false;
   bool wantsVersion = false;
-  bool wantsSettings = false;
+  bool wantsPrintSettings = false;
 };
 
 /// Reads a command line (without the program's name) as far as it can, so
 /// that all faults come out at once.
 [[nodiscard]] command_line
-ReadCommandLine(const std::vector<option>& aOptions,
-                const std::vector<std::string>& aArguments);
+ParseCommandLine(const std::vector<option>& aOptions,
+                 const std::vector<std::string>& aArguments);
 
 } // namespace currantshed::settings
 
--- a/src/currantshed/settings/duration.cpp
+++ b/src/currantshed/settings/duration.cpp
@@ -24,9 +24,9 @@
 };
 
 std::optional<std::int64_t>
-FactorOf(std::string_view aUnit, bare_number aBare)
+UnitFactor(std::string_view aUnit, unitless_number aUnitless)
 {
-  if (aUnit.empty() && aBare == bare_number::kMilliseconds) {
+  if (aUnit.empty() && aUnitless == unitless_number::kMilliseconds) {
     return 1;
   }
   for (const auto& one : kUnits) {
@@ -40,7 +40,7 @@
 } // namespace
 
 std::optional<std::chrono::milliseconds>
-ParseDuration(std::string_view aText, bare_number aBare)
+ParseDuration(std::string_view aText, unitless_number aUnitless)
 {
   std::size_t digits = 0;
   while (digits < aText.size() && absl::ascii_isdigit(aText[digits])) {
@@ -51,7 +51,7 @@
       !absl::SimpleAtoi(std::string(aText.substr(0, digits)), &count)) {
     return std::nullopt;
   }
-  const auto factor = FactorOf(aText.substr(digits), aBare);
+  const auto factor = UnitFactor(aText.substr(digits), aUnitless);
   if (!factor || count > std::numeric_limits<std::int64_t>::max() / *factor) {
     return std::nullopt;
   }
@@ -59,7 +59,7 @@
 }
 
 std::string
-PrintDuration(std::chrono::milliseconds aTime)
+FormatDuration(std::chrono::milliseconds aTime)
 {
   const std::int64_t count = aTime.count();
   if (count == 0) {
--- a/src/currantshed/settings/duration.hpp
+++ b/src/currantshed/settings/duration.hpp
@@ -9,20 +9,20 @@
 namespace currantshed::settings {
 
 /// Whether a time may be written without a unit, in milliseconds.
-enum class bare_number
+enum class unitless_number
 {
   kMilliseconds,
-  kRefused,
+  kRejected,
 };
 
 /// Reads a time such as 500ms, 2s, 5m or 1h; none if the text is no such
 /// time or passes what a count of milliseconds holds.
 [[nodiscard]] std::optional<std::chrono::milliseconds>
-ParseDuration(std::string_view aText, bare_number aBare);
+ParseDuration(std::string_view aText, unitless_number aUnitless);
 
 /// The time in its largest whole unit, for example 90s or 2m.
 [[nodiscard]] std::string
-PrintDuration(std::chrono::milliseconds aTime);
+FormatDuration(std::chrono::milliseconds aTime);
 
 } // namespace currantshed::settings
 
--- a/src/currantshed/settings/parser.cpp
+++ b/src/currantshed/settings/parser.cpp
@@ -18,7 +18,7 @@
 namespace currantshed::settings {
 namespace {
 
-constexpr unsigned kHighestPort = std::numeric_limits<std::uint16_t>::max();
+constexpr unsigned kMaxPort = std::numeric_limits<std::uint16_t>::max();
 
 std::optional<std::string>
 ReadVariable(const std::string& aName)
@@ -31,21 +31,20 @@
 }
 
 std::string
-CheckNumber(const std::string& aText,
-            unsigned aLowest,
-            unsigned aHighest,
+ParseNumber(const std::string& aText,
+            unsigned aMin,
+            unsigned aMax,
             unsigned& aNumber)
 {
   const bool isNumber = absl::SimpleAtoi(aText, &aNumber);
-  if (!isNumber || aNumber < aLowest || aNumber > aHighest) {
-    return absl::StrCat(
-      "must be a whole number from ", aLowest, " to ", aHighest);
+  if (!isNumber || aNumber < aMin || aNumber > aMax) {
+    return absl::StrCat("must be a whole number from ", aMin, " to ", aMax);
   }
   return {};
 }
 
 std::optional<bool>
-ReadTruth(const std::string& aText)
+ParseBool(const std::string& aText)
 {
   const std::string lower = absl::AsciiStrToLower(aText);
   if (lower == "yes" || lower == "true" || lower == "1" || lower == "on") {
@@ -59,25 +58,25 @@
 
 /// Sets one option from flags or environment; adds what is wrong.
 void
-Settle(option& aOption,
-       const command_line& aLine,
-       const environment& aEnvironment,
-       std::vector<std::string>& aFaults)
+ApplyOption(option& aOption,
+            const command_line& aLine,
+            const environment& aEnvironment,
+            std::vector<std::string>& aErrors)
 {
   const auto given = aLine.values.find(aOption.flag);
   std::optional<std::string> text;
   std::string source;
   if (given != aLine.values.end() && !given->second.empty()) {
     if (given->second.size() > 1) {
-      aFaults.push_back(
+      aErrors.push_back(
         absl::StrCat("--", aOption.flag, ": given more than once"));
     }
     text = given->second.front();
     source = absl::StrCat("--", aOption.flag);
     aOption.origin = "flag";
   } else {
-    text = aEnvironment(VariableOf(aOption.flag));
-    source = VariableOf(aOption.flag);
+    text = aEnvironment(EnvironmentVariableName(aOption.flag));
+    source = EnvironmentVariableName(aOption.flag);
     if (text && text->empty()) {
       text.reset();
     }
@@ -86,24 +85,26 @@
     }
   }
   if (text) {
-    const std::string wrong = aOption.assign(*text);
-    if (!wrong.empty()) {
+    const std::string error = aOption.assign(*text);
+    if (!error.empty()) {
       const std::string shown =
         aOption.isSecret ? "" : absl::StrCat(" (is '", *text, "')");
-      aFaults.push_back(absl::StrCat(source, ": ", wrong, shown));
+      aErrors.push_back(absl::StrCat(source, ": ", error, shown));
       return;
     }
   }
   if (aOption.isRequired && aOption.print().empty()) {
-    aFaults.push_back(absl::StrCat(
-      "--", aOption.flag, ": required, or set ", VariableOf(aOption.flag)));
+    aErrors.push_back(absl::StrCat("--",
+                                   aOption.flag,
+                                   ": required, or set ",
+                                   EnvironmentVariableName(aOption.flag)));
   }
 }
 
 } // namespace
 
 std::string
-VariableOf(std::string_view aFlag)
+EnvironmentVariableName(std::string_view aFlag)
 {
   const std::string flag(aFlag);
   return absl::StrCat(
@@ -153,19 +154,19 @@
 parser::Choice(std::string& aTarget,
                std::string aFlag,
                std::string aHelp,
-               std::vector<std::string> aWords)
+               std::vector<std::string> aChoices)
 {
-  const std::string unit = absl::StrJoin(aWords, "|");
+  const std::string unit = absl::StrJoin(aChoices, "|");
   option added{ std::move(aFlag), std::move(aHelp), unit };
   added.assign = [&aTarget,
-                  words = std::move(aWords)](const std::string& aText) {
-    for (const auto& word : words) {
-      if (word == aText) {
+                  choices = std::move(aChoices)](const std::string& aText) {
+    for (const auto& choice : choices) {
+      if (choice == aText) {
         aTarget = aText;
         return std::string();
       }
     }
-    return absl::StrCat("must be one of ", absl::StrJoin(words, ", "));
+    return absl::StrCat("must be one of ", absl::StrJoin(choices, ", "));
   };
   added.print = [&aTarget] { return aTarget; };
   Add(std::move(added));
@@ -178,14 +179,14 @@
              bool aRequired)
 {
   option added{ std::move(aFlag), std::move(aHelp), "PORT", aRequired };
-  const unsigned lowest = aRequired ? 1 : 0;
-  added.assign = [&aTarget, lowest](const std::string& aText) {
+  const unsigned min = aRequired ? 1 : 0;
+  added.assign = [&aTarget, min](const std::string& aText) {
     unsigned number = 0;
-    std::string wrong = CheckNumber(aText, lowest, kHighestPort, number);
-    if (wrong.empty()) {
+    std::string error = ParseNumber(aText, min, kMaxPort, number);
+    if (error.empty()) {
       aTarget = static_cast<std::uint16_t>(number);
     }
-    return wrong;
+    return error;
   };
   added.print = [&aTarget, aRequired] {
     const bool isMissing = aRequired && aTarget == 0;
@@ -198,17 +199,17 @@
 parser::Count(unsigned& aTarget,
               std::string aFlag,
               std::string aHelp,
-              unsigned aLowest,
-              unsigned aHighest)
+              unsigned aMin,
+              unsigned aMax)
 {
   option added{ std::move(aFlag), std::move(aHelp), "N" };
-  added.assign = [&aTarget, aLowest, aHighest](const std::string& aText) {
+  added.assign = [&aTarget, aMin, aMax](const std::string& aText) {
     unsigned number = 0;
-    std::string wrong = CheckNumber(aText, aLowest, aHighest, number);
-    if (wrong.empty()) {
+    std::string error = ParseNumber(aText, aMin, aMax, number);
+    if (error.empty()) {
       aTarget = number;
     }
-    return wrong;
+    return error;
   };
   added.print = [&aTarget] { return absl::StrCat(aTarget); };
   Add(std::move(added));
@@ -218,22 +219,22 @@
 parser::Milliseconds(std::chrono::milliseconds& aTarget,
                      std::string aFlag,
                      std::string aHelp,
-                     std::chrono::milliseconds aLowest,
-                     std::chrono::milliseconds aHighest)
+                     std::chrono::milliseconds aMin,
+                     std::chrono::milliseconds aMax)
 {
   option added{ std::move(aFlag), std::move(aHelp), "TIME" };
-  added.assign = [&aTarget, aLowest, aHighest](const std::string& aText) {
-    const auto time = ParseDuration(aText, bare_number::kMilliseconds);
-    if (!time || *time < aLowest || *time > aHighest) {
+  added.assign = [&aTarget, aMin, aMax](const std::string& aText) {
+    const auto time = ParseDuration(aText, unitless_number::kMilliseconds);
+    if (!time || *time < aMin || *time > aMax) {
       return absl::StrCat("must be a time from ",
-                          PrintDuration(aLowest),
+                          FormatDuration(aMin),
                           " to ",
-                          PrintDuration(aHighest));
+                          FormatDuration(aMax));
     }
     aTarget = *time;
     return std::string();
   };
-  added.print = [&aTarget] { return PrintDuration(aTarget); };
+  added.print = [&aTarget] { return FormatDuration(aTarget); };
   Add(std::move(added));
 }
 
@@ -243,11 +244,11 @@
   option added{ std::move(aFlag), std::move(aHelp) };
   added.isSwitch = true;
   added.assign = [&aTarget](const std::string& aText) {
-    const auto truth = ReadTruth(aText);
-    if (!truth) {
+    const auto value = ParseBool(aText);
+    if (!value) {
       return std::string("must be yes or no");
     }
-    aTarget = *truth;
+    aTarget = *value;
     return std::string();
   };
   added.print = [&aTarget] { return std::string(aTarget ? "yes" : "no"); };
@@ -284,7 +285,7 @@
               std::ostream& aOut,
               std::ostream& aErrors)
 {
-  command_line line = ReadCommandLine(mOptions, aArguments);
+  command_line line = ParseCommandLine(mOptions, aArguments);
   if (line.wantsHelp) {
     PrintHelp(aOut);
     return { parse_end::kExit, 0 };
@@ -294,23 +295,23 @@
     return { parse_end::kExit, 0 };
   }
   for (auto& one : mOptions) {
-    Settle(one, line, aEnvironment, line.faults);
+    ApplyOption(one, line, aEnvironment, line.errors);
   }
   if (mArguments != nullptr) {
     *mArguments = line.arguments;
   } else {
     for (const auto& argument : line.arguments) {
-      line.faults.push_back(absl::StrCat("unexpected argument ", argument));
+      line.errors.push_back(absl::StrCat("unexpected argument ", argument));
     }
   }
-  for (const auto& wrong : line.faults) {
-    aErrors << mProgram << ": " << wrong << '\n';
+  for (const auto& error : line.errors) {
+    aErrors << mProgram << ": " << error << '\n';
   }
-  if (!line.faults.empty()) {
+  if (!line.errors.empty()) {
     aErrors << mProgram << ": see --help\n";
     return { parse_end::kExit, kUsageExitCode };
   }
-  if (line.wantsSettings) {
+  if (line.wantsPrintSettings) {
     PrintSettings(aOut);
     return { parse_end::kExit, 0 };
   }
@@ -343,7 +344,7 @@
     aOut << absl::StreamFormat("  --%s %s, %s\n      %s%s\n",
                                one.flag,
                                one.unit,
-                               VariableOf(one.flag),
+                               EnvironmentVariableName(one.flag),
                                one.help,
                                one.isRequired ? " (required)" : shown);
   }
--- a/src/currantshed/settings/parser.hpp
+++ b/src/currantshed/settings/parser.hpp
@@ -81,7 +81,7 @@
   void Choice(std::string& aTarget,
               std::string aFlag,
               std::string aHelp,
-              std::vector<std::string> aWords);
+              std::vector<std::string> aChoices);
 
   /// A port from 1 to 65535; where it is not required, zero stands for none.
   void Port(std::uint16_t& aTarget,
@@ -93,16 +93,16 @@
   void Count(unsigned& aTarget,
              std::string aFlag,
              std::string aHelp,
-             unsigned aLowest,
-             unsigned aHighest);
+             unsigned aMin,
+             unsigned aMax);
 
   /// A time within the bounds, both included, as 200, 200ms, 2s, 5m or 1h; a
   /// number without a unit counts milliseconds.
   void Milliseconds(std::chrono::milliseconds& aTarget,
                     std::string aFlag,
                     std::string aHelp,
-                    std::chrono::milliseconds aLowest,
-                    std::chrono::milliseconds aHighest);
+                    std::chrono::milliseconds aMin,
+                    std::chrono::milliseconds aMax);
 
   /// On or off: --name, --name=yes or --name=no.
   void Switch(bool& aTarget, std::string aFlag, std::string aHelp);
@@ -143,7 +143,7 @@
 
 /// Name of the environment variable of a flag.
 [[nodiscard]] std::string
-VariableOf(std::string_view aFlag);
+EnvironmentVariableName(std::string_view aFlag);
 
 } // namespace currantshed::settings
 
--- a/src/currantshed/upstream/dialect.cpp
+++ b/src/currantshed/upstream/dialect.cpp
@@ -156,13 +156,13 @@
     const auto role = ReadRole(cells[1]);
     const auto stored = ReadPosition(cells[2], cells[3]);
     const auto applied = ReadPosition(cells[4], cells[5]);
-    const auto silence = ReadNumber<std::int64_t>(cells[6]);
-    if (!term || !role || !stored || !applied || (cells[6] && !silence)) {
+    const auto sincePrimary = ReadNumber<std::int64_t>(cells[6]);
+    if (!term || !role || !stored || !applied || (cells[6] && !sincePrimary)) {
       return std::nullopt;
     }
     server_status status{ *term, *role, *stored, *applied, std::nullopt };
-    if (silence) {
-      status.sincePrimary = std::chrono::milliseconds(*silence);
+    if (sincePrimary) {
+      status.sincePrimary = std::chrono::milliseconds(*sincePrimary);
     }
     return status;
   }
--- a/src/currantshed/upstream/dialect.hpp
+++ b/src/currantshed/upstream/dialect.hpp
@@ -41,7 +41,7 @@
   /// Asks a server to accept a term above its own. Assumed: once it answers,
   /// durably so, the server commits no change and stores no log record of a
   /// lower term, and has rolled back open transactions that changed data; a
-  /// term at or below its own is refused with kStaleTermState, but for the
+  /// term at or below its own is refused with kStaleTermSqlState, but for the
   /// very term that it was fenced at, which it accepts again.
   [[nodiscard]] virtual statement Fence(position::term_id aTerm) const = 0;
 
@@ -72,7 +72,7 @@
 
   /// Notes, within a change's own transaction, that the change ran. Assumed:
   /// the key is unique over all transactions, so a second one with it waits
-  /// for the first to end, then fails with kUniqueViolationState if that one
+  /// for the first to end, then fails with kUniqueViolationSqlState if that one
   /// committed.
   [[nodiscard]] virtual statement RecordOutcome(
     std::string_view aKey,
@@ -98,17 +98,17 @@
 };
 
 /// SQLSTATE of a refusal because of the server's term.
-inline constexpr std::string_view kStaleTermState = "CS001";
+inline constexpr std::string_view kStaleTermSqlState = "CS001";
 /// SQLSTATE of a change on a server or transaction that is read only.
-inline constexpr std::string_view kReadOnlyState = "25006";
+inline constexpr std::string_view kReadOnlySqlState = "25006";
 /// SQLSTATE of a connection over the server's limit.
-inline constexpr std::string_view kTooManyConnectionsState = "53300";
+inline constexpr std::string_view kTooManyConnectionsSqlState = "53300";
 /// SQLSTATE of a key that is there already.
-inline constexpr std::string_view kUniqueViolationState = "23505";
+inline constexpr std::string_view kUniqueViolationSqlState = "23505";
 /// SQLSTATE that a torn reply carries when the answer passed its size limit.
-inline constexpr std::string_view kAnswerLimitState = "54000";
+inline constexpr std::string_view kAnswerLimitSqlState = "54000";
 /// SQLSTATE of a text that can't be sent, such as one with a zero byte.
-inline constexpr std::string_view kUnsendableTextState = "22021";
+inline constexpr std::string_view kUnsendableTextSqlState = "22021";
 
 /// The `state` of an outcome whose change ran.
 inline constexpr std::string_view kOutcomeDone = "done";
--- a/src/currantshed/upstream/errors.cpp
+++ b/src/currantshed/upstream/errors.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // The text that PostgreSQL sends with SQLSTATE 53300.
-constexpr std::string_view kTooManyText = "too many";
+constexpr std::string_view kTooManyConnectionsText = "too many";
 
 class upstream_category final : public std::error_category
 {
@@ -53,12 +53,12 @@
 }
 
 std::error_code
-FromConnectionMessage(std::string_view aMessage, bool aWasOpen) noexcept
+ClassifyConnectionError(std::string_view aMessage, bool aWasOpen) noexcept
 {
   if (aWasOpen) {
     return errc::kConnectionLost;
   }
-  if (aMessage.find(kTooManyText) != std::string_view::npos) {
+  if (aMessage.find(kTooManyConnectionsText) != std::string_view::npos) {
     return errc::kTooManyConnections;
   }
   return errc::kConnectFailed;
--- a/src/currantshed/upstream/errors.hpp
+++ b/src/currantshed/upstream/errors.hpp
@@ -34,7 +34,7 @@
 /// error of this module: libpq has no error codes for connections, and no
 /// SQLSTATE for a refused one, so the server's text is all there is.
 [[nodiscard]] std::error_code
-FromConnectionMessage(std::string_view aMessage, bool aWasOpen) noexcept;
+ClassifyConnectionError(std::string_view aMessage, bool aWasOpen) noexcept;
 
 } // namespace currantshed::upstream
 
--- a/src/currantshed/upstream/pq_connection.hpp
+++ b/src/currantshed/upstream/pq_connection.hpp
@@ -39,9 +39,9 @@
   /// gives the whole answer. Only without a batch under way; on a connection
   /// that isn't open the answer is torn. Statements outside a transaction that
   /// they open themselves run in one implicit transaction. An answer above the
-  /// limit, which counts bytes as received, is torn with kAnswerLimitState and
-  /// ends the connection; a text with a zero byte can't be sent and is refused
-  /// with kUnsendableTextState before anything runs.
+  /// limit, which counts bytes as received, is torn with kAnswerLimitSqlState
+  /// and ends the connection; a text with a zero byte can't be sent and is
+  /// refused with kUnsendableTextSqlState before anything runs.
   void Run(const std::vector<statement>& aStatements,
            std::size_t aAnswerLimitBytes,
            std::function<void(reply)> aDone);
--- a/src/currantshed/upstream/pq_handle.cpp
+++ b/src/currantshed/upstream/pq_handle.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 // Can't exist; libpq would read the home folder's file otherwise.
-constexpr const char* kNoFile = "/dev/null/none";
+constexpr const char* kNoPasswordFile = "/dev/null/none";
 constexpr const char* kDatabase = "currantshed";
 constexpr const char* kReadOnlyOption = "-c default_transaction_read_only=on";
 
@@ -23,7 +23,7 @@
 } // namespace
 
 pq_handle
-StartConnecting(const endpoint& aEndpoint)
+StartConnect(const endpoint& aEndpoint)
 {
   const std::string port = std::to_string(aEndpoint.port);
   const std::array<const char*, 12> names = { "hostaddr",
@@ -49,7 +49,7 @@
                                                "UTF8",
                                                "disable",
                                                "disable",
-                                               kNoFile,
+                                               kNoPasswordFile,
                                                "0",
                                                nullptr };
   return pq_handle(PQconnectStartParams(names.data(), values.data(), 0));
--- a/src/currantshed/upstream/pq_handle.hpp
+++ b/src/currantshed/upstream/pq_handle.hpp
@@ -21,7 +21,7 @@
 /// Starts to connect. Whatever could make libpq read files or look up names
 /// is set, so that it never blocks.
 [[nodiscard]] pq_handle
-StartConnecting(const endpoint& aEndpoint);
+StartConnect(const endpoint& aEndpoint);
 
 /// Whether libpq, which takes texts up to their first zero byte, would send
 /// the whole statement.
--- a/src/currantshed/upstream/pq_session.cpp
+++ b/src/currantshed/upstream/pq_session.cpp
@@ -23,15 +23,15 @@
 }
 
 reply
-TornReply(std::error_code aError)
+IndeterminateReply(std::error_code aError)
 {
-  reply torn;
-  torn.end = batch_end::kTorn;
+  reply indeterminate;
+  indeterminate.end = batch_end::kIndeterminate;
   if (aError == errc::kAnswerTooLarge) {
-    torn.sqlState = kAnswerLimitState;
+    indeterminate.sqlState = kAnswerLimitSqlState;
   }
-  torn.message = aError.message();
-  return torn;
+  indeterminate.message = aError.message();
+  return indeterminate;
 }
 
 } // namespace
@@ -47,7 +47,7 @@
 pq_session::Open(std::function<void(bool)> aOpened)
 {
   mOpened = std::move(aOpened);
-  mHandle = StartConnecting(mEndpoint);
+  mHandle = StartConnect(mEndpoint);
   mState = state::kConnecting;
   mTimer.expires_after(mEndpoint.connectTimeout);
   mTimer.async_wait([self = shared_from_this()](error_code aError) {
@@ -56,7 +56,7 @@
     }
   });
   if (!mHandle || PQstatus(mHandle.get()) == CONNECTION_BAD) {
-    Later([](pq_session& aSelf) { aSelf.FailConnecting(); });
+    PostStep([](pq_session& aSelf) { aSelf.FailConnecting(); });
     return;
   }
   AwaitConnect(PGRES_POLLING_WRITING);
@@ -77,7 +77,7 @@
     boost::asio::post(mSocket.get_executor(),
                       [self = shared_from_this(), done = std::move(aDone)] {
                         if (!self->mAbandoned) {
-                          done(TornReply(errc::kConnectionLost));
+                          done(IndeterminateReply(errc::kConnectionLost));
                         }
                       });
     return;
@@ -85,14 +85,14 @@
   mDone = std::move(aDone);
   mReply = reply{};
   mReply.results.reserve(aStatements.size());
-  mLimit = aAnswerLimitBytes;
-  mBaseline = ReceivedBytes(PQsocket(mHandle.get()));
+  mAnswerLimitBytes = aAnswerLimitBytes;
+  mBytesBeforeBatch = ReceivedBytes(PQsocket(mHandle.get()));
   mCellBytes = 0;
   if (!std::all_of(aStatements.begin(), aStatements.end(), CanBeSent)) {
     mReply.end = batch_end::kServerError;
-    mReply.sqlState = kUnsendableTextState;
+    mReply.sqlState = kUnsendableTextSqlState;
     mReply.message = "a text with a zero byte can't be sent";
-    Later([](pq_session& aSelf) { aSelf.Finish(); });
+    PostStep([](pq_session& aSelf) { aSelf.Finish(); });
     return;
   }
   SendBatch(aStatements);
@@ -106,7 +106,7 @@
   mLost = nullptr;
   mDone = nullptr;
   mTimer.cancel();
-  LetGo();
+  ReleaseSocket();
   mHandle.reset();
 }
 
@@ -123,7 +123,7 @@
 }
 
 void
-pq_session::LetGo()
+pq_session::ReleaseSocket()
 {
   if (mSocket.is_open()) {
     mSocket.release();
@@ -136,7 +136,7 @@
   error_code error;
   mSocket.assign(PQsocket(mHandle.get()), error);
   if (error) {
-    Later([](pq_session& aSelf) { aSelf.FailConnecting(); });
+    PostStep([](pq_session& aSelf) { aSelf.FailConnecting(); });
     return;
   }
   mSocket.async_wait(aNeed == PGRES_POLLING_READING
@@ -152,7 +152,7 @@
 void
 pq_session::ContinueConnecting()
 {
-  LetGo();
+  ReleaseSocket();
   const auto need = PQconnectPoll(mHandle.get());
   if (need == PGRES_POLLING_FAILED) {
     FailConnecting();
@@ -167,7 +167,7 @@
 pq_session::FailConnecting()
 {
   const char* message = mHandle ? PQerrorMessage(mHandle.get()) : "";
-  Fail(FromConnectionMessage(message, false));
+  Fail(ClassifyConnectionError(message, false));
 }
 
 void
@@ -184,7 +184,7 @@
   PQsetNoticeReceiver(handle, IgnoreNotice, nullptr);
   mTimer.cancel();
   mState = state::kOpen;
-  AwaitInput();
+  AwaitReadable();
   std::exchange(mOpened, nullptr)(true);
 }
 
@@ -197,7 +197,7 @@
                 aStatements.end(),
                 [handle](const auto& aItem) { return Send(handle, aItem); });
   if (!sent || PQpipelineSync(handle) != 1) {
-    Later([](pq_session& aSelf) { aSelf.Fail(errc::kConnectionLost); });
+    PostStep([](pq_session& aSelf) { aSelf.Fail(errc::kConnectionLost); });
     return;
   }
   Flush();
@@ -208,16 +208,16 @@
 {
   const int left = PQflush(mHandle.get());
   if (left < 0) {
-    Later([](pq_session& aSelf) { aSelf.Fail(errc::kConnectionLost); });
+    PostStep([](pq_session& aSelf) { aSelf.Fail(errc::kConnectionLost); });
     return;
   }
   if (left > 0 && !mFlushing) {
-    AwaitRoom();
+    AwaitWritable();
   }
 }
 
 void
-pq_session::AwaitRoom()
+pq_session::AwaitWritable()
 {
   mFlushing = true;
   mSocket.async_wait(stream_descriptor::wait_write,
@@ -230,18 +230,18 @@
 }
 
 void
-pq_session::AwaitInput()
+pq_session::AwaitReadable()
 {
   mSocket.async_wait(stream_descriptor::wait_read,
                      [self = shared_from_this()](error_code aError) {
                        if (!aError && self->mState == state::kOpen) {
-                         self->TakeInput();
+                         self->ReadInput();
                        }
                      });
 }
 
 void
-pq_session::TakeInput()
+pq_session::ReadInput()
 {
   if (PQconsumeInput(mHandle.get()) != 1) {
     Fail(errc::kConnectionLost);
@@ -249,18 +249,19 @@
   }
   // libpq gathers a whole result before it hands it out, so what arrives is
   // counted here.
-  if (mDone && ReceivedBytes(PQsocket(mHandle.get())) - mBaseline > mLimit) {
+  if (mDone && ReceivedBytes(PQsocket(mHandle.get())) - mBytesBeforeBatch >
+                 mAnswerLimitBytes) {
     Fail(errc::kAnswerTooLarge);
     return;
   }
   // The wait comes first: the end of a batch calls back, and that may start
   // the next batch or close the connection.
-  AwaitInput();
-  TakeResults();
+  AwaitReadable();
+  ReadResults();
 }
 
 void
-pq_session::TakeResults()
+pq_session::ReadResults()
 {
   PGconn* handle = mHandle.get();
   while (mDone && PQisBusy(handle) == 0) {
@@ -273,7 +274,7 @@
       continue;
     }
     mEmptyResults = 0;
-    if (!Take(result.get())) {
+    if (!HandleResult(result.get())) {
       return;
     }
   }
@@ -291,7 +292,7 @@
 }
 
 bool
-pq_session::Take(const PGresult* aResult)
+pq_session::HandleResult(const PGresult* aResult)
 {
   switch (PQresultStatus(aResult)) {
     case PGRES_PIPELINE_SYNC:
@@ -300,9 +301,9 @@
     case PGRES_TUPLES_OK:
     case PGRES_COMMAND_OK:
     case PGRES_EMPTY_QUERY:
-      return TakeRows(aResult);
+      return HandleRows(aResult);
     case PGRES_FATAL_ERROR:
-      return TakeError(aResult);
+      return HandleError(aResult);
     case PGRES_PIPELINE_ABORTED:
       return true;
     default:
@@ -312,10 +313,10 @@
 }
 
 bool
-pq_session::TakeRows(const PGresult* aResult)
+pq_session::HandleRows(const PGresult* aResult)
 {
   mReply.results.push_back(ReadRows(aResult, mCellBytes));
-  if (mCellBytes > mLimit) {
+  if (mCellBytes > mAnswerLimitBytes) {
     Fail(errc::kAnswerTooLarge);
     return false;
   }
@@ -323,7 +324,7 @@
 }
 
 bool
-pq_session::TakeError(const PGresult* aResult)
+pq_session::HandleError(const PGresult* aResult)
 {
   if (PQstatus(mHandle.get()) == CONNECTION_BAD) {
     Fail(errc::kConnectionLost);
@@ -358,7 +359,7 @@
     return;
   }
   if (done) {
-    done(TornReply(aError));
+    done(IndeterminateReply(aError));
   }
   // The callback above may have destroyed the connection's owner.
   if (wasOpen && lost && !mAbandoned) {
--- a/src/currantshed/upstream/pq_session.hpp
+++ b/src/currantshed/upstream/pq_session.hpp
@@ -50,7 +50,7 @@
 
   /// Runs a step from the io_context unless the connection closes before.
   template<typename Step>
-  void Later(Step aStep)
+  void PostStep(Step aStep)
   {
     boost::asio::post(mSocket.get_executor(),
                       [self = shared_from_this(), aStep] {
@@ -61,7 +61,7 @@
   }
 
   /// Hands the descriptor back to libpq, which owns it.
-  void LetGo();
+  void ReleaseSocket();
 
   /// libpq may replace its socket during the connect, even under the same
   /// number, so the descriptor is taken anew for each wait.
@@ -73,18 +73,18 @@
 
   void SendBatch(const std::vector<statement>& aStatements);
   void Flush();
-  void AwaitRoom();
-  void AwaitInput();
-  void TakeInput();
-  void TakeResults();
+  void AwaitWritable();
+  void AwaitReadable();
+  void ReadInput();
+  void ReadResults();
 
   /// Two ends in a row mean that nothing more has arrived.
   [[nodiscard]] bool HasMoreResults();
 
   /// Takes one result over; false when the batch has come to its end.
-  [[nodiscard]] bool Take(const PGresult* aResult);
-  [[nodiscard]] bool TakeRows(const PGresult* aResult);
-  [[nodiscard]] bool TakeError(const PGresult* aResult);
+  [[nodiscard]] bool HandleResult(const PGresult* aResult);
+  [[nodiscard]] bool HandleRows(const PGresult* aResult);
+  [[nodiscard]] bool HandleError(const PGresult* aResult);
   void Finish();
 
   /// Ends the connection: tells whoever waits, then that it is lost.
@@ -103,9 +103,9 @@
   std::function<void()> mLost;
   std::function<void(reply)> mDone;
   reply mReply;
-  std::size_t mLimit = 0;
+  std::size_t mAnswerLimitBytes = 0;
   /// Bytes received before the batch under way.
-  std::uint64_t mBaseline = 0;
+  std::uint64_t mBytesBeforeBatch = 0;
   std::size_t mCellBytes = 0;
   int mEmptyResults = 0;
 };
--- a/src/currantshed/upstream/statement.hpp
+++ b/src/currantshed/upstream/statement.hpp
@@ -38,7 +38,7 @@
   kServerError,
   /// The connection broke or a limit was passed before the last answer came:
   /// it isn't known which statements ran.
-  kTorn,
+  kIndeterminate,
 };
 
 /// The whole answer to one batch.
--- a/src/currantshed/wire/codec.cpp
+++ b/src/currantshed/wire/codec.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 /// Writes the body that a message holds into an envelope.
-class body_writer
+class envelope_writer
 {
 public:
-  body_writer(Envelope& aTo, clock::time_point aNow)
+  envelope_writer(Envelope& aTo, clock::time_point aNow)
     : mTo(aTo)
     , mNow(aNow)
   {
@@ -23,7 +23,7 @@
 
   void operator()(const group_request& aFrom) const
   {
-    internal::Put(aFrom, mNow, *mTo.mutable_request());
+    internal::ToProto(aFrom, mNow, *mTo.mutable_request());
   }
 
   void operator()(const cancel_request& aFrom) const
@@ -33,7 +33,7 @@
 
   void operator()(const group_answer& aFrom) const
   {
-    internal::Put(aFrom, *mTo.mutable_answer());
+    internal::ToProto(aFrom, *mTo.mutable_answer());
   }
 
   void operator()(const subscribe_request& aFrom) const
@@ -45,12 +45,12 @@
 
   void operator()(const view& aFrom) const
   {
-    internal::Put(aFrom, *mTo.mutable_view());
+    internal::ToProto(aFrom, *mTo.mutable_view());
   }
 
   void operator()(const member::heartbeat& aFrom) const
   {
-    internal::Put(aFrom, *mTo.mutable_heartbeat());
+    internal::ToProto(aFrom, *mTo.mutable_heartbeat());
   }
 
   void operator()(const configuration_request& aFrom) const
@@ -60,7 +60,7 @@
 
   void operator()(const configuration& aFrom) const
   {
-    internal::Put(aFrom, *mTo.mutable_configuration());
+    internal::ToProto(aFrom, *mTo.mutable_configuration());
   }
 
 private:
@@ -70,38 +70,38 @@
 
 template<typename Body, typename... From>
 decoded
-TakeBody(From&&... aFrom)
+DecodeBody(From&&... aFrom)
 {
   Body body;
   const std::error_code error =
-    internal::Take(std::forward<From>(aFrom)..., body);
+    internal::FromProto(std::forward<From>(aFrom)..., body);
   return { error, std::move(body) };
 }
 
 decoded
-TakeEnvelope(Envelope& aFrom, clock::time_point aNow)
+DecodeEnvelope(Envelope& aFrom, clock::time_point aNow)
 {
   switch (aFrom.body_case()) {
     case Envelope::kRequest:
-      return TakeBody<group_request>(*aFrom.mutable_request(), aNow);
+      return DecodeBody<group_request>(*aFrom.mutable_request(), aNow);
     case Envelope::kCancel:
       return { {}, cancel_request{ aFrom.cancel().id() } };
     case Envelope::kAnswer:
-      return TakeBody<group_answer>(*aFrom.mutable_answer());
+      return DecodeBody<group_answer>(*aFrom.mutable_answer());
     case Envelope::kSubscribe:
       return { {},
                subscribe_request{ aFrom.subscribe().view_version(),
                                   aFrom.subscribe().configuration_version() } };
     case Envelope::kView:
-      return TakeBody<view>(aFrom.view());
+      return DecodeBody<view>(aFrom.view());
     case Envelope::kHeartbeat:
-      return TakeBody<member::heartbeat>(aFrom.heartbeat());
+      return DecodeBody<member::heartbeat>(aFrom.heartbeat());
     case Envelope::kConfigurationRequest:
       return { {},
                configuration_request{
                  aFrom.configuration_request().known_version() } };
     case Envelope::kConfiguration:
-      return TakeBody<configuration>(aFrom.configuration());
+      return DecodeBody<configuration>(aFrom.configuration());
     case Envelope::BODY_NOT_SET:
       break;
   }
@@ -111,7 +111,7 @@
 /// Stops the library from writing to stderr for each malformed message; the
 /// caller gets an error code and decides what to log.
 void
-SilenceLibrary()
+SilenceProtobufLog()
 {
   [[maybe_unused]] static const auto sPrevious =
     google::protobuf::SetLogHandler(nullptr);
@@ -123,7 +123,7 @@
 Encode(const message& aMessage, clock::time_point aNow)
 {
   Envelope envelope;
-  std::visit(body_writer(envelope, aNow), aMessage);
+  std::visit(envelope_writer(envelope, aNow), aMessage);
   return envelope.SerializeAsString();
 }
 
@@ -131,7 +131,7 @@
 Encode(const group_answer& aAnswer)
 {
   Envelope envelope;
-  body_writer(envelope, {})(aAnswer);
+  envelope_writer(envelope, {})(aAnswer);
   return envelope.SerializeAsString();
 }
 
@@ -139,24 +139,24 @@
 Encode(const group_request& aRequest, clock::time_point aNow)
 {
   Envelope envelope;
-  body_writer(envelope, aNow)(aRequest);
+  envelope_writer(envelope, aNow)(aRequest);
   return envelope.SerializeAsString();
 }
 
 decoded
 Decode(std::string_view aBytes, clock::time_point aNow)
 {
-  if (aBytes.size() > kLongestMessage) {
+  if (aBytes.size() > kMaxMessageBytes) {
     return { wire_errc::kTooLarge, {} };
   }
-  SilenceLibrary();
+  SilenceProtobufLog();
   Envelope envelope;
   const bool isEnvelope =
     envelope.ParseFromArray(aBytes.data(), static_cast<int>(aBytes.size()));
   if (!isEnvelope) {
     return { wire_errc::kMalformed, {} };
   }
-  return TakeEnvelope(envelope, aNow);
+  return DecodeEnvelope(envelope, aNow);
 }
 
 } // namespace currantshed::wire
--- a/src/currantshed/wire/codec.hpp
+++ b/src/currantshed/wire/codec.hpp
@@ -18,16 +18,16 @@
 namespace currantshed::wire {
 
 /// Longest message that is sent or taken, in bytes.
-constexpr std::size_t kLongestMessage = std::size_t{ 16 } * 1024 * 1024;
+constexpr std::size_t kMaxMessageBytes = std::size_t{ 16 } * 1024 * 1024;
 /// Most statements in one request.
-constexpr int kMostStatements = 1024;
+constexpr int kMaxStatements = 1024;
 /// Most parameters of one statement; PostgreSQL's protocol counts them in
 /// sixteen bits.
-constexpr int kMostParameters = 65535;
+constexpr int kMaxParameters = 65535;
 /// Most entries in a list of VMs, groups, suspicions or terms.
-constexpr int kMostEntries = 16384;
+constexpr int kMaxListEntries = 16384;
 /// Longest time to a deadline that a request may carry.
-constexpr std::chrono::hours kLongestBudget{ 1 };
+constexpr std::chrono::hours kMaxTimeout{ 1 };
 
 /// A gateway's request to the pooler that leads a group.
 struct group_request
--- a/src/currantshed/wire/convert.hpp
+++ b/src/currantshed/wire/convert.hpp
@@ -11,26 +11,26 @@
 namespace currantshed::wire::internal {
 
 void
-Put(const group_request& aFrom, clock::time_point aNow, GroupRequest& aTo);
+ToProto(const group_request& aFrom, clock::time_point aNow, GroupRequest& aTo);
 void
-Put(const group_answer& aFrom, GroupAnswer& aTo);
+ToProto(const group_answer& aFrom, GroupAnswer& aTo);
 void
-Put(const view& aFrom, View& aTo);
+ToProto(const view& aFrom, View& aTo);
 void
-Put(const member::heartbeat& aFrom, Heartbeat& aTo);
+ToProto(const member::heartbeat& aFrom, Heartbeat& aTo);
 void
-Put(const configuration& aFrom, Configuration& aTo);
+ToProto(const configuration& aFrom, Configuration& aTo);
 
 [[nodiscard]] std::error_code
-Take(GroupRequest& aFrom, clock::time_point aNow, group_request& aTo);
+FromProto(GroupRequest& aFrom, clock::time_point aNow, group_request& aTo);
 [[nodiscard]] std::error_code
-Take(GroupAnswer& aFrom, group_answer& aTo);
+FromProto(GroupAnswer& aFrom, group_answer& aTo);
 [[nodiscard]] std::error_code
-Take(const View& aFrom, view& aTo);
+FromProto(const View& aFrom, view& aTo);
 [[nodiscard]] std::error_code
-Take(const Heartbeat& aFrom, member::heartbeat& aTo);
+FromProto(const Heartbeat& aFrom, member::heartbeat& aTo);
 [[nodiscard]] std::error_code
-Take(const Configuration& aFrom, configuration& aTo);
+FromProto(const Configuration& aFrom, configuration& aTo);
 
 } // namespace currantshed::wire::internal
 
--- a/src/currantshed/wire/convert_member.cpp
+++ b/src/currantshed/wire/convert_member.cpp
@@ -11,11 +11,10 @@
 
 namespace {
 
-constexpr std::uint32_t kHighestPort =
-  std::numeric_limits<std::uint16_t>::max();
+constexpr std::uint32_t kMaxPort = std::numeric_limits<std::uint16_t>::max();
 
 void
-PutVm(const store::vm& aFrom, Vm& aTo)
+VmToProto(const store::vm& aFrom, Vm& aTo)
 {
   aTo.set_id(aFrom.id);
   aTo.set_address(aFrom.address);
@@ -27,11 +26,11 @@
 }
 
 std::error_code
-TakeVm(const Vm& aFrom, store::vm& aTo)
+VmFromProto(const Vm& aFrom, store::vm& aTo)
 {
-  const bool portsFit = aFrom.pooler_port() <= kHighestPort &&
-                        aFrom.peer_port() <= kHighestPort &&
-                        aFrom.status_port() <= kHighestPort;
+  const bool portsFit = aFrom.pooler_port() <= kMaxPort &&
+                        aFrom.peer_port() <= kMaxPort &&
+                        aFrom.status_port() <= kMaxPort;
   if (!portsFit) {
     return wire_errc::kOutOfRange;
   }
@@ -46,14 +45,14 @@
 }
 
 std::error_code
-TakeVms(const google::protobuf::RepeatedPtrField<Vm>& aFrom,
-        std::vector<store::vm>& aTo)
+VmsFromProto(const google::protobuf::RepeatedPtrField<Vm>& aFrom,
+             std::vector<store::vm>& aTo)
 {
-  if (aFrom.size() > kMostEntries) {
+  if (aFrom.size() > kMaxListEntries) {
     return wire_errc::kTooLarge;
   }
   for (const auto& given : aFrom) {
-    if (const auto error = TakeVm(given, aTo.emplace_back())) {
+    if (const auto error = VmFromProto(given, aTo.emplace_back())) {
       return error;
     }
   }
@@ -61,7 +60,7 @@
 }
 
 void
-PutServer(const group::member& aFrom, Server& aTo)
+ServerToProto(const group::member& aFrom, Server& aTo)
 {
   aTo.set_id(aFrom.id);
   aTo.set_address(aFrom.address);
@@ -73,9 +72,9 @@
 }
 
 std::error_code
-TakeServer(const Server& aFrom, group::member& aTo)
+ServerFromProto(const Server& aFrom, group::member& aTo)
 {
-  if (aFrom.port() > kHighestPort) {
+  if (aFrom.port() > kMaxPort) {
     return wire_errc::kOutOfRange;
   }
   aTo.id = aFrom.id();
@@ -89,14 +88,14 @@
 }
 
 std::error_code
-TakeGroup(const Group& aFrom, group::description& aTo)
+GroupFromProto(const Group& aFrom, group::description& aTo)
 {
-  if (aFrom.servers_size() > kMostEntries) {
+  if (aFrom.servers_size() > kMaxListEntries) {
     return wire_errc::kTooLarge;
   }
   aTo.name = aFrom.name();
   for (const auto& given : aFrom.servers()) {
-    if (const auto error = TakeServer(given, aTo.members.emplace_back())) {
+    if (const auto error = ServerFromProto(given, aTo.members.emplace_back())) {
       return error;
     }
   }
@@ -106,11 +105,11 @@
 } // namespace
 
 void
-Put(const view& aFrom, View& aTo)
+ToProto(const view& aFrom, View& aTo)
 {
   aTo.set_version(aFrom.version);
   for (const auto& vm : aFrom.live) {
-    PutVm(vm, *aTo.add_live());
+    VmToProto(vm, *aTo.add_live());
   }
   for (const auto& group : aFrom.groups) {
     aTo.add_groups(group);
@@ -121,12 +120,12 @@
 }
 
 std::error_code
-Take(const View& aFrom, view& aTo)
+FromProto(const View& aFrom, view& aTo)
 {
-  if (const auto error = TakeVms(aFrom.live(), aTo.live)) {
+  if (const auto error = VmsFromProto(aFrom.live(), aTo.live)) {
     return error;
   }
-  if (aFrom.groups_size() > kMostEntries) {
+  if (aFrom.groups_size() > kMaxListEntries) {
     return wire_errc::kTooLarge;
   }
   aTo.version = aFrom.version();
@@ -138,14 +137,14 @@
 }
 
 void
-Put(const member::heartbeat& aFrom, Heartbeat& aTo)
+ToProto(const member::heartbeat& aFrom, Heartbeat& aTo)
 {
-  PutVm(aFrom.sender, *aTo.mutable_sender());
+  VmToProto(aFrom.sender, *aTo.mutable_sender());
   aTo.set_incarnation(aFrom.incarnation);
   aTo.set_sequence(aFrom.sequence);
   aTo.set_configuration_version(aFrom.configuration);
   for (const auto& vm : aFrom.peerSample) {
-    PutVm(vm, *aTo.add_heard_of());
+    VmToProto(vm, *aTo.add_heard_of());
   }
   for (const auto& word : aFrom.suspicions) {
     Suspicion& to = *aTo.add_suspicions();
@@ -168,19 +167,20 @@
 }
 
 std::error_code
-Take(const Heartbeat& aFrom, member::heartbeat& aTo)
+FromProto(const Heartbeat& aFrom, member::heartbeat& aTo)
 {
   if (!aFrom.has_sender() || aFrom.sender().id().empty()) {
     return wire_errc::kMalformed;
   }
-  if (const auto error = TakeVm(aFrom.sender(), aTo.sender)) {
+  if (const auto error = VmFromProto(aFrom.sender(), aTo.sender)) {
     return error;
   }
-  if (const auto error = TakeVms(aFrom.heard_of(), aTo.peerSample)) {
+  if (const auto error = VmsFromProto(aFrom.heard_of(), aTo.peerSample)) {
     return error;
   }
-  if (aFrom.suspicions_size() > kMostEntries ||
-      aFrom.terms_size() > kMostEntries || aFrom.lost_size() > kMostEntries) {
+  if (aFrom.suspicions_size() > kMaxListEntries ||
+      aFrom.terms_size() > kMaxListEntries ||
+      aFrom.lost_size() > kMaxListEntries) {
     return wire_errc::kTooLarge;
   }
   aTo.incarnation = aFrom.incarnation();
@@ -200,35 +200,35 @@
 }
 
 void
-Put(const configuration& aFrom, Configuration& aTo)
+ToProto(const configuration& aFrom, Configuration& aTo)
 {
   aTo.set_version(aFrom.version);
   aTo.set_declaration(aFrom.declaration);
   for (const auto& vm : aFrom.vms) {
-    PutVm(vm, *aTo.add_vms());
+    VmToProto(vm, *aTo.add_vms());
   }
   for (const auto& group : aFrom.groups) {
     Group& to = *aTo.add_groups();
     to.set_name(group.name);
     for (const auto& server : group.members) {
-      PutServer(server, *to.add_servers());
+      ServerToProto(server, *to.add_servers());
     }
   }
 }
 
 std::error_code
-Take(const Configuration& aFrom, configuration& aTo)
+FromProto(const Configuration& aFrom, configuration& aTo)
 {
   aTo.version = aFrom.version();
   aTo.declaration = aFrom.declaration();
-  if (const auto error = TakeVms(aFrom.vms(), aTo.vms)) {
+  if (const auto error = VmsFromProto(aFrom.vms(), aTo.vms)) {
     return error;
   }
-  if (aFrom.groups_size() > kMostEntries) {
+  if (aFrom.groups_size() > kMaxListEntries) {
     return wire_errc::kTooLarge;
   }
   for (const auto& given : aFrom.groups()) {
-    if (const auto error = TakeGroup(given, aTo.groups.emplace_back())) {
+    if (const auto error = GroupFromProto(given, aTo.groups.emplace_back())) {
       return error;
     }
   }
--- a/src/currantshed/wire/convert_request.cpp
+++ b/src/currantshed/wire/convert_request.cpp
@@ -22,34 +22,34 @@
   static_cast<std::uint32_t>(outcome::reason::kUnreachable);
 
 std::uint64_t
-Count(clock::duration aSpan)
+ToMicroseconds(clock::duration aSpan)
 {
   const auto whole = duration_cast<microseconds>(aSpan).count();
   return whole < 0 ? 0 : static_cast<std::uint64_t>(whole);
 }
 
 microseconds
-Span(std::uint64_t aCount)
+FromMicroseconds(std::uint64_t aCount)
 {
-  const auto longest = duration_cast<microseconds>(kLongestBudget).count();
+  const auto longest = duration_cast<microseconds>(kMaxTimeout).count();
   return microseconds(std::min(aCount, static_cast<std::uint64_t>(longest)));
 }
 
 void
-Put(const position::log_position& aFrom, Position& aTo)
+ToProto(const position::log_position& aFrom, Position& aTo)
 {
   aTo.set_term(aFrom.term);
   aTo.set_index(aFrom.index);
 }
 
 position::log_position
-Taken(const Position& aFrom)
+FieldFromProto(const Position& aFrom)
 {
   return { aFrom.term(), aFrom.index() };
 }
 
 void
-Put(const upstream::cell& aFrom, Cell& aTo)
+ToProto(const upstream::cell& aFrom, Cell& aTo)
 {
   if (aFrom) {
     aTo.set_text(*aFrom);
@@ -57,7 +57,7 @@
 }
 
 upstream::cell
-Taken(Cell& aFrom)
+FieldFromProto(Cell& aFrom)
 {
   if (!aFrom.has_text()) {
     return std::nullopt;
@@ -66,7 +66,7 @@
 }
 
 void
-Put(const policy::work_class& aFrom, WorkClass& aTo)
+ToProto(const policy::work_class& aFrom, WorkClass& aTo)
 {
   aTo.set_name(aFrom.name);
   aTo.set_access(aFrom.kind == policy::access::kWrite ? ACCESS_WRITE
@@ -74,12 +74,12 @@
   for (const auto& place : aFrom.servedIn) {
     aTo.add_served_in(place);
   }
-  aTo.set_max_staleness_us(Count(aFrom.maxStaleness));
+  aTo.set_max_staleness_us(ToMicroseconds(aFrom.maxStaleness));
   aTo.set_repeatable(aFrom.repeatable);
 }
 
 void
-Take(WorkClass& aFrom, policy::work_class& aTo)
+FromProto(WorkClass& aFrom, policy::work_class& aTo)
 {
   aTo.name = std::move(*aFrom.mutable_name());
   aTo.kind = aFrom.access() == ACCESS_WRITE ? policy::access::kWrite
@@ -88,88 +88,88 @@
     aTo.servedIn.push_back(std::move(place));
   }
   aTo.maxStaleness =
-    duration_cast<milliseconds>(Span(aFrom.max_staleness_us()));
+    duration_cast<milliseconds>(FromMicroseconds(aFrom.max_staleness_us()));
   aTo.repeatable = aFrom.repeatable();
 }
 
 void
-Put(const upstream::statement& aFrom, Statement& aTo)
+ToProto(const upstream::statement& aFrom, Statement& aTo)
 {
   aTo.set_sql(aFrom.sql);
   for (const auto& parameter : aFrom.parameters) {
-    Put(parameter, *aTo.add_parameters());
+    ToProto(parameter, *aTo.add_parameters());
   }
 }
 
 std::error_code
-TakeStatements(GroupRequest& aFrom, std::vector<upstream::statement>& aTo)
+StatementsFromProto(GroupRequest& aFrom, std::vector<upstream::statement>& aTo)
 {
-  if (aFrom.statements_size() > kMostStatements) {
+  if (aFrom.statements_size() > kMaxStatements) {
     return wire_errc::kTooLarge;
   }
   aTo.reserve(static_cast<std::size_t>(aFrom.statements_size()));
   for (auto& given : *aFrom.mutable_statements()) {
-    if (given.parameters_size() > kMostParameters) {
+    if (given.parameters_size() > kMaxParameters) {
       return wire_errc::kTooLarge;
     }
     upstream::statement& statement = aTo.emplace_back();
     statement.sql = std::move(*given.mutable_sql());
     for (auto& parameter : *given.mutable_parameters()) {
-      statement.parameters.push_back(Taken(parameter));
+      statement.parameters.push_back(FieldFromProto(parameter));
     }
   }
   return {};
 }
 
 std::error_code
-TakeKey(const std::string& aBytes, outcome::idempotency_key& aTo)
+KeyFromProto(const std::string& aBytes, outcome::idempotency_key& aTo)
 {
   if (aBytes.empty()) {
     return {};
   }
   const auto key = outcome::idempotency_key::FromBytes(aBytes);
   if (!key) {
-    return wire_errc::kBadKey;
+    return wire_errc::kInvalidKey;
   }
   aTo = *key;
   return {};
 }
 
 std::string
-BytesOf(const outcome::idempotency_key& aKey)
+KeyToBytes(const outcome::idempotency_key& aKey)
 {
   const auto& bytes = aKey.Bytes();
   return { bytes.begin(), bytes.end() };
 }
 
 void
-Put(const upstream::result_set& aFrom, ResultSet& aTo)
+ToProto(const upstream::result_set& aFrom, ResultSet& aTo)
 {
   for (const auto& column : aFrom.columns) {
     aTo.add_columns(column);
   }
   aTo.mutable_cells()->Reserve(static_cast<int>(aFrom.cells.size()));
   for (const auto& cell : aFrom.cells) {
-    Put(cell, *aTo.add_cells());
+    ToProto(cell, *aTo.add_cells());
   }
   aTo.set_affected(aFrom.affected);
 }
 
 void
-Take(ResultSet& aFrom, upstream::result_set& aTo)
+FromProto(ResultSet& aFrom, upstream::result_set& aTo)
 {
   for (auto& column : *aFrom.mutable_columns()) {
     aTo.columns.push_back(std::move(column));
   }
   aTo.cells.reserve(static_cast<std::size_t>(aFrom.cells_size()));
   for (auto& cell : *aFrom.mutable_cells()) {
-    aTo.cells.push_back(Taken(cell));
+    aTo.cells.push_back(FieldFromProto(cell));
   }
   aTo.affected = aFrom.affected();
 }
 
 bool
-FillsWholeRows(const ResultSet& aSet)
+HasWholeRows(const ResultSet& aSet)
 {
   if (aSet.columns_size() == 0) {
     return aSet.cells_size() == 0;
@@ -180,29 +180,29 @@
 } // namespace
 
 void
-Put(const group_request& aFrom, clock::time_point aNow, GroupRequest& aTo)
+ToProto(const group_request& aFrom, clock::time_point aNow, GroupRequest& aTo)
 {
   const group::request& request = aFrom.request;
   aTo.set_id(request.id);
   aTo.set_group(aFrom.group);
   aTo.set_operation(static_cast<Operation>(request.kind));
-  Put(request.work, *aTo.mutable_work());
+  ToProto(request.work, *aTo.mutable_work());
   for (const auto& statement : request.statements) {
-    Put(statement, *aTo.add_statements());
+    ToProto(statement, *aTo.add_statements());
   }
   if (request.key != outcome::idempotency_key()) {
-    aTo.set_key(BytesOf(request.key));
+    aTo.set_key(KeyToBytes(request.key));
   }
-  Put(request.floor, *aTo.mutable_floor());
+  ToProto(request.floor, *aTo.mutable_floor());
   aTo.set_fresh(request.fresh);
-  aTo.set_budget_us(Count(request.deadline - aNow));
+  aTo.set_budget_us(ToMicroseconds(request.deadline - aNow));
   aTo.set_transaction(request.transaction);
-  Put(request.position, *aTo.mutable_position());
+  ToProto(request.position, *aTo.mutable_position());
   aTo.set_transaction_incarnation(aFrom.transactionIncarnation);
 }
 
 std::error_code
-Take(GroupRequest& aFrom, clock::time_point aNow, group_request& aTo)
+FromProto(GroupRequest& aFrom, clock::time_point aNow, group_request& aTo)
 {
   const int kind = static_cast<int>(aFrom.operation());
   if (kind < 0 || kind > kLastOperation) {
@@ -212,35 +212,35 @@
   aTo.group = std::move(*aFrom.mutable_group());
   request.id = aFrom.id();
   request.kind = static_cast<group::operation>(kind);
-  Take(*aFrom.mutable_work(), request.work);
-  if (const auto error = TakeStatements(aFrom, request.statements)) {
+  FromProto(*aFrom.mutable_work(), request.work);
+  if (const auto error = StatementsFromProto(aFrom, request.statements)) {
     return error;
   }
-  if (const auto error = TakeKey(aFrom.key(), request.key)) {
+  if (const auto error = KeyFromProto(aFrom.key(), request.key)) {
     return error;
   }
-  request.floor = Taken(aFrom.floor());
+  request.floor = FieldFromProto(aFrom.floor());
   request.fresh = aFrom.fresh();
-  request.deadline = aNow + Span(aFrom.budget_us());
+  request.deadline = aNow + FromMicroseconds(aFrom.budget_us());
   request.transaction = aFrom.transaction();
-  request.position = Taken(aFrom.position());
+  request.position = FieldFromProto(aFrom.position());
   aTo.transactionIncarnation =
     std::move(*aFrom.mutable_transaction_incarnation());
   return {};
 }
 
 void
-Put(const group_answer& aFrom, GroupAnswer& aTo)
+ToProto(const group_answer& aFrom, GroupAnswer& aTo)
 {
   const group::answer& answer = aFrom.answer;
   aTo.set_id(answer.request);
   aTo.set_verdict(static_cast<std::uint32_t>(answer.verdict));
   aTo.set_reason(static_cast<std::uint32_t>(answer.why));
-  aTo.set_retry_after_us(Count(answer.retryAfter));
+  aTo.set_retry_after_us(ToMicroseconds(answer.retryAfter));
   for (const auto& set : answer.results) {
-    Put(set, *aTo.add_results());
+    ToProto(set, *aTo.add_results());
   }
-  Put(answer.position, *aTo.mutable_position());
+  ToProto(answer.position, *aTo.mutable_position());
   aTo.set_transaction(answer.transaction);
   aTo.set_served_by(answer.servedBy);
   aTo.set_failure_domain(answer.failureDomain);
@@ -252,7 +252,7 @@
 }
 
 std::error_code
-Take(GroupAnswer& aFrom, group_answer& aTo)
+FromProto(GroupAnswer& aFrom, group_answer& aTo)
 {
   if (aFrom.verdict() > kLastVerdict || aFrom.reason() > kLastReason) {
     return wire_errc::kOutOfRange;
@@ -261,14 +261,15 @@
   answer.request = aFrom.id();
   answer.verdict = static_cast<outcome::verdict>(aFrom.verdict());
   answer.why = static_cast<outcome::reason>(aFrom.reason());
-  answer.retryAfter = duration_cast<milliseconds>(Span(aFrom.retry_after_us()));
+  answer.retryAfter =
+    duration_cast<milliseconds>(FromMicroseconds(aFrom.retry_after_us()));
   for (auto& set : *aFrom.mutable_results()) {
-    if (!FillsWholeRows(set)) {
+    if (!HasWholeRows(set)) {
       return wire_errc::kMalformed;
     }
-    Take(set, answer.results.emplace_back());
+    FromProto(set, answer.results.emplace_back());
   }
-  answer.position = Taken(aFrom.position());
+  answer.position = FieldFromProto(aFrom.position());
   answer.transaction = aFrom.transaction();
   answer.servedBy = std::move(*aFrom.mutable_served_by());
   answer.failureDomain = std::move(*aFrom.mutable_failure_domain());
--- a/src/currantshed/wire/errors.cpp
+++ b/src/currantshed/wire/errors.cpp
@@ -20,7 +20,7 @@
         return "message over its size bound";
       case wire_errc::kOutOfRange:
         return "value out of range in message";
-      case wire_errc::kBadKey:
+      case wire_errc::kInvalidKey:
         return "idempotency key is not a version 7 UUID";
     }
     return "unknown wire error";
--- a/src/currantshed/wire/errors.hpp
+++ b/src/currantshed/wire/errors.hpp
@@ -17,7 +17,7 @@
   /// An enumerator, a port or a number outside its range.
   kOutOfRange,
   /// The idempotency key isn't a UUID of version 7.
-  kBadKey,
+  kInvalidKey,
 };
 
 /// The category of wire_errc.
--- a/standin/fleet/group.cpp
+++ b/standin/fleet/group.cpp
@@ -7,14 +7,14 @@
 namespace currantshed::standin::fleet {
 
 std::string
-server::At() const
+server::AppliedPosition() const
 {
   const auto term = applied == 0 ? 1 : log[applied - 1].term;
   return std::to_string(term) + "." + std::to_string(applied);
 }
 
 bool
-server::Has(std::uint64_t aTerm, std::uint64_t aNumber) const
+server::HasApplied(std::uint64_t aTerm, std::uint64_t aNumber) const
 {
   return aNumber == 0 || (aNumber <= applied && log[aNumber - 1].term == aTerm);
 }
@@ -35,7 +35,7 @@
   , mServers(std::move(aServers))
   , mPrimary(mServers.front().id)
 {
-  mServers.front().leads = true;
+  mServers.front().isPrimary = true;
 }
 
 server*
@@ -62,17 +62,17 @@
 }
 
 bool
-group::Receives(const server& aServer) const
+group::IsReplicating(const server& aServer) const
 {
-  return aServer.id != mPrimary && aServer.up && aServer.fencedAt == 0 &&
-         !aServer.leads;
+  return aServer.id != mPrimary && aServer.up && aServer.fencedTerm == 0 &&
+         !aServer.isPrimary;
 }
 
 void
 group::Replicate(const server& aPrimary)
 {
   for (auto& one : mServers) {
-    if (!Receives(one)) {
+    if (!IsReplicating(one)) {
       continue;
     }
     // A log that parted from the primary's is cut back first.
@@ -86,14 +86,14 @@
 }
 
 void
-group::Follow()
+group::AdvanceReplicas()
 {
   const auto& primary = *Find(mPrimary);
-  if (!primary.up || !primary.leads) {
+  if (!primary.up || !primary.isPrimary) {
     return;
   }
   for (auto& one : mServers) {
-    if (Receives(one)) {
+    if (IsReplicating(one)) {
       one.applied = std::min(one.log.size(), primary.log.size());
     }
   }
@@ -107,14 +107,14 @@
   if (chosen == nullptr || !chosen->up) {
     return false;
   }
-  if (chosen->id == mPrimary && chosen->leads) {
+  if (chosen->id == mPrimary && chosen->isPrimary) {
     return true;
   }
   ++mTerm;
   mPrimary = aId;
   for (auto& one : mServers) {
-    one.fencedAt = 0;
-    one.leads = one.id == aId;
+    one.fencedTerm = 0;
+    one.isPrimary = one.id == aId;
     // A server that is away may hold what the new primary lacks; all is copied
     // anew when it is back.
     one.log.resize(one.up ? std::min(one.log.size(), chosen->log.size()) : 0);
@@ -132,14 +132,14 @@
     return;
   }
   ++server->starts;
-  server->leads = false;
-  server->fencedAt = 0;
+  server->isPrimary = false;
+  server->fencedTerm = 0;
   server->log.clear();
   server->applied = 0;
 }
 
 unsigned
-group::Doubled() const
+group::CountDuplicates() const
 {
   const auto primary =
     std::find_if(mServers.begin(), mServers.end(), [this](const auto& aOne) {
--- a/standin/fleet/group.hpp
+++ b/standin/fleet/group.hpp
@@ -24,8 +24,8 @@
   std::string address;
   bool up = true;
   bool draining = false;
-  bool leads = false;
-  std::uint64_t fencedAt = 0;
+  bool isPrimary = false;
+  std::uint64_t fencedTerm = 0;
   /// Starts so far; connections end with the one that they were made in.
   unsigned starts = 1;
   std::vector<record> log;
@@ -39,10 +39,11 @@
   }
 
   /// The position up to which reads see the log, as TERM.NUMBER.
-  [[nodiscard]] std::string At() const;
+  [[nodiscard]] std::string AppliedPosition() const;
 
   /// Whether reads see the record at that position.
-  [[nodiscard]] bool Has(std::uint64_t aTerm, std::uint64_t aNumber) const;
+  [[nodiscard]] bool HasApplied(std::uint64_t aTerm,
+                                std::uint64_t aNumber) const;
 
   /// The newest value of an item that reads see, or a dash.
   [[nodiscard]] std::string Read(const std::string& aItem) const;
@@ -60,9 +61,9 @@
   [[nodiscard]] std::uint64_t Term() const { return mTerm; }
 
   /// Whether the server leads the newest term.
-  [[nodiscard]] bool Leads(const server& aServer) const
+  [[nodiscard]] bool IsPrimary(const server& aServer) const
   {
-    return aServer.leads && aServer.id == mPrimary;
+    return aServer.isPrimary && aServer.id == mPrimary;
   }
 
   /// Appends changes at a server that leads; replicas in reach receive them at
@@ -71,7 +72,7 @@
 
   /// Replicas that are up and not fenced apply what they have received, and
   /// receive what they lack.
-  void Follow();
+  void AdvanceReplicas();
 
   /// Makes a server primary of the next term; false if it is not up.
   [[nodiscard]] bool Promote(const std::string& aId);
@@ -81,10 +82,10 @@
 
   /// Values that were committed more than once for an item, in the log of the
   /// present primary.
-  [[nodiscard]] unsigned Doubled() const;
+  [[nodiscard]] unsigned CountDuplicates() const;
 
 private:
-  [[nodiscard]] bool Receives(const server& aServer) const;
+  [[nodiscard]] bool IsReplicating(const server& aServer) const;
   void Replicate(const server& aPrimary);
 
   std::string mName;
--- a/standin/fleet/keys.cpp
+++ b/standin/fleet/keys.cpp
@@ -9,12 +9,12 @@
 namespace json = boost::json;
 
 // How far back copies reach.
-constexpr std::chrono::seconds kCopiesReach{ 10 };
+constexpr std::chrono::seconds kSnapshotRetention{ 10 };
 
 bool
-StartsWith(const std::string& aText, const std::string& aWith)
+StartsWith(const std::string& aText, const std::string& aPrefix)
 {
-  return aText.compare(0, aWith.size(), aWith) == 0;
+  return aText.compare(0, aPrefix.size(), aPrefix) == 0;
 }
 
 std::string
@@ -44,12 +44,12 @@
 }
 
 json::object
-keys::Print(const std::string& aKey, const entry& aEntry)
+keys::ToJson(const std::string& aKey, const entry& aEntry)
 {
   return { { "key", aKey },
            { "value", absl::Base64Escape(aEntry.value) },
-           { "revision", aEntry.changed },
-           { "created", aEntry.changed },
+           { "revision", aEntry.modRevision },
+           { "created", aEntry.modRevision },
            { "lease_id", aEntry.lease } };
 }
 
@@ -60,7 +60,7 @@
   if (found == mState.entries.end()) {
     return { 404, {} };
   }
-  auto body = Print(aKey, found->second);
+  auto body = ToJson(aKey, found->second);
   body["store_revision"] = mState.revision;
   return { 200, std::move(body) };
 }
@@ -71,7 +71,7 @@
   json::array items;
   for (const auto& [key, one] : mState.entries) {
     if (StartsWith(key, aPrefix)) {
-      items.push_back(Print(key, one));
+      items.push_back(ToJson(key, one));
     }
   }
   return { 200,
@@ -94,7 +94,7 @@
     events.push_back(one.removed ? json::object{ { "key", one.key },
                                                  { "revision", one.revision },
                                                  { "deleted", true } }
-                                 : Print(one.key, one.content));
+                                 : ToJson(one.key, one.content));
   }
   const unsigned status = events.empty() ? 0 : 200;
   return { status,
@@ -103,38 +103,38 @@
 }
 
 key_answer
-keys::Commit(const json::object& aWhat)
+keys::Commit(const json::object& aTransaction)
 {
-  for (const auto& one : aWhat.at("expected_rev").as_array()) {
+  for (const auto& one : aTransaction.at("expected_rev").as_array()) {
     const auto& condition = one.as_object();
     const auto found = mState.entries.find(Text(condition, "key"));
-    const auto changed =
-      found == mState.entries.end() ? 0 : found->second.changed;
-    if (changed != condition.at("revision").to_number<std::uint64_t>()) {
+    const auto modRevision =
+      found == mState.entries.end() ? 0 : found->second.modRevision;
+    if (modRevision != condition.at("revision").to_number<std::uint64_t>()) {
       return { 412, { { "items", json::array{} } } };
     }
   }
-  for (const auto& one : aWhat.at("puts").as_array()) {
+  for (const auto& one : aTransaction.at("puts").as_array()) {
     const auto lease =
       one.as_object().at("lease_id").to_number<std::uint64_t>();
     if (lease != 0 && !mState.leases.contains(lease)) {
       return { 404, {} };
     }
   }
-  for (const auto& one : aWhat.at("puts").as_array()) {
+  for (const auto& one : aTransaction.at("puts").as_array()) {
     const auto& put = one.as_object();
     std::string value;
     absl::Base64Unescape(Text(put, "value"), &value);
     Put(Text(put, "key"), value, put.at("lease_id").to_number<std::uint64_t>());
   }
-  for (const auto& one : aWhat.at("remove").as_array()) {
+  for (const auto& one : aTransaction.at("remove").as_array()) {
     Remove(json::value_to<std::string>(one));
   }
   return { 200, { { "revision", mState.revision } } };
 }
 
 key_answer
-keys::Grant(std::int64_t aTtlMs, time_point aNow)
+keys::GrantLease(std::int64_t aTtlMs, time_point aNow)
 {
   const std::chrono::milliseconds ttl{ aTtlMs };
   mState.leases[++mState.lastLease] = { ttl, aNow + ttl };
@@ -142,7 +142,7 @@
 }
 
 key_answer
-keys::Keep(std::uint64_t aLease, time_point aNow)
+keys::KeepAlive(std::uint64_t aLease, time_point aNow)
 {
   const auto found = mState.leases.find(aLease);
   if (found == mState.leases.end()) {
@@ -153,7 +153,7 @@
 }
 
 void
-keys::End(std::uint64_t aLease)
+keys::RevokeLease(std::uint64_t aLease)
 {
   mState.leases.erase(aLease);
   std::vector<std::string> held;
@@ -177,27 +177,27 @@
     }
   }
   for (const auto id : ended) {
-    End(id);
+    RevokeLease(id);
   }
 }
 
 void
-keys::Copy(time_point aNow)
+keys::TakeSnapshot(time_point aNow)
 {
-  mCopies.push_back({ aNow, mState });
-  while (mCopies.front().at < aNow - kCopiesReach) {
-    mCopies.pop_front();
+  mSnapshots.push_back({ aNow, mState });
+  while (mSnapshots.front().at < aNow - kSnapshotRetention) {
+    mSnapshots.pop_front();
   }
 }
 
 void
-keys::Return(std::chrono::milliseconds aAge, time_point aNow)
+keys::Restore(std::chrono::milliseconds aAge, time_point aNow)
 {
-  while (mCopies.size() > 1 && mCopies.back().at > aNow - aAge) {
-    mCopies.pop_back();
+  while (mSnapshots.size() > 1 && mSnapshots.back().at > aNow - aAge) {
+    mSnapshots.pop_back();
   }
-  if (!mCopies.empty()) {
-    mState = mCopies.back().kept;
+  if (!mSnapshots.empty()) {
+    mState = mSnapshots.back().contents;
   }
   for (auto& [id, one] : mState.leases) {
     one.until = aNow + one.ttl;
--- a/standin/fleet/keys.hpp
+++ b/standin/fleet/keys.hpp
@@ -37,20 +37,20 @@
   /// Changes after a revision; without any the answer has status zero.
   [[nodiscard]] key_answer Changes(const std::string& aPrefix,
                                    std::uint64_t aAfter) const;
-  [[nodiscard]] key_answer Commit(const boost::json::object& aWhat);
-  [[nodiscard]] key_answer Grant(std::int64_t aTtlMs, time_point aNow);
-  [[nodiscard]] key_answer Keep(std::uint64_t aLease, time_point aNow);
-  void End(std::uint64_t aLease);
+  [[nodiscard]] key_answer Commit(const boost::json::object& aTransaction);
+  [[nodiscard]] key_answer GrantLease(std::int64_t aTtlMs, time_point aNow);
+  [[nodiscard]] key_answer KeepAlive(std::uint64_t aLease, time_point aNow);
+  void RevokeLease(std::uint64_t aLease);
   /// Ends the leases that have run out.
   void Expire(time_point aNow);
 
   /// Keeps a copy of the store as it is, and forgets old ones.
-  void Copy(time_point aNow);
+  void TakeSnapshot(time_point aNow);
 
   /// Comes back from the newest copy that is at least so old. What was written
   /// since is gone, revisions and leases are given out again, and the era
   /// rises.
-  void Return(std::chrono::milliseconds aAge, time_point aNow);
+  void Restore(std::chrono::milliseconds aAge, time_point aNow);
 
   [[nodiscard]] std::uint64_t Era() const { return mEra; }
 
@@ -58,7 +58,7 @@
   struct entry
   {
     std::string value;
-    std::uint64_t changed = 0;
+    std::uint64_t modRevision = 0;
     std::uint64_t lease = 0;
   };
 
@@ -84,18 +84,18 @@
     std::uint64_t lastLease = 0;
   };
 
-  struct copy
+  struct snapshot
   {
     time_point at;
-    state kept;
+    state contents;
   };
 
-  [[nodiscard]] static boost::json::object Print(const std::string& aKey,
-                                                 const entry& aEntry);
+  [[nodiscard]] static boost::json::object ToJson(const std::string& aKey,
+                                                  const entry& aEntry);
 
   state mState;
   std::vector<event> mHistory;
-  std::deque<copy> mCopies;
+  std::deque<snapshot> mSnapshots;
   std::uint64_t mEra = 1;
 };
 
--- a/standin/fleet/main.cpp
+++ b/standin/fleet/main.cpp
@@ -31,18 +31,18 @@
 using std::chrono::milliseconds;
 
 constexpr unsigned kServersPerGroup = 3;
-constexpr unsigned kMostConnections = 16;
+constexpr unsigned kMaxConnections = 16;
 // How far behind replicas are.
-constexpr milliseconds kLag{ 20 };
+constexpr milliseconds kReplicationLag{ 20 };
 // How long a promotion takes.
-constexpr milliseconds kPromotion{ 200 };
-constexpr milliseconds kWatchCheck{ 5 };
-constexpr milliseconds kCopyInterval{ 100 };
+constexpr milliseconds kPromotionDuration{ 200 };
+constexpr milliseconds kWatchPollInterval{ 5 };
+constexpr milliseconds kSnapshotInterval{ 100 };
 // When the operator and the servers write again what the store has lost.
-constexpr milliseconds kWrittenAgain{ 1000 };
+constexpr milliseconds kRewriteDelay{ 1000 };
 // When a server started for the first time, in milliseconds of the time of day;
 // each start after it counts one more.
-constexpr std::int64_t kFirstStart = 1795000000000;
+constexpr std::int64_t kFirstStartMs = 1795000000000;
 
 struct options
 {
@@ -55,20 +55,20 @@
 
 /// Everything outside the VMs: the store, the servers, and the interface for
 /// promotions, in one process.
-class world
+class platform_simulator
 {
 public:
-  world(boost::asio::io_context& aContext, const options& aOptions)
+  platform_simulator(boost::asio::io_context& aContext, const options& aOptions)
     : mContext(aContext)
     , mTimer(aContext)
-    , mCopyTimer(aContext)
+    , mSnapshotTimer(aContext)
   {
     for (unsigned number = 0; number < aOptions.groups; ++number) {
       AddGroup(number, aOptions);
     }
-    Configure(1);
-    Follow();
-    Copy();
+    PublishConfiguration(1);
+    AdvanceReplicas();
+    TakeSnapshot();
   }
 
   void Listen(std::uint16_t aPort, std::function<void(tcp::socket)> aTake)
@@ -88,7 +88,7 @@
     const auto path = target.substr(0, mark);
     mQuery = mark == std::string::npos ? "" : target.substr(mark + 1);
     const auto now = std::chrono::steady_clock::now();
-    if (mIsAway && path.starts_with("/kv-")) {
+    if (mIsUnavailable && path.starts_with("/kv-")) {
       return false;
     }
     mKeys.Expire(now);
@@ -103,16 +103,17 @@
       aAnswer = mKeys.Commit(json::parse(aCall.body()).as_object());
     } else if (path == "/kv-lease") {
       const auto body = json::parse(aCall.body()).as_object();
-      aAnswer = mKeys.Grant(body.at("ttl_ms").to_number<std::int64_t>(), now);
+      aAnswer =
+        mKeys.GrantLease(body.at("ttl_ms").to_number<std::int64_t>(), now);
     } else if (path.starts_with("/kv-keep/")) {
-      aAnswer = mKeys.Keep(Number(path.substr(9)), now);
+      aAnswer = mKeys.KeepAlive(Number(path.substr(9)), now);
     } else if (path.starts_with("/kv-lease-end/")) {
-      mKeys.End(Number(path.substr(14)));
+      mKeys.RevokeLease(Number(path.substr(14)));
       aAnswer = {};
     } else if (path == "/promotion") {
       aAnswer = Promote(json::parse(aCall.body()).as_object());
     } else {
-      aAnswer = Order(path);
+      aAnswer = HandleTestCommand(path);
     }
     return true;
   }
@@ -120,7 +121,7 @@
   [[nodiscard]] std::uint64_t Era() const { return mKeys.Era(); }
 
   /// Whether calls of the store wait for its return.
-  [[nodiscard]] bool IsAway() const { return mIsAway; }
+  [[nodiscard]] bool IsUnavailable() const { return mIsUnavailable; }
 
   [[nodiscard]] std::uint64_t WaitMs() const
   {
@@ -146,7 +147,7 @@
     auto& made = mGroups.back();
     unsigned port = aOptions.serversPort + first;
     for (auto& one : made.Servers()) {
-      List(one);
+      PublishServer(one);
       Listen(static_cast<std::uint16_t>(port++),
              [this, &made, id = one.id](tcp::socket aSocket) {
                Serve(made, id, std::move(aSocket));
@@ -176,7 +177,7 @@
     }
     auto stream = std::make_shared<line_stream>(std::move(aSocket));
     auto session =
-      std::make_shared<fleet::session>(aGroup, aServer, kMostConnections);
+      std::make_shared<fleet::session>(aGroup, aServer, kMaxConnections);
     stream->Start({ [stream, session](std::string_view aLine) {
                      const auto answer = session->Answer(aLine);
                      stream->Send(answer);
@@ -187,7 +188,7 @@
                     [stream, session] {} });
   }
 
-  void List(const fleet::server& aServer)
+  void PublishServer(const fleet::server& aServer)
   {
     const json::object entry{
       { "service", aServer.group },
@@ -197,21 +198,21 @@
       { "slots", 8 },
       { "warmup_left_ms", 0 },
       { "state", aServer.draining ? "draining" : "ready" },
-      { "target_role", aServer.leads ? "primary" : "replica" },
+      { "target_role", aServer.isPrimary ? "primary" : "replica" },
       { "seq", 1 },
-      { "born", kFirstStart + static_cast<std::int64_t>(aServer.starts) }
+      { "born", kFirstStartMs + static_cast<std::int64_t>(aServer.starts) }
     };
     mKeys.Put("servers/" + aServer.id, json::serialize(entry));
   }
 
-  void Configure(std::uint64_t aVersion)
+  void PublishConfiguration(std::uint64_t aVersion)
   {
     mVersion = aVersion;
     json::array routes;
     json::array services;
     for (const auto& one : mGroups) {
       services.push_back(json::object{ { "name", one.Name() },
-                                       { "max_conns", kMostConnections } });
+                                       { "max_conns", kMaxConnections } });
       for (const char* type :
            { "primary", "bounded_staleness", "read_your_writes" }) {
         routes.push_back(json::object{ { "name", one.Name() + type },
@@ -232,53 +233,53 @@
     mKeys.Put("op/config", json::serialize(configuration));
   }
 
-  void Follow()
+  void AdvanceReplicas()
   {
     for (auto& one : mGroups) {
-      one.Follow();
+      one.AdvanceReplicas();
     }
-    mTimer.expires_after(kLag);
+    mTimer.expires_after(kReplicationLag);
     mTimer.async_wait([this](boost::system::error_code aError) {
       if (!aError) {
-        Follow();
+        AdvanceReplicas();
       }
     });
   }
 
-  void Copy()
+  void TakeSnapshot()
   {
-    mCopyTimer.expires_after(kCopyInterval);
-    mCopyTimer.async_wait([this](boost::system::error_code aError) {
+    mSnapshotTimer.expires_after(kSnapshotInterval);
+    mSnapshotTimer.async_wait([this](boost::system::error_code aError) {
       if (!aError) {
-        mKeys.Copy(std::chrono::steady_clock::now());
-        Copy();
+        mKeys.TakeSnapshot(std::chrono::steady_clock::now());
+        TakeSnapshot();
       }
     });
   }
 
   // The store is away for so long, and then comes back without what was written
   // in the span before. Calls that wait meanwhile are done after its return.
-  void Lose(milliseconds aSpan, milliseconds aAway)
+  void LoseRecentWrites(milliseconds aSpan, milliseconds aOutage)
   {
-    mIsAway = true;
-    After(aAway, [this, aSpan, aAway] {
-      mKeys.Return(aSpan + aAway, std::chrono::steady_clock::now());
-      mIsAway = false;
-      After(kWrittenAgain, [this] { WriteAgain(); });
+    mIsUnavailable = true;
+    RunAfter(aOutage, [this, aSpan, aOutage] {
+      mKeys.Restore(aSpan + aOutage, std::chrono::steady_clock::now());
+      mIsUnavailable = false;
+      RunAfter(kRewriteDelay, [this] { RewriteKeys(); });
     });
   }
 
-  void WriteAgain()
+  void RewriteKeys()
   {
-    Configure(mVersion);
+    PublishConfiguration(mVersion);
     for (auto& group : mGroups) {
       for (const auto& one : group.Servers()) {
-        List(one);
+        PublishServer(one);
       }
     }
   }
 
-  void After(milliseconds aSpan, std::function<void()> aDo)
+  void RunAfter(milliseconds aSpan, std::function<void()> aDo)
   {
     auto timer = std::make_shared<boost::asio::steady_timer>(mContext, aSpan);
     timer->async_wait(
@@ -289,10 +290,10 @@
       });
   }
 
-  fleet::key_answer Promote(const json::object& aOrder)
+  fleet::key_answer Promote(const json::object& aRequest)
   {
-    const auto service = json::value_to<std::string>(aOrder.at("service"));
-    const auto id = json::value_to<std::string>(aOrder.at("id"));
+    const auto service = json::value_to<std::string>(aRequest.at("service"));
+    const auto id = json::value_to<std::string>(aRequest.at("id"));
     for (auto& one : mGroups) {
       if (one.Name() != service) {
         continue;
@@ -301,8 +302,8 @@
       if (server == nullptr || !server->up) {
         return { 409, {} };
       }
-      auto timer =
-        std::make_shared<boost::asio::steady_timer>(mContext, kPromotion);
+      auto timer = std::make_shared<boost::asio::steady_timer>(
+        mContext, kPromotionDuration);
       timer->async_wait([timer, &one, id](boost::system::error_code) {
         (void)one.Promote(id);
       });
@@ -315,22 +316,22 @@
   // from an older copy, and servers that stop, come back, leave, or start again
   // empty. Without an order it tells what is
   // wrong.
-  fleet::key_answer Order(const std::string& aPath)
+  fleet::key_answer HandleTestCommand(const std::string& aPath)
   {
     if (aPath == "/test/configure") {
-      Configure(Number(Parameter("version")));
+      PublishConfiguration(Number(Parameter("version")));
     }
     if (aPath == "/test/lose") {
-      Lose(milliseconds{ Number(Parameter("span_ms")) },
-           milliseconds{ Number(Parameter("away_ms")) });
+      LoseRecentWrites(milliseconds{ Number(Parameter("span_ms")) },
+                       milliseconds{ Number(Parameter("away_ms")) });
     }
     if (aPath == "/test/primary") {
-      const auto primary = Primary(Parameter("group"));
+      const auto primary = FindPrimary(Parameter("group"));
       return { 200, {}, primary.empty() ? " " : primary };
     }
     unsigned doubled = 0;
     for (auto& one : mGroups) {
-      doubled += one.Doubled();
+      doubled += one.CountDuplicates();
       if (aPath == "/test/restart") {
         one.Restart(Parameter("server"));
       }
@@ -339,18 +340,18 @@
         server->up = aPath == "/test/start" || server->up;
         server->draining = aPath == "/test/drain" ||
                            (server->draining && aPath != "/test/start");
-        List(*server);
+        PublishServer(*server);
       }
     }
     return { 200, { { "doubled", doubled } } };
   }
 
   // The server that leads the group now, if it is up.
-  std::string Primary(const std::string& aGroup)
+  std::string FindPrimary(const std::string& aGroup)
   {
     for (auto& one : mGroups) {
       for (const auto& server : one.Servers()) {
-        if (one.Name() == aGroup && server.up && one.Leads(server)) {
+        if (one.Name() == aGroup && server.up && one.IsPrimary(server)) {
           return server.id;
         }
       }
@@ -378,10 +379,10 @@
 
   boost::asio::io_context& mContext;
   boost::asio::steady_timer mTimer;
-  boost::asio::steady_timer mCopyTimer;
+  boost::asio::steady_timer mSnapshotTimer;
   fleet::keys mKeys;
   std::uint64_t mVersion = 0;
-  bool mIsAway = false;
+  bool mIsUnavailable = false;
   std::list<fleet::group> mGroups;
   std::string mQuery;
 };
@@ -390,8 +391,8 @@
 class http_session : public std::enable_shared_from_this<http_session>
 {
 public:
-  http_session(world& aWorld, tcp::socket aSocket)
-    : mWorld(aWorld)
+  http_session(platform_simulator& aPlatform, tcp::socket aSocket)
+    : mPlatform(aPlatform)
     , mStream(std::move(aSocket))
     , mTimer(mStream.get_executor())
   {
@@ -414,26 +415,27 @@
 private:
   void Begin()
   {
-    Try();
-    mUntil = std::chrono::steady_clock::now() + milliseconds{ mWorld.WaitMs() };
+    TryAnswer();
+    mDeadline =
+      std::chrono::steady_clock::now() + milliseconds{ mPlatform.WaitMs() };
   }
 
-  void Try()
+  void TryAnswer()
   {
     fleet::key_answer answer;
-    const bool done = mWorld.Answer(mRequest, answer);
-    if (!done &&
-        (mWorld.IsAway() || mUntil == std::chrono::steady_clock::time_point{} ||
-         std::chrono::steady_clock::now() < mUntil)) {
-      mTimer.expires_after(kWatchCheck);
+    const bool done = mPlatform.Answer(mRequest, answer);
+    if (!done && (mPlatform.IsUnavailable() ||
+                  mDeadline == std::chrono::steady_clock::time_point{} ||
+                  std::chrono::steady_clock::now() < mDeadline)) {
+      mTimer.expires_after(kWatchPollInterval);
       mTimer.async_wait([self = shared_from_this()](boost::system::error_code) {
-        self->Try();
+        self->TryAnswer();
       });
       return;
     }
-    mUntil = {};
+    mDeadline = {};
     mResponse = {};
-    mResponse.set("Store-Era", std::to_string(mWorld.Era()));
+    mResponse.set("Store-Era", std::to_string(mPlatform.Era()));
     mResponse.result(answer.status == 0 ? 200 : answer.status);
     mResponse.keep_alive(true);
     mResponse.body() =
@@ -449,13 +451,13 @@
                       });
   }
 
-  world& mWorld;
+  platform_simulator& mPlatform;
   beast::tcp_stream mStream;
   boost::asio::steady_timer mTimer;
   beast::flat_buffer mBuffer;
   http::request<http::string_body> mRequest;
   http::response<http::string_body> mResponse;
-  std::chrono::steady_clock::time_point mUntil{};
+  std::chrono::steady_clock::time_point mDeadline{};
 };
 
 } // namespace
@@ -483,7 +485,7 @@
   }
   try {
     boost::asio::io_context context;
-    world made(context, chosen);
+    platform_simulator made(context, chosen);
     made.Listen(chosen.port, [&made](tcp::socket aSocket) {
       std::make_shared<http_session>(made, std::move(aSocket))->Read();
     });
--- a/standin/fleet/session.cpp
+++ b/standin/fleet/session.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 std::string_view
-Word(std::string_view& aText)
+NextWord(std::string_view& aText)
 {
   const auto end = aText.find(' ');
   const auto word = aText.substr(0, end);
@@ -24,10 +24,10 @@
 
 } // namespace
 
-session::session(group& aGroup, std::string aServer, unsigned aMostConnections)
+session::session(group& aGroup, std::string aServer, unsigned aMaxConnections)
   : mGroup(aGroup)
   , mServer(std::move(aServer))
-  , mMostConnections(aMostConnections)
+  , mMaxConnections(aMaxConnections)
   , mStart(Self().starts)
 {
   ++Self().connections;
@@ -50,160 +50,164 @@
   if (!Self().up || Self().starts != mStart) {
     return {};
   }
-  const auto word = Word(aLine);
+  const auto word = NextWord(aLine);
   if (!mIsOpen) {
-    return word == "START" ? Begin(aLine) : std::string();
+    return word == "START" ? HandleStart(aLine) : std::string();
   }
   if (word != "QUERY") {
     return {};
   }
-  const std::string id(Word(aLine));
-  return Run(id, aLine);
+  const std::string id(NextWord(aLine));
+  return HandleQuery(id, aLine);
 }
 
 std::string
-session::Begin(std::string_view aLine)
+session::HandleStart(std::string_view aLine)
 {
-  const auto service = Word(aLine);
-  Word(aLine);
+  const auto service = NextWord(aLine);
+  NextWord(aLine);
   if (service != mGroup.Name() || (!aLine.empty() && aLine != mServer)) {
     return "ERROR MISROUTED " + mServer + "\r\n";
   }
-  if (Self().connections > mMostConnections) {
+  if (Self().connections > mMaxConnections) {
     return "ERROR TOOMANYCON full\r\n";
   }
   mIsOpen = true;
-  return Ready();
+  return ReadyReply();
 }
 
 std::string
-session::Ready() const
+session::ReadyReply() const
 {
   const char* state = mFailed ? "E" : mInTransaction ? "T" : "I";
-  return std::string("READY ") + state + " " + Self().At() + "\r\n";
+  return std::string("READY ") + state + " " + Self().AppliedPosition() +
+         "\r\n";
 }
 
 std::string
-session::Done(const std::string& aSignature, const std::string& aRow) const
+session::CompletionReply(const std::string& aSignature,
+                         const std::string& aRow) const
 {
   const auto row = aRow.empty() ? std::string() : "DATAROW " + aRow + "\r\n";
-  return row + "COMPLETE " + aSignature + "\r\n" + Ready();
+  return row + "COMPLETE " + aSignature + "\r\n" + ReadyReply();
 }
 
 std::string
-session::Refuse(const std::string& aCode)
+session::ErrorReply(const std::string& aCode)
 {
   mFailed = mInTransaction;
-  return "ERROR " + aCode + " " + mServer + "\r\n" + Ready();
+  return "ERROR " + aCode + " " + mServer + "\r\n" + ReadyReply();
 }
 
 std::string
-session::Run(const std::string& aId, std::string_view aText)
+session::HandleQuery(const std::string& aId, std::string_view aText)
 {
-  auto word = Word(aText);
+  auto word = NextWord(aText);
   if (word == "AFTERLSN") {
-    const auto position = Word(aText);
+    const auto position = NextWord(aText);
     const auto dot = position.find('.');
-    if (!Self().Has(Number(position.substr(0, dot)),
-                    Number(position.substr(dot + 1)))) {
-      return "ERROR LAGGING " + mServer + "\r\n" + Ready();
+    if (!Self().HasApplied(Number(position.substr(0, dot)),
+                           Number(position.substr(dot + 1)))) {
+      return "ERROR LAGGING " + mServer + "\r\n" + ReadyReply();
     }
-    word = Word(aText);
+    word = NextWord(aText);
   }
   const std::string signature = "signed-" + aId;
   if (word == "ROLLBACK") {
     mInTransaction = mFailed = false;
     mChanges.clear();
-    return Done("-");
+    return CompletionReply("-");
   }
   if (mFailed) {
-    return Refuse("MALFORMED");
+    return ErrorReply("MALFORMED");
   }
   if (word == "READ") {
-    return Done(signature, Self().Read(std::string(Word(aText))));
+    return CompletionReply(signature,
+                           Self().Read(std::string(NextWord(aText))));
   }
   if (word == "WRITE") {
-    return Change(aId, aText);
+    return HandleWrite(aId, aText);
   }
   if (word == "BEGIN") {
     mIsReadOnly = aText == "READ";
-    if (!mIsReadOnly && !Self().leads) {
-      return Refuse("READONLY");
+    if (!mIsReadOnly && !Self().isPrimary) {
+      return ErrorReply("READONLY");
     }
     mInTransaction = true;
-    return Done("-");
+    return CompletionReply("-");
   }
   if (word == "COMMIT") {
     mInTransaction = false;
-    if (!mChanges.empty() && !Self().leads) {
+    if (!mChanges.empty() && !Self().isPrimary) {
       mChanges.clear();
-      return Refuse("READONLY");
+      return ErrorReply("READONLY");
     }
     mGroup.Commit(Self(), std::exchange(mChanges, {}));
-    return Done(signature);
+    return CompletionReply(signature);
   }
   if (word == "PREPARE") {
-    const std::string name(Word(aText));
-    mPrepared[name] = { Word(aText) == "WRITE", std::string(aText) };
-    return Done("-");
+    const std::string name(NextWord(aText));
+    mPrepared[name] = { NextWord(aText) == "WRITE", std::string(aText) };
+    return CompletionReply("-");
   }
   if (word == "EXECUTE") {
-    const auto found = mPrepared.find(std::string(Word(aText)));
+    const auto found = mPrepared.find(std::string(NextWord(aText)));
     if (found == mPrepared.end()) {
-      return Refuse("NOSTMT");
+      return ErrorReply("NOSTMT");
     }
     return found->second.writes
-             ? Change(aId, aText)
-             : Done(signature, Self().Read(std::string(Word(aText))));
+             ? HandleWrite(aId, aText)
+             : CompletionReply(signature,
+                               Self().Read(std::string(NextWord(aText))));
   }
   if (word == "SET" || word == "DEALLOC") {
-    return Done("-");
+    return CompletionReply("-");
   }
   if (word == "RESET") {
     mPrepared.clear();
-    return Done("-");
+    return CompletionReply("-");
   }
-  return Control(word, aText);
+  return HandleControl(word, aText);
 }
 
 std::string
-session::Change(const std::string& aId, std::string_view aArguments)
+session::HandleWrite(const std::string& aId, std::string_view aArguments)
 {
-  if (!Self().leads || mIsReadOnly) {
-    return Refuse("READONLY");
+  if (!Self().isPrimary || mIsReadOnly) {
+    return ErrorReply("READONLY");
   }
   record change;
-  change.item = Word(aArguments);
+  change.item = NextWord(aArguments);
   change.value = aArguments;
   if (mInTransaction) {
     mChanges.push_back(change);
   } else {
     mGroup.Commit(Self(), { change });
   }
-  return Done("signed-" + aId);
+  return CompletionReply("signed-" + aId);
 }
 
 std::string
-session::Control(std::string_view aWord, std::string_view aArgument)
+session::HandleControl(std::string_view aWord, std::string_view aArgument)
 {
   auto& self = Self();
   if (aWord == "PAUSE") {
-    self.fencedAt = self.leads ? 0 : Number(aArgument);
+    self.fencedTerm = self.isPrimary ? 0 : Number(aArgument);
   } else if (aWord == "RESUME") {
-    self.fencedAt = 0;
+    self.fencedTerm = 0;
   } else if (aWord == "DEMOTE") {
-    self.leads = self.leads && mGroup.Term() >= Number(aArgument);
+    self.isPrimary = self.isPrimary && mGroup.Term() >= Number(aArgument);
   } else if (aWord != "STATUS") {
-    return Refuse("MALFORMED");
+    return ErrorReply("MALFORMED");
   }
-  const auto term = self.leads ? mGroup.Term() : self.Term();
+  const auto term = self.isPrimary ? mGroup.Term() : self.Term();
   const auto received =
     std::to_string(self.Term()) + "." + std::to_string(self.log.size());
-  return Done("-",
-              std::string(self.leads ? "primary " : "replica ") +
-                std::to_string(term) + " " + received + " " +
-                std::to_string(self.fencedAt) + " 0 0 " +
-                std::to_string(self.connections));
+  return CompletionReply("-",
+                         std::string(self.isPrimary ? "primary " : "replica ") +
+                           std::to_string(term) + " " + received + " " +
+                           std::to_string(self.fencedTerm) + " 0 0 " +
+                           std::to_string(self.connections));
 }
 
 } // namespace currantshed::standin::fleet
--- a/standin/fleet/session.hpp
+++ b/standin/fleet/session.hpp
@@ -16,7 +16,7 @@
 class session
 {
 public:
-  session(group& aGroup, std::string aServer, unsigned aMostConnections);
+  session(group& aGroup, std::string aServer, unsigned aMaxConnections);
   session(const session&) = delete;
   session& operator=(const session&) = delete;
   ~session();
@@ -31,21 +31,22 @@
     std::string shape;
   };
 
-  [[nodiscard]] std::string Begin(std::string_view aLine);
-  [[nodiscard]] std::string Run(const std::string& aId, std::string_view aText);
-  [[nodiscard]] std::string Change(const std::string& aId,
-                                   std::string_view aArguments);
-  [[nodiscard]] std::string Control(std::string_view aWord,
-                                    std::string_view aArgument);
-  [[nodiscard]] std::string Ready() const;
-  [[nodiscard]] std::string Done(const std::string& aSignature,
-                                 const std::string& aRow = {}) const;
-  [[nodiscard]] std::string Refuse(const std::string& aCode);
+  [[nodiscard]] std::string HandleStart(std::string_view aLine);
+  [[nodiscard]] std::string HandleQuery(const std::string& aId,
+                                        std::string_view aText);
+  [[nodiscard]] std::string HandleWrite(const std::string& aId,
+                                        std::string_view aArguments);
+  [[nodiscard]] std::string HandleControl(std::string_view aWord,
+                                          std::string_view aArgument);
+  [[nodiscard]] std::string ReadyReply() const;
+  [[nodiscard]] std::string CompletionReply(const std::string& aSignature,
+                                            const std::string& aRow = {}) const;
+  [[nodiscard]] std::string ErrorReply(const std::string& aCode);
   [[nodiscard]] server& Self() const;
 
   group& mGroup;
   std::string mServer;
-  unsigned mMostConnections;
+  unsigned mMaxConnections;
   unsigned mStart;
   bool mIsOpen = false;
   bool mInTransaction = false;
--- a/standin/platform/call.cpp
+++ b/standin/platform/call.cpp
@@ -82,7 +82,7 @@
 }
 
 call_kind
-KindOf(const call& aCall)
+ClassifyCall(const call& aCall)
 {
   if (absl::StartsWith(aCall.path, "/control/")) {
     return call_kind::kControl;
--- a/standin/platform/call.hpp
+++ b/standin/platform/call.hpp
@@ -58,7 +58,7 @@
 ParseCall(std::string_view aMethod, std::string_view aTarget);
 
 [[nodiscard]] call_kind
-KindOf(const call& aCall);
+ClassifyCall(const call& aCall);
 
 } // namespace currantshed::standin
 
--- a/standin/platform/call_counter.cpp
+++ b/standin/platform/call_counter.cpp
@@ -61,7 +61,7 @@
 bool
 call_counter::Admit(call_kind aKind, clock::time_point aNow)
 {
-  TurnTo(aNow);
+  AdvanceTo(aNow);
   const auto kind = static_cast<std::size_t>(aKind);
   ++mTotal[kind];
   ++mThisSecond[kind];
@@ -84,9 +84,9 @@
 }
 
 std::string
-call_counter::Json(std::size_t aWaitingWatches, clock::time_point aNow)
+call_counter::ToJson(std::size_t aWaitingWatches, clock::time_point aNow)
 {
-  TurnTo(aNow);
+  AdvanceTo(aNow);
   json::object counts;
   counts["total"] = CountsJson(mTotal, Sum(mTotal));
   counts["last_second"] = CountsJson(mLastSecond, Sum(mLastSecond));
@@ -97,7 +97,7 @@
 }
 
 void
-call_counter::TurnTo(clock::time_point aNow)
+call_counter::AdvanceTo(clock::time_point aNow)
 {
   constexpr std::chrono::seconds kWindow{ 1 };
   if (!mStarted) {
@@ -108,8 +108,8 @@
   if (passed == 0) {
     return;
   }
-  mLastSecond = passed == 1 ? mThisSecond : by_kind{};
-  mThisSecond = by_kind{};
+  mLastSecond = passed == 1 ? mThisSecond : kind_counts{};
+  mThisSecond = kind_counts{};
   mSecondStart += passed * kWindow;
 }
 
--- a/standin/platform/call_counter.hpp
+++ b/standin/platform/call_counter.hpp
@@ -32,21 +32,21 @@
   void Reset();
 
   /// The counts as JSON; the watches that wait now come from outside.
-  [[nodiscard]] std::string Json(std::size_t aWaitingWatches,
-                                 clock::time_point aNow);
+  [[nodiscard]] std::string ToJson(std::size_t aWaitingWatches,
+                                   clock::time_point aNow);
 
 private:
-  using by_kind = std::array<std::uint64_t, kCountedKinds>;
+  using kind_counts = std::array<std::uint64_t, kCountedKinds>;
 
-  void TurnTo(clock::time_point aNow);
+  void AdvanceTo(clock::time_point aNow);
 
   rate_limits mLimits;
   bool mStarted = false;
   clock::time_point mSecondStart{};
-  by_kind mTotal{};
-  by_kind mThisSecond{};
-  by_kind mLastSecond{};
-  by_kind mPeak{};
+  kind_counts mTotal{};
+  kind_counts mThisSecond{};
+  kind_counts mLastSecond{};
+  kind_counts mPeak{};
   std::uint64_t mPeakAll = 0;
   std::uint64_t mRefused = 0;
 };
--- a/standin/platform/catalog.cpp
+++ b/standin/platform/catalog.cpp
@@ -75,16 +75,16 @@
 
 catalog::catalog(catalog_content aContent, std::chrono::milliseconds aLag)
   : mLag(aLag)
-  , mNewest(std::move(aContent))
-  , mShown(mNewest)
+  , mLatest(std::move(aContent))
+  , mVisible(mLatest)
 {
 }
 
 void
 catalog::Replace(catalog_content aContent, clock::time_point aNow)
 {
-  mNewest = std::move(aContent);
-  Changed(aNow);
+  mLatest = std::move(aContent);
+  QueueChange(aNow);
 }
 
 bool
@@ -92,14 +92,14 @@
                std::string_view aState,
                clock::time_point aNow)
 {
-  auto* found = FindById(mNewest.vms, aId);
+  auto* found = FindById(mLatest.vms, aId);
   const bool known = aState == kLive || aState == kLeaving || aState == kGone;
   if (found == nullptr || !known) {
     return false;
   }
   found->leaving = aState == kLeaving;
   found->gone = aState == kGone;
-  Changed(aNow);
+  QueueChange(aNow);
   return true;
 }
 
@@ -108,12 +108,12 @@
                      std::string_view aState,
                      clock::time_point aNow)
 {
-  auto* found = FindById(mNewest.upstreams, aId);
+  auto* found = FindById(mLatest.upstreams, aId);
   if (found == nullptr || (aState != kLive && aState != kLeaving)) {
     return false;
   }
   found->leaving = aState == kLeaving;
-  Changed(aNow);
+  QueueChange(aNow);
   return true;
 }
 
@@ -126,9 +126,9 @@
 std::string
 catalog::VmsJson(clock::time_point aNow)
 {
-  Settle(aNow);
+  ApplyDueChanges(aNow);
   json::array list;
-  for (const auto& vm : mShown.vms) {
+  for (const auto& vm : mVisible.vms) {
     if (!vm.gone) {
       list.push_back(VmJson(vm));
     }
@@ -139,25 +139,25 @@
 std::string
 catalog::UpstreamsJson(clock::time_point aNow)
 {
-  Settle(aNow);
+  ApplyDueChanges(aNow);
   json::array list;
-  for (const auto& upstream : mShown.upstreams) {
+  for (const auto& upstream : mVisible.upstreams) {
     list.push_back(UpstreamJson(upstream));
   }
   return json::serialize(list);
 }
 
 void
-catalog::Changed(clock::time_point aNow)
+catalog::QueueChange(clock::time_point aNow)
 {
-  mPending.push_back({ aNow + mLag, mNewest });
+  mPending.push_back({ aNow + mLag, mLatest });
 }
 
 void
-catalog::Settle(clock::time_point aNow)
+catalog::ApplyDueChanges(clock::time_point aNow)
 {
-  while (!mPending.empty() && mPending.front().visible <= aNow) {
-    mShown = std::move(mPending.front().content);
+  while (!mPending.empty() && mPending.front().visibleAt <= aNow) {
+    mVisible = std::move(mPending.front().content);
     mPending.pop_front();
   }
 }
--- a/standin/platform/catalog.hpp
+++ b/standin/platform/catalog.hpp
@@ -40,21 +40,21 @@
   [[nodiscard]] std::string UpstreamsJson(clock::time_point aNow);
 
 private:
-  struct change
+  struct pending_change
   {
-    clock::time_point visible;
+    clock::time_point visibleAt;
     catalog_content content;
   };
 
-  void Changed(clock::time_point aNow);
-  void Settle(clock::time_point aNow);
+  void QueueChange(clock::time_point aNow);
+  void ApplyDueChanges(clock::time_point aNow);
 
   std::chrono::milliseconds mLag;
   /// With all changes.
-  catalog_content mNewest;
+  catalog_content mLatest;
   /// As callers see it.
-  catalog_content mShown;
-  std::deque<change> mPending;
+  catalog_content mVisible;
+  std::deque<pending_change> mPending;
 };
 
 } // namespace currantshed::standin
--- a/standin/platform/faults.hpp
+++ b/standin/platform/faults.hpp
@@ -19,9 +19,9 @@
 /// The faults in force.
 struct faults
 {
-  outage out = outage::kNone;
+  outage outageMode = outage::kNone;
   /// Added to each call: one half before its effect, one half after.
-  std::chrono::milliseconds slow{ 0 };
+  std::chrono::milliseconds addedLatency{ 0 };
   /// Writes that still take effect with their answers lost.
   std::uint64_t loseAnswers = 0;
   /// Writes that are still lost before their effect.
--- a/standin/platform/main.cpp
+++ b/standin/platform/main.cpp
@@ -27,8 +27,8 @@
   "Stands in for the platform's service in demos and tests: keys with "
   "compare-and-swap, watches, sessions, the lists of VMs and upstreams, and "
   "faults to order.";
-constexpr milliseconds kLongestLag{ 600000 };
-constexpr unsigned kHighestRate = 1000000;
+constexpr milliseconds kMaxLag{ 600000 };
+constexpr unsigned kMaxRate = 1000000;
 
 struct options
 {
@@ -51,17 +51,17 @@
                       "list-lag-ms",
                       "how late the lists show a change",
                       milliseconds(0),
-                      kLongestLag);
+                      kMaxLag);
   parser.Count(aOptions.writesPerSecond,
                "writes-per-second",
                "writes above this are refused; 0 for no limit",
                0,
-               kHighestRate);
+               kMaxRate);
   parser.Count(aOptions.readsPerSecond,
                "reads-per-second",
                "reads above this are refused; 0 for no limit",
                0,
-               kHighestRate);
+               kMaxRate);
   return parser.Parse(aCount, aValues);
 }
 
--- a/standin/platform/server.cpp
+++ b/standin/platform/server.cpp
@@ -30,10 +30,10 @@
 using response = http::response<http::string_body>;
 
 constexpr auto kAwaitResult = asio::as_tuple(asio::use_awaitable);
-constexpr std::uint64_t kLargestValue = 1U << 20U;
+constexpr std::uint64_t kMaxValueBytes = 1U << 20U;
 constexpr std::chrono::milliseconds kExpiryInterval{ 50 };
-constexpr std::chrono::minutes kLongestWait{ 10 };
-constexpr std::chrono::minutes kUsualWait{ 5 };
+constexpr std::chrono::minutes kMaxWait{ 10 };
+constexpr std::chrono::minutes kDefaultWait{ 5 };
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
 
@@ -52,7 +52,7 @@
   service& platform;
   tcp::acceptor acceptor;
   waiters watches;
-  waiters stuck;
+  waiters hungCalls;
 };
 
 using server_ptr = std::shared_ptr<server>;
@@ -64,7 +64,7 @@
 }
 
 result
-Dropped()
+DroppedCall()
 {
   return result{ false, {} };
 }
@@ -79,20 +79,19 @@
 }
 
 clock::duration
-WatchTime(const call& aCall)
+WatchTimeout(const call& aCall)
 {
   absl::Duration wait;
   if (!absl::ParseDuration(aCall.Text("wait"), &wait) ||
       wait <= absl::ZeroDuration()) {
-    return kUsualWait;
+    return kDefaultWait;
   }
-  return std::min<clock::duration>(absl::ToChronoMilliseconds(wait),
-                                   kLongestWait);
+  return std::min<clock::duration>(absl::ToChronoMilliseconds(wait), kMaxWait);
 }
 
 /// Waits for the timer; false if the caller hung up meanwhile.
 asio::awaitable<bool>
-WaitOrHangUp(tcp::socket& aSocket, asio::steady_timer& aTimer)
+WaitUnlessClosed(tcp::socket& aSocket, asio::steady_timer& aTimer)
 {
   const auto ended =
     co_await (aTimer.async_wait(kAwaitResult) ||
@@ -107,7 +106,7 @@
     co_return true;
   }
   asio::steady_timer timer(aServer.loop, aTime);
-  co_return co_await WaitOrHangUp(aSocket, timer);
+  co_return co_await WaitUnlessClosed(aSocket, timer);
 }
 
 /// Keeps a call while the platform hangs, then drops it.
@@ -115,21 +114,21 @@
 Hang(server& aServer, tcp::socket& aSocket)
 {
   asio::steady_timer timer(aServer.loop, asio::steady_timer::time_point::max());
-  const waiters::place place(aServer.stuck, timer, kNoKey);
-  while (aServer.platform.Faults().out == outage::kHang) {
+  const waiters::registration registration(aServer.hungCalls, timer, kNoKey);
+  while (aServer.platform.Faults().outageMode == outage::kHang) {
     timer.expires_at(asio::steady_timer::time_point::max());
-    if (!co_await WaitOrHangUp(aSocket, timer)) {
+    if (!co_await WaitUnlessClosed(aSocket, timer)) {
       break;
     }
   }
-  co_return Dropped();
+  co_return DroppedCall();
 }
 
 /// Lets a call meet the outage, if there is one.
 asio::awaitable<bool>
-MeetsOutage(server& aServer, tcp::socket& aSocket, result& aResult)
+ApplyOutage(server& aServer, tcp::socket& aSocket, result& aResult)
 {
-  switch (aServer.platform.Faults().out) {
+  switch (aServer.platform.Faults().outageMode) {
     case outage::kNone:
       co_return false;
     case outage::kHang:
@@ -147,13 +146,14 @@
 asio::awaitable<bool>
 WaitForChange(server& aServer, tcp::socket& aSocket, const call& aCall)
 {
-  const auto end = Now() + WatchTime(aCall);
+  const auto end = Now() + WatchTimeout(aCall);
   asio::steady_timer timer(aServer.loop, end);
-  const waiters::place place(aServer.watches, timer, KeyOf(aCall));
-  while (!aServer.platform.WatchIsDue(aCall) && Now() < end &&
-         aServer.platform.Faults().out == outage::kNone) {
+  const waiters::registration registration(
+    aServer.watches, timer, KeyOf(aCall));
+  while (!aServer.platform.IsWatchReady(aCall) && Now() < end &&
+         aServer.platform.Faults().outageMode == outage::kNone) {
     timer.expires_at(end);
-    if (!co_await WaitOrHangUp(aSocket, timer)) {
+    if (!co_await WaitUnlessClosed(aSocket, timer)) {
       co_return false;
     }
   }
@@ -161,7 +161,7 @@
 }
 
 bool
-TakeOne(std::uint64_t& aCount)
+ConsumeOne(std::uint64_t& aCount)
 {
   if (aCount == 0) {
     return false;
@@ -172,38 +172,38 @@
 
 /// Carries out a call of the platform's interface, faults included.
 asio::awaitable<result>
-Carry(server& aServer, tcp::socket& aSocket, const call& aCall)
+Execute(server& aServer, tcp::socket& aSocket, const call& aCall)
 {
   auto& platform = aServer.platform;
-  const auto kind = KindOf(aCall);
+  const auto kind = ClassifyCall(aCall);
   result outcome;
   if (!platform.Counter().Admit(kind, Now())) {
     co_return result{ true, { kTooManyRequests, "rate limit", 0 } };
   }
-  const auto half = platform.Faults().slow / 2;
+  const auto half = platform.Faults().addedLatency / 2;
   if (!co_await Pause(aServer, aSocket, half)) {
-    co_return Dropped();
+    co_return DroppedCall();
   }
-  if (co_await MeetsOutage(aServer, aSocket, outcome)) {
+  if (co_await ApplyOutage(aServer, aSocket, outcome)) {
     co_return outcome;
   }
   if (kind == call_kind::kWatch &&
       !co_await WaitForChange(aServer, aSocket, aCall)) {
-    co_return Dropped();
+    co_return DroppedCall();
   }
-  if (kind == call_kind::kWrite && TakeOne(platform.Faults().loseRequests)) {
-    co_return Dropped();
+  if (kind == call_kind::kWrite && ConsumeOne(platform.Faults().loseRequests)) {
+    co_return DroppedCall();
   }
   platform.Expire(Now());
   outcome.content = platform.Handle(aCall, Now());
   WakeChanged(aServer);
-  if (kind == call_kind::kWrite && TakeOne(platform.Faults().loseAnswers)) {
-    co_return Dropped();
+  if (kind == call_kind::kWrite && ConsumeOne(platform.Faults().loseAnswers)) {
+    co_return DroppedCall();
   }
   if (!co_await Pause(aServer, aSocket, half)) {
-    co_return Dropped();
+    co_return DroppedCall();
   }
-  if (co_await MeetsOutage(aServer, aSocket, outcome)) {
+  if (co_await ApplyOutage(aServer, aSocket, outcome)) {
     co_return outcome;
   }
   co_return outcome;
@@ -217,7 +217,7 @@
     aServer.platform.Control(aCall, aServer.watches.Size(), Now());
   if (aCall.path == "/control/fault") {
     aServer.watches.WakeAll();
-    aServer.stuck.WakeAll();
+    aServer.hungCalls.WakeAll();
   }
   return outcome;
 }
@@ -235,10 +235,10 @@
     co_return result{ true, { kBadRequest, "malformed target", 0 } };
   }
   parsed->body = std::move(request.body());
-  if (KindOf(*parsed) == call_kind::kControl) {
+  if (ClassifyCall(*parsed) == call_kind::kControl) {
     co_return Control(aServer, *parsed);
   }
-  co_return co_await Carry(aServer, aSocket, *parsed);
+  co_return co_await Execute(aServer, aSocket, *parsed);
 }
 
 response
@@ -262,10 +262,10 @@
 {
   constexpr int kTooLarge = 413;
   boost::beast::flat_buffer buffer;
-  bool goOn = true;
-  while (goOn) {
+  bool keepAlive = true;
+  while (keepAlive) {
     request_parser parser;
-    parser.body_limit(kLargestValue);
+    parser.body_limit(kMaxValueBytes);
     const auto [failure, size] =
       co_await http::async_read(aSocket, buffer, parser, kAwaitResult);
     static_cast<void>(size);
@@ -280,12 +280,12 @@
     if (!outcome.answered) {
       co_return;
     }
-    goOn = !failure && parser.get().keep_alive();
-    auto message = MakeResponse(std::move(outcome.content), goOn);
+    keepAlive = !failure && parser.get().keep_alive();
+    auto message = MakeResponse(std::move(outcome.content), keepAlive);
     const auto [unsent, sent] =
       co_await http::async_write(aSocket, message, kAwaitResult);
     static_cast<void>(sent);
-    goOn = goOn && !unsent;
+    keepAlive = keepAlive && !unsent;
   }
 }
 
--- a/standin/platform/service.cpp
+++ b/standin/platform/service.cpp
@@ -25,21 +25,21 @@
 constexpr int kWrongMethod = 405;
 
 answer
-Refuse(int aStatus, std::string aWhy)
+ErrorAnswer(int aStatus, std::string aWhy)
 {
   return answer{ aStatus, std::move(aWhy), 0 };
 }
 
 answer
-Flag(bool aValue)
+BooleanAnswer(bool aValue)
 {
   return answer{ 200, aValue ? "true" : "false", 0 };
 }
 
 answer
-NothingHere()
+NoSuchPath()
 {
-  return Refuse(kNotFound, "no such path");
+  return ErrorAnswer(kNotFound, "no such path");
 }
 
 /// Reads the outage that a control call asks for; false if it isn't one.
@@ -115,7 +115,7 @@
     if (aCall.method == "PUT") {
       return WriteKey(KeyOf(aCall), aCall);
     }
-    return Refuse(kWrongMethod, "GET or PUT");
+    return ErrorAnswer(kWrongMethod, "GET or PUT");
   }
   if (aCall.path == "/v1/catalog/service/currantshed") {
     return answer{ 200, mCatalog.VmsJson(aNow), 0 };
@@ -123,7 +123,7 @@
   if (aCall.path == "/v1/catalog/service/upstream") {
     return answer{ 200, mCatalog.UpstreamsJson(aNow), 0 };
   }
-  return NothingHere();
+  return NoSuchPath();
 }
 
 answer
@@ -135,7 +135,7 @@
     if (aCall.Text("reset") == "true") {
       mCounter.Reset();
     }
-    return answer{ 200, mCounter.Json(aWaitingWatches, aNow), 0 };
+    return answer{ 200, mCounter.ToJson(aWaitingWatches, aNow), 0 };
   }
   if (aCall.path == "/control/fault") {
     return SetFaults(aCall);
@@ -145,17 +145,18 @@
   }
   const bool isVm = aCall.path == "/control/vm";
   if (!isVm && aCall.path != "/control/upstream") {
-    return NothingHere();
+    return NoSuchPath();
   }
   const auto id = aCall.Text("id");
   const auto state = aCall.Text("state");
   const bool set = isVm ? mCatalog.SetVm(id, state, aNow)
                         : mCatalog.SetUpstream(id, state, aNow);
-  return set ? Flag(true) : Refuse(kBadRequest, "unknown id or state");
+  return set ? BooleanAnswer(true)
+             : ErrorAnswer(kBadRequest, "unknown id or state");
 }
 
 bool
-service::WatchIsDue(const call& aCall) const
+service::IsWatchReady(const call& aCall) const
 {
   const auto* present = mStore.Find(KeyOf(aCall));
   return present != nullptr &&
@@ -165,7 +166,7 @@
 void
 service::Expire(clock::time_point aNow)
 {
-  Note(mStore.ExpireSessions(aNow));
+  AddChangedKeys(mStore.ExpireSessions(aNow));
 }
 
 std::vector<std::string>
@@ -208,11 +209,11 @@
   const auto expected = aCall.Number("cas");
   const bool hasCas = aCall.query.contains("cas");
   if (hasCas && !expected) {
-    return Refuse(kBadRequest, "cas is not a number");
+    return ErrorAnswer(kBadRequest, "cas is not a number");
   }
   if ((hasCas ? 1 : 0) + (acquire.empty() ? 0 : 1) + (release.empty() ? 0 : 1) >
       1) {
-    return Refuse(kBadRequest, "one of cas, acquire and release at most");
+    return ErrorAnswer(kBadRequest, "one of cas, acquire and release at most");
   }
   bool written = false;
   if (!acquire.empty()) {
@@ -223,16 +224,16 @@
     written = mStore.Put(aKey, aCall.body, expected);
   }
   if (written) {
-    Note({ aKey });
+    AddChangedKeys({ aKey });
   }
-  return Flag(written);
+  return BooleanAnswer(written);
 }
 
 answer
 service::HandleSession(const call& aCall, clock::time_point aNow)
 {
   if (aCall.method != "PUT") {
-    return Refuse(kWrongMethod, "PUT");
+    return ErrorAnswer(kWrongMethod, "PUT");
   }
   if (aCall.path == kCreatePath) {
     return CreateSession(aCall, aNow);
@@ -240,16 +241,16 @@
   if (absl::StartsWith(aCall.path, kRenewPrefix)) {
     const std::string id(absl::StripPrefix(aCall.path, kRenewPrefix));
     if (!mStore.RenewSession(id, aNow)) {
-      return Refuse(kNotFound, "no such session");
+      return ErrorAnswer(kNotFound, "no such session");
     }
     return answer{ 200, json::serialize(json::object{ { "ID", id } }), 0 };
   }
   if (absl::StartsWith(aCall.path, kDestroyPrefix)) {
     const std::string id(absl::StripPrefix(aCall.path, kDestroyPrefix));
-    Note(mStore.DestroySession(id));
-    return Flag(true);
+    AddChangedKeys(mStore.DestroySession(id));
+    return BooleanAnswer(true);
   }
-  return NothingHere();
+  return NoSuchPath();
 }
 
 answer
@@ -257,7 +258,7 @@
 {
   absl::Duration ttl;
   if (!ReadTtl(aCall.body, ttl)) {
-    return Refuse(kBadRequest, "the session's description is malformed");
+    return ErrorAnswer(kBadRequest, "the session's description is malformed");
   }
   const auto id = mStore.CreateSession(absl::ToChronoMilliseconds(ttl), aNow);
   return answer{ 200, json::serialize(json::object{ { "ID", id } }), 0 };
@@ -267,8 +268,8 @@
 service::SetFaults(const call& aCall)
 {
   faults next = mFaults;
-  if (!ReadOutage(aCall, next.out)) {
-    return Refuse(kBadRequest, "outage=on|off and mode=hang|error");
+  if (!ReadOutage(aCall, next.outageMode)) {
+    return ErrorAnswer(kBadRequest, "outage=on|off and mode=hang|error");
   }
   for (const auto& [name, text] : aCall.query) {
     std::uint32_t number = 0;
@@ -276,10 +277,10 @@
       continue;
     }
     if (!absl::SimpleAtoi(text, &number)) {
-      return Refuse(kBadRequest, absl::StrCat(name, " is not a number"));
+      return ErrorAnswer(kBadRequest, absl::StrCat(name, " is not a number"));
     }
     if (name == "slow_ms") {
-      next.slow = std::chrono::milliseconds(number);
+      next.addedLatency = std::chrono::milliseconds(number);
     } else if (name == "lose_answers") {
       next.loseAnswers = number;
     } else if (name == "lose_requests") {
@@ -287,11 +288,11 @@
     } else if (name == "list_lag_ms") {
       mCatalog.SetLag(std::chrono::milliseconds(number));
     } else {
-      return Refuse(kBadRequest, absl::StrCat("no fault ", name));
+      return ErrorAnswer(kBadRequest, absl::StrCat("no fault ", name));
     }
   }
   mFaults = next;
-  return Flag(true);
+  return BooleanAnswer(true);
 }
 
 answer
@@ -300,17 +301,17 @@
   catalog_content content;
   std::string fault;
   if (aCall.method != "PUT") {
-    return Refuse(kWrongMethod, "PUT");
+    return ErrorAnswer(kWrongMethod, "PUT");
   }
   if (!ParseShape(aCall.body, content, fault)) {
-    return Refuse(kBadRequest, std::move(fault));
+    return ErrorAnswer(kBadRequest, std::move(fault));
   }
   mCatalog.Replace(std::move(content), aNow);
-  return Flag(true);
+  return BooleanAnswer(true);
 }
 
 void
-service::Note(const std::vector<std::string>& aKeys)
+service::AddChangedKeys(const std::vector<std::string>& aKeys)
 {
   mChangedKeys.insert(mChangedKeys.end(), aKeys.begin(), aKeys.end());
 }
--- a/standin/platform/service.hpp
+++ b/standin/platform/service.hpp
@@ -33,7 +33,7 @@
                                clock::time_point aNow);
 
   /// Whether a watch on the call's key has something to tell.
-  [[nodiscard]] bool WatchIsDue(const call& aCall) const;
+  [[nodiscard]] bool IsWatchReady(const call& aCall) const;
 
   /// Lets sessions lapse.
   void Expire(clock::time_point aNow);
@@ -51,7 +51,7 @@
   answer CreateSession(const call& aCall, clock::time_point aNow);
   answer SetFaults(const call& aCall);
   answer ReplaceShape(const call& aCall, clock::time_point aNow);
-  void Note(const std::vector<std::string>& aKeys);
+  void AddChangedKeys(const std::vector<std::string>& aKeys);
 
   store mStore;
   catalog mCatalog;
--- a/standin/platform/waiters.hpp
+++ b/standin/platform/waiters.hpp
@@ -14,22 +14,22 @@
 {
 public:
   /// Keeps one call in the list for as long as it lives.
-  class place
+  class registration
   {
   public:
-    place(waiters& aList,
-          boost::asio::steady_timer& aTimer,
-          const std::string& aKey)
+    registration(waiters& aList,
+                 boost::asio::steady_timer& aTimer,
+                 const std::string& aKey)
       : mList(aList)
       , mTimer(aTimer)
     {
       mList.mWaiting.emplace(&mTimer, aKey);
     }
-    place(const place&) = delete;
-    place(place&&) = delete;
-    place& operator=(const place&) = delete;
-    place& operator=(place&&) = delete;
-    ~place() { mList.mWaiting.erase(&mTimer); }
+    registration(const registration&) = delete;
+    registration(registration&&) = delete;
+    registration& operator=(const registration&) = delete;
+    registration& operator=(registration&&) = delete;
+    ~registration() { mList.mWaiting.erase(&mTimer); }
 
   private:
     waiters& mList;
--- a/standin/upstream/session.cpp
+++ b/standin/upstream/session.cpp
@@ -238,7 +238,7 @@
   }
   mAdmitted = mServer.Admit();
   if (!mAdmitted) {
-    Reject({ std::string(currantshed::upstream::kTooManyConnectionsState),
+    Reject({ std::string(currantshed::upstream::kTooManyConnectionsSqlState),
              "sorry, too many clients already" });
     return;
   }
--- a/standin/upstream/sql_error.cpp
+++ b/standin/upstream/sql_error.cpp
@@ -75,14 +75,14 @@
 sql_error
 StaleTerm(position::term_id aTerm)
 {
-  return { std::string(currantshed::upstream::kStaleTermState),
+  return { std::string(currantshed::upstream::kStaleTermSqlState),
            absl::StrCat("the server is in term ", aTerm) };
 }
 
 sql_error
 ReadOnly()
 {
-  return { std::string(currantshed::upstream::kReadOnlyState),
+  return { std::string(currantshed::upstream::kReadOnlySqlState),
            "cannot change data in a read-only transaction" };
 }
 
--- a/test/currantshed/ctl/verbs.cpp
+++ b/test/currantshed/ctl/verbs.cpp
@@ -38,13 +38,13 @@
   std::map<std::string, std::string> answers;
   std::function<void()> onFetch;
 
-  std::vector<http::fetched> Fetch(const std::vector<std::string>& aUrls,
-                                   std::chrono::milliseconds) override
+  std::vector<http::fetch_result> Fetch(const std::vector<std::string>& aUrls,
+                                        std::chrono::milliseconds) override
   {
     if (onFetch) {
       onFetch();
     }
-    std::vector<http::fetched> all;
+    std::vector<http::fetch_result> all;
     for (const auto& url : aUrls) {
       const auto found = answers.find(url);
       if (found == answers.end()) {
--- a/test/currantshed/group/fake_group.cpp
+++ b/test/currantshed/group/fake_group.cpp
@@ -425,9 +425,9 @@
   }
   if (isDropped || (isCallers && std::exchange(server.tearNextReply, false))) {
     reply = {};
-    reply.end = batch_end::kTorn;
+    reply.end = batch_end::kIndeterminate;
     if (server.oversize) {
-      reply.sqlState = upstream::kAnswerLimitState;
+      reply.sqlState = upstream::kAnswerLimitSqlState;
     }
   }
   At(mNow + linkDelay, [this, aAction, reply, id = link.server] {
--- a/test/currantshed/group/fake_server.cpp
+++ b/test/currantshed/group/fake_server.cpp
@@ -87,7 +87,7 @@
   }
   if (aServer.role != server_role::kPrimary ||
       aServer.term != transaction->term) {
-    return std::string{ upstream::kStaleTermState };
+    return std::string{ upstream::kStaleTermSqlState };
   }
   transaction->record.term = aServer.term;
   aServer.log.push_back(std::move(transaction->record));
@@ -171,14 +171,14 @@
                            !aConnection.readOnly && transaction &&
                            !transaction->readOnly;
   if (!takesChange) {
-    aSqlState = upstream::kReadOnlyState;
+    aSqlState = upstream::kReadOnlySqlState;
     return std::nullopt;
   }
   if (sql.starts_with("INSERT INTO currantshed_outcome")) {
     const auto isVoid = sql.find("'void'") != std::string::npos;
     const auto& key = *aStatement.parameters[0];
     if (FindKey(aServer.log, aServer.log.size(), key) != nullptr) {
-      aSqlState = upstream::kUniqueViolationState;
+      aSqlState = upstream::kUniqueViolationSqlState;
       return isVoid ? std::optional{ result_set{} } : std::nullopt;
     }
     transaction->changed = true;
--- a/test/currantshed/http/status_answer.cpp
+++ b/test/currantshed/http/status_response.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/http/status_answer.hpp"
+#include "currantshed/http/status_response.hpp"
 
 #include <prometheus/counter.h>
 
@@ -15,17 +15,17 @@
   [[nodiscard]] std::string StatusJson() const override { return "{}"; }
 };
 
-struct answer_row
+struct response_row
 {
   const char* name;
-  bool reads;
+  bool isRead;
   const char* target;
   bool isReady;
   unsigned status;
   const char* body;
 };
 
-constexpr answer_row kRows[] = {
+constexpr response_row kRows[] = {
   { "live", true, "/livez", false, 200, "ok\n" },
   { "ready", true, "/readyz", true, 200, "ready\n" },
   { "not ready", true, "/readyz", false, 503, "not ready\n" },
@@ -47,9 +47,9 @@
 
 } // namespace
 
-TEST_GROUP(status_answer){};
+TEST_GROUP(status_response){};
 
-TEST(status_answer, table)
+TEST(status_response, table)
 {
   prometheus::Registry metrics;
   prometheus::BuildCounter()
@@ -62,7 +62,7 @@
     fixed_source source;
     source.isReady = row.isReady;
     const auto answer =
-      http::AnswerStatus(row.reads, row.target, metrics, source);
+      http::HandleStatusRequest(row.isRead, row.target, metrics, source);
     LONGS_EQUAL_TEXT(row.status, answer.status, row.name);
     STRCMP_EQUAL_TEXT(row.body, answer.body.c_str(), row.name);
   }
--- a/test/currantshed/net/accept_queue.cpp
+++ b/test/currantshed/net/accept_queue.cpp
@@ -46,13 +46,13 @@
       callers.emplace_back(context).connect(where);
       callers.back().write_some(boost::asio::buffer("x", 1));
     }
-    std::vector<tcp::socket> taken;
-    net::CloseListener(acceptor, [&taken](tcp::socket aSocket) {
-      taken.push_back(std::move(aSocket));
+    std::vector<tcp::socket> handled;
+    net::CloseListener(acceptor, [&handled](tcp::socket aSocket) {
+      handled.push_back(std::move(aSocket));
     });
     CHECK_FALSE_TEXT(acceptor.is_open(), row.name);
-    CHECK_EQUAL_TEXT(row.waiting, taken.size(), row.name);
-    for (auto& one : taken) {
+    CHECK_EQUAL_TEXT(row.waiting, handled.size(), row.name);
+    for (auto& one : handled) {
       std::array<char, 1> sent{};
       CHECK_EQUAL_TEXT(1U, one.read_some(boost::asio::buffer(sent)), row.name);
     }
--- a/test/currantshed/net/tick_timer.cpp
+++ b/test/currantshed/net/tick_timer.cpp
@@ -43,7 +43,7 @@
     int ticks = 0;
     net::tick_timer timer(context, [&] { ++ticks; });
     for (const auto due : row.asked) {
-      timer.At(due);
+      timer.ScheduleAt(due);
     }
     context.run();
     CHECK_EQUAL_TEXT(row.expected, ticks, row.name);
@@ -55,7 +55,7 @@
   boost::asio::io_context context;
   int ticks = 0;
   net::tick_timer timer(context, [&] { ++ticks; });
-  timer.At(time_point::max() - 1h);
+  timer.ScheduleAt(time_point::max() - 1h);
   timer.Stop();
   context.run();
   CHECK_EQUAL(0, ticks);
--- a/test/currantshed/net/zmq_context.cpp
+++ b/test/currantshed/net/zmq_context.cpp
@@ -15,7 +15,7 @@
   int threads;
 };
 
-constexpr int kSocketsOfLink = 3;
+constexpr int kSocketsPerLink = 3;
 
 const size_row kSizes[] = {
   { "today", 9, 2 },
@@ -32,7 +32,7 @@
   auto context = net::MakeContext();
   const int most = context.get(zmq::ctxopt::max_sockets);
   for (const auto& row : kSizes) {
-    const int needed = row.poolers * row.threads * kSocketsOfLink;
+    const int needed = row.poolers * row.threads * kSocketsPerLink;
     CHECK_TEXT(most >= needed, row.name);
   }
 }
--- a/test/currantshed/net/zmq_socket.cpp
+++ b/test/currantshed/net/zmq_socket.cpp
@@ -22,8 +22,8 @@
 /// Asks for any free port.
 constexpr std::uint16_t kAnyPort = 0;
 /// A port at which nothing listens.
-constexpr std::uint16_t kSilentPort = 1;
-constexpr auto kBound = 10s;
+constexpr std::uint16_t kUnusedPort = 1;
+constexpr auto kTestTimeout = 10s;
 
 struct mapping_row
 {
@@ -33,11 +33,11 @@
 };
 
 constexpr mapping_row kMappingRows[] = {
-  { "port taken", EADDRINUSE, net::net_errc::kInUse },
-  { "foreign address", EADDRNOTAVAIL, net::net_errc::kBadAddress },
-  { "no address", EINVAL, net::net_errc::kBadAddress },
-  { "no device", ENODEV, net::net_errc::kBadAddress },
-  { "queue full", EAGAIN, net::net_errc::kFull },
+  { "port taken", EADDRINUSE, net::net_errc::kAddressInUse },
+  { "foreign address", EADDRNOTAVAIL, net::net_errc::kAddressNotAvailable },
+  { "no address", EINVAL, net::net_errc::kAddressNotAvailable },
+  { "no device", ENODEV, net::net_errc::kAddressNotAvailable },
+  { "queue full", EAGAIN, net::net_errc::kQueueFull },
   { "peer gone", EHOSTUNREACH, net::net_errc::kUnreachable },
   { "socket closed", ENOTSOCK, net::net_errc::kClosed },
   { "context ended", ETERM, net::net_errc::kClosed },
@@ -49,10 +49,10 @@
 bool
 RunUntil(asio::io_context& aContext, Condition aCondition)
 {
-  const auto last = std::chrono::steady_clock::now() + kBound;
+  const auto last = std::chrono::steady_clock::now() + kTestTimeout;
   while (!aCondition() && std::chrono::steady_clock::now() < last) {
     aContext.restart();
-    aContext.run_one_for(kBound);
+    aContext.run_one_for(kTestTimeout);
   }
   return aCondition();
 }
@@ -82,7 +82,7 @@
 TEST(zmq_socket, error_mapping)
 {
   for (const auto& row : kMappingRows) {
-    CHECK_TEXT(net::FromZmq(row.number) == row.expected, row.name);
+    CHECK_TEXT(net::FromZmqError(row.number) == row.expected, row.name);
   }
 }
 
@@ -92,7 +92,7 @@
     net::router router(mContext, mZmq, {});
     net::dealer dealer(mContext, mZmq, {});
     int echoed = 0;
-    bool linked = false;
+    bool connected = false;
     CHECK_FALSE_TEXT(
       router.Bind(kAddress,
                   kAnyPort,
@@ -100,7 +100,7 @@
                     CHECK_FALSE(router.Send(aPeer, aBytes));
                   }),
       row.name);
-    dealer.OnLink([&](bool aIsUp) { linked = aIsUp; });
+    dealer.OnConnectionChange([&](bool aIsUp) { connected = aIsUp; });
     CHECK_FALSE_TEXT(dealer.Connect(kAddress,
                                     router.Port(),
                                     [&](std::string_view aBytes) {
@@ -108,7 +108,7 @@
                                       ++echoed;
                                     }),
                      row.name);
-    CHECK_TEXT(RunUntil(mContext, [&] { return linked; }), row.name);
+    CHECK_TEXT(RunUntil(mContext, [&] { return connected; }), row.name);
     const std::string bytes(row.bytes, 'x');
     for (int sent = 0; sent < row.messages; ++sent) {
       CHECK_FALSE_TEXT(dealer.Send(bytes), row.name);
@@ -121,14 +121,14 @@
 TEST(zmq_socket, a_dealer_without_connection_refuses_at_once)
 {
   net::dealer dealer(mContext, mZmq, {});
-  CHECK_FALSE(dealer.Connect(kAddress, kSilentPort, [](std::string_view) {}));
-  CHECK(dealer.Send("x") == make_error_code(net::net_errc::kFull));
+  CHECK_FALSE(dealer.Connect(kAddress, kUnusedPort, [](std::string_view) {}));
+  CHECK(dealer.Send("x") == make_error_code(net::net_errc::kQueueFull));
 }
 
 TEST(zmq_socket, a_first_message_may_wait_for_its_connection)
 {
   net::socket_settings settings;
-  settings.onlyConnected = false;
+  settings.requireConnection = false;
   net::router router(mContext, mZmq, {});
   net::dealer dealer(mContext, mZmq, settings);
   std::string got;
@@ -154,7 +154,7 @@
   net::router second(mContext, mZmq, {});
   CHECK_FALSE(first.Bind(kAddress, kAnyPort, [](auto, auto) {}));
   CHECK(second.Bind(kAddress, first.Port(), [](auto, auto) {}) ==
-        make_error_code(net::net_errc::kInUse));
+        make_error_code(net::net_errc::kAddressInUse));
 }
 
 TEST(zmq_socket, a_lost_link_is_told)
@@ -164,7 +164,7 @@
   CHECK_FALSE(router->Bind(kAddress, kAnyPort, [](auto, auto) {}));
   net::dealer dealer(mContext, mZmq, {});
   std::vector<bool> changes;
-  dealer.OnLink([&](bool aIsUp) { changes.push_back(aIsUp); });
+  dealer.OnConnectionChange([&](bool aIsUp) { changes.push_back(aIsUp); });
   CHECK_FALSE(
     dealer.Connect(kAddress, router->Port(), [](std::string_view) {}));
   CHECK(RunUntil(mContext, [&] { return changes.size() == 1; }));
@@ -183,15 +183,16 @@
   std::vector<std::unique_ptr<net::dealer>> dealers;
   for (int round = 0; round < kRounds; ++round) {
     dealers.clear();
-    int linked = 0;
+    int connected = 0;
     for (int made = 0; made < kDealers; ++made) {
       auto& dealer = dealers.emplace_back(
         std::make_unique<net::dealer>(mContext, mZmq, net::socket_settings{}));
-      dealer->OnLink([&](bool aIsUp) { linked += aIsUp ? 1 : 0; });
+      dealer->OnConnectionChange(
+        [&](bool aIsUp) { connected += aIsUp ? 1 : 0; });
       CHECK_FALSE(
         dealer->Connect(kAddress, router.Port(), [](std::string_view) {}));
     }
-    CHECK_TEXT(RunUntil(mContext, [&] { return linked == kDealers; }),
+    CHECK_TEXT(RunUntil(mContext, [&] { return connected == kDealers; }),
                std::to_string(round).c_str());
   }
 }
--- a/test/currantshed/settings/duration.cpp
+++ b/test/currantshed/settings/duration.cpp
@@ -2,9 +2,9 @@
 
 #include <CppUTest/TestHarness.h>
 
-using currantshed::settings::bare_number;
+using currantshed::settings::FormatDuration;
 using currantshed::settings::ParseDuration;
-using currantshed::settings::PrintDuration;
+using currantshed::settings::unitless_number;
 
 namespace {
 
@@ -43,16 +43,16 @@
 TEST(duration, good)
 {
   for (const auto& row : kGood) {
-    const auto time = ParseDuration(row.given, bare_number::kRefused);
+    const auto time = ParseDuration(row.given, unitless_number::kRejected);
     CHECK_TEXT(time.has_value(), row.given);
     LONGS_EQUAL_TEXT(row.expect, time->count(), row.given);
-    STRCMP_EQUAL_TEXT(row.printed, PrintDuration(*time).c_str(), row.given);
+    STRCMP_EQUAL_TEXT(row.printed, FormatDuration(*time).c_str(), row.given);
   }
 }
 
 TEST(duration, bad)
 {
   for (const auto* text : kBad) {
-    CHECK_TEXT(!ParseDuration(text, bare_number::kRefused), text);
+    CHECK_TEXT(!ParseDuration(text, unitless_number::kRejected), text);
   }
 }
--- a/test/currantshed/upstream/errors.cpp
+++ b/test/currantshed/upstream/errors.cpp
@@ -35,7 +35,7 @@
 TEST(upstream_errors, from_libpq)
 {
   for (const auto& row : kMessages) {
-    CHECK_TEXT(FromConnectionMessage(row.text, row.wasOpen) == row.expected,
+    CHECK_TEXT(ClassifyConnectionError(row.text, row.wasOpen) == row.expected,
                row.name);
   }
 }
--- a/test/currantshed/upstream/pq_connection.cpp
+++ b/test/currantshed/upstream/pq_connection.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::uint16_t kPort = 21900;
 constexpr std::size_t kLargeLimit = 10'000'000;
-constexpr std::chrono::seconds kPatience{ 30 };
+constexpr std::chrono::seconds kTestTimeout{ 30 };
 
 // A loopback address of this process's own, so that test programs which run
 // side by side don't meet.
@@ -45,25 +45,25 @@
 }
 
 // A server, and callers of it, on one event loop.
-struct bench
+struct test_server
 {
   boost::asio::io_context context;
   postgres::server server{ context,
                            Settings(),
                            { "CREATE TABLE t (k TEXT PRIMARY KEY)" } };
 
-  bench() { server.Start(); }
+  test_server() { server.Start(); }
 
   std::unique_ptr<pq_connection> Make(bool aReadOnly = false)
   {
     return std::make_unique<pq_connection>(
-      context, endpoint{ OwnAddress(), kPort, "vm", aReadOnly, kPatience });
+      context, endpoint{ OwnAddress(), kPort, "vm", aReadOnly, kTestTimeout });
   }
 
   template<typename Condition>
   void RunUntil(Condition aCondition)
   {
-    const auto end = std::chrono::steady_clock::now() + kPatience;
+    const auto end = std::chrono::steady_clock::now() + kTestTimeout;
     while (!aCondition() && std::chrono::steady_clock::now() < end) {
       context.run_one_until(end);
     }
@@ -155,7 +155,7 @@
   { "an answer above the limit",
     { { kManyRows, {} } },
     100'000,
-    batch_end::kTorn,
+    batch_end::kIndeterminate,
     "54000",
     0,
     0 },
@@ -165,7 +165,7 @@
 
 TEST_GROUP(pq_connection)
 {
-  bench all;
+  test_server all;
 };
 
 TEST(pq_connection, batches)
@@ -181,7 +181,8 @@
       CHECK_EQUAL_TEXT(
         row.lastCells, answer.results.back().cells.size(), row.name);
     }
-    CHECK_EQUAL_TEXT(row.end != batch_end::kTorn, connection->Idle(), row.name);
+    CHECK_EQUAL_TEXT(
+      row.end != batch_end::kIndeterminate, connection->Idle(), row.name);
   }
 }
 
@@ -225,7 +226,7 @@
   all.server.SetFaults(cut);
   connection->Run(
     { { "SELECT 1", {} } }, kLargeLimit, [&events](const reply& aReply) {
-      events += aReply.end == batch_end::kTorn ? "torn " : "answered ";
+      events += aReply.end == batch_end::kIndeterminate ? "torn " : "answered ";
     });
   all.server.SetFaults({});
   all.RunUntil([&events] { return events.ends_with("lost "); });
@@ -237,8 +238,10 @@
 {
   auto connection = all.Make();
   CHECK_TRUE(all.Open(*connection));
-  CHECK(all.Run(*connection, { { kManyRows, {} } }, 1).end == batch_end::kTorn);
-  CHECK(all.Run(*connection, { { "SELECT 1", {} } }).end == batch_end::kTorn);
+  CHECK(all.Run(*connection, { { kManyRows, {} } }, 1).end ==
+        batch_end::kIndeterminate);
+  CHECK(all.Run(*connection, { { "SELECT 1", {} } }).end ==
+        batch_end::kIndeterminate);
 }
 
 TEST(pq_connection, a_callback_may_destroy_the_connection)
--- a/test/currantshed/upstream/pq_handle.cpp
+++ b/test/currantshed/upstream/pq_handle.cpp
@@ -15,13 +15,13 @@
   bool canBeSent;
 };
 
-const std::string kTorn("a\0b", 3);
+const std::string kWithZeroByte("a\0b", 3);
 
 const text_row kTexts[] = {
   { "plain", { "SELECT $1", { "a" } }, true },
   { "null and empty", { "SELECT $1, $2", { std::nullopt, "" } }, true },
-  { "zero byte in a parameter", { "SELECT $1", { kTorn } }, false },
-  { "zero byte in the statement", { kTorn, {} }, false },
+  { "zero byte in a parameter", { "SELECT $1", { kWithZeroByte } }, false },
+  { "zero byte in the statement", { kWithZeroByte, {} }, false },
   { "zero byte at the end",
     { "SELECT $1", { "a", std::string("b\0", 2) } },
     false },
--- a/test/currantshed/wire/codec.cpp
+++ b/test/currantshed/wire/codec.cpp
@@ -175,7 +175,7 @@
       whole.substr(0, whole.size() / 2),
       wire::wire_errc::kMalformed },
     { "over the bound",
-      std::string(wire::kLongestMessage + 1, '\0'),
+      std::string(wire::kMaxMessageBytes + 1, '\0'),
       wire::wire_errc::kTooLarge },
     { "operation of the future",
       BrokenRequest([](wire::GroupRequest& aRequest) {
@@ -190,14 +190,14 @@
     { "short key",
       BrokenRequest(
         [](wire::GroupRequest& aRequest) { aRequest.set_key("short"); }),
-      wire::wire_errc::kBadKey },
+      wire::wire_errc::kInvalidKey },
     { "key of version 4",
       BrokenRequest(
         [](wire::GroupRequest& aRequest) { aRequest.set_key(KeyBytes(4)); }),
-      wire::wire_errc::kBadKey },
+      wire::wire_errc::kInvalidKey },
     { "too many statements",
       BrokenRequest([](wire::GroupRequest& aRequest) {
-        for (int count = 0; count <= wire::kMostStatements; ++count) {
+        for (int count = 0; count <= wire::kMaxStatements; ++count) {
           aRequest.add_statements();
         }
       }),
@@ -254,7 +254,7 @@
 constexpr budget_row kBudgetRows[] = {
   { "time left is kept", 250ms, 250ms },
   { "a deadline that has passed is now", -5s, 0s },
-  { "time left is bounded", 100h, wire::kLongestBudget },
+  { "time left is bounded", 100h, wire::kMaxTimeout },
 };
 
 } // namespace
--- a/test/matrix/pooler_node.cpp
+++ b/test/matrix/pooler_node.cpp
@@ -41,7 +41,7 @@
 Torn()
 {
   upstream::reply torn;
-  torn.end = batch_end::kTorn;
+  torn.end = batch_end::kIndeterminate;
   return torn;
 }
 
--- a/test/matrix/servers.cpp
+++ b/test/matrix/servers.cpp
@@ -332,7 +332,7 @@
                      !aSession.readOnly && transaction &&
                      !transaction->readOnly;
   if (!taken) {
-    aSqlState = upstream::kReadOnlyState;
+    aSqlState = upstream::kReadOnlySqlState;
     return std::nullopt;
   }
   auto& record = transaction->record;
@@ -344,7 +344,7 @@
   const bool isVoid = sql.find("'void'") != std::string::npos;
   const auto& key = *aStatement.parameters[0];
   if (FindKey(target.log, target.log.size(), key) != nullptr) {
-    aSqlState = upstream::kUniqueViolationState;
+    aSqlState = upstream::kUniqueViolationSqlState;
     return isVoid ? std::optional{ result_set{} } : std::nullopt;
   }
   record.key = key;
@@ -368,11 +368,11 @@
   }
   if (target.role != server_role::kPrimary ||
       target.term != transaction->term) {
-    return std::string{ upstream::kStaleTermState };
+    return std::string{ upstream::kStaleTermSqlState };
   }
   const auto& key = transaction->record.key;
   if (!key.empty() && FindKey(target.log, target.log.size(), key) != nullptr) {
-    return std::string{ upstream::kUniqueViolationState };
+    return std::string{ upstream::kUniqueViolationSqlState };
   }
   transaction->record.term = target.term;
   target.log.push_back(std::move(transaction->record));
