--- a/src/currantshed/json/source.cpp
+++ b/src/currantshed/json/source.cpp
@@ -1,2 +1,2 @@
-// The one place where Boost.JSON's sources are compiled.
+// Compiles the sources of Boost.JSON; must be included in exactly one file.
 #include <boost/json/src.hpp>
--- a/src/currantshed/log/line_rate_limiter.cpp
+++ b/src/currantshed/log/line_rate_limiter.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The part of the budget that ordinary lines leave to warnings and errors.
+// Share of the bucket reserved for warnings and errors.
 constexpr double kReservedShare = 0.25;
 
 } // namespace
--- a/src/currantshed/log/line_rate_limiter.hpp
+++ b/src/currantshed/log/line_rate_limiter.hpp
@@ -7,23 +7,23 @@
 
 namespace currantshed::log {
 
-/// Bounds the lines a second that a process writes, and counts those that it
-/// leaves out.
+/// Token bucket that limits the log lines written per second and counts the
+/// dropped ones.
 class line_rate_limiter
 {
 public:
-  /// Lines a second, and lines that may come at once.
+  /// Refill rate in lines per second, and bucket capacity in lines.
   line_rate_limiter(double aPerSecond, double aBurst) noexcept;
 
-  /// Whether one more line may be written now. Lines that matter more may
-  /// also use what is kept back from others.
+  /// Whether one more line may be written now. High-priority lines may also use
+  /// the reserved share of the bucket.
   [[nodiscard]] bool TryAcquire(bool aIsHighPriority,
                                 clock::time_point aNow) noexcept;
 
-  /// A line could not be written.
+  /// Counts a line that was admitted but could not be written.
   void CountDropped() noexcept { ++mDropped; }
 
-  /// Lines left out since this was last asked.
+  /// Returns the number of lines dropped since the previous call.
   [[nodiscard]] std::uint64_t TakeDropped() noexcept;
 
 private:
--- a/src/currantshed/log/log.cpp
+++ b/src/currantshed/log/log.cpp
@@ -18,7 +18,7 @@
 #include "currantshed/log/line_rate_limiter.hpp"
 #include "currantshed/log/utf8.hpp"
 
-// The one place where the storage of easylogging++ is defined.
+// The storage of easylogging++ must be defined exactly once per program.
 INITIALIZE_EASYLOGGINGPP; // NOLINT
 
 namespace currantshed::log {
@@ -26,11 +26,11 @@
 
 constexpr const char* kLoggerName = "currantshed";
 
-// Lines a second that a process writes in the long run, and at once: more
-// would cost a small VM processor time that its callers need.
+// Sustained rate and burst of log lines per process. A higher rate would take
+// CPU time from requests on a small VM.
 constexpr double kLinesPerSecond = 100;
 constexpr double kLineBurst = 400;
-// A pipe that can be written to takes this much without blocking, in bytes.
+// A pipe reported as writable accepts this many bytes without blocking.
 constexpr std::size_t kMaxLineBytes = PIPE_BUF;
 
 bool
@@ -40,12 +40,12 @@
   return poll(&request, 1, 0) == 1 && (request.revents & POLLOUT) != 0;
 }
 
-/// Writes each message as one line, without ever waiting for a reader. The
-/// logger calls it by one thread at a time.
+/// Writes each message as one line and never blocks on a slow reader. The
+/// logger serializes the calls.
 class line_writer : public el::LogDispatchCallback
 {
 public:
-  /// Standard output instead of standard error, within the budget.
+  /// Switches from standard error to rate-limited standard output.
   void UseOutput() { mIsOutput = true; }
 
 protected:
@@ -75,7 +75,7 @@
   static void Put(const std::string& aLine)
   {
     const auto size = std::min(aLine.size(), kMaxLineBytes);
-    // A reader that has gone can't be told of it.
+    // A write to a closed pipe cannot be reported anywhere.
     (void)!write(STDOUT_FILENO, aLine.data(), size);
   }
 
@@ -110,7 +110,7 @@
   return *sLogger;
 }
 
-/// What Start set.
+/// Configuration set by Start.
 struct state
 {
   identity self;
--- a/src/currantshed/log/log.hpp
+++ b/src/currantshed/log/log.hpp
@@ -12,7 +12,7 @@
 
 namespace currantshed::log {
 
-/// How much a line matters, lowest first.
+/// Severity of a log line, lowest first.
 enum class level
 {
   kDebug,
@@ -21,7 +21,7 @@
   kError,
 };
 
-/// What every line of one process says about the process.
+/// Identifies the process in every log line.
 struct identity
 {
   std::string program;
@@ -29,26 +29,26 @@
   std::string failureDomain;
 };
 
-/// What is not known: its field is left out.
+/// An unknown value; its field is omitted.
 struct unknown
 {};
 
-/// The content of one field.
+/// The value of one field.
 using value = std::variant<std::string, std::int64_t, double, bool, unknown>;
 
-/// One field of a line, beside the fixed ones. Statement texts and values of
-/// parameters never go into a field.
+/// One field of a line, in addition to the fixed ones. Must not contain
+/// statement texts or parameter values.
 struct field
 {
   std::string_view name;
   value content;
 };
 
-/// Names the process and the lowest level that is written; called once,
-/// before the first line, by programs that run for long. From then on lines go
-/// to standard output, bounded in number, and are left out and counted rather
-/// than waited for. Lines written before have no identity and go to standard
-/// error, as do those of tools, which never call this.
+/// Sets the identity of the process and the minimum level. Called once by
+/// long-running programs, before the first line. From then on lines go to
+/// standard output, are rate-limited, and are dropped and counted rather than
+/// block the caller. Without this call, as in command-line tools, lines carry
+/// no identity and go to standard error.
 void
 Start(const identity& aSelf, level aLowest);
 
@@ -56,18 +56,17 @@
 [[nodiscard]] bool
 IsLevelEnabled(level aLevel);
 
-/// Writes one JSON object on one line. The fixed
-/// fields come first (time, level, event, program, vm, failure_domain), then
-/// the given ones; a given field can't replace a fixed one. Safe for use by
-/// several threads.
+/// Writes one JSON object on one line. The fixed fields come first (time,
+/// level, event, program, vm, failure_domain), then the given ones; a given
+/// field cannot replace a fixed one. Thread-safe.
 void
 Write(level aLevel,
       std::string_view aEvent,
       std::initializer_list<field> aFields = {});
 
-/// The text of one line, without its end. Always valid JSON: bytes that are
-/// not UTF-8 become the replacement character, and a number that is not
-/// finite becomes null.
+/// Formats one line without a line terminator. The result is always valid JSON:
+/// bytes that are not UTF-8 become the replacement character, and a non-finite
+/// number becomes null.
 [[nodiscard]] std::string
 FormatLine(clock::wall_time aNow,
            const identity& aSelf,
--- a/src/currantshed/log/utf8.cpp
+++ b/src/currantshed/log/utf8.cpp
@@ -14,8 +14,8 @@
 constexpr std::uint32_t kLastSurrogate = 0xDFFF;
 constexpr std::uint32_t kLastCodePoint = 0x10FFFF;
 
-/// How a sequence of a given length begins, and the least code point that
-/// may be written with that length.
+/// Lead-byte pattern of a sequence of a given length, and the smallest code
+/// point that may be encoded with that length.
 struct sequence_form
 {
   std::size_t length;
@@ -40,7 +40,7 @@
          !isSurrogate;
 }
 
-/// Length of the valid sequence at the text's beginning; zero if there is
+/// Length of the valid sequence at the start of the text; zero if there is
 /// none.
 std::size_t
 SequenceLength(std::string_view aText)
--- a/src/currantshed/log/utf8.hpp
+++ b/src/currantshed/log/utf8.hpp
@@ -6,8 +6,8 @@
 
 namespace currantshed::log {
 
-/// The text with each byte that is no part of valid UTF-8 (RFC 3629) replaced
-/// by the replacement character U+FFFD.
+/// Returns the text with each byte that is not part of valid UTF-8 (RFC 3629)
+/// replaced by the replacement character U+FFFD.
 [[nodiscard]] std::string
 ToValidUtf8(std::string_view aText);
 
--- a/src/currantshed/net/accept_queue.hpp
+++ b/src/currantshed/net/accept_queue.hpp
@@ -7,9 +7,9 @@
 
 namespace currantshed::net {
 
-/// Closes a listening socket, and passes on each connection that the operating
-/// system has taken for it so far. Closing alone would reset those: their
-/// callers count as connected and may have sent a request.
+/// Closes a listening socket after passing each connection in its accept queue
+/// to the handler. Closing alone would reset those connections, although their
+/// clients see them as established and may already have sent a request.
 template<typename handler>
 void
 CloseListener(boost::asio::ip::tcp::acceptor& aAcceptor, handler aHandler)
--- a/src/currantshed/net/dealer.cpp
+++ b/src/currantshed/net/dealer.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// A name for a socket within the process, never used again: ZeroMQ frees the
-/// name of a closed socket only some time later.
+/// Returns an inproc endpoint that is unique in the process. Names are not
+/// reused because ZeroMQ releases the name of a closed socket asynchronously.
 std::string
 NextMonitorName()
 {
@@ -28,8 +28,8 @@
 {
 }
 
-/// Reads the events of one dealer's connection, which ZeroMQ gives on a
-/// socket of their own.
+/// Reads the connection events of one dealer, which ZeroMQ publishes on a
+/// separate monitor socket.
 class dealer::connection_monitor final : public zmq_socket
 {
 public:
--- a/src/currantshed/net/dealer.hpp
+++ b/src/currantshed/net/dealer.hpp
@@ -15,7 +15,7 @@
 
 namespace currantshed::net {
 
-/// A socket connected to one router. It connects again by itself.
+/// A DEALER socket connected to one router. Reconnects on its own.
 class dealer final : public zmq_socket
 {
 public:
@@ -32,8 +32,8 @@
 
   [[nodiscard]] std::error_code Send(std::string_view aBytes);
 
-  /// Has the callback called whenever a connection begins to stand, with
-  /// true, or is lost, with false. Call before Connect.
+  /// Sets a callback that receives true when the connection is established and
+  /// false when it is lost. Must be called before Connect.
   void OnConnectionChange(std::function<void(bool)> aChanged);
 
 private:
--- a/src/currantshed/net/errors.hpp
+++ b/src/currantshed/net/errors.hpp
@@ -7,32 +7,31 @@
 
 namespace currantshed::net {
 
-/// What can go wrong with a socket between the system's own processes.
+/// Errors of sockets between the processes of this system.
 enum class net_errc
 {
-  /// The port is taken by another process.
+  /// The port is in use by another process.
   kAddressInUse = 1,
-  /// The address is none of this VM, or none at all.
+  /// The address is invalid or does not belong to this VM.
   kAddressNotAvailable,
-  /// The queue to the peer is full, or no connection stands; the message was
-  /// not taken.
+  /// The send queue to the peer is full, or there is no connection; the message
+  /// was not queued.
   kQueueFull,
-  /// The peer has gone.
+  /// The peer is not connected.
   kUnreachable,
   /// The socket is closed.
   kClosed,
-  /// Any other error of the library.
+  /// Any other ZeroMQ error.
   kSystem,
 };
 
-/// The category of net_errc.
 [[nodiscard]] const std::error_category&
 NetCategory() noexcept;
 
 [[nodiscard]] std::error_code
 make_error_code(net_errc aCode) noexcept;
 
-/// The whole mapping from ZeroMQ's error numbers.
+/// Maps a ZeroMQ error number to a net_errc. Unknown numbers map to kSystem.
 [[nodiscard]] net_errc
 FromZmqError(int aNumber) noexcept;
 
--- a/src/currantshed/net/router.hpp
+++ b/src/currantshed/net/router.hpp
@@ -14,8 +14,8 @@
 
 namespace currantshed::net {
 
-/// A socket that many peers connect to; each is named by the bytes that
-/// ZeroMQ gives it for the time of its connection.
+/// A ROUTER socket that accepts connections of many peers. A peer is identified
+/// by the routing id that ZeroMQ assigns for the lifetime of its connection.
 class router final : public zmq_socket
 {
 public:
@@ -26,13 +26,13 @@
          zmq::context_t& aZmq,
          const socket_settings& aSettings);
 
-  /// Listens at an IP number and port, and hands each message over. Port zero
-  /// stands for any free one.
+  /// Listens on an IP address and port and passes each received message to the
+  /// receiver. Port zero selects any free port.
   [[nodiscard]] std::error_code Bind(const std::string& aAddress,
                                      std::uint16_t aPort,
                                      receiver aReceiver);
 
-  /// The port that Bind took.
+  /// The port that Bind is listening on.
   [[nodiscard]] std::uint16_t Port();
 
   [[nodiscard]] std::error_code Send(std::string_view aPeer,
--- a/src/currantshed/net/tcp_options.cpp
+++ b/src/currantshed/net/tcp_options.cpp
@@ -8,17 +8,18 @@
 
 namespace {
 
-// A far end that took none of the bytes sent for this long, in milliseconds:
-// the platform drops dead connections after three seconds.
+// Time that sent data may stay unacknowledged, in milliseconds. Below the three
+// seconds after which the platform drops dead connections.
 constexpr int kUserTimeoutMs = 1500;
-// Seconds of silence before the first probe, and between probes.
+// Idle time before the first keepalive probe and between probes, in seconds.
 constexpr int kProbeAfterS = 1;
 constexpr int kProbes = 2;
 
 void
 Set(int aSocket, int aLevel, int aName, int aValue)
 {
-  // A system that lacks an option falls back on the timeouts of each call.
+  // Where the operating system lacks an option, the timeout of each call still
+  // applies.
   (void)setsockopt(aSocket, aLevel, aName, &aValue, sizeof(aValue));
 }
 
--- a/src/currantshed/net/tcp_options.hpp
+++ b/src/currantshed/net/tcp_options.hpp
@@ -3,9 +3,9 @@
 
 namespace currantshed::net {
 
-/// Makes a TCP connection end within about three seconds after its far end
-/// stops to answer, whether bytes are under way or not, and send small
-/// messages at once.
+/// Configures a TCP socket to fail within about three seconds after its peer
+/// stops responding, whether or not data is in flight, and disables Nagle's
+/// algorithm so that small messages are sent at once.
 void
 SetTcpOptions(int aSocket);
 
--- a/src/currantshed/net/tick_timer.hpp
+++ b/src/currantshed/net/tick_timer.hpp
@@ -12,22 +12,24 @@
 
 namespace currantshed::net {
 
-/// Drives a state machine's Tick from its NextTick. The timer is set again
-/// only when a time comes before the one it waits for, so that a busy machine
-/// doesn't set it at each event; a Tick that comes too early does no harm.
+/// Drives a state machine's Tick from its NextTick. The timer is rearmed only
+/// for a deadline earlier than the pending one, so that a busy state machine
+/// does not rearm it on every event. A Tick may therefore come early, which is
+/// harmless.
 class tick_timer
 {
 public:
-  /// aTick is called on the io_context's thread; it calls At again.
+  /// aTick is called on the io_context's thread and is expected to call
+  /// ScheduleAt again.
   tick_timer(boost::asio::io_context& aContext, std::function<void()> aTick);
   tick_timer(const tick_timer&) = delete;
   tick_timer& operator=(const tick_timer&) = delete;
   ~tick_timer();
 
-  /// Asks for a tick at this time at the latest.
+  /// Schedules a tick at the given time or earlier.
   void ScheduleAt(clock::time_point aDue);
 
-  /// Asks for no tick any more.
+  /// Cancels the pending tick.
   void Stop();
 
 private:
--- a/src/currantshed/net/zmq_context.hpp
+++ b/src/currantshed/net/zmq_context.hpp
@@ -5,13 +5,13 @@
 
 namespace currantshed::net {
 
-/// Most sockets of one process. A link to a pooler takes three, its own and
-/// two that tell when it comes up and goes down; each of a gateway's threads
-/// may have a link to every pooler. ZeroMQ's own bound of 1023 is reached at
-/// some 170 poolers and two threads, and opening one more would then throw.
+/// Maximum number of sockets of one process. A connection to a pooler uses
+/// three sockets: its own and a pair for connection events. Each gateway thread
+/// may connect to every pooler. ZeroMQ's default limit of 1023 is reached at
+/// about 170 poolers and two threads; opening one more socket would then throw.
 constexpr int kMaxSockets = 16384;
 
-/// Makes the context that the sockets of one process share.
+/// Creates the ZeroMQ context shared by all sockets of one process.
 [[nodiscard]] zmq::context_t
 MakeContext();
 
--- a/src/currantshed/net/zmq_socket.cpp
+++ b/src/currantshed/net/zmq_socket.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-/// Messages handed over before others on the same thread get their turn.
+/// Maximum number of messages handled before other handlers of the same
+/// io_context run.
 constexpr int kMaxMessagesPerDrain = 128;
 
-/// When the kernel asks whether the peer of a silent connection is still there:
-/// after how many seconds, how many apart, and how often before the connection
-/// counts as lost. A connection that is used every two seconds costs no
-/// question.
+/// TCP keepalive of an idle connection: seconds before the first probe, seconds
+/// between probes, and unanswered probes after which the connection is closed.
+/// A connection used at least every two seconds sends no probes.
 constexpr int kKeepAliveIdle = 3;
 constexpr int kKeepAliveInterval = 1;
 constexpr int kKeepAliveCount = 2;
--- a/src/currantshed/net/zmq_socket.hpp
+++ b/src/currantshed/net/zmq_socket.hpp
@@ -17,39 +17,40 @@
 
 namespace currantshed::net {
 
-/// Bounds and times of one socket.
+/// Limits and timeouts of one socket.
 struct socket_settings
 {
-  /// How long a closed socket still sends what is queued.
+  /// How long a closed socket keeps sending its queued messages.
   std::chrono::milliseconds linger{ 0 };
-  /// Whether a message is refused while no connection to the peer stands. If
-  /// not, it waits for one, and may arrive late.
+  /// Whether sending fails while there is no connection to the peer. If false,
+  /// messages are queued until a connection exists and may arrive late.
   bool requireConnection = true;
-  /// Messages of one peer queued here; more wait on the way.
+  /// Maximum number of received messages queued per peer; further messages wait
+  /// in the transport.
   int maxQueuedReceives = 20000;
-  /// Messages queued for one peer; more are refused.
+  /// Maximum number of messages queued for sending per peer; further messages
+  /// are rejected.
   int maxQueuedSends = 20000;
-  /// Longest message taken from a peer, in bytes; a peer that sends more is
-  /// disconnected.
+  /// Maximum size of a received message in bytes; a peer that sends a larger
+  /// one is disconnected.
   std::int64_t maxMessageBytes = std::int64_t{ 16 } * 1024 * 1024;
-  /// Time between the transport's own pings; zero for none.
+  /// Interval of ZeroMQ heartbeats; zero disables them.
   std::chrono::milliseconds pingInterval{ 250 };
-  /// How long sent bytes may stay without the peer's acknowledgement before
-  /// the kernel gives the connection up, and after how much silence it begins
-  /// to ask whether the peer is there; zero leaves both to the system.
+  /// Time that sent data may stay unacknowledged before the kernel closes the
+  /// connection; also enables TCP keepalive. Zero keeps the system defaults.
   std::chrono::milliseconds unacknowledgedTimeout{ 0 };
-  /// A peer that has been silent for this long is disconnected.
+  /// A peer that sends nothing for this long is disconnected.
   std::chrono::milliseconds pingTimeout{ 1000 };
-  /// Pause between attempts to connect, at first and at most.
+  /// Initial and maximum delay between connection attempts.
   std::chrono::milliseconds initialReconnectDelay{ 25 };
   std::chrono::milliseconds maxReconnectDelay{ 500 };
 };
 
-/// One ZeroMQ socket hung on an io_context. Belongs to the thread that runs
-/// the io_context. Sending never blocks.
+/// One ZeroMQ socket integrated into an io_context. Must be used on the thread
+/// that runs the io_context. Sending never blocks.
 ///
-/// ZeroMQ's descriptor tells only of changes, and a send may use such a
-/// change up; so the socket is drained after every wake and after every
+/// ZeroMQ's file descriptor is edge-triggered, and a send may consume an edge.
+/// The socket is therefore drained after every readiness event and after every
 /// send.
 class zmq_socket
 {
@@ -63,18 +64,18 @@
   zmq_socket& operator=(const zmq_socket&) = delete;
   virtual ~zmq_socket();
 
-  /// Closes the socket; no callback comes after it. What is queued is dropped
-  /// unless the settings let it linger.
+  /// Closes the socket; no callback is invoked afterwards. Queued messages are
+  /// dropped unless settings.linger allows time to send them.
   void Close();
 
 protected:
-  /// Begins to hand messages over.
+  /// Starts passing received messages to the receiver.
   void StartReading();
 
-  /// The bytes of a part, for as long as it lives.
+  /// The bytes of a message part; valid while the part lives.
   [[nodiscard]] static std::string_view View(const zmq::message_t& aPart);
 
-  /// Sends one message of one or two parts, or none of it.
+  /// Sends one message of one or two parts, atomically.
   [[nodiscard]] std::error_code SendParts(std::string_view aPeer,
                                           std::string_view aBytes);
 
@@ -83,14 +84,17 @@
   [[nodiscard]] std::error_code ConnectTo(const std::string& aAddress,
                                           std::uint16_t aPort);
 
-  /// Reads one whole message and hands it over; false when there is none.
+  /// Receives one message and passes it to the receiver; false if none is
+  /// available.
   [[nodiscard]] virtual bool ReceiveOne() = 0;
 
-  /// Reads the next part; false when there is none.
+  /// Receives the next message part without blocking; false if none is
+  /// available.
   [[nodiscard]] bool Receive(zmq::message_t& aPart);
 
-  /// Reads the rest of a message and keeps its last part; the system's own
-  /// messages have one part, so that all others fail to decode.
+  /// Receives the remaining parts of a message and keeps the last. Messages of
+  /// this system have a single part, so the last part of any other message
+  /// fails to decode.
   [[nodiscard]] bool ReceiveLast(zmq::message_t& aPart);
 
   [[nodiscard]] zmq::socket_t& Socket() noexcept { return mSocket; }
@@ -105,7 +109,8 @@
   zmq::socket_t mSocket;
   boost::asio::posix::stream_descriptor mDescriptor;
   bool mDrainScheduled = false;
-  /// Ends with the socket, so that late completions find nothing.
+  /// Set to false when the socket closes, so that pending completion handlers
+  /// return without touching it.
   std::shared_ptr<bool> mAlive = std::make_shared<bool>(true);
 };
 
--- a/test/currantshed/log/line_rate_limiter.cpp
+++ b/test/currantshed/log/line_rate_limiter.cpp
@@ -32,7 +32,7 @@
 {
   log::line_rate_limiter limiter(10, 40);
   CHECK_EQUAL(30, CountWritten(limiter, false, 100, kStart));
-  // What matters more has a part of its own.
+  // The reserved share is available to high-priority lines only.
   CHECK_EQUAL(10, CountWritten(limiter, true, 100, kStart));
   CHECK_EQUAL(160, static_cast<int>(limiter.TakeDropped()));
   CHECK_EQUAL(0, static_cast<int>(limiter.TakeDropped()));
--- a/test/currantshed/net/accept_queue.cpp
+++ b/test/currantshed/net/accept_queue.cpp
@@ -32,8 +32,8 @@
 
 TEST_GROUP(accept_queue){};
 
-// What has connected is passed on with all that it has sent; who comes later is
-// refused.
+// Connections in the accept queue are passed on together with the data they
+// have sent; later connection attempts are refused.
 TEST(accept_queue, is_passed_on_before_listening_ends)
 {
   for (const auto& row : kRows) {
--- a/test/currantshed/net/tick_timer.cpp
+++ b/test/currantshed/net/tick_timer.cpp
@@ -18,7 +18,7 @@
   int expected;
 };
 
-/// Times long past are due at once, without a wait.
+/// Times in the past, so that the timer expires immediately.
 std::vector<tick_row>
 TickRows()
 {
--- a/test/currantshed/net/zmq_socket.cpp
+++ b/test/currantshed/net/zmq_socket.cpp
@@ -19,9 +19,9 @@
 namespace {
 
 constexpr const char* kAddress = "127.0.0.1";
-/// Asks for any free port.
+/// Selects any free port.
 constexpr std::uint16_t kAnyPort = 0;
-/// A port at which nothing listens.
+/// A port without a listener.
 constexpr std::uint16_t kUnusedPort = 1;
 constexpr auto kTestTimeout = 10s;
 
@@ -44,7 +44,7 @@
   { "anything else", EFAULT, net::net_errc::kSystem },
 };
 
-/// Runs the context until the condition holds, at most for the bound.
+/// Runs the context until the condition holds, for at most kTestTimeout.
 template<typename Condition>
 bool
 RunUntil(asio::io_context& aContext, Condition aCondition)
