--- a/src/currantshed/upstream/dialect.hpp
+++ b/src/currantshed/upstream/dialect.hpp
@@ -13,76 +13,77 @@
 
 namespace currantshed::upstream {
 
-/// What is assumed of a database group, gathered in one place, as the
-/// statements that a server understands beyond ordinary SQL. A deployment
-/// whose servers offer something else gets another implementation.
+/// The statements beyond ordinary SQL that this system sends to the servers of
+/// a database group, and what it requires of these servers. Servers with other
+/// control statements need another implementation of this interface.
 ///
-/// Assumed of every server of a group:
-/// - It holds a term that never goes down and that survives a restart.
-/// - Its log holds committed changes only, in the order of their commits; each
-///   record carries the term in which it was written.
-/// - A statement's effect is visible to later statements on the same server
-///   once the log position that `applied` tells covers it, never before it is
-///   part of that server's log.
-/// - It answers the status question at any time, also when all of its slots
+/// Requirements on every server of a group:
+/// - It holds a term that never decreases and survives a restart.
+/// - Its log contains committed changes only, in commit order; each record
+///   carries the term in which it was written.
+/// - The effect of a statement becomes visible to later statements on the same
+///   server when the reported `applied` position covers it, and never before it
+///   is part of that server's log.
+/// - It answers the status statement at any time, also when all of its slots
 ///   are taken or a lock is held, and inside a transaction or a pipeline.
 class dialect
 {
 public:
   virtual ~dialect() = default;
 
-  /// Asks a server about itself and changes nothing. The answer describes
+  /// Queries the status of a server without side effects. The answer describes
   /// the server at one moment between receipt and answer. A status before a
-  /// read in the same pipeline tells a position that the read covers; one
-  /// after a commit in the same pipeline tells a position that covers the
+  /// read in the same pipeline reports a position that the read covers; one
+  /// after a commit in the same pipeline reports a position that covers the
   /// commit.
   [[nodiscard]] virtual statement Status() const = 0;
 
-  /// Asks a server to accept a term above its own. Assumed: once it answers,
-  /// durably so, the server commits no change and stores no log record of a
-  /// lower term, and has rolled back open transactions that changed data; a
-  /// term at or below its own is refused with kStaleTermSqlState, but for the
-  /// very term that it was fenced at, which it accepts again.
+  /// Fences a server at a term above its own. Required: once the server
+  /// answers, durably, it commits no change and stores no log record of a lower
+  /// term, and has rolled back open transactions that changed data. A term at
+  /// or below its own is rejected with kStaleTermSqlState, except for the term
+  /// at which it is already fenced, which it accepts again.
   [[nodiscard]] virtual statement Fence(position::term_id aTerm) const = 0;
 
-  /// Makes a server that was fenced at this very term its primary. Assumed:
-  /// it first applies all that it has stored, then writes a record of the
-  /// term that opens it, then takes writes. Asking the primary of the term
-  /// again changes nothing.
+  /// Makes a server that is fenced at this term its primary. Required: the
+  /// server first applies all records it has stored, then writes a record that
+  /// opens the term, then accepts writes. Idempotent for the primary of the
+  /// term.
   [[nodiscard]] virtual statement Promote(position::term_id aTerm) const = 0;
 
-  /// Tells a server the primary of a term at or above its own. Assumed: it
-  /// drops what the primary's history lacks, then stores and applies the
-  /// primary's records in order; the primary of that term refuses.
+  /// Makes a server follow the primary of a term at or above its own. Required:
+  /// the server truncates records that the primary's history lacks, then stores
+  /// and applies the primary's records in order. The primary of that term
+  /// rejects the statement.
   [[nodiscard]] virtual statement Follow(position::term_id aTerm,
                                          std::string_view aAddress,
                                          std::uint16_t aPort) const = 0;
 
-  /// Opens a transaction. Assumed: its changes become visible all together
-  /// at its commit, or never. A read-only one refuses every change; each of
-  /// its statements may see a newer state of the data than the one before.
+  /// Opens a transaction. Required: its changes become visible atomically at
+  /// its commit, or never. A read-only transaction rejects every change; each
+  /// of its statements may see a newer state of the data than the previous one.
   [[nodiscard]] virtual statement Begin(bool aReadOnly) const = 0;
 
-  /// Ends a transaction. Assumed: answered as done only after the change is
-  /// in the server's log, and refused when the server's term has changed
+  /// Commits a transaction. Required: the commit is acknowledged only after the
+  /// change is in the server's log, and fails if the server's term has changed
   /// since the transaction began.
   [[nodiscard]] virtual statement Commit() const = 0;
 
   [[nodiscard]] virtual statement Rollback() const = 0;
 
-  /// Notes, within a change's own transaction, that the change ran. Assumed:
-  /// the key is unique over all transactions, so a second one with it waits
-  /// for the first to end, then fails with kUniqueViolationSqlState if that one
-  /// committed.
+  /// Records, within the transaction of a change, that the change was executed.
+  /// Required: the key is unique over all transactions, so a second transaction
+  /// with the same key waits for the first to end and fails with
+  /// kUniqueViolationSqlState if the first committed.
   [[nodiscard]] virtual statement RecordOutcome(
     std::string_view aKey,
     clock::wall_time aIssued,
     std::string_view aDigest) const = 0;
 
-  /// Makes a key void unless it is there already; waits like RecordOutcome
-  /// for a transaction that holds the key, and changes nothing (no row is
-  /// affected) if that one commits. ReadOutcome in the same transaction then
-  /// tells which of both it was.
+  /// Marks a key as void unless it is already recorded. Like RecordOutcome it
+  /// waits for a transaction that holds the key; if that transaction commits,
+  /// it changes nothing (no row is affected). ReadOutcome in the same
+  /// transaction then tells which of the two happened.
   [[nodiscard]] virtual statement VoidOutcome(
     std::string_view aKey,
     clock::wall_time aIssued,
@@ -91,31 +92,31 @@
   /// Reads `state` and `digest` of a key: one row, or none.
   [[nodiscard]] virtual statement ReadOutcome(std::string_view aKey) const = 0;
 
-  /// Reads the answer to Status, Fence, Promote or Follow; none when it is
-  /// not in the expected form.
+  /// Parses the answer to Status, Fence, Promote or Follow; none if it does not
+  /// have the expected format.
   [[nodiscard]] virtual std::optional<server_status> ReadStatus(
     const result_set& aAnswer) const = 0;
 };
 
-/// SQLSTATE of a refusal because of the server's term.
+/// SQLSTATE of a statement rejected because of the server's term.
 inline constexpr std::string_view kStaleTermSqlState = "CS001";
-/// SQLSTATE of a change on a server or transaction that is read only.
+/// SQLSTATE of a change on a read-only server or transaction.
 inline constexpr std::string_view kReadOnlySqlState = "25006";
-/// SQLSTATE of a connection over the server's limit.
+/// SQLSTATE of a connection above the server's connection limit.
 inline constexpr std::string_view kTooManyConnectionsSqlState = "53300";
-/// SQLSTATE of a key that is there already.
+/// SQLSTATE of a unique key that already exists.
 inline constexpr std::string_view kUniqueViolationSqlState = "23505";
-/// SQLSTATE that a torn reply carries when the answer passed its size limit.
+/// SQLSTATE of an indeterminate reply whose answer exceeded its size limit.
 inline constexpr std::string_view kAnswerLimitSqlState = "54000";
-/// SQLSTATE of a text that can't be sent, such as one with a zero byte.
+/// SQLSTATE of a text that cannot be sent, such as one with a zero byte.
 inline constexpr std::string_view kUnsendableTextSqlState = "22021";
 
-/// The `state` of an outcome whose change ran.
+/// The `state` of an outcome whose change was executed.
 inline constexpr std::string_view kOutcomeDone = "done";
-/// The `state` of an outcome whose change can never run.
+/// The `state` of an outcome whose change can no longer be executed.
 inline constexpr std::string_view kOutcomeVoid = "void";
 
-/// The statements of docs/PROTOCOLS.md, for servers with PostgreSQL's
+/// The statements of docs/PROTOCOLS.md, for servers with PostgreSQL's wire
 /// protocol.
 [[nodiscard]] std::unique_ptr<dialect>
 MakePostgresDialect();
--- a/src/currantshed/upstream/endpoint.hpp
+++ b/src/currantshed/upstream/endpoint.hpp
@@ -9,15 +9,15 @@
 
 namespace currantshed::upstream {
 
-/// Where and how to open a connection to a database server.
+/// Address and options of a connection to a database server.
 struct endpoint
 {
-  /// IP number; names are never looked up.
+  /// IP address; host names are not resolved.
   std::string address;
   std::uint16_t port = 0;
-  /// Told to the server as the name of the application.
+  /// Sent to the server as application name.
   std::string vm;
-  /// Asks the server to refuse every change on this connection.
+  /// Opens a connection on which the server rejects every change.
   bool readOnly = false;
   std::chrono::milliseconds connectTimeout{ 1000 };
 };
--- a/src/currantshed/upstream/errors.cpp
+++ b/src/currantshed/upstream/errors.cpp
@@ -21,19 +21,19 @@
   {
     switch (static_cast<errc>(aValue)) {
       case errc::kConnectFailed:
-        return "the server could not be reached or refused the connection";
+        return "server unreachable or connection rejected";
       case errc::kTooManyConnections:
-        return "the server accepts no further connection";
+        return "server is at its connection limit";
       case errc::kConnectTimeout:
-        return "the server did not accept the connection in time";
+        return "connection attempt timed out";
       case errc::kConnectionLost:
-        return "the connection broke";
+        return "connection lost";
       case errc::kAnswerTooLarge:
-        return "the answer passed the limit on its size";
+        return "answer exceeds its size limit";
       case errc::kProtocol:
-        return "the server did not keep to the protocol";
+        return "protocol violation by the server";
     }
-    return "unknown error";
+    return "unknown upstream error";
   }
 };
 
--- a/src/currantshed/upstream/errors.hpp
+++ b/src/currantshed/upstream/errors.hpp
@@ -6,33 +6,32 @@
 
 namespace currantshed::upstream {
 
-/// Why a connection to a database server can't be used.
+/// Errors of a connection to a database server.
 enum class errc
 {
-  /// The server could not be reached, or refused the connection.
+  /// The server was unreachable or rejected the connection.
   kConnectFailed = 1,
-  /// The server has as many connections as it accepts.
+  /// The server is at its connection limit.
   kTooManyConnections,
-  /// The server did not accept the connection in time.
+  /// The connection was not established before the timeout.
   kConnectTimeout,
-  /// An open connection broke.
+  /// An established connection was lost.
   kConnectionLost,
-  /// An answer passed the limit on its size.
+  /// An answer exceeded its size limit.
   kAnswerTooLarge,
-  /// The server did not keep to the protocol.
+  /// The server violated the protocol.
   kProtocol,
 };
 
-/// The category of errc.
 [[nodiscard]] const std::error_category&
 UpstreamCategory() noexcept;
 
 [[nodiscard]] std::error_code
 make_error_code(errc aError) noexcept;
 
-/// Turns libpq's word on a connection that failed to open, or broke, into an
-/// error of this module: libpq has no error codes for connections, and no
-/// SQLSTATE for a refused one, so the server's text is all there is.
+/// Maps libpq's message for a connection that failed to open, or was lost, to
+/// an errc. libpq has neither an error code for connections nor a SQLSTATE for
+/// a rejected one, so the message text is the only information.
 [[nodiscard]] std::error_code
 ClassifyConnectionError(std::string_view aMessage, bool aWasOpen) noexcept;
 
--- a/src/currantshed/upstream/fwd.hpp
+++ b/src/currantshed/upstream/fwd.hpp
@@ -5,7 +5,8 @@
 
 namespace currantshed::upstream {
 
-/// Name of one database server, unique in its group, as the platform gives it.
+/// Identifier of a database server, unique in its group, as given by the
+/// platform.
 using server_id = std::string;
 
 enum class errc;
--- a/src/currantshed/upstream/pq_connection.cpp
+++ b/src/currantshed/upstream/pq_connection.cpp
@@ -17,8 +17,8 @@
   try {
     mSession->Abandon();
   } catch (...) {
-    // Only cancelling a wait can throw; the session closes with its last
-    // handler then.
+    // Only cancelling a wait can throw; the session then closes with its last
+    // handler.
     mSession.reset();
   }
 }
--- a/src/currantshed/upstream/pq_connection.hpp
+++ b/src/currantshed/upstream/pq_connection.hpp
@@ -14,10 +14,10 @@
 
 namespace currantshed::upstream {
 
-/// One connection to a database server with PostgreSQL's protocol, through
-/// libpq's non-blocking calls in pipeline mode. No call waits. All calls
-/// belong to the thread that runs the io_context, and all callbacks come from
-/// there; a callback may close or destroy the connection.
+/// One connection to a database server over PostgreSQL's protocol, using
+/// libpq's non-blocking calls in pipeline mode. No call blocks. All calls must
+/// be made on the thread that runs the io_context, and all callbacks are
+/// invoked there; a callback may close or destroy the connection.
 class pq_connection
 {
 public:
@@ -27,32 +27,33 @@
   /// Closes the connection.
   ~pq_connection();
 
-  /// Opens the connection; once only. The callback tells whether it is open,
-  /// and never comes before Open has returned.
+  /// Opens the connection; may be called once. The callback tells whether the
+  /// connection was established, and is never invoked before Open has returned.
   void Open(std::function<void(bool)> aOpened);
 
-  /// Sets what is called when an open connection breaks or becomes unusable;
-  /// a batch under way is answered as torn before.
+  /// Sets the callback for a connection that is lost or becomes unusable after
+  /// it was open; a batch in progress is first answered as indeterminate.
   void OnLost(std::function<void()> aLost);
 
-  /// Runs statements as one pipeline that ends with the first error, and
-  /// gives the whole answer. Only without a batch under way; on a connection
-  /// that isn't open the answer is torn. Statements outside a transaction that
-  /// they open themselves run in one implicit transaction. An answer above the
-  /// limit, which counts bytes as received, is torn with kAnswerLimitSqlState
-  /// and ends the connection; a text with a zero byte can't be sent and is
-  /// refused with kUnsendableTextSqlState before anything runs.
+  /// Runs statements as one pipeline that stops at the first error, and passes
+  /// the complete answer to the callback. Must not be called while a batch is
+  /// in progress; on a connection that is not open the answer is indeterminate.
+  /// Statements outside an explicit transaction run in one implicit
+  /// transaction. An answer above the limit, which counts received bytes, is
+  /// indeterminate with kAnswerLimitSqlState and closes the connection; a text
+  /// with a zero byte cannot be sent and is rejected with
+  /// kUnsendableTextSqlState before anything runs.
   void Run(const std::vector<statement>& aStatements,
            std::size_t aAnswerLimitBytes,
            std::function<void(reply)> aDone);
 
-  /// Closes the connection at once. No callback comes after this.
+  /// Closes the connection immediately. No callback is invoked afterwards.
   void Close();
 
   /// Whether Run may be called.
   [[nodiscard]] bool Idle() const noexcept;
 
-  /// Why the connection did not open or can't be used any more.
+  /// The reason why the connection could not be opened or was closed.
   [[nodiscard]] std::error_code LastError() const noexcept;
 
 private:
--- a/src/currantshed/upstream/pq_handle.cpp
+++ b/src/currantshed/upstream/pq_handle.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// Can't exist; libpq would read the home folder's file otherwise.
+// A path that cannot exist, which keeps libpq from reading the password file in
+// the home directory.
 constexpr const char* kNoPasswordFile = "/dev/null/none";
 constexpr const char* kDatabase = "currantshed";
 constexpr const char* kReadOnlyOption = "-c default_transaction_read_only=on";
--- a/src/currantshed/upstream/pq_handle.hpp
+++ b/src/currantshed/upstream/pq_handle.hpp
@@ -10,7 +10,6 @@
 
 namespace currantshed::upstream {
 
-/// Closes a connection of libpq.
 struct pq_deleter
 {
   void operator()(PGconn* aConnection) const noexcept { PQfinish(aConnection); }
@@ -18,17 +17,17 @@
 
 using pq_handle = std::unique_ptr<PGconn, pq_deleter>;
 
-/// Starts to connect. Whatever could make libpq read files or look up names
-/// is set, so that it never blocks.
+/// Starts a non-blocking connection attempt. Sets every option that could
+/// otherwise make libpq read files or resolve names, and so block.
 [[nodiscard]] pq_handle
 StartConnect(const endpoint& aEndpoint);
 
-/// Whether libpq, which takes texts up to their first zero byte, would send
-/// the whole statement.
+/// Whether libpq would send the complete statement; it truncates texts at their
+/// first zero byte.
 [[nodiscard]] bool
 CanBeSent(const statement& aStatement);
 
-/// Puts one statement in the pipeline; false when the connection is broken.
+/// Appends one statement to the pipeline; false if the connection is broken.
 [[nodiscard]] bool
 Send(PGconn* aConnection, const statement& aStatement);
 
--- a/src/currantshed/upstream/pq_result.cpp
+++ b/src/currantshed/upstream/pq_result.cpp
@@ -19,7 +19,7 @@
 std::uint64_t
 ReadAffected(const PGresult* aResult)
 {
-  // libpq only reads it, but takes no pointer to const.
+  // libpq does not modify the result, but takes a non-const pointer.
   auto* result = const_cast<PGresult*>(aResult);
   const std::string_view text = PQcmdTuples(result);
   std::uint64_t count = 0;
@@ -58,7 +58,7 @@
       aBytes += set.cells.back() ? set.cells.back()->size() : 0;
     }
   }
-  // For a query that only reads, the count is that of its rows.
+  // For SELECT, libpq reports the number of rows returned, not of rows changed.
   if (PQresultStatus(aResult) == PGRES_COMMAND_OK ||
       !std::string_view(PQcmdStatus(const_cast<PGresult*>(aResult)))
          .starts_with("SELECT")) {
--- a/src/currantshed/upstream/pq_result.hpp
+++ b/src/currantshed/upstream/pq_result.hpp
@@ -11,7 +11,6 @@
 
 namespace currantshed::upstream {
 
-/// Frees a result of libpq.
 struct pq_result_deleter
 {
   void operator()(PGresult* aResult) const noexcept { PQclear(aResult); }
@@ -19,16 +18,16 @@
 
 using pq_result = std::unique_ptr<PGresult, pq_result_deleter>;
 
-/// The rows of one result, copied. Adds the bytes of its cells to the count.
+/// Copies the rows of one result and adds the bytes of its cells to aBytes.
 [[nodiscard]] result_set
 ReadRows(const PGresult* aResult, std::size_t& aBytes);
 
-/// The SQLSTATE of a result that is an error; empty where there is none.
+/// The SQLSTATE of an error result; empty for any other result.
 [[nodiscard]] std::string
 ReadSqlState(const PGresult* aResult);
 
-/// The server's text for an error, without values: what it quotes in a data
-/// exception (SQLSTATE class 22) is a value of the statement and left out.
+/// The server's error message without statement values: the quoted part of a
+/// data exception (SQLSTATE class 22) is a value and is replaced.
 [[nodiscard]] std::string
 ReadMessage(const PGresult* aResult);
 
--- a/src/currantshed/upstream/pq_session.cpp
+++ b/src/currantshed/upstream/pq_session.cpp
@@ -91,7 +91,7 @@
   if (!std::all_of(aStatements.begin(), aStatements.end(), CanBeSent)) {
     mReply.end = batch_end::kServerError;
     mReply.sqlState = kUnsendableTextSqlState;
-    mReply.message = "a text with a zero byte can't be sent";
+    mReply.message = "statement text or parameter contains a zero byte";
     PostStep([](pq_session& aSelf) { aSelf.Finish(); });
     return;
   }
@@ -247,14 +247,14 @@
     Fail(errc::kConnectionLost);
     return;
   }
-  // libpq gathers a whole result before it hands it out, so what arrives is
-  // counted here.
+  // libpq buffers a complete result before returning it, so the limit is
+  // enforced on the bytes received.
   if (mDone && ReceivedBytes(PQsocket(mHandle.get())) - mBytesBeforeBatch >
                  mAnswerLimitBytes) {
     Fail(errc::kAnswerTooLarge);
     return;
   }
-  // The wait comes first: the end of a batch calls back, and that may start
+  // Rearm the wait first: the end of a batch invokes a callback that may start
   // the next batch or close the connection.
   AwaitReadable();
   ReadResults();
@@ -267,7 +267,8 @@
   while (mDone && PQisBusy(handle) == 0) {
     const pq_result result(PQgetResult(handle));
     if (!result) {
-      // Ends one statement's results; more may be there, or still to come.
+      // A null result ends the results of one statement; further results may be
+      // available or still in flight.
       if (PQisBusy(handle) == 0 && !HasMoreResults()) {
         return;
       }
--- a/src/currantshed/upstream/pq_session.hpp
+++ b/src/currantshed/upstream/pq_session.hpp
@@ -19,14 +19,14 @@
 
 namespace currantshed::upstream {
 
-/// What pq_connection does; it outlives the connection object while a handler
-/// of the io_context holds it.
+/// Implementation of pq_connection. Outlives the connection object while a
+/// handler of the io_context refers to it.
 class pq_session : public std::enable_shared_from_this<pq_session>
 {
 public:
   pq_session(boost::asio::io_context& aContext, endpoint aEndpoint);
 
-  /// These do what the functions of pq_connection do.
+  /// See the functions of the same names in pq_connection.
   void Open(std::function<void(bool)> aOpened);
   void OnLost(std::function<void()> aLost);
   void Run(const std::vector<statement>& aStatements,
@@ -36,7 +36,7 @@
   [[nodiscard]] bool Idle() const noexcept;
   [[nodiscard]] std::error_code LastError() const noexcept;
 
-  /// Closes the connection; the owner wants no further callback.
+  /// Closes the connection and suppresses all further callbacks.
   void Abandon();
 
 private:
@@ -48,7 +48,8 @@
     kClosed,
   };
 
-  /// Runs a step from the io_context unless the connection closes before.
+  /// Posts a step to the io_context; it is skipped if the connection closes
+  /// first.
   template<typename Step>
   void PostStep(Step aStep)
   {
@@ -60,11 +61,12 @@
                       });
   }
 
-  /// Hands the descriptor back to libpq, which owns it.
+  /// Detaches the socket descriptor, which is owned by libpq.
   void ReleaseSocket();
 
-  /// libpq may replace its socket during the connect, even under the same
-  /// number, so the descriptor is taken anew for each wait.
+  /// Waits until the connection attempt can proceed. libpq may replace its
+  /// socket during the attempt, even by one with the same descriptor number, so
+  /// the descriptor is reassigned for each wait.
   void AwaitConnect(PostgresPollingStatusType aNeed);
 
   void ContinueConnecting();
@@ -78,16 +80,18 @@
   void ReadInput();
   void ReadResults();
 
-  /// Two ends in a row mean that nothing more has arrived.
+  /// Whether more results may be available: two null results in a row mean that
+  /// no further result has arrived.
   [[nodiscard]] bool HasMoreResults();
 
-  /// Takes one result over; false when the batch has come to its end.
+  /// Adds one result to the reply; false at the end of the batch.
   [[nodiscard]] bool HandleResult(const PGresult* aResult);
   [[nodiscard]] bool HandleRows(const PGresult* aResult);
   [[nodiscard]] bool HandleError(const PGresult* aResult);
   void Finish();
 
-  /// Ends the connection: tells whoever waits, then that it is lost.
+  /// Closes the connection with an error: completes pending callbacks first,
+  /// then reports the loss.
   void Fail(std::error_code aError);
   void Close();
 
@@ -104,7 +108,7 @@
   std::function<void(reply)> mDone;
   reply mReply;
   std::size_t mAnswerLimitBytes = 0;
-  /// Bytes received before the batch under way.
+  /// Bytes received on the socket before the current batch.
   std::uint64_t mBytesBeforeBatch = 0;
   std::size_t mCellBytes = 0;
   int mEmptyResults = 0;
--- a/src/currantshed/upstream/received_bytes.cpp
+++ b/src/currantshed/upstream/received_bytes.cpp
@@ -1,7 +1,7 @@
 #include "currantshed/upstream/received_bytes.hpp"
 
-// The C library's own header for TCP has a shorter tcp_info, and can't be
-// included beside this one.
+// The C library's netinet/tcp.h declares a shorter tcp_info, and cannot be
+// included together with linux/tcp.h.
 #include <linux/tcp.h>
 #include <netinet/in.h>
 #include <sys/socket.h>
--- a/src/currantshed/upstream/received_bytes.hpp
+++ b/src/currantshed/upstream/received_bytes.hpp
@@ -5,8 +5,8 @@
 
 namespace currantshed::upstream {
 
-/// Bytes of payload that a TCP socket has received since it was opened; zero
-/// where the system doesn't tell.
+/// Payload bytes that a TCP socket has received since it was opened; zero if
+/// the operating system does not report them.
 [[nodiscard]] std::uint64_t
 ReceivedBytes(int aSocket) noexcept;
 
--- a/src/currantshed/upstream/statement.hpp
+++ b/src/currantshed/upstream/statement.hpp
@@ -10,7 +10,7 @@
 
 namespace currantshed::upstream {
 
-/// One value as text; none stands for SQL's NULL.
+/// One value as text; std::nullopt is SQL's NULL.
 using cell = std::optional<std::string>;
 
 /// One SQL statement with its numbered parameters ($1, $2 and so on).
@@ -20,35 +20,35 @@
   std::vector<cell> parameters;
 };
 
-/// The rows of one statement, row after row in one flat list.
+/// The rows of one statement, in row-major order.
 struct result_set
 {
   std::vector<std::string> columns;
   std::vector<cell> cells;
-  /// Rows that the statement changed.
+  /// Number of rows changed by the statement.
   std::uint64_t affected = 0;
 };
 
-/// How a batch of statements on one connection ended.
+/// How a batch of statements ended.
 enum class batch_end
 {
-  /// Every statement ran; there is one result for each.
+  /// Every statement succeeded; there is one result per statement.
   kComplete,
-  /// The server refused one statement; the results before it are kept.
+  /// The server rejected one statement; the results before it are kept.
   kServerError,
-  /// The connection broke or a limit was passed before the last answer came:
-  /// it isn't known which statements ran.
+  /// The connection was lost or a limit exceeded before the last answer
+  /// arrived: it is unknown which statements were executed.
   kIndeterminate,
 };
 
-/// The whole answer to one batch.
+/// The complete answer to one batch.
 struct reply
 {
   batch_end end = batch_end::kComplete;
   std::vector<result_set> results;
-  /// For a server error, the five characters of its SQLSTATE.
+  /// SQLSTATE of a server error, five characters.
   std::string sqlState;
-  /// For a person; holds no values of the statement.
+  /// Human-readable text without statement values.
   std::string message;
 };
 
--- a/src/currantshed/upstream/status.hpp
+++ b/src/currantshed/upstream/status.hpp
@@ -9,31 +9,31 @@
 
 namespace currantshed::upstream {
 
-/// What a database server does in its group at the moment.
+/// The current role of a database server in its group.
 enum class server_role
 {
-  /// Follows a primary, and serves reads only.
+  /// Follows a primary and serves reads only.
   kReplica,
-  /// Takes writes, and is followed by the others.
+  /// Accepts writes and is followed by the replicas.
   kPrimary,
-  /// Holds a term that has no primary yet; takes neither writes nor log
+  /// Holds a term that has no primary yet; accepts neither writes nor log
   /// records of a lower term.
   kFenced,
 };
 
-/// A server's own word about itself, as one answer to one question.
+/// Status of a server as reported by the server itself in a single answer.
 struct server_status
 {
-  /// The highest term that the server has accepted, by fence, promotion or
-  /// following. It never goes down.
+  /// The highest term that the server has accepted, by Fence, Promote or
+  /// Follow. Never decreases.
   position::term_id term = 0;
   server_role role = server_role::kReplica;
-  /// The last record of the log that the server has stored durably.
+  /// The last log record that the server has stored durably.
   position::log_position stored;
-  /// The last record whose effect a statement on this server sees.
+  /// The last log record whose effect is visible to statements on this server.
   position::log_position applied;
-  /// For a replica, the time since it last heard from the primary that it
-  /// follows; none when it follows no primary.
+  /// For a replica, the time since it last heard from the primary it follows;
+  /// none if it follows no primary.
   std::optional<std::chrono::milliseconds> sincePrimary;
 };
 
--- a/src/currantshed/wire/codec.cpp
+++ b/src/currantshed/wire/codec.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Writes the body that a message holds into an envelope.
+/// Writes the body of a message into an envelope.
 class envelope_writer
 {
 public:
@@ -108,8 +108,8 @@
   return { wire_errc::kMalformed, {} };
 }
 
-/// Stops the library from writing to stderr for each malformed message; the
-/// caller gets an error code and decides what to log.
+/// Disables protobuf's log of malformed messages on standard error; the caller
+/// receives an error code and decides what to log.
 void
 SilenceProtobufLog()
 {
--- a/src/currantshed/wire/codec.hpp
+++ b/src/currantshed/wire/codec.hpp
@@ -17,51 +17,52 @@
 
 namespace currantshed::wire {
 
-/// Longest message that is sent or taken, in bytes.
+/// Maximum size of a message in bytes.
 constexpr std::size_t kMaxMessageBytes = std::size_t{ 16 } * 1024 * 1024;
-/// Most statements in one request.
+/// Maximum number of statements in one request.
 constexpr int kMaxStatements = 1024;
-/// Most parameters of one statement; PostgreSQL's protocol counts them in
-/// sixteen bits.
+/// Maximum number of parameters of one statement; PostgreSQL's protocol counts
+/// them in 16 bits.
 constexpr int kMaxParameters = 65535;
-/// Most entries in a list of VMs, groups, suspicions or terms.
+/// Maximum number of entries in a list of VMs, groups, suspicions or terms.
 constexpr int kMaxListEntries = 16384;
-/// Longest time to a deadline that a request may carry.
+/// Maximum time until the deadline of a request.
 constexpr std::chrono::hours kMaxTimeout{ 1 };
 
-/// A gateway's request to the pooler that leads a group.
+/// Request of a gateway to the pooler that owns a group.
 struct group_request
 {
   group::group_name group;
-  /// Its deadline travels as the time left.
+  /// The deadline is transmitted as the time left.
   group::request request;
-  /// For requests in a transaction: the incarnation of the pooler that
-  /// opened it.
+  /// For requests in a transaction: the incarnation of the pooler that opened
+  /// it.
   failover::incarnation_id transactionIncarnation;
 };
 
-/// Tells a pooler that the caller of a request has gone.
+/// Cancels a request whose caller has disconnected.
 struct cancel_request
 {
   group::request_id id = 0;
 };
 
-/// A pooler's final answer to one request.
+/// Final answer of a pooler to one request.
 struct group_answer
 {
   group::answer answer;
-  /// The pooler's incarnation, which names its open transactions.
+  /// The pooler's incarnation, which qualifies the ids of its open
+  /// transactions.
   failover::incarnation_id incarnation;
 };
 
-/// A gateway's question to the pooler of its own VM for each new view.
+/// Subscription of a gateway to the views of the pooler on its own VM.
 struct subscribe_request
 {
   std::uint64_t viewVersion = 0;
   std::uint64_t configurationVersion = 0;
 };
 
-/// What gateways need to know of others, from the pooler of their own VM.
+/// Cluster view that a pooler sends to the gateways of its own VM.
 struct view
 {
   std::uint64_t version = 0;
@@ -69,14 +70,14 @@
   std::vector<group::group_name> groups;
   unsigned owners = 0;
   std::uint64_t configurationVersion = 0;
-  /// The operators' declaration; empty unless its version is above the one
-  /// that the gateway told.
+  /// The operators' declaration; empty unless its version is above the one in
+  /// the gateway's subscription.
   std::string declaration;
 
   [[nodiscard]] friend bool operator==(const view&, const view&) = default;
 };
 
-/// A pooler's question to another for a newer configuration.
+/// Request of a pooler to another one for a newer configuration.
 struct configuration_request
 {
   std::uint64_t knownVersion = 0;
@@ -87,8 +88,8 @@
 {
   std::uint64_t version = 0;
   std::string declaration;
-  /// The platform's lists as the sender read them last; empty if it never
-  /// did. They are for a process that starts while the platform is down.
+  /// The platform's lists as last read by the sender; empty if it never read
+  /// them. For a process that starts while the platform is unavailable.
   std::vector<store::vm> vms;
   std::vector<group::description> groups;
 
@@ -96,7 +97,7 @@
                                        const configuration&) = default;
 };
 
-/// Every message between the system's own processes.
+/// Any message between the processes of this system.
 using message = std::variant<group_request,
                              cancel_request,
                              group_answer,
@@ -106,27 +107,26 @@
                              configuration_request,
                              configuration>;
 
-/// A message read from bytes, or why they were not taken; the body is then
-/// of no meaning.
+/// A decoded message, or the error; the body is meaningless on error.
 struct decoded
 {
   std::error_code error;
   message body;
 };
 
-/// Writes a message as one protobuf envelope. Deadlines become the time left
-/// at aNow.
+/// Encodes a message as one protobuf envelope. Deadlines are converted to the
+/// time left at aNow.
 [[nodiscard]] std::string
 Encode(const message& aMessage, clock::time_point aNow);
 
-/// The same for an answer and a request by themselves, which spares a copy.
+/// Overloads for an answer and a request, which save a copy.
 [[nodiscard]] std::string
 Encode(const group_answer& aAnswer);
 [[nodiscard]] std::string
 Encode(const group_request& aRequest, clock::time_point aNow);
 
-/// Reads one envelope. Anything that isn't a whole and sensible message is
-/// an error of wire_errc; nothing is thrown for it.
+/// Decodes one envelope. Returns an error of wire_errc for anything but a
+/// complete and valid message; does not throw on malformed input.
 [[nodiscard]] decoded
 Decode(std::string_view aBytes, clock::time_point aNow);
 
--- a/src/currantshed/wire/convert.hpp
+++ b/src/currantshed/wire/convert.hpp
@@ -6,8 +6,8 @@
 #include "currantshed/wire/codec.hpp"
 #include "currantshed/wire/messages.pb.h"
 
-/// One conversion each way for every message; Put writes a core type into its
-/// wire form and Take reads it back, checked.
+/// Conversions between core types and their protobuf messages. ToProto writes a
+/// core type into its message; FromProto reads and validates it.
 namespace currantshed::wire::internal {
 
 void
--- a/src/currantshed/wire/errors.hpp
+++ b/src/currantshed/wire/errors.hpp
@@ -7,20 +7,19 @@
 
 namespace currantshed::wire {
 
-/// Why the bytes of a message were not taken.
+/// Errors of decoding a message.
 enum class wire_errc
 {
-  /// The bytes are no envelope, or one without a body.
+  /// The bytes are not an envelope, or the envelope has no body.
   kMalformed = 1,
-  /// The message, or a list in it, is longer than the bounds allow.
+  /// The message, or a list in it, exceeds its limit.
   kTooLarge,
-  /// An enumerator, a port or a number outside its range.
+  /// An enumerator, a port or a number is out of range.
   kOutOfRange,
-  /// The idempotency key isn't a UUID of version 7.
+  /// The idempotency key is not a version 7 UUID.
   kInvalidKey,
 };
 
-/// The category of wire_errc.
 [[nodiscard]] const std::error_category&
 WireCategory() noexcept;
 
--- a/test/currantshed/upstream/pq_connection.cpp
+++ b/test/currantshed/upstream/pq_connection.cpp
@@ -22,8 +22,8 @@
 constexpr std::size_t kLargeLimit = 10'000'000;
 constexpr std::chrono::seconds kTestTimeout{ 30 };
 
-// A loopback address of this process's own, so that test programs which run
-// side by side don't meet.
+// A loopback address derived from the process id, so that test programs running
+// in parallel do not conflict.
 std::string
 OwnAddress()
 {
@@ -44,7 +44,7 @@
   return settings;
 }
 
-// A server, and callers of it, on one event loop.
+// A server and its clients on one event loop.
 struct test_server
 {
   boost::asio::io_context context;
--- a/test/currantshed/wire/codec.cpp
+++ b/test/currantshed/wire/codec.cpp
@@ -25,7 +25,7 @@
 
 constexpr clk::time_point kNow{ 1000s };
 
-/// Sixteen bytes of a UUID with the version and variant asked for.
+/// A 16-byte UUID with the given version and the RFC 4122 variant.
 std::string
 KeyBytes(char aVersion)
 {
