--- a/src/currantshed/http/channel.cpp
+++ b/src/currantshed/http/channel.cpp
@@ -17,9 +17,9 @@
 namespace beast = boost::beast;
 using tcp = boost::asio::ip::tcp;
 
-// A value of a megabyte in base64, with room for what surrounds it.
+// Covers a value of 1 MiB in base64 and the surrounding JSON.
 constexpr std::uint64_t kBodyLimitBytes = 8ULL * 1024 * 1024;
-// A connection that is not made by then is tried anew by the next call.
+// A connection attempt that takes longer fails; the next request tries again.
 constexpr std::chrono::milliseconds kConnectTimeout{ 600 };
 
 beast::http::verb
@@ -78,7 +78,7 @@
 
   void Begin()
   {
-    // A kept connection that the service has closed shows it now.
+    // Detects a persistent connection that the service has closed while idle.
     if (mIsOpen && IsClosedByPeer()) {
       CloseStream();
     }
@@ -191,7 +191,7 @@
     } else {
       mStream.expires_never();
     }
-    // Memory that a large answer took is not kept.
+    // Releases the memory of a large response.
     mBuffer = {};
     mParser.reset();
     Finish(std::move(result));
@@ -211,7 +211,7 @@
     auto done = std::move(mCalls.front().done);
     mCalls.pop_front();
     const auto self = shared_from_this();
-    // A call that the callback makes while none waits begins by itself.
+    // A request issued by the callback on an empty queue starts on its own.
     if (!mCalls.empty()) {
       boost::asio::post(mContext, [self] {
         if (!self->mIsStopped) {
--- a/src/currantshed/http/channel.hpp
+++ b/src/currantshed/http/channel.hpp
@@ -23,41 +23,42 @@
   kDelete,
 };
 
-/// One call of a service.
+/// One HTTP request.
 struct call
 {
   method verb = method::kGet;
   /// Path and query, percent-encoded.
   std::string target;
-  /// Headers besides those that each call has.
+  /// Headers in addition to those sent with every request.
   std::vector<std::pair<std::string, std::string>> headers;
-  /// JSON, or nothing.
+  /// JSON, or empty.
   std::string body;
-  /// Time until the whole answer must be there.
+  /// Timeout for the complete response.
   std::chrono::milliseconds timeout{ 1000 };
-  /// The header of the answer that the caller wants, if any.
+  /// Name of the response header that the caller needs, if any.
   std::string responseHeader = {};
 };
 
-/// The answer to one call.
+/// The result of one request.
 struct call_result
 {
-  /// Set when no whole answer came: what became of the call is not known,
-  /// unless notSent is set too.
+  /// Set if no complete response was received. Whether the request was executed
+  /// is then unknown, unless notSent is set as well.
   std::error_code error;
-  /// No connection could be made, so that the call was never sent.
+  /// No connection could be established, so the request was never sent.
   bool notSent = false;
   unsigned status = 0;
   std::string body;
-  /// What the header that the call named holds; empty where there is none.
+  /// Value of the requested response header; empty if absent.
   std::string responseHeader;
 };
 
-/// One connection to a service, made when needed and kept. Calls wait for
-/// each other. A call is sent at most once, but for one that found its kept
-/// connection closed before any byte of an answer, and may be repeated. After
-/// a call without an answer the connection is made anew. Belongs to the thread
-/// of the io_context.
+/// One persistent connection to a service, opened on demand. Requests are
+/// executed one at a time, in order. A request is sent at most once: if the
+/// service closed the persistent connection before sending any byte of a
+/// response, the request fails and the caller may repeat it. After a failed
+/// request the connection is reopened. Must be used on the thread of the
+/// io_context.
 class channel
 {
 public:
@@ -70,11 +71,11 @@
   channel& operator=(const channel&) = delete;
   ~channel();
 
-  /// Starts a call and returns at once; the callback comes later, unless the
-  /// channel is destroyed before.
+  /// Starts a request without blocking. The callback is invoked later, unless
+  /// the channel is destroyed first.
   void Send(call aCall, callback aDone);
 
-  /// Fails the call under way, and makes the connection anew.
+  /// Fails the request in progress and reopens the connection.
   void Reset();
 
 private:
--- a/src/currantshed/http/fetcher.cpp
+++ b/src/currantshed/http/fetcher.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxConcurrentTransfers = 64;
 constexpr int kPollMs = 100;
 
-/// One transfer; its place in memory must stay, since libcurl points to it.
+/// One transfer. Must not move in memory because libcurl keeps a pointer to it.
 struct transfer
 {
   std::unique_ptr<CURL, decltype(&curl_easy_cleanup)> handle{
@@ -102,7 +102,7 @@
     }
   }
 
-  /// Runs all transfers to their end.
+  /// Runs all transfers to completion.
   void Drive()
   {
     int running = 1;
--- a/src/currantshed/http/fetcher.hpp
+++ b/src/currantshed/http/fetcher.hpp
@@ -11,36 +11,35 @@
 
 namespace currantshed::http {
 
-/// What one GET brought.
+/// The result of one GET.
 struct fetch_result
 {
-  /// Zero when no whole answer came.
+  /// HTTP status; zero if no complete response was received.
   long status = 0;
   std::string body;
-  /// Why there is no answer.
+  /// Error message if there is no response.
   std::string error;
 };
 
-/// Reads many addresses by HTTP at once; for tools, since it blocks.
+/// Fetches many URLs concurrently. Blocks, and is meant for command-line tools.
 class fetcher
 {
 public:
   virtual ~fetcher() = default;
 
-  /// GETs every URL and returns the answers in the same order, once all have
-  /// ended or run out of time.
+  /// Sends a GET to every URL and returns the results in the same order once
+  /// all requests have completed or timed out.
   [[nodiscard]] virtual std::vector<fetch_result> Fetch(
     const std::vector<std::string>& aUrls,
     std::chrono::milliseconds aTimeout) = 0;
 };
 
-/// Makes a fetcher over libcurl. An answer larger than a few megabytes counts
-/// as none.
+/// Creates a fetcher based on libcurl. A response larger than 16 MiB fails.
 [[nodiscard]] std::unique_ptr<fetcher>
 MakeCurlFetcher();
 
-/// The URL of a path at an IP number and port; an IPv6 number is put into
-/// brackets.
+/// Builds the URL of a path at an IP address and port; an IPv6 address is put
+/// in brackets.
 [[nodiscard]] std::string
 MakeUrl(const std::string& aAddress,
         std::uint16_t aPort,
--- a/src/currantshed/http/status_response.hpp
+++ b/src/currantshed/http/status_response.hpp
@@ -10,23 +10,23 @@
 
 namespace currantshed::http {
 
-/// What a process tells about itself. Called on the thread of the status
-/// server, so it must be safe for use by several threads.
+/// Provides the status of a process. Called on the thread of the status server,
+/// so implementations must be thread-safe.
 struct status_source
 {
   virtual ~status_source() = default;
 
-  /// Whether the process takes new work now.
+  /// Whether the process currently accepts new work.
   [[nodiscard]] virtual bool Ready() const = 0;
 
-  /// The path that tells whether the process takes new work.
+  /// Path of the readiness check.
   [[nodiscard]] virtual std::string_view ReadyPath() const { return "/readyz"; }
 
-  /// One JSON object that describes the process.
+  /// The status of the process as one JSON object.
   [[nodiscard]] virtual std::string StatusJson() const = 0;
 };
 
-/// The answer to one request at the status port.
+/// Response to one request at the status port.
 struct status_response
 {
   unsigned status = 0;
@@ -34,7 +34,8 @@
   std::string body;
 };
 
-/// The answer to a GET or HEAD (aIsRead) of a path, or to another method.
+/// Handles a request for a path; aIsRead tells whether its method is GET or
+/// HEAD.
 [[nodiscard]] status_response
 HandleStatusRequest(bool aIsRead,
                     std::string_view aTarget,
--- a/src/currantshed/http/status_server.hpp
+++ b/src/currantshed/http/status_server.hpp
@@ -14,10 +14,10 @@
 
 namespace currantshed::http {
 
-/// The HTTP server at a daemon's status port: /metrics, /livez, /readyz and
-/// /status. Runs on the given io_context and is used only on its thread. At
-/// most a bounded number of connections are served at the same time; more
-/// wait in the listen queue.
+/// HTTP server of a daemon's status port: /metrics, /livez, /readyz and
+/// /status. Runs on the given io_context and must be used on its thread. Serves
+/// a bounded number of connections at the same time; further connections wait
+/// in the listen queue.
 class status_server
 {
 public:
@@ -31,8 +31,8 @@
   status_server(const status_server&) = delete;
   status_server& operator=(const status_server&) = delete;
 
-  /// Begins to listen. An address that can't be bound is logged and returned
-  /// as the operating system's error.
+  /// Starts listening. If the address cannot be bound, the error of the
+  /// operating system is logged and returned.
   std::error_code Start();
 
   /// Stops listening and closes every connection.
--- a/src/currantshed/settings/command_line.cpp
+++ b/src/currantshed/settings/command_line.cpp
@@ -20,7 +20,7 @@
 using value_flag = TCLAP::MultiArg<std::string>;
 using plain_flag = TCLAP::SwitchArg;
 
-/// The option that a token such as --name names, or none.
+/// The option named by a token such as --name, or null.
 const option*
 FindOption(const std::vector<option>& aOptions, std::string_view aToken)
 {
@@ -36,7 +36,7 @@
   return nullptr;
 }
 
-/// Splits --name=value in two where the name is known.
+/// Splits --name=value into two tokens if the name is a known option.
 std::vector<std::string>
 SplitValues(const std::vector<option>& aOptions,
             const std::vector<std::string>& aArguments)
@@ -59,7 +59,7 @@
   return tokens;
 }
 
-/// Drops flags without a value, with a fault for each.
+/// Removes flags without a value and adds an error for each.
 std::vector<std::string>
 DropFlagsWithoutValue(const std::vector<option>& aOptions,
                       const std::vector<std::string>& aTokens,
@@ -84,8 +84,8 @@
   return kept;
 }
 
-/// Tells unknown flags from arguments. What follows an unknown flag is taken
-/// for its value.
+/// Separates unknown flags from positional arguments. The token after an
+/// unknown flag is taken as its value.
 void
 ClassifyRemaining(const std::vector<std::string>& aRemaining,
                   command_line& aLine)
@@ -115,7 +115,7 @@
     aOptions, SplitValues(aOptions, aArguments), line.errors);
   tokens.insert(tokens.begin(), "currantshed");
   try {
-    // The flags that TCLAP brings are left out: they end the process.
+    // TCLAP's built-in flags are disabled because they terminate the process.
     TCLAP::CmdLine reader("", ' ', "", false);
     reader.setExceptionHandling(false);
     std::vector<std::unique_ptr<value_flag>> flags;
@@ -125,14 +125,14 @@
         "", one.flag, one.help, false, kUnit, reader));
     }
     const plain_flag help("", kHelp, "", reader);
-    // A program may have a --version of its own, which takes a value.
+    // A program may define its own --version flag, which takes a value.
     std::unique_ptr<plain_flag> version;
     if (FindOption(aOptions, std::string(kPrefix) + kVersion) == nullptr) {
       version = std::make_unique<plain_flag>("", kVersion, "", reader);
     }
     const plain_flag print("", kPrintSettings, "", reader);
     TCLAP::UnlabeledMultiArg<std::string> remaining(
-      "arguments", "what is no flag", false, kUnit, reader);
+      "arguments", "positional arguments", false, kUnit, reader);
     reader.parse(tokens);
     for (std::size_t i = 0; i < aOptions.size(); ++i) {
       line.values[aOptions[i].flag] = flags[i]->getValue();
@@ -144,7 +144,7 @@
   } catch (const TCLAP::ArgException& error) {
     line.errors.push_back(absl::StrCat(error.argId(), ": ", error.error()));
   } catch (const TCLAP::ExitException&) {
-    line.errors.emplace_back("the command line can't be read");
+    line.errors.emplace_back("cannot parse the command line");
   }
   return line;
 }
--- a/src/currantshed/settings/command_line.hpp
+++ b/src/currantshed/settings/command_line.hpp
@@ -10,22 +10,22 @@
 
 namespace currantshed::settings {
 
-/// What stands on a command line.
+/// A parsed command line.
 struct command_line
 {
   /// Values by flag, in the order given.
   absl::flat_hash_map<std::string, std::vector<std::string>> values;
-  /// Arguments that are no flags.
+  /// Positional arguments.
   std::vector<std::string> arguments;
-  /// One line for each thing that is wrong.
+  /// One line per error.
   std::vector<std::string> errors;
   bool wantsHelp = false;
   bool wantsVersion = false;
   bool wantsPrintSettings = false;
 };
 
-/// Reads a command line (without the program's name) as far as it can, so
-/// that all faults come out at once.
+/// Parses a command line (without the program name). Continues after errors so
+/// that all of them are reported at once.
 [[nodiscard]] command_line
 ParseCommandLine(const std::vector<option>& aOptions,
                  const std::vector<std::string>& aArguments);
--- a/src/currantshed/settings/duration.cpp
+++ b/src/currantshed/settings/duration.cpp
@@ -15,7 +15,7 @@
   std::int64_t milliseconds;
 };
 
-/// Largest first, so that a time prints in its largest whole unit.
+/// Largest first, so that a duration is formatted in its largest whole unit.
 constexpr unit kUnits[] = {
   { "h", 3'600'000 },
   { "m", 60'000 },
--- a/src/currantshed/settings/duration.hpp
+++ b/src/currantshed/settings/duration.hpp
@@ -8,19 +8,19 @@
 
 namespace currantshed::settings {
 
-/// Whether a time may be written without a unit, in milliseconds.
+/// Whether a duration may be written without a unit, in milliseconds.
 enum class unitless_number
 {
   kMilliseconds,
   kRejected,
 };
 
-/// Reads a time such as 500ms, 2s, 5m or 1h; none if the text is no such
-/// time or passes what a count of milliseconds holds.
+/// Parses a duration such as 500ms, 2s, 5m or 1h; none if the text is malformed
+/// or the value overflows a 64-bit count of milliseconds.
 [[nodiscard]] std::optional<std::chrono::milliseconds>
 ParseDuration(std::string_view aText, unitless_number aUnitless);
 
-/// The time in its largest whole unit, for example 90s or 2m.
+/// Formats a duration in its largest whole unit, for example 90s or 2m.
 [[nodiscard]] std::string
 FormatDuration(std::chrono::milliseconds aTime);
 
--- a/src/currantshed/settings/parser.cpp
+++ b/src/currantshed/settings/parser.cpp
@@ -56,7 +56,7 @@
   return std::nullopt;
 }
 
-/// Sets one option from flags or environment; adds what is wrong.
+/// Sets one option from its flag or environment variable; appends errors.
 void
 ApplyOption(option& aOption,
             const command_line& aLine,
@@ -335,8 +335,9 @@
   if (mArguments != nullptr) {
     aOut << ' ' << mArgumentsName << "\n\n" << mArgumentsHelp;
   }
-  aOut << "\n\nFlags, each with its environment variable; a flag goes before "
-          "its variable:\n";
+  aOut
+    << "\n\nFlags, each with its environment variable; a flag takes precedence "
+       "over its variable:\n";
   for (const auto& one : mOptions) {
     const std::string preset = one.isSecret ? "" : one.print();
     const std::string shown =
--- a/src/currantshed/settings/parser.hpp
+++ b/src/currantshed/settings/parser.hpp
@@ -14,28 +14,29 @@
 
 namespace currantshed::settings {
 
-/// Exit code of a program that was started with wrong settings.
+/// Exit code for invalid settings.
 constexpr int kUsageExitCode = 2;
 
-/// What the program does next.
+/// What the program does after parsing.
 enum class parse_end
 {
   kRun,
   kExit,
 };
 
-/// How reading the settings ended; the exit code counts only for kExit.
+/// Result of parsing; the exit code applies to kExit only.
 struct parse_result
 {
   parse_end end = parse_end::kRun;
   int exitCode = 0;
 };
 
-/// The value of an environment variable, or none.
+/// Returns the value of an environment variable, or none.
 using environment =
   std::function<std::optional<std::string>(const std::string& aName)>;
 
-/// Turns the text of a setting into its value: the fault, or an empty text.
+/// Parses the text of a setting into its target; returns the error message, or
+/// an empty text on success.
 using assignment = std::function<std::string(const std::string& aText)>;
 
 /// One setting of a program.
@@ -43,29 +44,29 @@
 {
   std::string flag;
   std::string help;
-  /// What stands for the value in the help, for example MS.
+  /// Placeholder of the value in the help, for example MS.
   std::string unit;
   bool isRequired = false;
   bool isSecret = false;
-  /// A setting that is on or off: its flag may come without a value.
+  /// A Boolean setting: its flag may be given without a value.
   bool isSwitch = false;
   assignment assign;
-  /// The present value of the target as text.
+  /// Returns the current value of the target as text.
   std::function<std::string()> print;
-  /// Where the present value came from, once read.
+  /// Source of the current value, set by parsing.
   std::string_view origin = "default";
 };
 
-/// Reads a program's settings from flags (--name value or --name=value) and
-/// from environment variables (CURRANTSHED_NAME), flags first. A variable
-/// that is set to nothing counts as not set. The targets must outlive the
-/// parser; a target's present value is its default.
+/// Parses a program's settings from flags (--name value or --name=value) and
+/// environment variables (CURRANTSHED_NAME). Flags take precedence. An empty
+/// variable counts as unset. The targets must outlive the parser; the initial
+/// value of a target is its default.
 class parser
 {
 public:
   parser(std::string aProgram, std::string aSummary);
 
-  /// A required text must not end up empty.
+  /// Adds a text. A required text must not be empty.
   void Text(std::string& aTarget,
             std::string aFlag,
             std::string aHelp,
@@ -77,50 +78,51 @@
               std::string aHelp,
               bool aRequired = false);
 
-  /// A text that must be one of the given words.
+  /// Adds a text that must be one of the given choices.
   void Choice(std::string& aTarget,
               std::string aFlag,
               std::string aHelp,
               std::vector<std::string> aChoices);
 
-  /// A port from 1 to 65535; where it is not required, zero stands for none.
+  /// Adds a port from 1 to 65535; if it is not required, zero means none.
   void Port(std::uint16_t& aTarget,
             std::string aFlag,
             std::string aHelp,
             bool aRequired = false);
 
-  /// A whole number within the bounds, both included.
+  /// Adds an integer within inclusive bounds.
   void Count(unsigned& aTarget,
              std::string aFlag,
              std::string aHelp,
              unsigned aMin,
              unsigned aMax);
 
-  /// A time within the bounds, both included, as 200, 200ms, 2s, 5m or 1h; a
-  /// number without a unit counts milliseconds.
+  /// Adds a duration within inclusive bounds, written as 200, 200ms, 2s, 5m or
+  /// 1h; a number without a unit is in milliseconds.
   void Milliseconds(std::chrono::milliseconds& aTarget,
                     std::string aFlag,
                     std::string aHelp,
                     std::chrono::milliseconds aMin,
                     std::chrono::milliseconds aMax);
 
-  /// On or off: --name, --name=yes or --name=no.
+  /// Adds a Boolean: --name, --name=yes or --name=no.
   void Switch(bool& aTarget, std::string aFlag, std::string aHelp);
 
-  /// Takes arguments that are no flags. Without it they are faults.
+  /// Accepts positional arguments. Without this call they are errors.
   void Arguments(std::vector<std::string>& aTarget,
                  std::string aName,
                  std::string aHelp);
 
-  /// A text that the help ends with, for example exit codes.
+  /// Sets a text printed at the end of the help, for example exit codes.
   void Epilogue(std::string aText);
 
-  /// Reads flags and environment; prints help, version, settings or one line
-  /// per fault, and says whether to go on. The exit code is 2 for faults.
+  /// Parses flags and environment variables. Prints the help, version or
+  /// settings if requested, or one line per error, and tells whether the
+  /// program continues. The exit code for errors is 2.
   [[nodiscard]] parse_result Parse(int aCount, const char* const* aValues);
 
-  /// The same from the given arguments (without the program's name),
-  /// environment and streams.
+  /// As above, with the given arguments (without the program name), environment
+  /// and streams.
   [[nodiscard]] parse_result Parse(const std::vector<std::string>& aArguments,
                                    const environment& aEnvironment,
                                    std::ostream& aOut,
@@ -141,7 +143,7 @@
   std::string mArgumentsHelp;
 };
 
-/// Name of the environment variable of a flag.
+/// Name of the environment variable that corresponds to a flag.
 [[nodiscard]] std::string
 EnvironmentVariableName(std::string_view aFlag);
 
--- a/test/currantshed/settings/parser.cpp
+++ b/test/currantshed/settings/parser.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// The settings of a program as the rows below use them.
+/// Sample settings used by the rows below.
 struct sample
 {
   std::string address = "127.0.0.1";
