--- a/src/currantshed/http/channel.hpp
+++ b/src/currantshed/http/channel.hpp
@@ -54,11 +54,10 @@
 };
 
 /// One persistent connection to a service, opened on demand. Requests are
-/// executed one at a time, in order. A request is sent at most once: if the
-/// service closed the persistent connection before sending any byte of a
-/// response, the request fails and the caller may repeat it. After a failed
-/// request the connection is reopened. Must be used on the thread of the
-/// io_context.
+/// executed one at a time, in order. A request is sent at most once: the
+/// channel checks before sending whether the service has closed the idle
+/// connection, and leaves retries to the caller. After a failed request the
+/// connection is reopened. Must be used on the thread of the io_context.
 class channel
 {
 public:
--- a/standin/fleet/group.cpp
+++ b/standin/fleet/group.cpp
@@ -75,7 +75,7 @@
     if (!IsReplicating(one)) {
       continue;
     }
-    // A log that parted from the primary's is cut back first.
+    // A log that is longer than the primary's has diverged and is discarded.
     if (one.log.size() > aPrimary.log.size()) {
       one.log.clear();
     }
@@ -115,8 +115,8 @@
   for (auto& one : mServers) {
     one.fencedTerm = 0;
     one.isPrimary = one.id == aId;
-    // A server that is away may hold what the new primary lacks; all is copied
-    // anew when it is back.
+    // A server that is down may hold records that the new primary lacks; its
+    // log is copied in full when it is back.
     one.log.resize(one.up ? std::min(one.log.size(), chosen->log.size()) : 0);
     one.applied = std::min(one.applied, one.log.size());
   }
--- a/standin/fleet/group.hpp
+++ b/standin/fleet/group.hpp
@@ -8,7 +8,7 @@
 
 namespace currantshed::standin::fleet {
 
-/// One committed change: an item gets a value.
+/// One committed change: assigns a value to an item.
 struct record
 {
   std::uint64_t term = 0;
@@ -26,10 +26,10 @@
   bool draining = false;
   bool isPrimary = false;
   std::uint64_t fencedTerm = 0;
-  /// Starts so far; connections end with the one that they were made in.
+  /// Number of starts; connections end when the server restarts.
   unsigned starts = 1;
   std::vector<record> log;
-  /// Records that reads see.
+  /// Number of log records that are applied and visible to reads.
   std::size_t applied = 0;
   unsigned connections = 0;
 
@@ -38,18 +38,18 @@
     return log.empty() ? 1 : log.back().term;
   }
 
-  /// The position up to which reads see the log, as TERM.NUMBER.
+  /// The position of the last applied record, as TERM.NUMBER.
   [[nodiscard]] std::string AppliedPosition() const;
 
-  /// Whether reads see the record at that position.
+  /// Whether the record at this position has been applied.
   [[nodiscard]] bool HasApplied(std::uint64_t aTerm,
                                 std::uint64_t aNumber) const;
 
-  /// The newest value of an item that reads see, or a dash.
+  /// The newest applied value of an item, or a dash.
   [[nodiscard]] std::string Read(const std::string& aItem) const;
 };
 
-/// Servers that follow one primary.
+/// A primary and its replicas.
 class group
 {
 public:
@@ -60,28 +60,28 @@
   [[nodiscard]] const std::string& Name() const { return mName; }
   [[nodiscard]] std::uint64_t Term() const { return mTerm; }
 
-  /// Whether the server leads the newest term.
+  /// Whether the server is the primary of the newest term.
   [[nodiscard]] bool IsPrimary(const server& aServer) const
   {
     return aServer.isPrimary && aServer.id == mPrimary;
   }
 
-  /// Appends changes at a server that leads; replicas in reach receive them at
-  /// once, so that no promotion loses one.
+  /// Appends changes to the log of a primary. Reachable replicas receive them
+  /// synchronously, so that a promotion does not lose them.
   void Commit(server& aAt, const std::vector<record>& aChanges);
 
-  /// Replicas that are up and not fenced apply what they have received, and
-  /// receive what they lack.
+  /// Replicas that are up and not fenced apply the records they have received
+  /// and receive those they lack.
   void AdvanceReplicas();
 
-  /// Makes a server primary of the next term; false if it is not up.
+  /// Makes a server the primary of the next term; false if it is down.
   [[nodiscard]] bool Promote(const std::string& aId);
 
-  /// The server starts again under its id: it holds nothing and leads nothing.
+  /// Restarts a server under its id with an empty log, as a replica.
   void Restart(const std::string& aId);
 
-  /// Values that were committed more than once for an item, in the log of the
-  /// present primary.
+  /// Counts values that were committed more than once for the same item in the
+  /// log of the current primary.
   [[nodiscard]] unsigned CountDuplicates() const;
 
 private:
--- a/standin/fleet/keys.cpp
+++ b/standin/fleet/keys.cpp
@@ -8,7 +8,7 @@
 
 namespace json = boost::json;
 
-// How far back copies reach.
+// How long snapshots are kept.
 constexpr std::chrono::seconds kSnapshotRetention{ 10 };
 
 bool
--- a/standin/fleet/keys.hpp
+++ b/standin/fleet/keys.hpp
@@ -12,16 +12,16 @@
 
 namespace currantshed::standin::fleet {
 
-/// The answer to one call of the store.
+/// The response to one call of the store.
 struct key_answer
 {
   unsigned status = 200;
   boost::json::object body;
-  /// What stands in place of the body, if anything.
+  /// Replaces the body if not empty.
   std::string text = {};
 };
 
-/// The keys of the platform's store, with leases and history.
+/// The platform's key-value store, with leases and a change history.
 class keys
 {
 public:
@@ -34,22 +34,21 @@
 
   [[nodiscard]] key_answer Get(const std::string& aKey) const;
   [[nodiscard]] key_answer Range(const std::string& aPrefix) const;
-  /// Changes after a revision; without any the answer has status zero.
+  /// Changes after a revision; status zero if there are none.
   [[nodiscard]] key_answer Changes(const std::string& aPrefix,
                                    std::uint64_t aAfter) const;
   [[nodiscard]] key_answer Commit(const boost::json::object& aTransaction);
   [[nodiscard]] key_answer GrantLease(std::int64_t aTtlMs, time_point aNow);
   [[nodiscard]] key_answer KeepAlive(std::uint64_t aLease, time_point aNow);
   void RevokeLease(std::uint64_t aLease);
-  /// Ends the leases that have run out.
+  /// Revokes expired leases.
   void Expire(time_point aNow);
 
-  /// Keeps a copy of the store as it is, and forgets old ones.
+  /// Takes a snapshot of the store and removes expired snapshots.
   void TakeSnapshot(time_point aNow);
 
-  /// Comes back from the newest copy that is at least so old. What was written
-  /// since is gone, revisions and leases are given out again, and the era
-  /// rises.
+  /// Restores the newest snapshot of at least the given age. Later writes are
+  /// lost, revisions and lease ids are assigned again, and the era increases.
   void Restore(std::chrono::milliseconds aAge, time_point aNow);
 
   [[nodiscard]] std::uint64_t Era() const { return mEra; }
--- a/standin/fleet/main.cpp
+++ b/standin/fleet/main.cpp
@@ -32,29 +32,30 @@
 
 constexpr unsigned kServersPerGroup = 3;
 constexpr unsigned kMaxConnections = 16;
-// How far behind replicas are.
+// How far replicas lag behind the primary.
 constexpr milliseconds kReplicationLag{ 20 };
-// How long a promotion takes.
+// Duration of a promotion.
 constexpr milliseconds kPromotionDuration{ 200 };
 constexpr milliseconds kWatchPollInterval{ 5 };
 constexpr milliseconds kSnapshotInterval{ 100 };
-// When the operator and the servers write again what the store has lost.
+// Delay after a restore until the operator and the servers rewrite the keys
+// that the store has lost.
 constexpr milliseconds kRewriteDelay{ 1000 };
-// When a server started for the first time, in milliseconds of the time of day;
-// each start after it counts one more.
+// Time of a server's first start in Unix milliseconds; each later start adds
+// one.
 constexpr std::int64_t kFirstStartMs = 1795000000000;
 
 struct options
 {
   std::uint16_t port = 0;
   std::uint16_t serversPort = 0;
-  /// Where the list says that the servers are; zero for where they are.
+  /// First port under which the store lists the servers; zero for serversPort.
   std::uint16_t listedPort = 0;
   unsigned groups = 2;
 };
 
-/// Everything outside the VMs: the store, the servers, and the interface for
-/// promotions, in one process.
+/// Simulates the platform outside the VMs in one process: the store, the
+/// database servers and the promotion interface.
 class platform_simulator
 {
 public:
@@ -79,7 +80,7 @@
     Accept(acceptor, std::move(aTake));
   }
 
-  /// Answers a call; false when it has to wait.
+  /// Handles a call; false if it has to wait.
   [[nodiscard]] bool Answer(const http::request<http::string_body>& aCall,
                             fleet::key_answer& aAnswer)
   {
@@ -120,7 +121,7 @@
 
   [[nodiscard]] std::uint64_t Era() const { return mKeys.Era(); }
 
-  /// Whether calls of the store wait for its return.
+  /// Whether the store is unavailable and its calls wait.
   [[nodiscard]] bool IsUnavailable() const { return mIsUnavailable; }
 
   [[nodiscard]] std::uint64_t WaitMs() const
@@ -257,8 +258,9 @@
     });
   }
 
-  // The store is away for so long, and then comes back without what was written
-  // in the span before. Calls that wait meanwhile are done after its return.
+  // Makes the store unavailable for aOutage, then restores it without the
+  // writes of the preceding aSpan. Calls that wait meanwhile are executed after
+  // the restore.
   void LoseRecentWrites(milliseconds aSpan, milliseconds aOutage)
   {
     mIsUnavailable = true;
@@ -312,10 +314,10 @@
     return { 404, {} };
   }
 
-  // What a test orders: the configuration's version, a store that comes back
-  // from an older copy, and servers that stop, come back, leave, or start again
-  // empty. Without an order it tells what is
-  // wrong.
+  // Executes a test command: sets the version of the configuration, restores
+  // the store from an older snapshot, or stops, starts, drains or restarts
+  // (with an empty log) servers. Any call also returns the number of duplicate
+  // changes.
   fleet::key_answer HandleTestCommand(const std::string& aPath)
   {
     if (aPath == "/test/configure") {
@@ -346,7 +348,7 @@
     return { 200, { { "doubled", doubled } } };
   }
 
-  // The server that leads the group now, if it is up.
+  // The id of the group's current primary, if it is up.
   std::string FindPrimary(const std::string& aGroup)
   {
     for (auto& one : mGroups) {
@@ -387,7 +389,7 @@
   std::string mQuery;
 };
 
-/// One connection to the store or to the interface for promotions.
+/// One connection to the store or to the promotion interface.
 class http_session : public std::enable_shared_from_this<http_session>
 {
 public:
@@ -468,15 +470,15 @@
   options chosen;
   currantshed::settings::parser parser(
     "currantshed-standin-fleet",
-    "Stands in for the users' platform: its store, its database servers and "
-    "its interface for promotions, on 127.0.0.1.");
+    "Simulates the users' platform: its store, its database servers and "
+    "its promotion interface, on 127.0.0.1.");
   parser.Port(chosen.port, "port", "Port of the store", true);
   parser.Port(
     chosen.serversPort, "servers-port", "First port of the servers", true);
   parser.Port(chosen.listedPort,
               "listed-port",
-              "First port of the servers as the store lists them, where a "
-              "proxy stands before them",
+              "First port of the servers as the store lists them, if a "
+              "proxy is in front of them",
               false);
   parser.Count(chosen.groups, "groups", "Groups of three servers", 1, 8);
   const auto parsed = parser.Parse(aCount, aValues);
--- a/standin/fleet/session.hpp
+++ b/standin/fleet/session.hpp
@@ -11,8 +11,7 @@
 
 namespace currantshed::standin::fleet {
 
-/// One connection to a server of a group: reads lines, and answers each at
-/// once.
+/// One connection to a server of a group; answers each line immediately.
 class session
 {
 public:
@@ -21,7 +20,7 @@
   session& operator=(const session&) = delete;
   ~session();
 
-  /// The answer to a line; empty ends the connection.
+  /// Returns the answer to a line; an empty answer closes the connection.
   [[nodiscard]] std::string Answer(std::string_view aLine);
 
 private:
--- a/standin/platform/call.hpp
+++ b/standin/platform/call.hpp
@@ -10,41 +10,42 @@
 
 namespace currantshed::standin {
 
-/// What a call costs the platform.
+/// The kinds of calls that are counted and rate-limited separately.
 enum class call_kind
 {
   kRead,
-  /// A read that may wait for a change.
+  /// A blocking read that may wait for a change.
   kWatch,
   kList,
   kWrite,
-  /// Opening, renewing or ending a session.
+  /// Creating, renewing or destroying a session.
   kSession,
-  /// A call to the stand-in itself; not counted, and no fault strikes it.
+  /// A call to the stand-in's control interface; not counted, and not subject
+  /// to injected faults.
   kControl,
 };
 
 /// Number of kinds that are counted.
 constexpr std::size_t kCountedKinds = 5;
 
-/// One request, taken apart.
+/// A parsed request.
 struct call
 {
   std::string method;
   /// Percent-decoded.
   std::string path;
-  /// Percent-decoded; a name without a value has an empty one.
+  /// Percent-decoded; the value is empty for a name without one.
   absl::btree_map<std::string, std::string> query;
   std::string body;
 
-  /// The number given by a name of the query, if there is one.
+  /// The numeric value of a query parameter, if present and valid.
   [[nodiscard]] std::optional<std::uint64_t> Number(
     std::string_view aName) const;
-  /// The text given by a name of the query, or an empty one.
+  /// The value of a query parameter; empty if absent.
   [[nodiscard]] std::string Text(std::string_view aName) const;
 };
 
-/// What is sent back.
+/// The response to a call.
 struct answer
 {
   int status = 200;
@@ -53,7 +54,7 @@
   std::uint64_t index = 0;
 };
 
-/// Takes a request apart; none if its target isn't well formed.
+/// Parses a request; none if its target is malformed.
 [[nodiscard]] std::optional<call>
 ParseCall(std::string_view aMethod, std::string_view aTarget);
 
--- a/standin/platform/call_counter.hpp
+++ b/standin/platform/call_counter.hpp
@@ -10,16 +10,16 @@
 
 namespace currantshed::standin {
 
-/// What the platform takes in one second; zero sets no limit.
+/// Rate limits of the platform; zero disables a limit.
 struct rate_limits
 {
   unsigned readsPerSecond = 0;
   unsigned writesPerSecond = 0;
 };
 
-/// Counts calls in all and in each second, and refuses those above the
-/// limits. Watches and lists count as reads, sessions as writes. The seconds
-/// follow one another from the first call on.
+/// Counts calls in total and per second, and rejects those above the limits.
+/// Watches and lists count as reads, sessions as writes. Seconds are counted
+/// from the first call.
 class call_counter
 {
 public:
@@ -28,10 +28,10 @@
   /// Counts a call; false if it is above the limit.
   [[nodiscard]] bool Admit(call_kind aKind, clock::time_point aNow);
 
-  /// Starts anew, limits apart.
+  /// Resets all counts; the limits stay.
   void Reset();
 
-  /// The counts as JSON; the watches that wait now come from outside.
+  /// The counts as JSON, including the given number of waiting watches.
   [[nodiscard]] std::string ToJson(std::size_t aWaitingWatches,
                                    clock::time_point aNow);
 
--- a/standin/platform/catalog.hpp
+++ b/standin/platform/catalog.hpp
@@ -11,7 +11,8 @@
 
 namespace currantshed::standin {
 
-/// The platform's lists, which show a change only after a lag.
+/// The platform's lists of VMs and upstreams. A change becomes visible only
+/// after a lag.
 class catalog
 {
 public:
@@ -20,23 +21,25 @@
   /// Replaces the lists.
   void Replace(catalog_content aContent, clock::time_point aNow);
 
-  /// Sets a VM to live, leaving or gone; false if either is unknown.
+  /// Sets a VM to live, leaving or gone; false if the VM or the state is
+  /// unknown.
   [[nodiscard]] bool SetVm(std::string_view aId,
                            std::string_view aState,
                            clock::time_point aNow);
 
-  /// Sets a database server to live or leaving; false if either is unknown.
+  /// Sets a database server to live or leaving; false if the server or the
+  /// state is unknown.
   [[nodiscard]] bool SetUpstream(std::string_view aId,
                                  std::string_view aState,
                                  clock::time_point aNow);
 
-  /// The lag of changes made from now on.
+  /// Sets the lag of subsequent changes.
   void SetLag(std::chrono::milliseconds aLag);
 
-  /// The answer to GET /v1/catalog/service/currantshed.
+  /// The response to GET /v1/catalog/service/currantshed.
   [[nodiscard]] std::string VmsJson(clock::time_point aNow);
 
-  /// The answer to GET /v1/catalog/service/upstream.
+  /// The response to GET /v1/catalog/service/upstream.
   [[nodiscard]] std::string UpstreamsJson(clock::time_point aNow);
 
 private:
@@ -50,9 +53,9 @@
   void ApplyDueChanges(clock::time_point aNow);
 
   std::chrono::milliseconds mLag;
-  /// With all changes.
+  /// Content with all changes applied.
   catalog_content mLatest;
-  /// As callers see it.
+  /// Content that is visible to callers.
   catalog_content mVisible;
   std::deque<pending_change> mPending;
 };
--- a/standin/platform/faults.hpp
+++ b/standin/platform/faults.hpp
@@ -6,25 +6,25 @@
 
 namespace currantshed::standin {
 
-/// How the platform fails while it is out.
+/// Failure mode during an outage.
 enum class outage
 {
   kNone,
-  /// Connections and calls are taken, and never answered.
+  /// Connections and calls are accepted but never answered.
   kHang,
-  /// Each call is answered with 503.
+  /// Each call is answered with status 503.
   kError,
 };
 
-/// The faults in force.
+/// The faults currently injected.
 struct faults
 {
   outage outageMode = outage::kNone;
-  /// Added to each call: one half before its effect, one half after.
+  /// Latency added to each call: one half before its effect, one half after.
   std::chrono::milliseconds addedLatency{ 0 };
-  /// Writes that still take effect with their answers lost.
+  /// Number of further writes that take effect but whose responses are lost.
   std::uint64_t loseAnswers = 0;
-  /// Writes that are still lost before their effect.
+  /// Number of further writes that are lost before taking effect.
   std::uint64_t loseRequests = 0;
 };
 
--- a/standin/platform/main.cpp
+++ b/standin/platform/main.cpp
@@ -24,9 +24,9 @@
 
 constexpr char kProgram[] = "currantshed-standin-platform";
 constexpr char kSummary[] =
-  "Stands in for the platform's service in demos and tests: keys with "
+  "Simulates the platform's service in demos and tests: keys with "
   "compare-and-swap, watches, sessions, the lists of VMs and upstreams, and "
-  "faults to order.";
+  "injectable faults.";
 constexpr milliseconds kMaxLag{ 600000 };
 constexpr unsigned kMaxRate = 1000000;
 
@@ -44,22 +44,22 @@
 ReadOptions(options& aOptions, int aCount, const char* const* aValues)
 {
   settings::parser parser(kProgram, kSummary);
-  parser.Text(aOptions.address, "address", "IP number to listen on", true);
+  parser.Text(aOptions.address, "address", "IP address to listen on", true);
   parser.Port(aOptions.port, "port", "port to listen on", true);
-  parser.Text(aOptions.shape, "shape", "file with the deployment's lists");
+  parser.Text(aOptions.shape, "shape", "file with the lists of the deployment");
   parser.Milliseconds(aOptions.listLag,
                       "list-lag-ms",
-                      "how late the lists show a change",
+                      "delay until the lists show a change",
                       milliseconds(0),
                       kMaxLag);
   parser.Count(aOptions.writesPerSecond,
                "writes-per-second",
-               "writes above this are refused; 0 for no limit",
+               "writes above this rate are rejected; 0 for no limit",
                0,
                kMaxRate);
   parser.Count(aOptions.readsPerSecond,
                "reads-per-second",
-               "reads above this are refused; 0 for no limit",
+               "reads above this rate are rejected; 0 for no limit",
                0,
                kMaxRate);
   return parser.Parse(aCount, aValues);
--- a/standin/platform/server.cpp
+++ b/standin/platform/server.cpp
@@ -37,7 +37,7 @@
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
 
-/// What became of a call: an answer, or a connection to close without one.
+/// Result of a call: a response, or a connection to close without one.
 struct result
 {
   bool answered = true;
@@ -89,7 +89,7 @@
   return std::min<clock::duration>(absl::ToChronoMilliseconds(wait), kMaxWait);
 }
 
-/// Waits for the timer; false if the caller hung up meanwhile.
+/// Waits for the timer; false if the client closed the connection first.
 asio::awaitable<bool>
 WaitUnlessClosed(tcp::socket& aSocket, asio::steady_timer& aTimer)
 {
@@ -109,7 +109,7 @@
   co_return co_await WaitUnlessClosed(aSocket, timer);
 }
 
-/// Keeps a call while the platform hangs, then drops it.
+/// Holds a call without a response while the platform hangs, then drops it.
 asio::awaitable<result>
 Hang(server& aServer, tcp::socket& aSocket)
 {
@@ -124,7 +124,7 @@
   co_return DroppedCall();
 }
 
-/// Lets a call meet the outage, if there is one.
+/// Applies the current outage to a call; true if the call ends with aResult.
 asio::awaitable<bool>
 ApplyOutage(server& aServer, tcp::socket& aSocket, result& aResult)
 {
@@ -141,8 +141,8 @@
   co_return false;
 }
 
-/// Waits until a watch has something to tell or its time is over, and no
-/// longer than the platform is well.
+/// Waits until the watched key changes, the watch times out or an outage
+/// begins; false if the client closed the connection.
 asio::awaitable<bool>
 WaitForChange(server& aServer, tcp::socket& aSocket, const call& aCall)
 {
@@ -170,7 +170,7 @@
   return true;
 }
 
-/// Carries out a call of the platform's interface, faults included.
+/// Executes a call of the platform's interface, including injected faults.
 asio::awaitable<result>
 Execute(server& aServer, tcp::socket& aSocket, const call& aCall)
 {
@@ -256,7 +256,7 @@
   return message;
 }
 
-/// Serves one connection until either side ends it.
+/// Serves one connection until either side closes it.
 asio::awaitable<void>
 Serve(server_ptr aServer, tcp::socket aSocket)
 {
@@ -307,7 +307,7 @@
   }
 }
 
-/// Lets sessions lapse also while no call comes.
+/// Expires sessions also while no calls arrive.
 asio::awaitable<void>
 ExpireSessions(server_ptr aServer)
 {
--- a/standin/platform/server.hpp
+++ b/standin/platform/server.hpp
@@ -10,8 +10,9 @@
 
 namespace currantshed::standin {
 
-/// Serves the platform's interface on a port until the loop is stopped, and
-/// carries out the faults. False if the port can't be had.
+/// Serves the platform's interface on a port until the event loop stops, and
+/// applies injected faults. False, with the error in aFault, if it cannot
+/// listen on the port.
 [[nodiscard]] bool
 StartServer(boost::asio::io_context& aLoop,
             service& aService,
--- a/standin/platform/service.cpp
+++ b/standin/platform/service.cpp
@@ -42,7 +42,7 @@
   return ErrorAnswer(kNotFound, "no such path");
 }
 
-/// Reads the outage that a control call asks for; false if it isn't one.
+/// Parses the outage mode of a control call; false if it is invalid.
 bool
 ReadOutage(const call& aCall, outage& aOutage)
 {
@@ -62,7 +62,7 @@
   return true;
 }
 
-/// Reads the time to live of a session's description; zero where none is
+/// Parses the time to live in the body of a session request; zero if none is
 /// given.
 bool
 ReadTtl(const std::string& aBody, absl::Duration& aTtl)
@@ -115,7 +115,7 @@
     if (aCall.method == "PUT") {
       return WriteKey(KeyOf(aCall), aCall);
     }
-    return ErrorAnswer(kWrongMethod, "GET or PUT");
+    return ErrorAnswer(kWrongMethod, "method not allowed; use GET or PUT");
   }
   if (aCall.path == "/v1/catalog/service/currantshed") {
     return answer{ 200, mCatalog.VmsJson(aNow), 0 };
@@ -213,7 +213,8 @@
   }
   if ((hasCas ? 1 : 0) + (acquire.empty() ? 0 : 1) + (release.empty() ? 0 : 1) >
       1) {
-    return ErrorAnswer(kBadRequest, "one of cas, acquire and release at most");
+    return ErrorAnswer(kBadRequest,
+                       "at most one of cas, acquire and release is allowed");
   }
   bool written = false;
   if (!acquire.empty()) {
@@ -258,7 +259,7 @@
 {
   absl::Duration ttl;
   if (!ReadTtl(aCall.body, ttl)) {
-    return ErrorAnswer(kBadRequest, "the session's description is malformed");
+    return ErrorAnswer(kBadRequest, "malformed session request body");
   }
   const auto id = mStore.CreateSession(absl::ToChronoMilliseconds(ttl), aNow);
   return answer{ 200, json::serialize(json::object{ { "ID", id } }), 0 };
@@ -269,7 +270,8 @@
 {
   faults next = mFaults;
   if (!ReadOutage(aCall, next.outageMode)) {
-    return ErrorAnswer(kBadRequest, "outage=on|off and mode=hang|error");
+    return ErrorAnswer(kBadRequest,
+                       "expected outage=on|off and mode=hang|error");
   }
   for (const auto& [name, text] : aCall.query) {
     std::uint32_t number = 0;
@@ -288,7 +290,7 @@
     } else if (name == "list_lag_ms") {
       mCatalog.SetLag(std::chrono::milliseconds(number));
     } else {
-      return ErrorAnswer(kBadRequest, absl::StrCat("no fault ", name));
+      return ErrorAnswer(kBadRequest, absl::StrCat("unknown fault ", name));
     }
   }
   mFaults = next;
--- a/standin/platform/service.hpp
+++ b/standin/platform/service.hpp
@@ -14,8 +14,8 @@
 
 namespace currantshed::standin {
 
-/// The platform without its sockets: calls in, answers out, faults kept but
-/// not carried out. Not safe for use by several threads.
+/// The platform without its network layer: maps calls to responses and stores
+/// the injected faults, which the server applies. Not thread-safe.
 class service
 {
 public:
@@ -23,22 +23,22 @@
           std::chrono::milliseconds aListLag,
           rate_limits aLimits);
 
-  /// Answers a call of the platform's interface. A watch is answered as a
-  /// plain read.
+  /// Handles a call of the platform's interface. A watch is answered as a plain
+  /// read.
   [[nodiscard]] answer Handle(const call& aCall, clock::time_point aNow);
 
-  /// Answers a call to the stand-in itself.
+  /// Handles a call of the control interface.
   [[nodiscard]] answer Control(const call& aCall,
                                std::size_t aWaitingWatches,
                                clock::time_point aNow);
 
-  /// Whether a watch on the call's key has something to tell.
+  /// Whether the watched key has changed since the index of the call.
   [[nodiscard]] bool IsWatchReady(const call& aCall) const;
 
-  /// Lets sessions lapse.
+  /// Ends expired sessions.
   void Expire(clock::time_point aNow);
 
-  /// The keys changed since the last call.
+  /// Returns the keys changed since the previous call.
   [[nodiscard]] std::vector<std::string> TakeChangedKeys();
 
   [[nodiscard]] call_counter& Counter() { return mCounter; }
@@ -60,7 +60,7 @@
   std::vector<std::string> mChangedKeys;
 };
 
-/// The key that a call of the key-value interface names.
+/// The key addressed by a call of the key-value interface.
 [[nodiscard]] std::string
 KeyOf(const call& aCall);
 
--- a/standin/platform/shape.cpp
+++ b/standin/platform/shape.cpp
@@ -79,7 +79,7 @@
 {
   const std::ifstream file(aPath);
   if (!file) {
-    aFault = "can't open " + aPath;
+    aFault = "cannot open " + aPath;
     return false;
   }
   std::ostringstream text;
--- a/standin/platform/shape.hpp
+++ b/standin/platform/shape.hpp
@@ -8,7 +8,7 @@
 
 namespace currantshed::standin {
 
-/// One of the system's VMs, as the platform lists it.
+/// One VM of this system, as listed by the platform.
 struct vm_entry
 {
   std::string id;
@@ -18,11 +18,11 @@
   std::uint16_t peerPort = 0;
   std::uint16_t statusPort = 0;
   bool leaving = false;
-  /// Left out of the list.
+  /// Omitted from the list.
   bool gone = false;
 };
 
-/// One database server, as the platform lists it.
+/// One database server, as listed by the platform.
 struct upstream_entry
 {
   std::string id;
@@ -35,21 +35,21 @@
   bool leaving = false;
 };
 
-/// Everything that the platform lists.
+/// All lists of the platform.
 struct catalog_content
 {
   std::vector<vm_entry> vms;
   std::vector<upstream_entry> upstreams;
 };
 
-/// Reads the lists of a shape file (see shapes/). On a fault, says what is
-/// wrong and leaves the content as it was.
+/// Parses the lists of a shape file (see shapes/). On error sets aFault and
+/// leaves the content unchanged.
 [[nodiscard]] bool
 ParseShape(std::string_view aJson,
            catalog_content& aContent,
            std::string& aFault);
 
-/// Reads a shape file.
+/// Reads and parses a shape file.
 [[nodiscard]] bool
 LoadShape(const std::string& aPath,
           catalog_content& aContent,
--- a/standin/platform/store.hpp
+++ b/standin/platform/store.hpp
@@ -20,53 +20,54 @@
   std::string value;
   std::uint64_t createIndex = 0;
   std::uint64_t modifyIndex = 0;
-  /// How often a session has taken the key.
+  /// Number of times a session has acquired the key.
   std::uint64_t lockIndex = 0;
-  /// The session that holds the key; empty where none does.
+  /// The session that holds the key; empty if none.
   std::string session;
 };
 
-/// Keys and sessions in memory. Every change takes the next index, one row of
-/// numbers for the whole store. There is no lock delay: a key whose session
-/// has ended can be taken at once, which is the harder case for its holder.
+/// Keys and sessions in memory. Every change takes the next index of one
+/// sequence for the whole store. There is no lock delay: a key whose session
+/// has ended can be acquired at once, which is the harder case for its holder.
 class store
 {
 public:
-  /// The key, or null.
+  /// Returns the key, or null.
   [[nodiscard]] const stored_value* Find(const std::string& aKey) const;
 
   /// The index of the last change; never zero.
   [[nodiscard]] std::uint64_t Index() const noexcept;
 
-  /// Writes a key, and only if its index is the given one where one is
-  /// given; zero stands for a key that isn't there.
+  /// Writes a key. If an index is given, it must match the current index of the
+  /// key (compare-and-set); zero means that the key must not exist.
   [[nodiscard]] bool Put(const std::string& aKey,
                          std::string aValue,
                          std::optional<std::uint64_t> aExpected);
 
-  /// Writes a key and takes it for a session, unless another one holds it or
-  /// the session has ended.
+  /// Writes a key and acquires it for a session, unless another session holds
+  /// it or the session does not exist.
   [[nodiscard]] bool Acquire(const std::string& aKey,
                              std::string aValue,
                              const std::string& aSession);
 
-  /// Writes a key and gives it up, if the session holds it.
+  /// Writes a key and releases it if the session holds it.
   [[nodiscard]] bool Release(const std::string& aKey,
                              std::string aValue,
                              const std::string& aSession);
 
-  /// Opens a session and returns its id. Zero means that it never lapses.
+  /// Creates a session and returns its id. A time to live of zero means that it
+  /// never expires.
   [[nodiscard]] std::string CreateSession(std::chrono::milliseconds aTtl,
                                           clock::time_point aNow);
 
-  /// Extends a session by its time to live; false if there is none.
+  /// Renews a session for its time to live; false if it does not exist.
   [[nodiscard]] bool RenewSession(const std::string& aSession,
                                   clock::time_point aNow);
 
-  /// Ends a session; returns the keys it gave up.
+  /// Destroys a session; returns the keys it released.
   std::vector<std::string> DestroySession(const std::string& aSession);
 
-  /// Ends the sessions whose time has passed; returns the keys given up.
+  /// Destroys expired sessions; returns the keys they released.
   std::vector<std::string> ExpireSessions(clock::time_point aNow);
 
 private:
--- a/standin/platform/waiters.hpp
+++ b/standin/platform/waiters.hpp
@@ -8,12 +8,12 @@
 
 namespace currantshed::standin {
 
-/// The calls that wait for something. Each has a timer; to wake a call is to
-/// let its timer run out, which also holds when the wait begins later.
+/// The calls that are waiting. Each has a timer; waking a call expires its
+/// timer, which also works if the call starts to wait afterwards.
 class waiters
 {
 public:
-  /// Keeps one call in the list for as long as it lives.
+  /// Keeps one call in the list for the lifetime of this object.
   class registration
   {
   public:
@@ -36,7 +36,7 @@
     boost::asio::steady_timer& mTimer;
   };
 
-  /// Wakes those that wait for a key.
+  /// Wakes the calls that wait for a key.
   void Wake(const std::string& aKey)
   {
     for (auto& [timer, key] : mWaiting) {
