--- a/src/currantshed/http/fetcher.cpp
+++ b/src/currantshed/http/fetcher.cpp
@@ -54,9 +54,9 @@
 void
 Finish(CURL* aHandle, CURLcode aCode)
 {
-  char* place = nullptr;
-  curl_easy_getinfo(aHandle, CURLINFO_PRIVATE, &place);
-  auto& result = static_cast<transfer*>(static_cast<void*>(place))->result;
+  char* pointer = nullptr;
+  curl_easy_getinfo(aHandle, CURLINFO_PRIVATE, &pointer);
+  auto& result = static_cast<transfer*>(static_cast<void*>(pointer))->result;
   if (aCode != CURLE_OK) {
     result.error = curl_easy_strerror(aCode);
     result.body.clear();
@@ -95,7 +95,7 @@
       Prepare(one, aUrls[i], aTimeout);
       curl_multi_add_handle(mMulti.get(), one.handle.get());
     }
-    Drive();
+    RunTransfers();
     for (auto& one : transfers) {
       curl_multi_remove_handle(mMulti.get(), one.handle.get());
       aAll.push_back(std::move(one.result));
@@ -103,7 +103,7 @@
   }
 
   /// Runs all transfers to completion.
-  void Drive()
+  void RunTransfers()
   {
     int running = 1;
     while (running > 0) {
--- a/src/currantshed/http/status_server.cpp
+++ b/src/currantshed/http/status_server.cpp
@@ -211,11 +211,11 @@
 
   void Serve(tcp::socket aSocket)
   {
-    const auto place = mConnections.insert(
+    const auto iterator = mConnections.insert(
       mConnections.end(),
       std::make_shared<connection>(std::move(aSocket), *mMetrics, mSource));
-    (*place)->Start([self = shared_from_this(), place] {
-      self->mConnections.erase(place);
+    (*iterator)->Start([self = shared_from_this(), iterator] {
+      self->mConnections.erase(iterator);
       self->Accept();
     });
   }
--- a/src/currantshed/log/log.cpp
+++ b/src/currantshed/log/log.cpp
@@ -114,7 +114,7 @@
 struct state
 {
   identity self;
-  std::atomic<level> lowest{ level::kInfo };
+  std::atomic<level> minLevel{ level::kInfo };
 };
 
 state&
@@ -161,10 +161,10 @@
 } // namespace
 
 void
-Start(const identity& aSelf, level aLowest)
+Start(const identity& aSelf, level aMinLevel)
 {
   GetState().self = aSelf;
-  GetState().lowest = aLowest;
+  GetState().minLevel = aMinLevel;
   GetLogger();
   el::Helpers::logDispatchCallback<line_writer>(kWriterName)->UseOutput();
 }
@@ -172,7 +172,7 @@
 bool
 IsLevelEnabled(level aLevel)
 {
-  return aLevel >= GetState().lowest.load(std::memory_order_relaxed);
+  return aLevel >= GetState().minLevel.load(std::memory_order_relaxed);
 }
 
 std::string
--- a/src/currantshed/log/log.hpp
+++ b/src/currantshed/log/log.hpp
@@ -50,7 +50,7 @@
 /// block the caller. Without this call, as in command-line tools, lines carry
 /// no identity and go to standard error.
 void
-Start(const identity& aSelf, level aLowest);
+Start(const identity& aSelf, level aMinLevel);
 
 /// Whether lines of this level are written.
 [[nodiscard]] bool
--- a/src/currantshed/net/errors.cpp
+++ b/src/currantshed/net/errors.cpp
@@ -17,13 +17,13 @@
   {
     switch (static_cast<net_errc>(aValue)) {
       case net_errc::kAddressInUse:
-        return "port in use";
+        return "port is in use";
       case net_errc::kAddressNotAvailable:
-        return "address not usable on this VM";
+        return "address not available on this VM";
       case net_errc::kQueueFull:
-        return "queue to the peer is full or not connected";
+        return "send queue is full or peer is not connected";
       case net_errc::kUnreachable:
-        return "peer has gone";
+        return "peer is not connected";
       case net_errc::kClosed:
         return "socket is closed";
       case net_errc::kSystem:
--- a/src/currantshed/settings/command_line.cpp
+++ b/src/currantshed/settings/command_line.cpp
@@ -65,10 +65,10 @@
                       const std::vector<std::string>& aTokens,
                       std::vector<std::string>& aErrors)
 {
-  std::vector<std::string> kept;
+  std::vector<std::string> complete;
   for (std::size_t i = 0; i < aTokens.size(); ++i) {
     if (FindOption(aOptions, aTokens[i]) == nullptr) {
-      kept.push_back(aTokens[i]);
+      complete.push_back(aTokens[i]);
       continue;
     }
     const bool hasValue =
@@ -77,11 +77,11 @@
       aErrors.push_back(absl::StrCat(aTokens[i], ": needs a value"));
       continue;
     }
-    kept.push_back(aTokens[i]);
-    kept.push_back(aTokens[i + 1]);
+    complete.push_back(aTokens[i]);
+    complete.push_back(aTokens[i + 1]);
     ++i;
   }
-  return kept;
+  return complete;
 }
 
 /// Separates unknown flags from positional arguments. The token after an
--- a/src/currantshed/wire/convert_member.cpp
+++ b/src/currantshed/wire/convert_member.cpp
@@ -51,8 +51,8 @@
   if (aFrom.size() > kMaxListEntries) {
     return wire_errc::kTooLarge;
   }
-  for (const auto& given : aFrom) {
-    if (const auto error = VmFromProto(given, aTo.emplace_back())) {
+  for (const auto& item : aFrom) {
+    if (const auto error = VmFromProto(item, aTo.emplace_back())) {
       return error;
     }
   }
@@ -94,8 +94,8 @@
     return wire_errc::kTooLarge;
   }
   aTo.name = aFrom.name();
-  for (const auto& given : aFrom.servers()) {
-    if (const auto error = ServerFromProto(given, aTo.members.emplace_back())) {
+  for (const auto& item : aFrom.servers()) {
+    if (const auto error = ServerFromProto(item, aTo.members.emplace_back())) {
       return error;
     }
   }
@@ -146,17 +146,17 @@
   for (const auto& vm : aFrom.peerSample) {
     VmToProto(vm, *aTo.add_heard_of());
   }
-  for (const auto& word : aFrom.suspicions) {
+  for (const auto& suspicion : aFrom.suspicions) {
     Suspicion& to = *aTo.add_suspicions();
-    to.set_group(word.group);
-    to.set_term(word.term);
-    to.set_primary(word.primary);
+    to.set_group(suspicion.group);
+    to.set_term(suspicion.term);
+    to.set_primary(suspicion.primary);
   }
-  for (const auto& news : aFrom.terms) {
+  for (const auto& announcement : aFrom.terms) {
     TermNews& to = *aTo.add_terms();
-    to.set_group(news.group);
-    to.set_term(news.term);
-    to.set_primary(news.primary);
+    to.set_group(announcement.group);
+    to.set_term(announcement.term);
+    to.set_primary(announcement.primary);
   }
   aTo.set_answer(aFrom.answer);
   for (const auto& vm : aFrom.lost) {
@@ -186,11 +186,13 @@
   aTo.incarnation = aFrom.incarnation();
   aTo.sequence = aFrom.sequence();
   aTo.configuration = aFrom.configuration_version();
-  for (const auto& word : aFrom.suspicions()) {
-    aTo.suspicions.push_back({ word.group(), word.term(), word.primary() });
+  for (const auto& suspicion : aFrom.suspicions()) {
+    aTo.suspicions.push_back(
+      { suspicion.group(), suspicion.term(), suspicion.primary() });
   }
-  for (const auto& news : aFrom.terms()) {
-    aTo.terms.push_back({ news.group(), news.term(), news.primary() });
+  for (const auto& announcement : aFrom.terms()) {
+    aTo.terms.push_back(
+      { announcement.group(), announcement.term(), announcement.primary() });
   }
   aTo.answer = aFrom.answer();
   for (const auto& vm : aFrom.lost()) {
@@ -227,8 +229,8 @@
   if (aFrom.groups_size() > kMaxListEntries) {
     return wire_errc::kTooLarge;
   }
-  for (const auto& given : aFrom.groups()) {
-    if (const auto error = GroupFromProto(given, aTo.groups.emplace_back())) {
+  for (const auto& item : aFrom.groups()) {
+    if (const auto error = GroupFromProto(item, aTo.groups.emplace_back())) {
       return error;
     }
   }
--- a/src/currantshed/wire/convert_request.cpp
+++ b/src/currantshed/wire/convert_request.cpp
@@ -71,8 +71,8 @@
   aTo.set_name(aFrom.name);
   aTo.set_access(aFrom.kind == policy::access::kWrite ? ACCESS_WRITE
                                                       : ACCESS_READ);
-  for (const auto& place : aFrom.servedIn) {
-    aTo.add_served_in(place);
+  for (const auto& failureDomain : aFrom.servedIn) {
+    aTo.add_served_in(failureDomain);
   }
   aTo.set_max_staleness_us(ToMicroseconds(aFrom.maxStaleness));
   aTo.set_repeatable(aFrom.repeatable);
@@ -84,8 +84,8 @@
   aTo.name = std::move(*aFrom.mutable_name());
   aTo.kind = aFrom.access() == ACCESS_WRITE ? policy::access::kWrite
                                             : policy::access::kRead;
-  for (auto& place : *aFrom.mutable_served_in()) {
-    aTo.servedIn.push_back(std::move(place));
+  for (auto& failureDomain : *aFrom.mutable_served_in()) {
+    aTo.servedIn.push_back(std::move(failureDomain));
   }
   aTo.maxStaleness =
     duration_cast<milliseconds>(FromMicroseconds(aFrom.max_staleness_us()));
@@ -108,13 +108,13 @@
     return wire_errc::kTooLarge;
   }
   aTo.reserve(static_cast<std::size_t>(aFrom.statements_size()));
-  for (auto& given : *aFrom.mutable_statements()) {
-    if (given.parameters_size() > kMaxParameters) {
+  for (auto& item : *aFrom.mutable_statements()) {
+    if (item.parameters_size() > kMaxParameters) {
       return wire_errc::kTooLarge;
     }
     upstream::statement& statement = aTo.emplace_back();
-    statement.sql = std::move(*given.mutable_sql());
-    for (auto& parameter : *given.mutable_parameters()) {
+    statement.sql = std::move(*item.mutable_sql());
+    for (auto& parameter : *item.mutable_parameters()) {
       statement.parameters.push_back(FieldFromProto(parameter));
     }
   }
--- a/standin/fleet/keys.cpp
+++ b/standin/fleet/keys.cpp
@@ -30,9 +30,9 @@
           const std::string& aValue,
           std::uint64_t aLease)
 {
-  auto& place = mState.entries[aKey];
-  place = { aValue, ++mState.revision, aLease };
-  mHistory.push_back({ aKey, mState.revision, false, place });
+  auto& stored = mState.entries[aKey];
+  stored = { aValue, ++mState.revision, aLease };
+  mHistory.push_back({ aKey, mState.revision, false, stored });
 }
 
 void
--- a/standin/fleet/main.cpp
+++ b/standin/fleet/main.cpp
@@ -145,13 +145,13 @@
       servers.push_back(one);
     }
     mGroups.emplace_back(name, servers);
-    auto& made = mGroups.back();
+    auto& group = mGroups.back();
     unsigned port = aOptions.serversPort + first;
-    for (auto& one : made.Servers()) {
+    for (auto& one : group.Servers()) {
       PublishServer(one);
       Listen(static_cast<std::uint16_t>(port++),
-             [this, &made, id = one.id](tcp::socket aSocket) {
-               Serve(made, id, std::move(aSocket));
+             [this, &group, id = one.id](tcp::socket aSocket) {
+               Serve(group, id, std::move(aSocket));
              });
     }
   }
@@ -316,8 +316,8 @@
 
   // Executes a test command: sets the version of the configuration, restores
   // the store from an older snapshot, or stops, starts, drains or restarts
-  // (with an empty log) servers. Any call also returns the number of duplicate
-  // changes.
+  // (with an empty log) servers. Commands other than /test/primary return the
+  // number of duplicate changes.
   fleet::key_answer HandleTestCommand(const std::string& aPath)
   {
     if (aPath == "/test/configure") {
@@ -487,9 +487,9 @@
   }
   try {
     boost::asio::io_context context;
-    platform_simulator made(context, chosen);
-    made.Listen(chosen.port, [&made](tcp::socket aSocket) {
-      std::make_shared<http_session>(made, std::move(aSocket))->Read();
+    platform_simulator platform(context, chosen);
+    platform.Listen(chosen.port, [&platform](tcp::socket aSocket) {
+      std::make_shared<http_session>(platform, std::move(aSocket))->Read();
     });
     boost::asio::signal_set signals(context, SIGINT, SIGTERM);
     signals.async_wait([&context](const auto&, int) { context.stop(); });
--- a/standin/fleet/session.cpp
+++ b/standin/fleet/session.cpp
@@ -10,10 +10,10 @@
 NextWord(std::string_view& aText)
 {
   const auto end = aText.find(' ');
-  const auto word = aText.substr(0, end);
+  const auto keyword = aText.substr(0, end);
   aText =
     end == std::string_view::npos ? std::string_view{} : aText.substr(end + 1);
-  return word;
+  return keyword;
 }
 
 std::uint64_t
@@ -50,11 +50,11 @@
   if (!Self().up || Self().starts != mStart) {
     return {};
   }
-  const auto word = NextWord(aLine);
+  const auto keyword = NextWord(aLine);
   if (!mIsOpen) {
-    return word == "START" ? HandleStart(aLine) : std::string();
+    return keyword == "START" ? HandleStart(aLine) : std::string();
   }
-  if (word != "QUERY") {
+  if (keyword != "QUERY") {
     return {};
   }
   const std::string id(NextWord(aLine));
@@ -102,18 +102,18 @@
 std::string
 session::HandleQuery(const std::string& aId, std::string_view aText)
 {
-  auto word = NextWord(aText);
-  if (word == "AFTERLSN") {
+  auto keyword = NextWord(aText);
+  if (keyword == "AFTERLSN") {
     const auto position = NextWord(aText);
     const auto dot = position.find('.');
     if (!Self().HasApplied(Number(position.substr(0, dot)),
                            Number(position.substr(dot + 1)))) {
       return "ERROR LAGGING " + mServer + "\r\n" + ReadyReply();
     }
-    word = NextWord(aText);
+    keyword = NextWord(aText);
   }
   const std::string signature = "signed-" + aId;
-  if (word == "ROLLBACK") {
+  if (keyword == "ROLLBACK") {
     mInTransaction = mFailed = false;
     mChanges.clear();
     return CompletionReply("-");
@@ -121,14 +121,14 @@
   if (mFailed) {
     return ErrorReply("MALFORMED");
   }
-  if (word == "READ") {
+  if (keyword == "READ") {
     return CompletionReply(signature,
                            Self().Read(std::string(NextWord(aText))));
   }
-  if (word == "WRITE") {
+  if (keyword == "WRITE") {
     return HandleWrite(aId, aText);
   }
-  if (word == "BEGIN") {
+  if (keyword == "BEGIN") {
     mIsReadOnly = aText == "READ";
     if (!mIsReadOnly && !Self().isPrimary) {
       return ErrorReply("READONLY");
@@ -136,7 +136,7 @@
     mInTransaction = true;
     return CompletionReply("-");
   }
-  if (word == "COMMIT") {
+  if (keyword == "COMMIT") {
     mInTransaction = false;
     if (!mChanges.empty() && !Self().isPrimary) {
       mChanges.clear();
@@ -145,12 +145,12 @@
     mGroup.Commit(Self(), std::exchange(mChanges, {}));
     return CompletionReply(signature);
   }
-  if (word == "PREPARE") {
+  if (keyword == "PREPARE") {
     const std::string name(NextWord(aText));
     mPrepared[name] = { NextWord(aText) == "WRITE", std::string(aText) };
     return CompletionReply("-");
   }
-  if (word == "EXECUTE") {
+  if (keyword == "EXECUTE") {
     const auto found = mPrepared.find(std::string(NextWord(aText)));
     if (found == mPrepared.end()) {
       return ErrorReply("NOSTMT");
@@ -160,14 +160,14 @@
              : CompletionReply(signature,
                                Self().Read(std::string(NextWord(aText))));
   }
-  if (word == "SET" || word == "DEALLOC") {
+  if (keyword == "SET" || keyword == "DEALLOC") {
     return CompletionReply("-");
   }
-  if (word == "RESET") {
+  if (keyword == "RESET") {
     mPrepared.clear();
     return CompletionReply("-");
   }
-  return HandleControl(word, aText);
+  return HandleControl(keyword, aText);
 }
 
 std::string
@@ -188,16 +188,16 @@
 }
 
 std::string
-session::HandleControl(std::string_view aWord, std::string_view aArgument)
+session::HandleControl(std::string_view aKeyword, std::string_view aArgument)
 {
   auto& self = Self();
-  if (aWord == "PAUSE") {
+  if (aKeyword == "PAUSE") {
     self.fencedTerm = self.isPrimary ? 0 : Number(aArgument);
-  } else if (aWord == "RESUME") {
+  } else if (aKeyword == "RESUME") {
     self.fencedTerm = 0;
-  } else if (aWord == "DEMOTE") {
+  } else if (aKeyword == "DEMOTE") {
     self.isPrimary = self.isPrimary && mGroup.Term() >= Number(aArgument);
-  } else if (aWord != "STATUS") {
+  } else if (aKeyword != "STATUS") {
     return ErrorReply("MALFORMED");
   }
   const auto term = self.isPrimary ? mGroup.Term() : self.Term();
--- a/standin/fleet/session.hpp
+++ b/standin/fleet/session.hpp
@@ -35,7 +35,7 @@
                                         std::string_view aText);
   [[nodiscard]] std::string HandleWrite(const std::string& aId,
                                         std::string_view aArguments);
-  [[nodiscard]] std::string HandleControl(std::string_view aWord,
+  [[nodiscard]] std::string HandleControl(std::string_view aKeyword,
                                           std::string_view aArgument);
   [[nodiscard]] std::string ReadyReply() const;
   [[nodiscard]] std::string CompletionReply(const std::string& aSignature,
--- a/standin/platform/server.cpp
+++ b/standin/platform/server.cpp
@@ -334,10 +334,10 @@
 {
   try {
     const tcp::endpoint endpoint(asio::ip::make_address(aAddress), aPort);
-    auto made = std::make_shared<server>(
+    auto instance = std::make_shared<server>(
       server{ aLoop, aService, tcp::acceptor(aLoop, endpoint), {}, {} });
-    asio::co_spawn(aLoop, Accept(made), asio::detached);
-    asio::co_spawn(aLoop, ExpireSessions(made), asio::detached);
+    asio::co_spawn(aLoop, Accept(instance), asio::detached);
+    asio::co_spawn(aLoop, ExpireSessions(instance), asio::detached);
     return true;
   } catch (const boost::system::system_error& failure) {
     aFault = failure.what();
--- a/standin/platform/service.cpp
+++ b/standin/platform/service.cpp
@@ -22,7 +22,7 @@
 constexpr char kDestroyPrefix[] = "/v1/session/destroy/";
 constexpr int kBadRequest = 400;
 constexpr int kNotFound = 404;
-constexpr int kWrongMethod = 405;
+constexpr int kMethodNotAllowed = 405;
 
 answer
 ErrorAnswer(int aStatus, std::string aWhy)
@@ -115,7 +115,7 @@
     if (aCall.method == "PUT") {
       return WriteKey(KeyOf(aCall), aCall);
     }
-    return ErrorAnswer(kWrongMethod, "method not allowed; use GET or PUT");
+    return ErrorAnswer(kMethodNotAllowed, "method not allowed; use GET or PUT");
   }
   if (aCall.path == "/v1/catalog/service/currantshed") {
     return answer{ 200, mCatalog.VmsJson(aNow), 0 };
@@ -234,7 +234,7 @@
 service::HandleSession(const call& aCall, clock::time_point aNow)
 {
   if (aCall.method != "PUT") {
-    return ErrorAnswer(kWrongMethod, "PUT");
+    return ErrorAnswer(kMethodNotAllowed, "PUT");
   }
   if (aCall.path == kCreatePath) {
     return CreateSession(aCall, aNow);
@@ -303,7 +303,7 @@
   catalog_content content;
   std::string fault;
   if (aCall.method != "PUT") {
-    return ErrorAnswer(kWrongMethod, "PUT");
+    return ErrorAnswer(kMethodNotAllowed, "PUT");
   }
   if (!ParseShape(aCall.body, content, fault)) {
     return ErrorAnswer(kBadRequest, std::move(fault));
--- a/test/currantshed/log/log.cpp
+++ b/test/currantshed/log/log.cpp
@@ -27,14 +27,14 @@
 const text_row kTextRows[] = {
   { "plain", "abc", "abc" },
   { "quotes and backslashes", R"(a"b\c)", R"(a"b\c)" },
-  { "line ends stay within the line", "a\nb\r\nc", "a\nb\r\nc" },
+  { "line breaks are escaped", "a\nb\r\nc", "a\nb\r\nc" },
   { "control characters",
     std::string("a\0b\x1b", 4),
     std::string("a\0b\x1b", 4) },
-  { "format letters of the logger", "%msg %v %level", "%msg %v %level" },
+  { "format specifiers of the logger", "%msg %v %level", "%msg %v %level" },
   { "UTF-8", "Ärger 浴", "Ärger 浴" },
-  { "a lone continuation", "a\x80z", "a\xEF\xBF\xBDz" },
-  { "a cut sequence", "a\xE6\xB5", "a\xEF\xBF\xBD\xEF\xBF\xBD" },
+  { "a lone continuation byte", "a\x80z", "a\xEF\xBF\xBDz" },
+  { "a truncated sequence", "a\xE6\xB5", "a\xEF\xBF\xBD\xEF\xBF\xBD" },
   { "an overlong form", "\xC0\xAF", "\xEF\xBF\xBD\xEF\xBF\xBD" },
   { "a surrogate", "\xED\xA0\x80", "\xEF\xBF\xBD\xEF\xBF\xBD\xEF\xBF\xBD" },
 };
--- a/test/currantshed/net/accept_queue.cpp
+++ b/test/currantshed/net/accept_queue.cpp
@@ -23,9 +23,9 @@
 };
 
 constexpr queue_row kRows[] = {
-  { "none waits", 0 },
-  { "one waits", 1 },
-  { "several wait", 5 },
+  { "no connection", 0 },
+  { "one connection", 1 },
+  { "several connections", 5 },
 };
 
 } // namespace
--- a/test/currantshed/net/tick_timer.cpp
+++ b/test/currantshed/net/tick_timer.cpp
@@ -14,7 +14,7 @@
 struct tick_row
 {
   const char* name;
-  std::vector<time_point> asked;
+  std::vector<time_point> requested;
   int expected;
 };
 
@@ -25,10 +25,10 @@
   constexpr time_point kFirst{ 1s };
   constexpr time_point kSecond{ 2s };
   return {
-    { "nothing asked", {}, 0 },
+    { "no time requested", {}, 0 },
     { "one time", { kFirst }, 1 },
     { "an earlier time replaces a later one", { kSecond, kFirst }, 1 },
-    { "a later time is covered", { kFirst, kSecond }, 1 },
+    { "a later time is ignored", { kFirst, kSecond }, 1 },
   };
 }
 
@@ -42,7 +42,7 @@
     boost::asio::io_context context;
     int ticks = 0;
     net::tick_timer timer(context, [&] { ++ticks; });
-    for (const auto due : row.asked) {
+    for (const auto due : row.requested) {
       timer.ScheduleAt(due);
     }
     context.run();
--- a/test/currantshed/net/zmq_context.cpp
+++ b/test/currantshed/net/zmq_context.cpp
@@ -27,7 +27,7 @@
 
 TEST_GROUP(zmq_context){};
 
-TEST(zmq_context, has_sockets_for_a_link_to_every_pooler)
+TEST(zmq_context, has_sockets_for_a_connection_to_every_pooler)
 {
   auto context = net::MakeContext();
   const int most = context.get(zmq::ctxopt::max_sockets);
--- a/test/currantshed/net/zmq_socket.cpp
+++ b/test/currantshed/net/zmq_socket.cpp
@@ -33,12 +33,14 @@
 };
 
 constexpr mapping_row kMappingRows[] = {
-  { "port taken", EADDRINUSE, net::net_errc::kAddressInUse },
-  { "foreign address", EADDRNOTAVAIL, net::net_errc::kAddressNotAvailable },
-  { "no address", EINVAL, net::net_errc::kAddressNotAvailable },
+  { "port in use", EADDRINUSE, net::net_errc::kAddressInUse },
+  { "address of another host",
+    EADDRNOTAVAIL,
+    net::net_errc::kAddressNotAvailable },
+  { "invalid address", EINVAL, net::net_errc::kAddressNotAvailable },
   { "no device", ENODEV, net::net_errc::kAddressNotAvailable },
   { "queue full", EAGAIN, net::net_errc::kQueueFull },
-  { "peer gone", EHOSTUNREACH, net::net_errc::kUnreachable },
+  { "peer disconnected", EHOSTUNREACH, net::net_errc::kUnreachable },
   { "socket closed", ENOTSOCK, net::net_errc::kClosed },
   { "context ended", ETERM, net::net_errc::kClosed },
   { "anything else", EFAULT, net::net_errc::kSystem },
@@ -67,7 +69,7 @@
 constexpr echo_row kEchoRows[] = {
   { "one message", 1, 10 },
   { "an empty message", 1, 0 },
-  { "more than are taken at once", 1000, 10 },
+  { "more messages than one drain handles", 1000, 10 },
   { "a long message", 1, 1000000 },
 };
 
@@ -157,7 +159,7 @@
         make_error_code(net::net_errc::kAddressInUse));
 }
 
-TEST(zmq_socket, a_lost_link_is_told)
+TEST(zmq_socket, a_lost_connection_is_reported)
 {
   auto router =
     std::make_unique<net::router>(mContext, mZmq, net::socket_settings{});
@@ -174,7 +176,7 @@
   CHECK_FALSE(changes[1]);
 }
 
-TEST(zmq_socket, dealers_made_as_others_end_tell_of_their_links)
+TEST(zmq_socket, dealers_created_while_others_close_report_their_connections)
 {
   constexpr int kRounds = 10;
   constexpr int kDealers = 20;
@@ -184,7 +186,7 @@
   for (int round = 0; round < kRounds; ++round) {
     dealers.clear();
     int connected = 0;
-    for (int made = 0; made < kDealers; ++made) {
+    for (int index = 0; index < kDealers; ++index) {
       auto& dealer = dealers.emplace_back(
         std::make_unique<net::dealer>(mContext, mZmq, net::socket_settings{}));
       dealer->OnConnectionChange(
--- a/test/currantshed/settings/duration.cpp
+++ b/test/currantshed/settings/duration.cpp
@@ -15,14 +15,14 @@
   const char* printed;
 };
 
-constexpr duration_row kGood[] = {
+constexpr duration_row kValid[] = {
   { "0s", 0, "0s" },       { "500ms", 500, "500ms" },
   { "2s", 2000, "2s" },    { "5m", 300000, "5m" },
   { "1h", 3600000, "1h" }, { "1000ms", 1000, "1s" },
   { "90s", 90000, "90s" }, { "1500ms", 1500, "1500ms" },
 };
 
-constexpr const char* kBad[] = {
+constexpr const char* kInvalid[] = {
   "",
   "ms",
   "5",
@@ -42,7 +42,7 @@
 
 TEST(duration, good)
 {
-  for (const auto& row : kGood) {
+  for (const auto& row : kValid) {
     const auto time = ParseDuration(row.given, unitless_number::kRejected);
     CHECK_TEXT(time.has_value(), row.given);
     LONGS_EQUAL_TEXT(row.expect, time->count(), row.given);
@@ -52,7 +52,7 @@
 
 TEST(duration, bad)
 {
-  for (const auto* text : kBad) {
+  for (const auto* text : kInvalid) {
     CHECK_TEXT(!ParseDuration(text, unitless_number::kRejected), text);
   }
 }
--- a/test/currantshed/settings/parser.cpp
+++ b/test/currantshed/settings/parser.cpp
@@ -34,10 +34,10 @@
     aParser.Count(threads, "threads", "traffic threads", 1, 64);
     aParser.Milliseconds(validity,
                          "validity",
-                         "how long an acknowledgement holds",
+                         "validity of an acknowledgement",
                          std::chrono::milliseconds(10),
                          std::chrono::seconds(5));
-    aParser.Switch(quiet, "quiet", "says less");
+    aParser.Switch(quiet, "quiet", "print less");
     aParser.Choice(output, "output", "form", { "text", "json" });
     aParser.Arguments(files, "FILE...", "files");
   }
@@ -70,7 +70,7 @@
 {
   const char* name;
   std::vector<std::string> given;
-  variables around;
+  variables environmentVariables;
   const char* expect;
 };
 
@@ -86,21 +86,21 @@
       { "CURRANTSHED_QUIET", "yes" },
       { "CURRANTSHED_SIGNING_KEY", "k" } },
     "b|127.0.0.1|k|1|2|200|1|text|0" },
-  { "a flag goes before the environment",
+  { "a flag takes precedence over the environment",
     { "--vm", "flag", "--quiet=no" },
     { { "CURRANTSHED_VM", "variable" },
       { "CURRANTSHED_PORT", "1" },
       { "CURRANTSHED_QUIET", "yes" } },
     "flag|127.0.0.1||1|2|200|0|text|0" },
-  { "a wrong variable is not looked at when the flag is there",
+  { "an invalid variable is ignored if the flag is given",
     { "--vm=a", "--port=1", "--threads=3" },
     { { "CURRANTSHED_THREADS", "many" } },
     "a|127.0.0.1||1|3|200|0|text|0" },
-  { "an empty variable counts as not set",
+  { "an empty variable counts as unset",
     { "--vm=a", "--port=1" },
     { { "CURRANTSHED_ADDRESS", "" } },
     "a|127.0.0.1||1|2|200|0|text|0" },
-  { "bounds are included",
+  { "bounds are inclusive",
     { "--vm=a", "--port=65535", "--threads=64", "--validity=5s" },
     {},
     "a|127.0.0.1||65535|64|5000|0|text|0" },
@@ -125,12 +125,12 @@
 {
   const char* name;
   std::vector<std::string> given;
-  variables around;
+  variables environmentVariables;
   std::vector<std::string> expect;
 };
 
 const fault_row kFaultRows[] = {
-  { "required ones are missing",
+  { "missing required settings",
     {},
     {},
     { "p: --vm: required, or set CURRANTSHED_VM",
@@ -141,7 +141,7 @@
     { "p: unknown flag --bogus",
       "p: unknown flag --other=6",
       "p: unknown flag -x" } },
-  { "all faults at once",
+  { "all errors at once",
     { "--vm=a", "--port=0", "--threads", "65", "--validity=9ms", "--nope" },
     { { "CURRANTSHED_QUIET", "perhaps" }, { "CURRANTSHED_OUTPUT", "xml" } },
     { "p: unknown flag --nope",
@@ -167,7 +167,7 @@
     { "--vm=", "--port=1" },
     {},
     { "p: --vm: required, or set CURRANTSHED_VM" } },
-  { "numbers that are none",
+  { "malformed numbers",
     { "--vm=a", "--port=1x", "--threads=-1", "--validity=1.5s" },
     {},
     { "p: --port: must be a whole number from 1 to 65535 (is '1x')",
@@ -197,7 +197,7 @@
   for (const auto& row : kValueRows) {
     errors.str("");
     sample read;
-    const auto result = Run(read, row.given, row.around);
+    const auto result = Run(read, row.given, row.environmentVariables);
     CHECK_TEXT(result.end == parse_end::kRun, row.name);
     STRCMP_EQUAL_TEXT("", errors.str().c_str(), row.name);
     STRCMP_EQUAL_TEXT(row.expect, read.Print().c_str(), row.name);
@@ -209,7 +209,7 @@
   for (const auto& row : kFaultRows) {
     errors.str("");
     sample read;
-    const auto result = Run(read, row.given, row.around);
+    const auto result = Run(read, row.given, row.environmentVariables);
     std::string expected;
     for (const auto& line : row.expect) {
       expected += line + "\n";
--- a/test/currantshed/upstream/dialect.cpp
+++ b/test/currantshed/upstream/dialect.cpp
@@ -88,7 +88,7 @@
     { "3x", "replica", "3", "9", "2", "8", "41" },
     false },
   { "negative", kColumns, { "3", "replica", "-3", "9", "2", "8", "1" }, false },
-  { "silence not a number",
+  { "time since primary not a number",
     kColumns,
     { "3", "replica", "3", "9", "2", "8", "soon" },
     false },
--- a/test/currantshed/upstream/errors.cpp
+++ b/test/currantshed/upstream/errors.cpp
@@ -15,7 +15,7 @@
 };
 
 constexpr message_row kMessages[] = {
-  { "refused by the machine",
+  { "refused by the operating system",
     "connection to server at \"127.0.0.1\", port 1 failed: Connection refused",
     false,
     errc::kConnectFailed },
--- a/test/currantshed/upstream/pq_connection.cpp
+++ b/test/currantshed/upstream/pq_connection.cpp
@@ -25,7 +25,7 @@
 // A loopback address derived from the process id, so that test programs running
 // in parallel do not conflict.
 std::string
-OwnAddress()
+ProcessAddress()
 {
   const auto id = static_cast<unsigned>(getpid());
   return "127." + std::to_string(100 + (id >> 16U) % 100) + '.' +
@@ -37,7 +37,7 @@
 {
   postgres::server_settings settings;
   settings.id = "a";
-  settings.address = OwnAddress();
+  settings.address = ProcessAddress();
   settings.port = kPort;
   settings.connections = 2;
   settings.firstPrimary = "a";
@@ -45,19 +45,20 @@
 }
 
 // A server and its clients on one event loop.
-struct test_server
+struct server_fixture
 {
   boost::asio::io_context context;
   postgres::server server{ context,
                            Settings(),
                            { "CREATE TABLE t (k TEXT PRIMARY KEY)" } };
 
-  test_server() { server.Start(); }
+  server_fixture() { server.Start(); }
 
   std::unique_ptr<pq_connection> Make(bool aReadOnly = false)
   {
     return std::make_unique<pq_connection>(
-      context, endpoint{ OwnAddress(), kPort, "vm", aReadOnly, kTestTimeout });
+      context,
+      endpoint{ ProcessAddress(), kPort, "vm", aReadOnly, kTestTimeout });
   }
 
   template<typename Condition>
@@ -131,7 +132,7 @@
     "42601",
     1,
     1 },
-  { "a text that can't be sent",
+  { "a text that cannot be sent",
     { { "SELECT $1", { std::string("a\0b", 3) } } },
     kLargeLimit,
     batch_end::kServerError,
@@ -145,7 +146,7 @@
     "",
     1,
     4'000 },
-  { "a large question",
+  { "a large statement",
     { { "SELECT $1", { std::string(5'000'000, 'x') } } },
     kLargeLimit,
     batch_end::kComplete,
@@ -165,15 +166,15 @@
 
 TEST_GROUP(pq_connection)
 {
-  test_server all;
+  server_fixture fixture;
 };
 
 TEST(pq_connection, batches)
 {
   for (const auto& row : kBatches) {
-    auto connection = all.Make();
-    CHECK_TRUE_TEXT(all.Open(*connection), row.name);
-    const auto answer = all.Run(*connection, row.batch, row.limit);
+    auto connection = fixture.Make();
+    CHECK_TRUE_TEXT(fixture.Open(*connection), row.name);
+    const auto answer = fixture.Run(*connection, row.batch, row.limit);
     CHECK_TEXT(answer.end == row.end, row.name);
     STRCMP_EQUAL_TEXT(row.sqlState, answer.sqlState.c_str(), row.name);
     CHECK_EQUAL_TEXT(row.results, answer.results.size(), row.name);
@@ -188,71 +189,71 @@
 
 TEST(pq_connection, the_limit_counts_each_batch_by_itself)
 {
-  auto connection = all.Make();
-  CHECK_TRUE(all.Open(*connection));
+  auto connection = fixture.Make();
+  CHECK_TRUE(fixture.Open(*connection));
   for (int round = 0; round < 5; ++round) {
-    CHECK(all.Run(*connection, { { kManyRows, {} } }, 3'000'000).end ==
+    CHECK(fixture.Run(*connection, { { kManyRows, {} } }, 3'000'000).end ==
           batch_end::kComplete);
   }
 }
 
 TEST(pq_connection, a_read_only_connection_is_refused_changes)
 {
-  auto connection = all.Make(true);
-  CHECK_TRUE(all.Open(*connection));
-  const auto answer = all.Run(*connection, { { "DELETE FROM t", {} } });
+  auto connection = fixture.Make(true);
+  CHECK_TRUE(fixture.Open(*connection));
+  const auto answer = fixture.Run(*connection, { { "DELETE FROM t", {} } });
   STRCMP_EQUAL("25006", answer.sqlState.c_str());
 }
 
 TEST(pq_connection, too_many_connections)
 {
-  auto one = all.Make();
-  auto two = all.Make();
-  auto three = all.Make();
-  CHECK_TRUE(all.Open(*one));
-  CHECK_TRUE(all.Open(*two));
-  CHECK_FALSE(all.Open(*three));
+  auto one = fixture.Make();
+  auto two = fixture.Make();
+  auto three = fixture.Make();
+  CHECK_TRUE(fixture.Open(*one));
+  CHECK_TRUE(fixture.Open(*two));
+  CHECK_FALSE(fixture.Open(*three));
   CHECK(three->LastError() == errc::kTooManyConnections);
 }
 
-TEST(pq_connection, a_break_tears_the_batch_before_it_is_told)
+TEST(pq_connection, a_lost_connection_ends_the_batch_before_it_is_reported)
 {
-  auto connection = all.Make();
-  CHECK_TRUE(all.Open(*connection));
+  auto connection = fixture.Make();
+  CHECK_TRUE(fixture.Open(*connection));
   std::string events;
   connection->OnLost([&events] { events += "lost "; });
   postgres::faults cut;
   cut.cutAll = true;
-  all.server.SetFaults(cut);
+  fixture.server.SetFaults(cut);
   connection->Run(
     { { "SELECT 1", {} } }, kLargeLimit, [&events](const reply& aReply) {
       events += aReply.end == batch_end::kIndeterminate ? "torn " : "answered ";
     });
-  all.server.SetFaults({});
-  all.RunUntil([&events] { return events.ends_with("lost "); });
+  fixture.server.SetFaults({});
+  fixture.RunUntil([&events] { return events.ends_with("lost "); });
   STRCMP_EQUAL("torn lost ", events.c_str());
   CHECK(connection->LastError() == errc::kConnectionLost);
 }
 
-TEST(pq_connection, a_batch_on_a_lost_connection_is_torn)
+TEST(pq_connection, a_batch_on_a_lost_connection_is_indeterminate)
 {
-  auto connection = all.Make();
-  CHECK_TRUE(all.Open(*connection));
-  CHECK(all.Run(*connection, { { kManyRows, {} } }, 1).end ==
+  auto connection = fixture.Make();
+  CHECK_TRUE(fixture.Open(*connection));
+  CHECK(fixture.Run(*connection, { { kManyRows, {} } }, 1).end ==
         batch_end::kIndeterminate);
-  CHECK(all.Run(*connection, { { "SELECT 1", {} } }).end ==
+  CHECK(fixture.Run(*connection, { { "SELECT 1", {} } }).end ==
         batch_end::kIndeterminate);
 }
 
 TEST(pq_connection, a_callback_may_destroy_the_connection)
 {
-  auto connection = all.Make();
-  CHECK_TRUE(all.Open(*connection));
-  connection->OnLost([] { FAIL("a destroyed connection calls back"); });
+  auto connection = fixture.Make();
+  CHECK_TRUE(fixture.Open(*connection));
+  connection->OnLost([] { FAIL("a destroyed connection invokes a callback"); });
   bool destroyed = false;
   connection->Run({ { kManyRows, {} } }, 1, [&](const reply& /*aReply*/) {
     connection.reset();
     destroyed = true;
   });
-  all.RunUntil([&destroyed] { return destroyed; });
+  fixture.RunUntil([&destroyed] { return destroyed; });
 }
--- a/test/currantshed/wire/codec.cpp
+++ b/test/currantshed/wire/codec.cpp
@@ -30,21 +30,21 @@
 KeyBytes(char aVersion)
 {
   constexpr std::size_t kBytes = 16;
-  constexpr std::size_t kVersionPlace = 6;
-  constexpr std::size_t kVariantPlace = 8;
+  constexpr std::size_t kVersionOffset = 6;
+  constexpr std::size_t kVariantOffset = 8;
   std::string bytes(kBytes, '\1');
-  bytes[kVersionPlace] = static_cast<char>(aVersion << 4);
-  bytes[kVariantPlace] = static_cast<char>(0x80);
+  bytes[kVersionOffset] = static_cast<char>(aVersion << 4);
+  bytes[kVariantOffset] = static_cast<char>(0x80);
   return bytes;
 }
 
 wire::group_request
-WholeRequest()
+FullRequest()
 {
-  wire::group_request whole;
-  whole.group = "claimsbook-1";
-  whole.transactionIncarnation = "vm-1/7";
-  group::request& request = whole.request;
+  wire::group_request full;
+  full.group = "claimsbook-1";
+  full.transactionIncarnation = "vm-1/7";
+  group::request& request = full.request;
   request.id = 42;
   request.kind = group::operation::kCommit;
   request.work.name = "theft-report";
@@ -60,15 +60,15 @@
   request.deadline = kNow + 250ms;
   request.transaction = 17;
   request.position = { 4, 101 };
-  return whole;
+  return full;
 }
 
 wire::group_answer
-WholeAnswer()
+FullAnswer()
 {
-  wire::group_answer whole;
-  whole.incarnation = "vm-1/7";
-  group::answer& answer = whole.answer;
+  wire::group_answer full;
+  full.incarnation = "vm-1/7";
+  group::answer& answer = full.answer;
   answer.request = 42;
   answer.verdict = outcome::verdict::kNotRun;
   answer.why = outcome::reason::kOverloaded;
@@ -82,23 +82,23 @@
   answer.repeated = true;
   answer.sqlState = "23505";
   answer.message = "refused";
-  return whole;
+  return full;
 }
 
 store::vm
-WholeVm()
+FullVm()
 {
   return { "vm-1", "127.0.0.1", "abdali", 1, 65535, 3, true };
 }
 
 member::heartbeat
-WholeHeartbeat()
+FullHeartbeat()
 {
-  return { WholeVm(),
+  return { FullVm(),
            "vm-1/7",
            9,
            12,
-           { WholeVm() },
+           { FullVm() },
            { { "planner-1", 3, "planner-1-a" } },
            { { "planner-2", 4, "planner-2-b" } },
            true,
@@ -106,38 +106,38 @@
 }
 
 wire::configuration
-WholeConfiguration()
+FullConfiguration()
 {
   const group::member server{ "planner-1-a", "127.0.0.1", 65535,
                               "abdali",      5,           55,
                               true };
-  return { 4, "classes: []", { WholeVm() }, { { "planner-1", { server } } } };
+  return { 4, "classes: []", { FullVm() }, { { "planner-1", { server } } } };
 }
 
-struct round_row
+struct round_trip_row
 {
   const char* name;
   wire::message message;
 };
 
-std::vector<round_row>
-RoundRows()
+std::vector<round_trip_row>
+RoundTripRows()
 {
   return {
-    { "request", WholeRequest() },
-    { "request with nothing set", wire::group_request{} },
+    { "request", FullRequest() },
+    { "request with default values", wire::group_request{} },
     { "cancel", wire::cancel_request{ 42 } },
-    { "answer", WholeAnswer() },
-    { "answer with nothing set", wire::group_answer{} },
+    { "answer", FullAnswer() },
+    { "answer with default values", wire::group_answer{} },
     { "subscription", wire::subscribe_request{ 3, 4 } },
-    { "view", wire::view{ 3, { WholeVm() }, { "g" }, 3, 12, "classes: []" } },
-    { "heartbeat", WholeHeartbeat() },
-    { "question for a configuration", wire::configuration_request{ 3 } },
-    { "configuration", WholeConfiguration() },
+    { "view", wire::view{ 3, { FullVm() }, { "g" }, 3, 12, "classes: []" } },
+    { "heartbeat", FullHeartbeat() },
+    { "configuration request", wire::configuration_request{ 3 } },
+    { "configuration", FullConfiguration() },
   };
 }
 
-struct garbage_row
+struct invalid_row
 {
   const char* name;
   std::string bytes;
@@ -146,7 +146,7 @@
 
 template<typename Change>
 std::string
-Changed(const wire::message& aMessage, Change aChange)
+Modified(const wire::message& aMessage, Change aChange)
 {
   wire::Envelope envelope;
   envelope.ParseFromString(wire::Encode(aMessage, kNow));
@@ -155,105 +155,105 @@
 }
 
 std::string
-BrokenRequest(void (*aChange)(wire::GroupRequest&))
+ModifiedRequest(void (*aChange)(wire::GroupRequest&))
 {
-  return Changed(WholeRequest(), [aChange](wire::Envelope& aEnvelope) {
+  return Modified(FullRequest(), [aChange](wire::Envelope& aEnvelope) {
     aChange(*aEnvelope.mutable_request());
   });
 }
 
-std::vector<garbage_row>
-GarbageRows()
+std::vector<invalid_row>
+InvalidRows()
 {
-  const std::string whole = wire::Encode(WholeRequest(), kNow);
+  const std::string full = wire::Encode(FullRequest(), kNow);
   return {
     { "nothing", "", wire::wire_errc::kMalformed },
-    { "no protobuf", "\xff\xff\xff\xff\xff", wire::wire_errc::kMalformed },
+    { "not protobuf", "\xff\xff\xff\xff\xff", wire::wire_errc::kMalformed },
     { "text", "GET / HTTP/1.1\r\n\r\n", wire::wire_errc::kMalformed },
     { "zero bytes", std::string(64, '\0'), wire::wire_errc::kMalformed },
-    { "cut in the middle",
-      whole.substr(0, whole.size() / 2),
+    { "truncated in the middle",
+      full.substr(0, full.size() / 2),
       wire::wire_errc::kMalformed },
-    { "over the bound",
+    { "over the size limit",
       std::string(wire::kMaxMessageBytes + 1, '\0'),
       wire::wire_errc::kTooLarge },
-    { "operation of the future",
-      BrokenRequest([](wire::GroupRequest& aRequest) {
+    { "unknown operation",
+      ModifiedRequest([](wire::GroupRequest& aRequest) {
         aRequest.set_operation(static_cast<wire::Operation>(8));
       }),
       wire::wire_errc::kOutOfRange },
-    { "operation below zero",
-      BrokenRequest([](wire::GroupRequest& aRequest) {
+    { "negative operation",
+      ModifiedRequest([](wire::GroupRequest& aRequest) {
         aRequest.set_operation(static_cast<wire::Operation>(-1));
       }),
       wire::wire_errc::kOutOfRange },
     { "short key",
-      BrokenRequest(
+      ModifiedRequest(
         [](wire::GroupRequest& aRequest) { aRequest.set_key("short"); }),
       wire::wire_errc::kInvalidKey },
     { "key of version 4",
-      BrokenRequest(
+      ModifiedRequest(
         [](wire::GroupRequest& aRequest) { aRequest.set_key(KeyBytes(4)); }),
       wire::wire_errc::kInvalidKey },
     { "too many statements",
-      BrokenRequest([](wire::GroupRequest& aRequest) {
+      ModifiedRequest([](wire::GroupRequest& aRequest) {
         for (int count = 0; count <= wire::kMaxStatements; ++count) {
           aRequest.add_statements();
         }
       }),
       wire::wire_errc::kTooLarge },
-    { "verdict of the future",
-      Changed(WholeAnswer(),
-              [](wire::Envelope& aEnvelope) {
-                aEnvelope.mutable_answer()->set_verdict(4);
-              }),
+    { "unknown verdict",
+      Modified(FullAnswer(),
+               [](wire::Envelope& aEnvelope) {
+                 aEnvelope.mutable_answer()->set_verdict(4);
+               }),
       wire::wire_errc::kOutOfRange },
-    { "reason of the future",
-      Changed(WholeAnswer(),
-              [](wire::Envelope& aEnvelope) {
-                aEnvelope.mutable_answer()->set_reason(16);
-              }),
+    { "unknown reason",
+      Modified(FullAnswer(),
+               [](wire::Envelope& aEnvelope) {
+                 aEnvelope.mutable_answer()->set_reason(16);
+               }),
       wire::wire_errc::kOutOfRange },
-    { "row that is not whole",
-      Changed(WholeAnswer(),
-              [](wire::Envelope& aEnvelope) {
-                aEnvelope.mutable_answer()->mutable_results(0)->add_cells();
-              }),
+    { "incomplete row",
+      Modified(FullAnswer(),
+               [](wire::Envelope& aEnvelope) {
+                 aEnvelope.mutable_answer()->mutable_results(0)->add_cells();
+               }),
       wire::wire_errc::kMalformed },
-    { "port that is none",
-      Changed(WholeHeartbeat(),
-              [](wire::Envelope& aEnvelope) {
-                aEnvelope.mutable_heartbeat()->mutable_sender()->set_peer_port(
-                  65536);
-              }),
+    { "port out of range",
+      Modified(FullHeartbeat(),
+               [](wire::Envelope& aEnvelope) {
+                 aEnvelope.mutable_heartbeat()->mutable_sender()->set_peer_port(
+                   65536);
+               }),
       wire::wire_errc::kOutOfRange },
-    { "server at a port that is none",
-      Changed(WholeConfiguration(),
-              [](wire::Envelope& aEnvelope) {
-                auto* group =
-                  aEnvelope.mutable_configuration()->mutable_groups(0);
-                group->mutable_servers(0)->set_port(65536);
-              }),
+    { "server port out of range",
+      Modified(FullConfiguration(),
+               [](wire::Envelope& aEnvelope) {
+                 auto* group =
+                   aEnvelope.mutable_configuration()->mutable_groups(0);
+                 group->mutable_servers(0)->set_port(65536);
+               }),
       wire::wire_errc::kOutOfRange },
-    { "heartbeat of nobody",
-      Changed(WholeHeartbeat(),
-              [](wire::Envelope& aEnvelope) {
-                aEnvelope.mutable_heartbeat()->clear_sender();
-              }),
+    { "heartbeat without sender",
+      Modified(FullHeartbeat(),
+               [](wire::Envelope& aEnvelope) {
+                 aEnvelope.mutable_heartbeat()->clear_sender();
+               }),
       wire::wire_errc::kMalformed },
   };
 }
 
-struct budget_row
+struct timeout_row
 {
   const char* name;
   clk::duration given;
   clk::duration expected;
 };
 
-constexpr budget_row kBudgetRows[] = {
-  { "time left is kept", 250ms, 250ms },
-  { "a deadline that has passed is now", -5s, 0s },
+constexpr timeout_row kTimeoutRows[] = {
+  { "time left is preserved", 250ms, 250ms },
+  { "a past deadline becomes the current time", -5s, 0s },
   { "time left is bounded", 100h, wire::kMaxTimeout },
 };
 
@@ -263,7 +263,7 @@
 
 TEST(codec, every_message_comes_back_whole)
 {
-  for (const auto& row : RoundRows()) {
+  for (const auto& row : RoundTripRows()) {
     const std::string bytes = wire::Encode(row.message, kNow);
     const wire::decoded back = wire::Decode(bytes, kNow);
     CHECK_TEXT(!back.error, row.name);
@@ -275,32 +275,31 @@
 TEST(codec, core_types_come_back_whole)
 {
   const auto request = std::get<wire::group_request>(
-    wire::Decode(wire::Encode(WholeRequest(), kNow), kNow).body);
-  CHECK(request.request.key == WholeRequest().request.key);
-  CHECK(request.request.deadline == WholeRequest().request.deadline);
+    wire::Decode(wire::Encode(FullRequest(), kNow), kNow).body);
+  CHECK(request.request.key == FullRequest().request.key);
+  CHECK(request.request.deadline == FullRequest().request.deadline);
   CHECK(request.request.work.maxStaleness == 1500ms);
   CHECK(request.request.statements[0].parameters[1] == std::nullopt);
   CHECK(request.request.kind == group::operation::kCommit);
   const auto answer = std::get<wire::group_answer>(
-    wire::Decode(wire::Encode(WholeAnswer()), kNow).body);
-  CHECK(answer.answer.results[0].cells ==
-        WholeAnswer().answer.results[0].cells);
+    wire::Decode(wire::Encode(FullAnswer()), kNow).body);
+  CHECK(answer.answer.results[0].cells == FullAnswer().answer.results[0].cells);
   CHECK(answer.answer.verdict == outcome::verdict::kNotRun);
   CHECK(answer.answer.why == outcome::reason::kOverloaded);
   const auto beat = std::get<member::heartbeat>(
-    wire::Decode(wire::Encode(WholeHeartbeat(), kNow), kNow).body);
-  CHECK(beat.sender == WholeVm());
-  CHECK(beat.peerSample == std::vector{ WholeVm() });
+    wire::Decode(wire::Encode(FullHeartbeat(), kNow), kNow).body);
+  CHECK(beat.sender == FullVm());
+  CHECK(beat.peerSample == std::vector{ FullVm() });
   CHECK(beat.answer);
-  CHECK(beat.lost == WholeHeartbeat().lost);
+  CHECK(beat.lost == FullHeartbeat().lost);
   const auto configuration = std::get<wire::configuration>(
-    wire::Decode(wire::Encode(WholeConfiguration(), kNow), kNow).body);
-  CHECK(configuration == WholeConfiguration());
+    wire::Decode(wire::Encode(FullConfiguration(), kNow), kNow).body);
+  CHECK(configuration == FullConfiguration());
 }
 
 TEST(codec, garbage_is_a_typed_error)
 {
-  for (const auto& row : GarbageRows()) {
+  for (const auto& row : InvalidRows()) {
     const wire::decoded back = wire::Decode(row.bytes, kNow);
     CHECK_TEXT(back.error == make_error_code(row.expected), row.name);
   }
@@ -308,22 +307,22 @@
 
 TEST(codec, every_cut_and_every_flipped_byte_is_taken_or_refused)
 {
-  const std::string whole = wire::Encode(WholeAnswer());
-  for (std::size_t place = 0; place < whole.size(); ++place) {
-    std::string flipped = whole;
-    flipped[place] = static_cast<char>(~flipped[place]);
+  const std::string full = wire::Encode(FullAnswer());
+  for (std::size_t offset = 0; offset < full.size(); ++offset) {
+    std::string flipped = full;
+    flipped[offset] = static_cast<char>(~flipped[offset]);
     (void)wire::Decode(flipped, kNow);
-    (void)wire::Decode(whole.substr(0, place), kNow);
+    (void)wire::Decode(full.substr(0, offset), kNow);
   }
 }
 
 TEST(codec, time_left)
 {
-  for (const auto& row : kBudgetRows) {
+  for (const auto& row : kTimeoutRows) {
     wire::group_request request;
     request.request.deadline = kNow + row.given;
     const auto back = wire::Decode(wire::Encode(request, kNow), kNow);
-    const auto& taken = std::get<wire::group_request>(back.body);
-    CHECK_TEXT(taken.request.deadline == kNow + row.expected, row.name);
+    const auto& received = std::get<wire::group_request>(back.body);
+    CHECK_TEXT(received.request.deadline == kNow + row.expected, row.name);
   }
 }
