--- a/src/currantshed/http/status_server.cpp
+++ b/src/currantshed/http/status_server.cpp
@@ -24,7 +24,7 @@
 class connection : public std::enable_shared_from_this<connection>
 {
 public:
-  using ended = std::function<void()>;
+  using closed_callback = std::function<void()>;
 
   connection(tcp::socket aSocket,
              const prometheus::Registry& aMetrics,
@@ -35,9 +35,9 @@
   {
   }
 
-  void Start(ended aEnded)
+  void Start(closed_callback aOnClosed)
   {
-    mEnded = std::move(aEnded);
+    mOnClosed = std::move(aOnClosed);
     Read();
   }
 
@@ -105,7 +105,7 @@
   void Finish()
   {
     Close();
-    mEnded();
+    mOnClosed();
   }
 
   beast::tcp_stream mStream;
@@ -114,7 +114,7 @@
   beast::http::response<beast::http::string_body> mResponse;
   const prometheus::Registry& mMetrics;
   const status_source& mSource;
-  ended mEnded;
+  closed_callback mOnClosed;
 };
 
 void
--- a/src/currantshed/log/log.cpp
+++ b/src/currantshed/log/log.cpp
@@ -161,9 +161,9 @@
 } // namespace
 
 void
-Start(const identity& aSelf, level aMinLevel)
+Start(const identity& aIdentity, level aMinLevel)
 {
-  GetState().self = aSelf;
+  GetState().self = aIdentity;
   GetState().minLevel = aMinLevel;
   GetLogger();
   el::Helpers::logDispatchCallback<line_writer>(kWriterName)->UseOutput();
@@ -177,7 +177,7 @@
 
 std::string
 FormatLine(clock::wall_time aNow,
-           const identity& aSelf,
+           const identity& aIdentity,
            level aLevel,
            std::string_view aEvent,
            std::initializer_list<field> aFields)
@@ -186,9 +186,9 @@
   line["time"] = clock::PrintTimeMs(aNow);
   line["level"] = ToString(aLevel);
   line["event"] = ToValidUtf8(aEvent);
-  line["program"] = ToValidUtf8(aSelf.program);
-  line["vm"] = ToValidUtf8(aSelf.vm);
-  line["failure_domain"] = ToValidUtf8(aSelf.failureDomain);
+  line["program"] = ToValidUtf8(aIdentity.program);
+  line["vm"] = ToValidUtf8(aIdentity.vm);
+  line["failure_domain"] = ToValidUtf8(aIdentity.failureDomain);
   for (const auto& one : aFields) {
     if (!std::holds_alternative<unknown>(one.content)) {
       line.emplace(ToValidUtf8(one.name), std::visit(to_json{}, one.content));
--- a/src/currantshed/log/log.hpp
+++ b/src/currantshed/log/log.hpp
@@ -50,7 +50,7 @@
 /// block the caller. Without this call, as in command-line tools, lines carry
 /// no identity and go to standard error.
 void
-Start(const identity& aSelf, level aMinLevel);
+Start(const identity& aIdentity, level aMinLevel);
 
 /// Whether lines of this level are written.
 [[nodiscard]] bool
@@ -69,7 +69,7 @@
 /// number becomes null.
 [[nodiscard]] std::string
 FormatLine(clock::wall_time aNow,
-           const identity& aSelf,
+           const identity& aIdentity,
            level aLevel,
            std::string_view aEvent,
            std::initializer_list<field> aFields);
--- a/src/currantshed/net/tcp_options.cpp
+++ b/src/currantshed/net/tcp_options.cpp
@@ -12,11 +12,11 @@
 // seconds after which the platform drops dead connections.
 constexpr int kUserTimeoutMs = 1500;
 // Idle time before the first keepalive probe and between probes, in seconds.
-constexpr int kProbeAfterS = 1;
+constexpr int kProbeIntervalS = 1;
 constexpr int kProbes = 2;
 
 void
-Set(int aSocket, int aLevel, int aName, int aValue)
+SetOption(int aSocket, int aLevel, int aName, int aValue)
 {
   // Where the operating system lacks an option, the timeout of each call still
   // applies.
@@ -28,12 +28,12 @@
 void
 SetTcpOptions(int aSocket)
 {
-  Set(aSocket, IPPROTO_TCP, TCP_NODELAY, 1);
-  Set(aSocket, IPPROTO_TCP, TCP_USER_TIMEOUT, kUserTimeoutMs);
-  Set(aSocket, SOL_SOCKET, SO_KEEPALIVE, 1);
-  Set(aSocket, IPPROTO_TCP, TCP_KEEPIDLE, kProbeAfterS);
-  Set(aSocket, IPPROTO_TCP, TCP_KEEPINTVL, kProbeAfterS);
-  Set(aSocket, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
+  SetOption(aSocket, IPPROTO_TCP, TCP_NODELAY, 1);
+  SetOption(aSocket, IPPROTO_TCP, TCP_USER_TIMEOUT, kUserTimeoutMs);
+  SetOption(aSocket, SOL_SOCKET, SO_KEEPALIVE, 1);
+  SetOption(aSocket, IPPROTO_TCP, TCP_KEEPIDLE, kProbeIntervalS);
+  SetOption(aSocket, IPPROTO_TCP, TCP_KEEPINTVL, kProbeIntervalS);
+  SetOption(aSocket, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
 }
 
 } // namespace currantshed::net
--- a/src/currantshed/net/zmq_socket.cpp
+++ b/src/currantshed/net/zmq_socket.cpp
@@ -22,7 +22,7 @@
 constexpr int kKeepAliveCount = 2;
 
 int
-Count(std::chrono::milliseconds aSpan)
+ToInt(std::chrono::milliseconds aSpan)
 {
   return static_cast<int>(aSpan.count());
 }
@@ -33,7 +33,7 @@
   if (aLimit == std::chrono::milliseconds::zero()) {
     return;
   }
-  aSocket.set(zmq::sockopt::tcp_maxrt, Count(aLimit));
+  aSocket.set(zmq::sockopt::tcp_maxrt, ToInt(aLimit));
   aSocket.set(zmq::sockopt::tcp_keepalive, 1);
   aSocket.set(zmq::sockopt::tcp_keepalive_idle, kKeepAliveIdle);
   aSocket.set(zmq::sockopt::tcp_keepalive_intvl, kKeepAliveInterval);
@@ -41,25 +41,25 @@
 }
 
 void
-Apply(const socket_settings& aSettings, zmq::socket_t& aSocket)
+ApplySettings(const socket_settings& aSettings, zmq::socket_t& aSocket)
 {
-  aSocket.set(zmq::sockopt::linger, Count(aSettings.linger));
+  aSocket.set(zmq::sockopt::linger, ToInt(aSettings.linger));
   aSocket.set(zmq::sockopt::immediate, aSettings.requireConnection);
   aSocket.set(zmq::sockopt::sndhwm, aSettings.maxQueuedSends);
   aSocket.set(zmq::sockopt::rcvhwm, aSettings.maxQueuedReceives);
   aSocket.set(zmq::sockopt::maxmsgsize, aSettings.maxMessageBytes);
   if (aSettings.pingInterval > std::chrono::milliseconds::zero()) {
-    aSocket.set(zmq::sockopt::heartbeat_ivl, Count(aSettings.pingInterval));
-    aSocket.set(zmq::sockopt::heartbeat_timeout, Count(aSettings.pingTimeout));
-    aSocket.set(zmq::sockopt::heartbeat_ttl, Count(aSettings.pingTimeout));
+    aSocket.set(zmq::sockopt::heartbeat_ivl, ToInt(aSettings.pingInterval));
+    aSocket.set(zmq::sockopt::heartbeat_timeout, ToInt(aSettings.pingTimeout));
+    aSocket.set(zmq::sockopt::heartbeat_ttl, ToInt(aSettings.pingTimeout));
   }
   ApplyPeerTimeout(aSettings.unacknowledgedTimeout, aSocket);
-  aSocket.set(zmq::sockopt::handshake_ivl, Count(aSettings.pingTimeout));
-  aSocket.set(zmq::sockopt::connect_timeout, Count(aSettings.pingTimeout));
+  aSocket.set(zmq::sockopt::handshake_ivl, ToInt(aSettings.pingTimeout));
+  aSocket.set(zmq::sockopt::connect_timeout, ToInt(aSettings.pingTimeout));
   aSocket.set(zmq::sockopt::reconnect_ivl,
-              Count(aSettings.initialReconnectDelay));
+              ToInt(aSettings.initialReconnectDelay));
   aSocket.set(zmq::sockopt::reconnect_ivl_max,
-              Count(aSettings.maxReconnectDelay));
+              ToInt(aSettings.maxReconnectDelay));
 }
 
 std::string
@@ -78,7 +78,7 @@
   , mSocket(aZmq, aType)
   , mDescriptor(aContext)
 {
-  Apply(aSettings, mSocket);
+  ApplySettings(aSettings, mSocket);
 }
 
 zmq_socket::~zmq_socket()
--- a/standin/fleet/main.cpp
+++ b/standin/fleet/main.cpp
@@ -281,15 +281,15 @@
     }
   }
 
-  void RunAfter(milliseconds aSpan, std::function<void()> aDo)
+  void RunAfter(milliseconds aSpan, std::function<void()> aCallback)
   {
     auto timer = std::make_shared<boost::asio::steady_timer>(mContext, aSpan);
-    timer->async_wait(
-      [timer, act = std::move(aDo)](boost::system::error_code aError) {
-        if (!aError) {
-          act();
-        }
-      });
+    timer->async_wait([timer, callback = std::move(aCallback)](
+                        boost::system::error_code aError) {
+      if (!aError) {
+        callback();
+      }
+    });
   }
 
   fleet::key_answer Promote(const json::object& aRequest)
--- a/standin/platform/call.hpp
+++ b/standin/platform/call.hpp
@@ -10,7 +10,7 @@
 
 namespace currantshed::standin {
 
-/// The kinds of calls that are counted and rate-limited separately.
+/// The kinds of calls, which are counted separately.
 enum class call_kind
 {
   kRead,
--- a/test/currantshed/upstream/pq_connection.cpp
+++ b/test/currantshed/upstream/pq_connection.cpp
@@ -227,11 +227,12 @@
   fixture.server.SetFaults(cut);
   connection->Run(
     { { "SELECT 1", {} } }, kLargeLimit, [&events](const reply& aReply) {
-      events += aReply.end == batch_end::kIndeterminate ? "torn " : "answered ";
+      events += aReply.end == batch_end::kIndeterminate ? "indeterminate "
+                                                        : "answered ";
     });
   fixture.server.SetFaults({});
   fixture.RunUntil([&events] { return events.ends_with("lost "); });
-  STRCMP_EQUAL("torn lost ", events.c_str());
+  STRCMP_EQUAL("indeterminate lost ", events.c_str());
   CHECK(connection->LastError() == errc::kConnectionLost);
 }
 
