--- a/src/currantshed/http/fetcher.cpp
+++ b/src/currantshed/http/fetcher.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxConcurrentTransfers = 64;
 constexpr int kPollMs = 100;
 
-/// One transfer; its place in memory must stay, since libcurl points to it.
+/// One transfer. Must not move in memory because libcurl keeps a pointer to it.
 struct transfer
 {
   std::unique_ptr<CURL, decltype(&curl_easy_cleanup)> handle{
@@ -54,9 +54,9 @@
 void
 Finish(CURL* aHandle, CURLcode aCode)
 {
-  char* place = nullptr;
-  curl_easy_getinfo(aHandle, CURLINFO_PRIVATE, &place);
-  auto& result = static_cast<transfer*>(static_cast<void*>(place))->result;
+  char* pointer = nullptr;
+  curl_easy_getinfo(aHandle, CURLINFO_PRIVATE, &pointer);
+  auto& result = static_cast<transfer*>(static_cast<void*>(pointer))->result;
   if (aCode != CURLE_OK) {
     result.error = curl_easy_strerror(aCode);
     result.body.clear();
@@ -95,15 +95,15 @@
       Prepare(one, aUrls[i], aTimeout);
       curl_multi_add_handle(mMulti.get(), one.handle.get());
     }
-    Drive();
+    RunTransfers();
     for (auto& one : transfers) {
       curl_multi_remove_handle(mMulti.get(), one.handle.get());
       aAll.push_back(std::move(one.result));
     }
   }
 
-  /// Runs all transfers to their end.
-  void Drive()
+  /// Runs all transfers to completion.
+  void RunTransfers()
   {
     int running = 1;
     while (running > 0) {
--- a/src/currantshed/net/tcp_options.cpp
+++ b/src/currantshed/net/tcp_options.cpp
@@ -8,17 +8,18 @@
 
 namespace {
 
-// A far end that took none of the bytes sent for this long, in milliseconds:
-// the platform drops dead connections after three seconds.
+// Time that sent data may stay unacknowledged, in milliseconds. Below the three
+// seconds after which the platform drops dead connections.
 constexpr int kUserTimeoutMs = 1500;
-// Seconds of silence before the first probe, and between probes.
-constexpr int kProbeAfterS = 1;
+// Idle time before the first keepalive probe and between probes, in seconds.
+constexpr int kProbeIntervalS = 1;
 constexpr int kProbes = 2;
 
 void
-Set(int aSocket, int aLevel, int aName, int aValue)
+SetOption(int aSocket, int aLevel, int aName, int aValue)
 {
-  // A system that lacks an option falls back on the timeouts of each call.
+  // Where the operating system lacks an option, the timeout of each call still
+  // applies.
   (void)setsockopt(aSocket, aLevel, aName, &aValue, sizeof(aValue));
 }
 
@@ -27,12 +28,12 @@
 void
 SetTcpOptions(int aSocket)
 {
-  Set(aSocket, IPPROTO_TCP, TCP_NODELAY, 1);
-  Set(aSocket, IPPROTO_TCP, TCP_USER_TIMEOUT, kUserTimeoutMs);
-  Set(aSocket, SOL_SOCKET, SO_KEEPALIVE, 1);
-  Set(aSocket, IPPROTO_TCP, TCP_KEEPIDLE, kProbeAfterS);
-  Set(aSocket, IPPROTO_TCP, TCP_KEEPINTVL, kProbeAfterS);
-  Set(aSocket, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
+  SetOption(aSocket, IPPROTO_TCP, TCP_NODELAY, 1);
+  SetOption(aSocket, IPPROTO_TCP, TCP_USER_TIMEOUT, kUserTimeoutMs);
+  SetOption(aSocket, SOL_SOCKET, SO_KEEPALIVE, 1);
+  SetOption(aSocket, IPPROTO_TCP, TCP_KEEPIDLE, kProbeIntervalS);
+  SetOption(aSocket, IPPROTO_TCP, TCP_KEEPINTVL, kProbeIntervalS);
+  SetOption(aSocket, IPPROTO_TCP, TCP_KEEPCNT, kProbes);
 }
 
 } // namespace currantshed::net
--- a/standin/fleet/session.hpp
+++ b/standin/fleet/session.hpp
@@ -11,8 +11,7 @@
 
 namespace currantshed::standin::fleet {
 
-/// One connection to a server of a group: reads lines, and answers each at
-/// once.
+/// One connection to a server of a group; answers each line immediately.
 class session
 {
 public:
@@ -21,7 +20,7 @@
   session& operator=(const session&) = delete;
   ~session();
 
-  /// The answer to a line; empty ends the connection.
+  /// Returns the answer to a line; an empty answer closes the connection.
   [[nodiscard]] std::string Answer(std::string_view aLine);
 
 private:
@@ -36,7 +35,7 @@
                                         std::string_view aText);
   [[nodiscard]] std::string HandleWrite(const std::string& aId,
                                         std::string_view aArguments);
-  [[nodiscard]] std::string HandleControl(std::string_view aWord,
+  [[nodiscard]] std::string HandleControl(std::string_view aKeyword,
                                           std::string_view aArgument);
   [[nodiscard]] std::string ReadyReply() const;
   [[nodiscard]] std::string CompletionReply(const std::string& aSignature,
--- a/test/currantshed/net/accept_queue.cpp
+++ b/test/currantshed/net/accept_queue.cpp
@@ -23,17 +23,17 @@
 };
 
 constexpr queue_row kRows[] = {
-  { "none waits", 0 },
-  { "one waits", 1 },
-  { "several wait", 5 },
+  { "no connection", 0 },
+  { "one connection", 1 },
+  { "several connections", 5 },
 };
 
 } // namespace
 
 TEST_GROUP(accept_queue){};
 
-// What has connected is passed on with all that it has sent; who comes later is
-// refused.
+// Connections in the accept queue are passed on together with the data they
+// have sent; later connection attempts are refused.
 TEST(accept_queue, is_passed_on_before_listening_ends)
 {
   for (const auto& row : kRows) {
