--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -77,7 +77,7 @@
   {
   }
 
-  void Do(const group::ask_status& aAction, clock::time_point aNow)
+  void Do(const group::request_status& aAction, clock::time_point aNow)
   {
     mEngine.StatusArrived(aAction.server, StatusOf(aAction.server), aNow, aNow);
   }
--- a/src/currantshed/failover/coordinator.cpp
+++ b/src/currantshed/failover/coordinator.cpp
@@ -7,8 +7,8 @@
 #include "currantshed/failover/detector.hpp"
 #include "currantshed/failover/follower_repair.hpp"
 #include "currantshed/failover/promoter.hpp"
-#include "currantshed/failover/server_watch.hpp"
-#include "currantshed/failover/term_book.hpp"
+#include "currantshed/failover/server_monitor.hpp"
+#include "currantshed/failover/term_reservations.hpp"
 
 namespace currantshed::failover {
 
@@ -28,7 +28,7 @@
 bool
 IsPlanned(cause aCause)
 {
-  return aCause == cause::kLeaving || aCause == cause::kStray;
+  return aCause == cause::kLeaving || aCause == cause::kHigherTerm;
 }
 
 // The servers that the platform marks as leaving.
@@ -50,11 +50,11 @@
 public:
   explicit group_coordinator(const coordinator_settings& aSettings)
     : mSettings(aSettings)
-    , mWatch(aSettings)
+    , mMonitor(aSettings)
     , mDetector(aSettings)
-    , mBook(aSettings)
-    , mPromoter(aSettings, mWatch, mBook)
-    , mRepair(aSettings, mWatch)
+    , mReservations(aSettings)
+    , mPromoter(aSettings, mMonitor, mReservations)
+    , mRepair(aSettings, mMonitor)
   {
   }
 
@@ -70,9 +70,9 @@
       mPlannedFrom = {};
     }
     mGroup = aGroup;
-    mWatch.Configure(aGroup, aNow);
-    mBook.SetGroup(aGroup.name);
-    mBook.SetRank(aRank);
+    mMonitor.Configure(aGroup, aNow);
+    mReservations.SetGroup(aGroup.name);
+    mReservations.SetRank(aRank);
     mDetector.SetOwners(aOwners);
     mPromoter.SetRank(aRank);
     mRepair.SetRank(aRank);
@@ -85,23 +85,23 @@
                      clock::time_point aAskedAt,
                      clock::time_point aNow) override
   {
-    mWatch.Answered(aServer, aStatus, aAskedAt, aNow);
+    mMonitor.Answered(aServer, aStatus, aAskedAt, aNow);
     Evaluate(aNow);
   }
 
   void StatusFailed(const upstream::server_id& aServer,
                     clock::time_point aNow) override
   {
-    mWatch.Failed(aServer, aNow);
+    mMonitor.Failed(aServer, aNow);
     Evaluate(aNow);
   }
 
   void PeerSuspects(const std::string& aVm,
                     const std::string& aFailureDomain,
-                    const suspicion& aWord,
+                    const suspicion& aReport,
                     clock::time_point aNow) override
   {
-    mDetector.PeerSuspects(aVm, aFailureDomain, aWord, aNow);
+    mDetector.PeerSuspects(aVm, aFailureDomain, aReport, aNow);
     Evaluate(aNow);
   }
 
@@ -109,8 +109,8 @@
                      const upstream::server_id& aPrimary,
                      clock::time_point aNow) override
   {
-    mBook.See(aTerm);
-    if (aTerm > mPrimary.term && mWatch.Find(aPrimary) != nullptr) {
+    mReservations.ObserveTerm(aTerm);
+    if (aTerm > mPrimary.term && mMonitor.Find(aPrimary) != nullptr) {
       Adopt({ aTerm, aPrimary }, false, aNow);
     }
     Evaluate(aNow);
@@ -153,14 +153,14 @@
                   const store::entry& aEntry,
                   clock::time_point aNow) override
   {
-    mBook.RecordRead(aReached, aEntry, aNow);
+    mReservations.RecordRead(aReached, aEntry, aNow);
     Evaluate(aNow);
   }
 
   void RecordSwapped(store::swap_outcome aOutcome,
                      clock::time_point aNow) override
   {
-    mBook.RecordSwapped(aOutcome, aNow);
+    mReservations.RecordSwapped(aOutcome, aNow);
     Evaluate(aNow);
   }
 
@@ -168,9 +168,9 @@
 
   [[nodiscard]] clock::time_point NextTick() const noexcept override
   {
-    const std::array due{ mWatch.NextTick(),    mDetector.NextTick(),
-                          mPromoter.NextTick(), mRepair.NextTick(),
-                          mBook.NextTick(),     mQuietUntil };
+    const std::array due{ mMonitor.NextTick(),      mDetector.NextTick(),
+                          mPromoter.NextTick(),     mRepair.NextTick(),
+                          mReservations.NextTick(), mDeferUntil };
     auto next = clock::time_point::max();
     for (const auto time : due) {
       // What is due already was seen to by the last event, and waits for
@@ -192,7 +192,7 @@
     const auto& right = aGroup.members;
     return left.size() == right.size() &&
            std::all_of(right.begin(), right.end(), [this](const auto& aMember) {
-             return mWatch.Find(aMember.id) != nullptr;
+             return mMonitor.Find(aMember.id) != nullptr;
            });
   }
 
@@ -202,29 +202,29 @@
                   clock::time_point aNow)
   {
     if (aStatus.term != 0) {
-      mWatch.Answered(aServer, aStatus, aNow, aNow);
+      mMonitor.Answered(aServer, aStatus, aNow, aNow);
     }
   }
 
   void Evaluate(clock::time_point aNow)
   {
     mNow = std::max(mNow, aNow);
-    mWatch.Tick(mNow, mActions);
-    mBook.See(mWatch.HighestTerm());
-    StandBack();
+    mMonitor.Tick(mNow, mActions);
+    mReservations.ObserveTerm(mMonitor.HighestTerm());
+    DeferToHigherTerm();
     mPromoter.Tick(mNow, mActions);
     FindPrimary();
     ReportSuspicion();
     Decide();
     mPromoter.Tick(mNow, mActions);
     mRepair.Tick(mNow, mActions);
-    mBook.Tick(mNow, mActions);
+    mReservations.Tick(mNow, mActions);
   }
 
   // Someone else's higher term: leaves the field for a bounded time.
-  void StandBack()
+  void DeferToHigherTerm()
   {
-    const auto highest = mWatch.HighestTerm();
+    const auto highest = mMonitor.HighestTerm();
     if (highest <= mHighest) {
       return;
     }
@@ -233,9 +233,9 @@
       return;
     }
     mPromoter.Stop();
-    const auto patience = mSettings.validity + 2 * mSettings.suspectAfter +
-                          2 * mSettings.probeInterval * mSettings.rank;
-    mQuietUntil = mNow + patience;
+    const auto delay = mSettings.validity + 2 * mSettings.suspectAfter +
+                       2 * mSettings.probeInterval * mSettings.rank;
+    mDeferUntil = mNow + delay;
   }
 
   void FindPrimary()
@@ -244,7 +244,7 @@
     if (promoted.term > mPrimary.term) {
       Adopt(promoted, true, mNow);
     }
-    const auto accepted = mWatch.AcceptedPrimary();
+    const auto accepted = mMonitor.AcceptedPrimary();
     if (accepted.term > mPrimary.term) {
       Adopt(accepted, false, mNow);
     }
@@ -253,20 +253,20 @@
   void Adopt(const primary_ref& aPrimary, bool aOwn, clock::time_point aNow)
   {
     mPrimary = aPrimary;
-    mQuietUntil = {};
+    mDeferUntil = {};
     if (mPromoter.Term() < aPrimary.term) {
       mPromoter.Stop();
     }
     mRepair.SetPrimary(aPrimary, aOwn);
     const auto delay = kPublishDelay * (mSettings.rank + 1);
-    mBook.Publish(aPrimary, aOwn ? aNow : aNow + delay);
+    mReservations.Publish(aPrimary, aOwn ? aNow : aNow + delay);
     mActions.emplace_back(announce{ aPrimary.term, aPrimary.server });
   }
 
   void ReportSuspicion()
   {
     primary_ref suspected;
-    if (mPrimary.term > 0 && mWatch.IsUnreachable(mPrimary.server, mNow)) {
+    if (mPrimary.term > 0 && mMonitor.IsUnreachable(mPrimary.server, mNow)) {
       suspected = mPrimary;
     }
     if (suspected != mSuspected) {
@@ -278,9 +278,9 @@
 
   void Decide()
   {
-    const auto found = mDetector.Judge(mWatch, mPrimary, mNow);
+    const auto found = mDetector.Assess(mMonitor, mPrimary, mNow);
     if (found == cause::kNone) {
-      if (mWatch.InForce(mPrimary, mNow)) {
+      if (mMonitor.IsInForce(mPrimary, mNow)) {
         mPromoter.Cancel();
       }
       const auto at = mPromoter.Step();
@@ -289,7 +289,7 @@
       }
       return;
     }
-    if (mPromoter.Step() != step::kIdle || mNow < mQuietUntil) {
+    if (mPromoter.Step() != step::kIdle || mNow < mDeferUntil) {
       return;
     }
     if (!IsPlanned(found)) {
@@ -305,16 +305,16 @@
 
   coordinator_settings mSettings;
   group::description mGroup;
-  server_watch mWatch;
+  server_monitor mMonitor;
   detector mDetector;
-  term_book mBook;
+  term_reservations mReservations;
   promoter mPromoter;
   follower_repair mRepair;
   primary_ref mPrimary;
   primary_ref mSuspected;
   position::term_id mHighest = 0;
   clock::time_point mNow;
-  clock::time_point mQuietUntil;
+  clock::time_point mDeferUntil;
   clock::time_point mPlannedFrom;
   std::vector<action> mActions;
 };
--- a/src/currantshed/failover/coordinator.hpp
+++ b/src/currantshed/failover/coordinator.hpp
@@ -85,7 +85,7 @@
 /// an empty primary withdraws it.
 struct report_suspicion
 {
-  suspicion word;
+  suspicion report;
 };
 
 using action = std::variant<probe,
@@ -146,7 +146,7 @@
   /// Another owner's word that it can't reach the primary, or none.
   virtual void PeerSuspects(const std::string& aVm,
                             const std::string& aFailureDomain,
-                            const suspicion& aWord,
+                            const suspicion& aReport,
                             clock::time_point aNow) = 0;
 
   /// Another owner's word on who leads the group.
--- a/src/currantshed/failover/detector.cpp
+++ b/src/currantshed/failover/detector.cpp
@@ -12,19 +12,19 @@
 using std::chrono::milliseconds;
 
 // A peer repeats its suspicion with each heartbeat; without that it lapses.
-constexpr milliseconds kWordLife{ 700 };
-constexpr std::size_t kFewestPoolers = 2;
+constexpr milliseconds kSuspicionLifetime{ 700 };
+constexpr std::size_t kMinPoolers = 2;
 // How long a server may hold a higher term than the primary in force before
 // the group is brought above it.
-constexpr milliseconds kStrayAfter{ 5000 };
+constexpr milliseconds kHigherTermAfter{ 5000 };
 // How long a leaving primary must be in force first, so that a move does not
 // chase another one.
 constexpr milliseconds kLeavingAfter{ 200 };
 // How much longer a primary must be out of reach when its replicas still hear
 // it: a lossy link to the poolers is no reason to depose it.
-constexpr int kHeardPatience = 5;
+constexpr int kReachedFactor = 5;
 // Records that a replica may lack when a planned move begins.
-constexpr position::log_index kCaughtUp = 64;
+constexpr position::log_index kMaxMissingRecords = 64;
 
 bool
 HasLost(const upstream::server_status& aStatus,
@@ -39,14 +39,14 @@
 // Whether a majority answers and one that stays has caught up. Servers that
 // leave still count for the majority: fences and log records are no new work.
 bool
-CanMove(const server_watch& aWatch,
+CanMove(const server_monitor& aMonitor,
         const server_view& aPrimary,
         clock::time_point aNow)
 {
   std::size_t fresh = 0;
   bool caughtUp = false;
-  for (const auto& [id, server] : aWatch.Servers()) {
-    if (!aWatch.IsFresh(server, aNow)) {
+  for (const auto& [id, server] : aMonitor.Servers()) {
+    if (!aMonitor.IsFresh(server, aNow)) {
       continue;
     }
     ++fresh;
@@ -56,19 +56,19 @@
     const auto& stored = server.status->stored;
     const auto& goal = aPrimary.status->stored;
     caughtUp = caughtUp || (stored.term == goal.term &&
-                            stored.index + kCaughtUp >= goal.index);
+                            stored.index + kMaxMissingRecords >= goal.index);
   }
-  return caughtUp && fresh >= aWatch.Majority();
+  return caughtUp && fresh >= aMonitor.Majority();
 }
 
 bool
-HasStray(const server_watch& aWatch,
-         const primary_ref& aPrimary,
-         clock::time_point aNow)
+HasHigherTerm(const server_monitor& aMonitor,
+              const primary_ref& aPrimary,
+              clock::time_point aNow)
 {
-  const auto& servers = aWatch.Servers();
+  const auto& servers = aMonitor.Servers();
   return std::any_of(servers.begin(), servers.end(), [&](const auto& aEntry) {
-    return aWatch.IsFresh(aEntry.second, aNow) &&
+    return aMonitor.IsFresh(aEntry.second, aNow) &&
            aEntry.second.status->term > aPrimary.term;
   });
 }
@@ -79,7 +79,7 @@
   : mDomain(aSettings.failureDomain)
   , mSuspectAfter(aSettings.suspectAfter)
   , mLostAfter(aSettings.probeInterval)
-  , mVacantAfter(aSettings.validity + 2 * aSettings.suspectAfter)
+  , mNoPrimaryAfter(aSettings.validity + 2 * aSettings.suspectAfter)
   , mOwners(aSettings.owners)
 {
 }
@@ -87,56 +87,56 @@
 void
 detector::PeerSuspects(const std::string& aVm,
                        const std::string& aFailureDomain,
-                       const suspicion& aWord,
+                       const suspicion& aReport,
                        clock::time_point aNow)
 {
-  if (aWord.primary.empty()) {
-    mWords.erase(aVm);
+  if (aReport.primary.empty()) {
+    mPeerSuspicions.erase(aVm);
     return;
   }
-  mWords[aVm] = { aFailureDomain, aWord, aNow };
+  mPeerSuspicions[aVm] = { aFailureDomain, aReport, aNow };
 }
 
 cause
-detector::Judge(const server_watch& aWatch,
-                const primary_ref& aPrimary,
-                clock::time_point aNow)
+detector::Assess(const server_monitor& aMonitor,
+                 const primary_ref& aPrimary,
+                 clock::time_point aNow)
 {
-  absl::erase_if(mWords, [&](const auto& aEntry) {
-    return aNow - aEntry.second.heardAt > kWordLife;
+  absl::erase_if(mPeerSuspicions, [&](const auto& aEntry) {
+    return aNow - aEntry.second.receivedAt > kSuspicionLifetime;
   });
   // A new primary, perhaps known by a peer's word alone, gets its full time.
   if (aPrimary != mJudged) {
     mJudged = aPrimary;
     mLost = {};
-    mVacant = {};
+    mNoPrimary = {};
     mLeaving = {};
-    mStray = {};
+    mHigherTerm = {};
   }
-  const bool inForce = aWatch.InForce(aPrimary, aNow);
-  const auto* primary = aWatch.Find(aPrimary.server);
+  const bool inForce = aMonitor.IsInForce(aPrimary, aNow);
+  const auto* primary = aMonitor.Find(aPrimary.server);
   // Servers that were frozen say once that they lost the primary, before they
   // read what it sent meanwhile.
-  mLost.Set(aPrimary.term > 0 && LostByServers(aWatch, aPrimary, aNow), aNow);
-  mVacant.Set(!inForce && aWatch.IsVacant(aNow), aNow);
-  mStray.Set(inForce && HasStray(aWatch, aPrimary, aNow), aNow);
+  mLost.Set(aPrimary.term > 0 && LostByServers(aMonitor, aPrimary, aNow), aNow);
+  mNoPrimary.Set(!inForce && aMonitor.SeesNoPrimaryByMajority(aNow), aNow);
+  mHigherTerm.Set(inForce && HasHigherTerm(aMonitor, aPrimary, aNow), aNow);
   mLeaving.Set(inForce && primary->member.leaving &&
-                 CanMove(aWatch, *primary, aNow),
+                 CanMove(aMonitor, *primary, aNow),
                aNow);
-  if (!aWatch.HasMajority(aNow)) {
+  if (!aMonitor.HasMajority(aNow)) {
     return cause::kNone;
   }
-  if (mLost.For(mLostAfter, aNow) || LostByPoolers(aWatch, aPrimary, aNow)) {
+  if (mLost.For(mLostAfter, aNow) || LostByPoolers(aMonitor, aPrimary, aNow)) {
     return cause::kLost;
   }
-  if (mVacant.For(mVacantAfter, aNow)) {
-    return cause::kVacant;
+  if (mNoPrimary.For(mNoPrimaryAfter, aNow)) {
+    return cause::kNoPrimary;
   }
   if (mLeaving.For(kLeavingAfter, aNow)) {
     return cause::kLeaving;
   }
-  if (mStray.For(kStrayAfter, aNow)) {
-    return cause::kStray;
+  if (mHigherTerm.For(kHigherTermAfter, aNow)) {
+    return cause::kHigherTerm;
   }
   return cause::kNone;
 }
@@ -148,20 +148,21 @@
   if (mLost.holds) {
     next = std::min(next, mLost.since + mLostAfter);
   }
-  if (mVacant.holds) {
-    next = std::min(next, mVacant.since + mVacantAfter);
+  if (mNoPrimary.holds) {
+    next = std::min(next, mNoPrimary.since + mNoPrimaryAfter);
   }
   if (mLeaving.holds) {
     next = std::min(next, mLeaving.since + clock::duration{ kLeavingAfter });
   }
-  if (mStray.holds) {
-    next = std::min(next, mStray.since + clock::duration{ kStrayAfter });
+  if (mHigherTerm.holds) {
+    next =
+      std::min(next, mHigherTerm.since + clock::duration{ kHigherTermAfter });
   }
   return next;
 }
 
 void
-detector::lasting::Set(bool aHolds, clock::time_point aNow)
+detector::sustained_condition::Set(bool aHolds, clock::time_point aNow)
 {
   if (aHolds && !holds) {
     since = aNow;
@@ -170,7 +171,8 @@
 }
 
 bool
-detector::lasting::For(clock::duration aTime, clock::time_point aNow) const
+detector::sustained_condition::For(clock::duration aTime,
+                                   clock::time_point aNow) const
 {
   return holds && aNow - since >= aTime;
 }
@@ -178,46 +180,47 @@
 // A majority of the group besides the primary says so directly: whatever the
 // primary believes, nothing more can be confirmed in its term.
 bool
-detector::LostByServers(const server_watch& aWatch,
+detector::LostByServers(const server_monitor& aMonitor,
                         const primary_ref& aPrimary,
                         clock::time_point aNow) const
 {
-  const auto& servers = aWatch.Servers();
+  const auto& servers = aMonitor.Servers();
   const auto lost =
     std::count_if(servers.begin(), servers.end(), [&](const auto& aEntry) {
       return aEntry.first != aPrimary.server &&
-             aWatch.IsFresh(aEntry.second, aNow) &&
+             aMonitor.IsFresh(aEntry.second, aNow) &&
              HasLost(*aEntry.second.status, aPrimary.term, mSuspectAfter);
     });
-  return static_cast<std::size_t>(lost) >= aWatch.Majority();
+  return static_cast<std::size_t>(lost) >= aMonitor.Majority();
 }
 
 bool
-detector::LostByPoolers(const server_watch& aWatch,
+detector::LostByPoolers(const server_monitor& aMonitor,
                         const primary_ref& aPrimary,
                         clock::time_point aNow) const
 {
-  const auto patience = aWatch.IsHeard(aPrimary, aNow) ? kHeardPatience : 1;
-  if (aPrimary.term == 0 || !aWatch.IsUnreachableFor(aPrimary.server,
-                                                     patience * mSuspectAfter,
-                                                     aNow)) {
+  const auto patience =
+    aMonitor.IsReachedByMajority(aPrimary, aNow) ? kReachedFactor : 1;
+  if (aPrimary.term == 0 || !aMonitor.IsUnreachableFor(aPrimary.server,
+                                                       patience * mSuspectAfter,
+                                                       aNow)) {
     return false;
   }
   absl::flat_hash_set<std::string> domains{ mDomain };
   std::size_t poolers = 1;
-  for (const auto& [vm, word] : mWords) {
-    if (word.word.term == aPrimary.term &&
-        word.word.primary == aPrimary.server) {
-      domains.insert(word.failureDomain);
+  for (const auto& [vm, peer] : mPeerSuspicions) {
+    if (peer.report.term == aPrimary.term &&
+        peer.report.primary == aPrimary.server) {
+      domains.insert(peer.failureDomain);
       ++poolers;
     }
   }
   absl::flat_hash_set<std::string> serverDomains;
-  for (const auto& [id, server] : aWatch.Servers()) {
+  for (const auto& [id, server] : aMonitor.Servers()) {
     serverDomains.insert(server.member.failureDomain);
   }
   const auto all = std::min<std::size_t>(mOwners, serverDomains.size());
-  return poolers >= kFewestPoolers && domains.size() >= all / 2 + 1;
+  return poolers >= kMinPoolers && domains.size() >= all / 2 + 1;
 }
 
 } // namespace currantshed::failover
--- a/src/currantshed/failover/detector.hpp
+++ b/src/currantshed/failover/detector.hpp
@@ -5,7 +5,7 @@
 
 #include <absl/container/btree_map.h>
 
-#include "currantshed/failover/server_watch.hpp"
+#include "currantshed/failover/server_monitor.hpp"
 
 namespace currantshed::failover {
 
@@ -18,12 +18,12 @@
   kLost,
   /// A majority has seen no primary for some time: its promoter is gone, or
   /// there never was one.
-  kVacant,
+  kNoPrimary,
   /// The primary's server is marked leaving and another one has caught up.
   kLeaving,
   /// A server holds a higher term than the primary in force and can't join
   /// it: the group has to be brought to a term above.
-  kStray,
+  kHigherTerm,
 };
 
 /// Judges from probes and the other owners' words whether the group needs
@@ -40,27 +40,27 @@
 
   void PeerSuspects(const std::string& aVm,
                     const std::string& aFailureDomain,
-                    const suspicion& aWord,
+                    const suspicion& aReport,
                     clock::time_point aNow);
 
   /// Judges anew; aPrimary is the primary known now.
-  [[nodiscard]] cause Judge(const server_watch& aWatch,
-                            const primary_ref& aPrimary,
-                            clock::time_point aNow);
+  [[nodiscard]] cause Assess(const server_monitor& aMonitor,
+                             const primary_ref& aPrimary,
+                             clock::time_point aNow);
 
   /// When silence alone changes the judgement next.
   [[nodiscard]] clock::time_point NextTick() const noexcept;
 
 private:
-  struct peer_word
+  struct peer_suspicion
   {
     std::string failureDomain;
-    suspicion word;
-    clock::time_point heardAt;
+    suspicion report;
+    clock::time_point receivedAt;
   };
 
   // Since when a condition has held without a break.
-  struct lasting
+  struct sustained_condition
   {
     bool holds = false;
     clock::time_point since;
@@ -69,24 +69,24 @@
     [[nodiscard]] bool For(clock::duration aTime, clock::time_point aNow) const;
   };
 
-  [[nodiscard]] bool LostByServers(const server_watch& aWatch,
+  [[nodiscard]] bool LostByServers(const server_monitor& aMonitor,
                                    const primary_ref& aPrimary,
                                    clock::time_point aNow) const;
-  [[nodiscard]] bool LostByPoolers(const server_watch& aWatch,
+  [[nodiscard]] bool LostByPoolers(const server_monitor& aMonitor,
                                    const primary_ref& aPrimary,
                                    clock::time_point aNow) const;
 
   std::string mDomain;
   std::chrono::milliseconds mSuspectAfter;
   clock::duration mLostAfter;
-  clock::duration mVacantAfter;
+  clock::duration mNoPrimaryAfter;
   unsigned mOwners;
   primary_ref mJudged;
-  absl::btree_map<std::string, peer_word> mWords;
-  lasting mLost;
-  lasting mVacant;
-  lasting mStray;
-  lasting mLeaving;
+  absl::btree_map<std::string, peer_suspicion> mPeerSuspicions;
+  sustained_condition mLost;
+  sustained_condition mNoPrimary;
+  sustained_condition mHigherTerm;
+  sustained_condition mLeaving;
 };
 
 } // namespace currantshed::failover
--- a/src/currantshed/failover/follower_repair.cpp
+++ b/src/currantshed/failover/follower_repair.cpp
@@ -14,8 +14,8 @@
 } // namespace
 
 follower_repair::follower_repair(const coordinator_settings& aSettings,
-                                 const server_watch& aWatch)
-  : mWatch(aWatch)
+                                 const server_monitor& aMonitor)
+  : mMonitor(aMonitor)
   , mProbeInterval(aSettings.probeInterval)
   , mTimeout(aSettings.probeTimeout)
   , mRank(aSettings.rank)
@@ -31,14 +31,14 @@
   }
   mPrimary = aPrimary;
   mOwn = aOwn;
-  mNeeds.clear();
+  mPending.clear();
 }
 
 void
 follower_repair::FollowAnswered(const upstream::server_id& aServer)
 {
-  const auto found = mNeeds.find(aServer);
-  if (found != mNeeds.end()) {
+  const auto found = mPending.find(aServer);
+  if (found != mPending.end()) {
     found->second.sentAt.reset();
   }
 }
@@ -46,24 +46,24 @@
 void
 follower_repair::Tick(clock::time_point aNow, std::vector<action>& aOut)
 {
-  const auto* primary = mWatch.Find(mPrimary.server);
+  const auto* primary = mMonitor.Find(mPrimary.server);
   // Only a primary that speaks for itself in this term is followed.
   if (mPrimary.term == 0 || primary == nullptr ||
-      !mWatch.IsFresh(*primary, aNow) ||
+      !mMonitor.IsFresh(*primary, aNow) ||
       primary->status->term != mPrimary.term ||
       primary->status->role != upstream::server_role::kPrimary) {
-    mNeeds.clear();
+    mPending.clear();
     return;
   }
   const auto delay =
     mOwn ? clock::duration{} : kRankIntervals * mProbeInterval * mRank;
-  for (const auto& [id, server] : mWatch.Servers()) {
-    if (id == mPrimary.server || !mWatch.IsFresh(server, aNow) ||
-        !IsAstray(server)) {
-      mNeeds.erase(id);
+  for (const auto& [id, server] : mMonitor.Servers()) {
+    if (id == mPrimary.server || !mMonitor.IsFresh(server, aNow) ||
+        !NeedsFollow(server)) {
+      mPending.erase(id);
       continue;
     }
-    const auto [place, added] = mNeeds.try_emplace(id);
+    const auto [place, added] = mPending.try_emplace(id);
     auto& entry = place->second;
     if (added) {
       entry.nextTry = aNow + delay;
@@ -83,7 +83,7 @@
 follower_repair::NextTick() const noexcept
 {
   auto next = clock::time_point::max();
-  for (const auto& [id, entry] : mNeeds) {
+  for (const auto& [id, entry] : mPending) {
     next =
       std::min(next, entry.sentAt ? *entry.sentAt + mTimeout : entry.nextTry);
   }
@@ -91,7 +91,7 @@
 }
 
 bool
-follower_repair::IsAstray(const server_view& aServer) const
+follower_repair::NeedsFollow(const server_view& aServer) const
 {
   const auto& status = *aServer.status;
   if (status.term != mPrimary.term) {
--- a/src/currantshed/failover/follower_repair.hpp
+++ b/src/currantshed/failover/follower_repair.hpp
@@ -6,7 +6,7 @@
 
 #include <absl/container/btree_map.h>
 
-#include "currantshed/failover/server_watch.hpp"
+#include "currantshed/failover/server_monitor.hpp"
 
 namespace currantshed::failover {
 
@@ -18,7 +18,7 @@
 {
 public:
   follower_repair(const coordinator_settings& aSettings,
-                  const server_watch& aWatch);
+                  const server_monitor& aMonitor);
 
   /// Later ranks leave the work to earlier ones for a while.
   void SetRank(unsigned aRank) { mRank = aRank; }
@@ -33,21 +33,21 @@
   [[nodiscard]] clock::time_point NextTick() const noexcept;
 
 private:
-  struct need
+  struct pending_follow
   {
     std::optional<clock::time_point> sentAt;
     clock::time_point nextTry;
   };
 
-  [[nodiscard]] bool IsAstray(const server_view& aServer) const;
+  [[nodiscard]] bool NeedsFollow(const server_view& aServer) const;
 
-  const server_watch& mWatch;
+  const server_monitor& mMonitor;
   std::chrono::milliseconds mProbeInterval;
   std::chrono::milliseconds mTimeout;
   unsigned mRank;
   primary_ref mPrimary;
   bool mOwn = false;
-  absl::btree_map<upstream::server_id, need> mNeeds;
+  absl::btree_map<upstream::server_id, pending_follow> mPending;
 };
 
 } // namespace currantshed::failover
--- a/src/currantshed/failover/promoter.cpp
+++ b/src/currantshed/failover/promoter.cpp
@@ -17,10 +17,10 @@
 } // namespace
 
 promoter::promoter(const coordinator_settings& aSettings,
-                   const server_watch& aWatch,
-                   term_book& aBook)
-  : mWatch(aWatch)
-  , mBook(aBook)
+                   const server_monitor& aMonitor,
+                   term_reservations& aReservations)
+  : mMonitor(aMonitor)
+  , mReservations(aReservations)
   , mProbeInterval(aSettings.probeInterval)
   , mRetry(aSettings.probeTimeout)
   , mValidity(aSettings.validity)
@@ -31,7 +31,7 @@
 void
 promoter::Begin(const primary_ref& aPrevious,
                 bool aLost,
-                clock::duration aLate,
+                clock::duration aExtraDelay,
                 clock::time_point aNow)
 {
   if (mStep != step::kIdle) {
@@ -40,7 +40,7 @@
   mPrevious = aPrevious;
   mLost = aLost;
   mStep = step::kRankDelay;
-  mDue = std::max(aNow + RankDelay() + aLate, mNotBefore);
+  mDue = std::max(aNow + RankDelay() + aExtraDelay, mNotBefore);
 }
 
 void
@@ -56,7 +56,7 @@
 promoter::Stop()
 {
   mStep = step::kIdle;
-  mBook.SetUrgent(false);
+  mReservations.SetUrgent(false);
 }
 
 void
@@ -102,7 +102,7 @@
 void
 promoter::Tick(clock::time_point aNow, std::vector<action>& aOut)
 {
-  ReadWatch(aNow);
+  ReadMonitor(aNow);
   if ((mStep == step::kRankDelay || mStep == step::kBackOff) && aNow >= mDue) {
     mStep = step::kPickTerm;
   }
@@ -117,7 +117,7 @@
     }
   }
   // A promoter that was paused first hears what happened meanwhile.
-  if (mStep == step::kWaitOut && aNow >= mDue && mWatch.HasMajority(aNow)) {
+  if (mStep == step::kWaitOut && aNow >= mDue && mMonitor.HasMajority(aNow)) {
     Promote(aNow, aOut);
   }
   if (mStep == step::kPromote && (aNow >= mDue || IsPromotionLost(aNow))) {
@@ -154,14 +154,14 @@
 void
 promoter::PickTerm(clock::time_point aNow)
 {
-  const bool reuse = !mUsed && mTerm >= mWatch.HighestTerm();
+  const bool reuse = !mUsed && mTerm >= mMonitor.HighestTerm();
   if (!reuse) {
-    const auto term = mBook.Lowest();
-    mBook.SetUrgent(!term);
+    const auto term = mReservations.LowestUsable();
+    mReservations.SetUrgent(!term);
     if (!term) {
       return;
     }
-    mBook.Take(*term);
+    mReservations.MarkUsed(*term);
     mTerm = *term;
     mUsed = false;
     mFenced.clear();
@@ -170,7 +170,7 @@
   mNextFence = aNow;
   mGiveUp = aNow + kFenceRounds * mRetry;
   // Answers that came after an earlier try had ended count as well.
-  if (mFenced.size() >= mWatch.Majority()) {
+  if (mFenced.size() >= mMonitor.Majority()) {
     mStep = step::kWaitOut;
     mDue = aNow + mValidity;
   }
@@ -181,11 +181,11 @@
                      const upstream::server_status& aStatus,
                      clock::time_point aNow)
 {
-  if (mUsed || aStatus.term != mTerm || mWatch.Find(aServer) == nullptr) {
+  if (mUsed || aStatus.term != mTerm || mMonitor.Find(aServer) == nullptr) {
     return;
   }
   mFenced[aServer] = aStatus;
-  if (mStep == step::kFence && mFenced.size() >= mWatch.Majority()) {
+  if (mStep == step::kFence && mFenced.size() >= mMonitor.Majority()) {
     mStep = step::kWaitOut;
     mDue = aNow + mValidity;
   }
@@ -194,14 +194,14 @@
 // A number belongs to one process alone, so a server that holds this one and
 // is fenced has accepted it from here, even if its answer was lost.
 void
-promoter::ReadWatch(clock::time_point aNow)
+promoter::ReadMonitor(clock::time_point aNow)
 {
   if (mStep == step::kIdle || mTerm == 0) {
     return;
   }
   // Before a new term is picked this one may be an earlier failover's.
   const bool sent = mStep == step::kPromote || mStep == step::kBackOff;
-  for (const auto& [id, server] : mWatch.Servers()) {
+  for (const auto& [id, server] : mMonitor.Servers()) {
     if (!server.status || server.status->term != mTerm) {
       continue;
     }
@@ -222,7 +222,7 @@
     return;
   }
   mNextFence = aNow + mRetry;
-  for (const auto& [id, server] : mWatch.Servers()) {
+  for (const auto& [id, server] : mMonitor.Servers()) {
     if (!mFenced.contains(id)) {
       aOut.emplace_back(fence{ id, mTerm });
     }
@@ -245,7 +245,7 @@
 bool
 promoter::IsPromotionLost(clock::time_point aNow) const
 {
-  const auto* server = mWatch.Find(mChosen);
+  const auto* server = mMonitor.Find(mChosen);
   if (server == nullptr || !server->status || aNow < mPromotedAt + mRetry) {
     return false;
   }
@@ -303,34 +303,34 @@
       preferred.push_back(id);
     }
   }
-  const bool enough = preferred.size() >= mWatch.Majority();
+  const bool enough = preferred.size() >= mMonitor.Majority();
   const auto& choice = enough ? preferred : all;
   return *std::min_element(choice.begin(),
                            choice.end(),
                            [this](const auto& aLeft, const auto& aRight) {
-                             return GoesBefore(aLeft, aRight);
+                             return RanksBefore(aLeft, aRight);
                            });
 }
 
 bool
 promoter::IsAvoided(const upstream::server_id& aServer) const
 {
-  const auto* server = mWatch.Find(aServer);
+  const auto* server = mMonitor.Find(aServer);
   const bool leaving = server == nullptr || server->member.leaving;
   return leaving || (mLost && aServer == mPrevious.server);
 }
 
 bool
-promoter::GoesBefore(const upstream::server_id& aLeft,
-                     const upstream::server_id& aRight) const
+promoter::RanksBefore(const upstream::server_id& aLeft,
+                      const upstream::server_id& aRight) const
 {
   const auto& left = mFenced.at(aLeft);
   const auto& right = mFenced.at(aRight);
   if (left.stored != right.stored) {
     return left.stored > right.stored;
   }
-  const bool leftLeaves = mWatch.Find(aLeft)->member.leaving;
-  const bool rightLeaves = mWatch.Find(aRight)->member.leaving;
+  const bool leftLeaves = mMonitor.Find(aLeft)->member.leaving;
+  const bool rightLeaves = mMonitor.Find(aRight)->member.leaving;
   if (leftLeaves != rightLeaves) {
     return rightLeaves;
   }
--- a/src/currantshed/failover/promoter.hpp
+++ b/src/currantshed/failover/promoter.hpp
@@ -6,8 +6,8 @@
 
 #include <absl/container/btree_map.h>
 
-#include "currantshed/failover/server_watch.hpp"
-#include "currantshed/failover/term_book.hpp"
+#include "currantshed/failover/server_monitor.hpp"
+#include "currantshed/failover/term_reservations.hpp"
 
 namespace currantshed::failover {
 
@@ -38,17 +38,17 @@
 {
 public:
   promoter(const coordinator_settings& aSettings,
-           const server_watch& aWatch,
-           term_book& aBook);
+           const server_monitor& aMonitor,
+           term_reservations& aReservations);
 
   void SetRank(unsigned aRank) { mRank = aRank; }
 
   /// Begins a failover unless one is under way. aPrevious is the primary
-  /// until now; where it is lost, another one is preferred. aLate is added to
-  /// the delay by rank.
+  /// until now; where it is lost, another one is preferred. aExtraDelay is
+  /// added to the delay by rank.
   void Begin(const primary_ref& aPrevious,
              bool aLost,
-             clock::duration aLate,
+             clock::duration aExtraDelay,
              clock::time_point aNow);
 
   /// The reason to begin is gone: ends unless fences are under way.
@@ -89,7 +89,7 @@
   void NoteFenced(const upstream::server_id& aServer,
                   const upstream::server_status& aStatus,
                   clock::time_point aNow);
-  void ReadWatch(clock::time_point aNow);
+  void ReadMonitor(clock::time_point aNow);
   void SendFences(clock::time_point aNow, std::vector<action>& aOut);
   void Promote(clock::time_point aNow, std::vector<action>& aOut);
   [[nodiscard]] bool IsPromotionLost(clock::time_point aNow) const;
@@ -99,12 +99,12 @@
   [[nodiscard]] clock::duration NextPause();
   [[nodiscard]] upstream::server_id Choose() const;
   [[nodiscard]] bool IsAvoided(const upstream::server_id& aServer) const;
-  [[nodiscard]] bool GoesBefore(const upstream::server_id& aLeft,
-                                const upstream::server_id& aRight) const;
+  [[nodiscard]] bool RanksBefore(const upstream::server_id& aLeft,
+                                 const upstream::server_id& aRight) const;
   [[nodiscard]] clock::duration RankDelay() const;
 
-  const server_watch& mWatch;
-  term_book& mBook;
+  const server_monitor& mMonitor;
+  term_reservations& mReservations;
   std::chrono::milliseconds mProbeInterval;
   std::chrono::milliseconds mRetry;
   std::chrono::milliseconds mValidity;
--- a/src/currantshed/failover/server_watch.cpp
+++ b/src/currantshed/failover/server_monitor.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/failover/server_watch.hpp"
+#include "currantshed/failover/server_monitor.hpp"
 
 #include <algorithm>
 
@@ -28,7 +28,7 @@
 
 } // namespace
 
-server_watch::server_watch(const coordinator_settings& aSettings)
+server_monitor::server_monitor(const coordinator_settings& aSettings)
   : mProbeInterval(aSettings.probeInterval)
   , mProbeTimeout(aSettings.probeTimeout)
   , mSuspectAfter(aSettings.suspectAfter)
@@ -36,8 +36,8 @@
 }
 
 void
-server_watch::Configure(const group::description& aGroup,
-                        clock::time_point aNow)
+server_monitor::Configure(const group::description& aGroup,
+                          clock::time_point aNow)
 {
   absl::flat_hash_set<upstream::server_id> listed;
   for (const auto& member : aGroup.members) {
@@ -55,10 +55,10 @@
 }
 
 void
-server_watch::Answered(const upstream::server_id& aServer,
-                       const upstream::server_status& aStatus,
-                       clock::time_point aAskedAt,
-                       clock::time_point aNow)
+server_monitor::Answered(const upstream::server_id& aServer,
+                         const upstream::server_status& aStatus,
+                         clock::time_point aAskedAt,
+                         clock::time_point aNow)
 {
   const auto found = mServers.find(aServer);
   if (found == mServers.end()) {
@@ -80,7 +80,8 @@
 }
 
 void
-server_watch::Failed(const upstream::server_id& aServer, clock::time_point aNow)
+server_monitor::Failed(const upstream::server_id& aServer,
+                       clock::time_point aNow)
 {
   const auto found = mServers.find(aServer);
   if (found == mServers.end() || !found->second.probing) {
@@ -93,7 +94,7 @@
 }
 
 void
-server_watch::Tick(clock::time_point aNow, std::vector<action>& aOut)
+server_monitor::Tick(clock::time_point aNow, std::vector<action>& aOut)
 {
   for (auto& [id, server] : mServers) {
     if (server.probing && aNow - *server.probing >= mProbeTimeout) {
@@ -108,7 +109,7 @@
 }
 
 clock::time_point
-server_watch::NextTick() const noexcept
+server_monitor::NextTick() const noexcept
 {
   auto next = clock::time_point::max();
   for (const auto& [id, server] : mServers) {
@@ -120,30 +121,31 @@
 }
 
 const server_view*
-server_watch::Find(const upstream::server_id& aServer) const
+server_monitor::Find(const upstream::server_id& aServer) const
 {
   const auto found = mServers.find(aServer);
   return found == mServers.end() ? nullptr : &found->second;
 }
 
 bool
-server_watch::IsFresh(const server_view& aServer, clock::time_point aNow) const
+server_monitor::IsFresh(const server_view& aServer,
+                        clock::time_point aNow) const
 {
   return aServer.status &&
          aNow - aServer.askedAt <= mSuspectAfter + mProbeTimeout;
 }
 
 bool
-server_watch::IsUnreachable(const upstream::server_id& aServer,
-                            clock::time_point aNow) const
+server_monitor::IsUnreachable(const upstream::server_id& aServer,
+                              clock::time_point aNow) const
 {
   return IsUnreachableFor(aServer, mSuspectAfter, aNow);
 }
 
 bool
-server_watch::IsUnreachableFor(const upstream::server_id& aServer,
-                               clock::duration aTime,
-                               clock::time_point aNow) const
+server_monitor::IsUnreachableFor(const upstream::server_id& aServer,
+                                 clock::duration aTime,
+                                 clock::time_point aNow) const
 {
   const auto* server = Find(aServer);
   return server != nullptr && server->failures >= kFailuresToSuspect &&
@@ -151,7 +153,8 @@
 }
 
 bool
-server_watch::IsHeard(const primary_ref& aPrimary, clock::time_point aNow) const
+server_monitor::IsReachedByMajority(const primary_ref& aPrimary,
+                                    clock::time_point aNow) const
 {
   const auto hearing =
     std::count_if(mServers.begin(), mServers.end(), [&](const auto& aEntry) {
@@ -163,13 +166,13 @@
 }
 
 std::size_t
-server_watch::Majority() const noexcept
+server_monitor::Majority() const noexcept
 {
   return mServers.size() / 2 + 1;
 }
 
 bool
-server_watch::HasMajority(clock::time_point aNow) const
+server_monitor::HasMajority(clock::time_point aNow) const
 {
   const auto fresh =
     std::count_if(mServers.begin(), mServers.end(), [&](const auto& aEntry) {
@@ -179,7 +182,7 @@
 }
 
 position::term_id
-server_watch::HighestTerm() const
+server_monitor::HighestTerm() const
 {
   position::term_id highest = 0;
   for (const auto& [id, server] : mServers) {
@@ -189,7 +192,7 @@
 }
 
 primary_ref
-server_watch::AcceptedPrimary() const
+server_monitor::AcceptedPrimary() const
 {
   primary_ref primary;
   for (const auto& [id, server] : mServers) {
@@ -209,7 +212,8 @@
 }
 
 bool
-server_watch::InForce(const primary_ref& aPrimary, clock::time_point aNow) const
+server_monitor::IsInForce(const primary_ref& aPrimary,
+                          clock::time_point aNow) const
 {
   const auto* primary = Find(aPrimary.server);
   if (primary == nullptr || !IsFresh(*primary, aNow) ||
@@ -226,7 +230,7 @@
 }
 
 bool
-server_watch::IsVacant(clock::time_point aNow) const
+server_monitor::SeesNoPrimaryByMajority(clock::time_point aNow) const
 {
   const auto without =
     std::count_if(mServers.begin(), mServers.end(), [&](const auto& aEntry) {
--- a/src/currantshed/failover/server_watch.hpp
+++ b/src/currantshed/failover/server_monitor.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_FAILOVER_SERVER_WATCH_HPP
-#define CURRANTSHED_FAILOVER_SERVER_WATCH_HPP
+#ifndef CURRANTSHED_FAILOVER_SERVER_MONITOR_HPP
+#define CURRANTSHED_FAILOVER_SERVER_MONITOR_HPP
 
 #include <cstddef>
 #include <optional>
@@ -30,10 +30,10 @@
 
 /// The group's servers as the probes of this pooler show them. A server that
 /// does not answer says nothing about what it sees.
-class server_watch
+class server_monitor
 {
 public:
-  explicit server_watch(const coordinator_settings& aSettings);
+  explicit server_monitor(const coordinator_settings& aSettings);
 
   void Configure(const group::description& aGroup, clock::time_point aNow);
 
@@ -73,8 +73,8 @@
 
   /// Whether so many of the others say lately that they hear the primary that
   /// it has a majority with them.
-  [[nodiscard]] bool IsHeard(const primary_ref& aPrimary,
-                             clock::time_point aNow) const;
+  [[nodiscard]] bool IsReachedByMajority(const primary_ref& aPrimary,
+                                         clock::time_point aNow) const;
 
   /// More than half of the group's servers.
   [[nodiscard]] std::size_t Majority() const noexcept;
@@ -91,12 +91,12 @@
   [[nodiscard]] primary_ref AcceptedPrimary() const;
 
   /// Whether the primary itself and a majority in its term answered lately.
-  [[nodiscard]] bool InForce(const primary_ref& aPrimary,
-                             clock::time_point aNow) const;
+  [[nodiscard]] bool IsInForce(const primary_ref& aPrimary,
+                               clock::time_point aNow) const;
 
   /// Whether a majority answered lately that it sees no primary: fenced,
   /// following nobody, or without word from the one followed.
-  [[nodiscard]] bool IsVacant(clock::time_point aNow) const;
+  [[nodiscard]] bool SeesNoPrimaryByMajority(clock::time_point aNow) const;
 
 private:
   std::chrono::milliseconds mProbeInterval;
--- a/src/currantshed/failover/term_record.cpp
+++ b/src/currantshed/failover/term_record.cpp
@@ -13,7 +13,7 @@
 
 namespace json = boost::json;
 
-constexpr std::size_t kLongestRecord = 65536;
+constexpr std::size_t kMaxRecordBytes = 65536;
 
 // Each reader gives false for a field that is missing or of another type.
 bool
@@ -100,7 +100,7 @@
   if (aText.empty()) {
     return {};
   }
-  if (aText.size() > kLongestRecord) {
+  if (aText.size() > kMaxRecordBytes) {
     return record_error::kTooLarge;
   }
   json::error_code failure;
@@ -123,7 +123,7 @@
 }
 
 std::string
-PrintRecord(const term_record& aRecord)
+SerializeRecord(const term_record& aRecord)
 {
   json::array reserved;
   for (const auto& entry : aRecord.reservations) {
--- a/src/currantshed/failover/term_record.hpp
+++ b/src/currantshed/failover/term_record.hpp
@@ -53,7 +53,7 @@
 
 /// The record as JSON.
 [[nodiscard]] std::string
-PrintRecord(const term_record& aRecord);
+SerializeRecord(const term_record& aRecord);
 
 /// Drops what no longer matters: numbers up to the published term, those of
 /// earlier incarnations of the VM, and the oldest beyond the bounds.
--- a/src/currantshed/failover/term_book.cpp
+++ b/src/currantshed/failover/term_reservations.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/failover/term_book.hpp"
+#include "currantshed/failover/term_reservations.hpp"
 
 #include <algorithm>
 #include <chrono>
@@ -15,10 +15,10 @@
 
 // The store's answer counts as lost after this; the change is read back.
 constexpr milliseconds kStoreTimeout{ 3000 };
-constexpr milliseconds kFirstBackoff{ 100 };
-constexpr milliseconds kLongestBackoff{ 5000 };
+constexpr milliseconds kInitialBackoff{ 100 };
+constexpr milliseconds kMaxBackoff{ 5000 };
 // The same while a promoter waits for a term.
-constexpr milliseconds kLongestUrgentBackoff{ 400 };
+constexpr milliseconds kMaxUrgentBackoff{ 400 };
 // An owner without any term asks within this span, after those of lower ranks.
 constexpr milliseconds kFirstSpan{ 300 };
 constexpr milliseconds kRankSpan{ 400 };
@@ -38,7 +38,7 @@
          const term_record& aChanged,
          store::index aVersion)
 {
-  const auto text = PrintRecord(aChanged);
+  const auto text = SerializeRecord(aChanged);
   return absl::StrCat(aIncarnation,
                       "-",
                       aVersion,
@@ -48,7 +48,7 @@
 
 } // namespace
 
-term_book::term_book(const coordinator_settings& aSettings)
+term_reservations::term_reservations(const coordinator_settings& aSettings)
   : mVm(aSettings.vm)
   , mIncarnation(aSettings.incarnation)
   , mReserve(aSettings.reserve)
@@ -57,23 +57,23 @@
 }
 
 void
-term_book::SetGroup(const group::group_name& aGroup)
+term_reservations::SetGroup(const group::group_name& aGroup)
 {
   mGroup = aGroup;
 }
 
 void
-term_book::See(position::term_id aTerm)
+term_reservations::ObserveTerm(position::term_id aTerm)
 {
-  mKnown = std::max(mKnown, aTerm);
+  mHighestSeen = std::max(mHighestSeen, aTerm);
 }
 
 std::optional<position::term_id>
-term_book::Lowest() const
+term_reservations::LowestUsable() const
 {
   std::optional<position::term_id> lowest;
   for (const auto term : mHeld) {
-    if (term > mKnown && (!lowest || term < *lowest)) {
+    if (term > mHighestSeen && (!lowest || term < *lowest)) {
       lowest = term;
     }
   }
@@ -81,23 +81,24 @@
 }
 
 void
-term_book::Take(position::term_id aTerm)
+term_reservations::MarkUsed(position::term_id aTerm)
 {
   mHeld.erase(std::remove(mHeld.begin(), mHeld.end(), aTerm), mHeld.end());
 }
 
 void
-term_book::SetUrgent(bool aUrgent)
+term_reservations::SetUrgent(bool aUrgent)
 {
   if (aUrgent && !mUrgent) {
-    mPaced = true;
+    mIsScheduled = true;
     mNotBefore = {};
   }
   mUrgent = aUrgent;
 }
 
 void
-term_book::Publish(const primary_ref& aPrimary, clock::time_point aNotBefore)
+term_reservations::Publish(const primary_ref& aPrimary,
+                           clock::time_point aNotBefore)
 {
   if (mUnpublished && mUnpublished->term > aPrimary.term) {
     return;
@@ -111,9 +112,9 @@
 }
 
 void
-term_book::RecordRead(bool aReached,
-                      const store::entry& aEntry,
-                      clock::time_point aNow)
+term_reservations::RecordRead(bool aReached,
+                              const store::entry& aEntry,
+                              clock::time_point aNow)
 {
   if (mState != state::kReading) {
     return;
@@ -125,27 +126,28 @@
     Retry(aNow);
     return;
   }
-  Digest(record);
+  ApplyRecord(record);
   if (ResolvePending(aEntry, record)) {
     return;
   }
   if (!WantsTerms() && !WantsPublication(aNow)) {
     mFailures = 0;
-    mPaced = false;
+    mIsScheduled = false;
     return;
   }
-  Plan(record, aEntry.version, aNow);
+  PrepareChange(record, aEntry.version, aNow);
 }
 
 void
-term_book::RecordSwapped(store::swap_outcome aOutcome, clock::time_point aNow)
+term_reservations::RecordSwapped(store::swap_outcome aOutcome,
+                                 clock::time_point aNow)
 {
   if (mState != state::kSwapping) {
     return;
   }
   mState = state::kIdle;
   if (aOutcome == store::swap_outcome::kApplied) {
-    Adopt();
+    CommitPending();
     return;
   }
   Retry(aNow);
@@ -158,7 +160,7 @@
 }
 
 void
-term_book::Tick(clock::time_point aNow, std::vector<action>& aOut)
+term_reservations::Tick(clock::time_point aNow, std::vector<action>& aOut)
 {
   if (mState != state::kIdle && aNow >= mTimeout) {
     mState = state::kIdle;
@@ -177,7 +179,7 @@
   if (!mPending && !WantsTerms() && !WantsPublication(aNow)) {
     return;
   }
-  Pace(aNow);
+  ScheduleCall(aNow);
   if (aNow < mNotBefore) {
     return;
   }
@@ -187,7 +189,7 @@
 }
 
 clock::time_point
-term_book::NextTick() const noexcept
+term_reservations::NextTick() const noexcept
 {
   if (mState != state::kIdle) {
     return mTimeout;
@@ -202,21 +204,23 @@
 }
 
 std::size_t
-term_book::Usable() const
+term_reservations::Usable() const
 {
-  const auto count = std::count_if(
-    mHeld.begin(), mHeld.end(), [this](auto aTerm) { return aTerm > mKnown; });
+  const auto count =
+    std::count_if(mHeld.begin(), mHeld.end(), [this](auto aTerm) {
+      return aTerm > mHighestSeen;
+    });
   return static_cast<std::size_t>(count);
 }
 
 bool
-term_book::WantsTerms() const
+term_reservations::WantsTerms() const
 {
   return Usable() < mReserve || (mUrgent && Usable() == 0);
 }
 
 bool
-term_book::WantsPublication(clock::time_point aNow) const
+term_reservations::WantsPublication(clock::time_point aNow) const
 {
   return mUnpublished && aNow >= mPublishFrom;
 }
@@ -225,15 +229,15 @@
 // is sent again as it was. A change whose expected version has passed can
 // never be applied any more.
 bool
-term_book::ResolvePending(const store::entry& aEntry,
-                          const term_record& aRecord)
+term_reservations::ResolvePending(const store::entry& aEntry,
+                                  const term_record& aRecord)
 {
   if (!mPending) {
     return false;
   }
   const auto& ids = aRecord.changes;
   if (std::find(ids.begin(), ids.end(), mPending->id) != ids.end()) {
-    Adopt();
+    CommitPending();
     return false;
   }
   if (aEntry.version == mPending->expected) {
@@ -245,7 +249,7 @@
 }
 
 void
-term_book::Adopt()
+term_reservations::CommitPending()
 {
   if (mPending) {
     std::copy(mPending->terms.begin(),
@@ -253,31 +257,32 @@
               std::back_inserter(mHeld));
     term_record written;
     if (!ParseRecord(mPending->value, written)) {
-      Digest(written);
+      ApplyRecord(written);
     }
   }
   mPending.reset();
   mFailures = 0;
-  mPaced = false;
+  mIsScheduled = false;
 }
 
 void
-term_book::Digest(const term_record& aRecord)
+term_reservations::ApplyRecord(const term_record& aRecord)
 {
-  See(aRecord.term);
+  ObserveTerm(aRecord.term);
   if (mUnpublished && mUnpublished->term <= aRecord.term) {
     mUnpublished.reset();
   }
-  mHeld.erase(std::remove_if(mHeld.begin(),
-                             mHeld.end(),
-                             [this](auto aTerm) { return aTerm <= mKnown; }),
-              mHeld.end());
+  mHeld.erase(
+    std::remove_if(mHeld.begin(),
+                   mHeld.end(),
+                   [this](auto aTerm) { return aTerm <= mHighestSeen; }),
+    mHeld.end());
 }
 
 void
-term_book::Plan(const term_record& aRecord,
-                store::index aVersion,
-                clock::time_point aNow)
+term_reservations::PrepareChange(const term_record& aRecord,
+                                 store::index aVersion,
+                                 clock::time_point aNow)
 {
   term_record changed = aRecord;
   pending_change change;
@@ -286,7 +291,7 @@
     changed.term = mUnpublished->term;
     changed.primary = mUnpublished->server;
   }
-  changed.highest = std::max({ changed.highest, changed.term, mKnown });
+  changed.highest = std::max({ changed.highest, changed.term, mHighestSeen });
   for (auto count = Usable(); count < std::max<std::size_t>(mReserve, 1);
        ++count) {
     changed.reservations.push_back({ ++changed.highest, mVm, mIncarnation });
@@ -296,31 +301,31 @@
   change.id = ChangeId(mIncarnation, changed, aVersion);
   changed.changes.push_back(change.id);
   PruneRecord(changed, mVm, mIncarnation);
-  change.value = PrintRecord(changed);
+  change.value = SerializeRecord(changed);
   mPending = change;
   mSendPending = true;
 }
 
 void
-term_book::Retry(clock::time_point aNow)
+term_reservations::Retry(clock::time_point aNow)
 {
   const auto doublings = std::min(mFailures, kDoublings);
   ++mFailures;
-  const auto longest = mUrgent ? kLongestUrgentBackoff : kLongestBackoff;
+  const auto longest = mUrgent ? kMaxUrgentBackoff : kMaxBackoff;
   const clock::duration pause =
-    std::min<clock::duration>(kFirstBackoff * (1U << doublings), longest);
-  mPaced = true;
+    std::min<clock::duration>(kInitialBackoff * (1U << doublings), longest);
+  mIsScheduled = true;
   mNotBefore = aNow + pause / 2 + Jitter(pause / 2);
 }
 
 // Fixes once, for each need, when the store is asked.
 void
-term_book::Pace(clock::time_point aNow)
+term_reservations::ScheduleCall(clock::time_point aNow)
 {
-  if (mPaced) {
+  if (mIsScheduled) {
     return;
   }
-  mPaced = true;
+  mIsScheduled = true;
   if (mUrgent) {
     mNotBefore = aNow;
   } else if (Usable() == 0) {
@@ -331,7 +336,7 @@
 }
 
 clock::duration
-term_book::Jitter(clock::duration aSpan) const
+term_reservations::Jitter(clock::duration aSpan) const
 {
   const auto salt = mIncarnation + '/' + mGroup;
   const auto draw = XXH3_64bits_withSeed(salt.data(), salt.size(), mFailures);
--- a/src/currantshed/failover/term_book.hpp
+++ b/src/currantshed/failover/term_reservations.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_FAILOVER_TERM_BOOK_HPP
-#define CURRANTSHED_FAILOVER_TERM_BOOK_HPP
+#ifndef CURRANTSHED_FAILOVER_TERM_RESERVATIONS_HPP
+#define CURRANTSHED_FAILOVER_TERM_RESERVATIONS_HPP
 
 #include <optional>
 #include <string>
@@ -15,10 +15,10 @@
 /// ahead in the platform's store by compare-and-swap, and publishes primaries
 /// there. While the store is down it keeps what it has. A number is used by
 /// one incarnation only, and only above every term seen.
-class term_book
+class term_reservations
 {
 public:
-  explicit term_book(const coordinator_settings& aSettings);
+  explicit term_reservations(const coordinator_settings& aSettings);
 
   /// Names the group, so that the groups of one pooler ask the store at
   /// different moments.
@@ -28,13 +28,13 @@
   void SetRank(unsigned aRank) { mRank = aRank; }
 
   /// A term was seen somewhere: only higher ones are of use from now on.
-  void See(position::term_id aTerm);
+  void ObserveTerm(position::term_id aTerm);
 
   /// The lowest number held above every term seen.
-  [[nodiscard]] std::optional<position::term_id> Lowest() const;
+  [[nodiscard]] std::optional<position::term_id> LowestUsable() const;
 
   /// Removes a number: it is in use now.
-  void Take(position::term_id aTerm);
+  void MarkUsed(position::term_id aTerm);
 
   /// Asks for numbers without delay while a promoter waits for one.
   void SetUrgent(bool aUrgent);
@@ -72,13 +72,13 @@
   [[nodiscard]] bool WantsPublication(clock::time_point aNow) const;
   [[nodiscard]] bool ResolvePending(const store::entry& aEntry,
                                     const term_record& aRecord);
-  void Adopt();
-  void Digest(const term_record& aRecord);
-  void Plan(const term_record& aRecord,
-            store::index aVersion,
-            clock::time_point aNow);
+  void CommitPending();
+  void ApplyRecord(const term_record& aRecord);
+  void PrepareChange(const term_record& aRecord,
+                     store::index aVersion,
+                     clock::time_point aNow);
   void Retry(clock::time_point aNow);
-  void Pace(clock::time_point aNow);
+  void ScheduleCall(clock::time_point aNow);
   [[nodiscard]] clock::duration Jitter(clock::duration aSpan) const;
 
   std::string mVm;
@@ -86,7 +86,7 @@
   incarnation_id mIncarnation;
   std::size_t mReserve;
   unsigned mRank;
-  position::term_id mKnown = 0;
+  position::term_id mHighestSeen = 0;
   std::vector<position::term_id> mHeld;
   bool mUrgent = false;
   std::optional<primary_ref> mUnpublished;
@@ -94,7 +94,7 @@
   state mState = state::kIdle;
   clock::time_point mTimeout;
   clock::time_point mNotBefore;
-  bool mPaced = false;
+  bool mIsScheduled = false;
   unsigned mFailures = 0;
   std::optional<pending_change> mPending;
   bool mSendPending = false;
--- a/src/currantshed/group/begin_flows.cpp
+++ b/src/currantshed/group/begin_flows.cpp
@@ -47,17 +47,17 @@
 }
 
 route::choice
-begin_write_flow::Place(const std::vector<route::candidate>& aCandidates,
-                        clock::time_point aNow) const
+begin_write_flow::ChooseServer(const std::vector<route::candidate>& aCandidates,
+                               clock::time_point aNow) const
 {
   return route::ChoosePrimary(
-    aCandidates, Request().work.servedIn, Shared().tracker, aNow);
+    aCandidates, Request().work.servedIn, Context().tracker, aNow);
 }
 
 std::optional<answer>
-begin_write_flow::GiveUp(reason aWhy, clock::time_point aNow)
+begin_write_flow::OnNoServer(reason aWhy, clock::time_point aNow)
 {
-  if (aWhy == reason::kNoEligibleServer || HasWaitedLong(aNow)) {
+  if (aWhy == reason::kNoEligibleServer || HasWaitedTooLong(aNow)) {
     return NotRun(Request(), aWhy);
   }
   return std::nullopt;
@@ -67,7 +67,7 @@
 begin_write_flow::Compose(const dispatch& aDispatch)
 {
   mDispatch = aDispatch;
-  const auto& dialect = *Shared().dialect;
+  const auto& dialect = *Context().dialect;
   std::vector<upstream::statement> batch{ dialect.Begin(false),
                                           dialect.Status() };
   batch.insert(
@@ -75,7 +75,7 @@
   return batch;
 }
 
-turn
+reply_outcome
 begin_write_flow::Replied(upstream::reply aReply, clock::time_point aNow)
 {
   if (aReply.sqlState == upstream::kAnswerLimitState) {
@@ -91,16 +91,16 @@
              connection_fate::kRollBack };
   }
   if (aReply.end != batch_end::kComplete) {
-    return { TryAgain(), connection_fate::kClose };
+    return { Retry(), connection_fate::kClose };
   }
-  const auto status = TakeStatus(Shared(), mDispatch, aReply, kOpeningStatus);
+  const auto status = TakeStatus(Context(), mDispatch, aReply, kOpeningStatus);
   if (!status || status->role != server_role::kPrimary) {
-    return { TryAgain(), connection_fate::kClose };
+    return { Retry(), connection_fate::kClose };
   }
   auto open = MakeTransaction(Request(), mDispatch, *status);
   open.digest.Add(Request().statements);
   auto made = ServedBy(Request(), mDispatch, status->role);
-  made.transaction = Shared().transactions.Add(std::move(open), aNow);
+  made.transaction = Context().transactions.Add(std::move(open), aNow);
   made.results.assign(
     std::make_move_iterator(aReply.results.begin() + kOpeningSize),
     std::make_move_iterator(aReply.results.end()));
@@ -115,15 +115,15 @@
 }
 
 step
-begin_write_flow::TryAgain()
+begin_write_flow::Retry()
 {
-  if (Shared().retries.TryWithdraw()) {
-    return queue_again{};
+  if (Context().retries.TryWithdraw()) {
+    return requeue{};
   }
   return finish{ NotRun(Request(), reason::kNoPrimary) };
 }
 
-turn
+reply_outcome
 begin_read_flow::Replied(upstream::reply aReply, clock::time_point aNow)
 {
   const auto isComplete = aReply.end == batch_end::kComplete;
@@ -133,7 +133,7 @@
   }
   const auto isOpen =
     isComplete &&
-    (IsDone(next.next) || std::holds_alternative<await_word>(next.next));
+    (IsDone(next.next) || std::holds_alternative<await_status>(next.next));
   if (!isOpen) {
     next.fate = connection_fate::kRollBack;
     return next;
@@ -141,7 +141,7 @@
   auto open = MakeTransaction(Request(), Dispatched(), Evidence().after);
   open.readOnly = true;
   open.position = Evidence().after.applied;
-  mTransaction = Shared().transactions.Add(std::move(open), aNow);
+  mTransaction = Context().transactions.Add(std::move(open), aNow);
   if (auto* end = std::get_if<finish>(&next.next)) {
     end->reply.transaction = mTransaction;
   }
@@ -150,30 +150,30 @@
 }
 
 std::optional<step>
-begin_read_flow::Heard(clock::time_point aNow)
+begin_read_flow::OnStatusUpdate(clock::time_point aNow)
 {
-  auto next = read_flow::Heard(aNow);
+  auto next = read_flow::OnStatusUpdate(aNow);
   if (!next) {
     return next;
   }
   if (IsDone(*next)) {
     std::get<finish>(*next).reply.transaction = mTransaction;
   } else {
-    Shared().transactions.Abandon(mTransaction);
+    Context().transactions.Abandon(mTransaction);
   }
   return next;
 }
 
 std::vector<upstream::statement>
-begin_read_flow::Opening() const
+begin_read_flow::Preamble() const
 {
   // The status within the transaction is what fixes the state that it sees.
-  const auto& dialect = *Shared().dialect;
+  const auto& dialect = *Context().dialect;
   return { dialect.Status(), dialect.Begin(true), dialect.Status() };
 }
 
 bool
-begin_read_flow::StatusAfter() const
+begin_read_flow::NeedsStatusAfter() const
 {
   return false;
 }
--- a/src/currantshed/group/begin_flows.hpp
+++ b/src/currantshed/group/begin_flows.hpp
@@ -13,19 +13,20 @@
   using flow::flow;
 
   [[nodiscard]] bool ReadOnly() const override;
-  [[nodiscard]] route::choice Place(
+  [[nodiscard]] route::choice ChooseServer(
     const std::vector<route::candidate>& aCandidates,
     clock::time_point aNow) const override;
-  [[nodiscard]] std::optional<answer> GiveUp(outcome::reason aWhy,
-                                             clock::time_point aNow) override;
+  [[nodiscard]] std::optional<answer> OnNoServer(
+    outcome::reason aWhy,
+    clock::time_point aNow) override;
   [[nodiscard]] std::vector<upstream::statement> Compose(
     const dispatch& aDispatch) override;
-  [[nodiscard]] turn Replied(upstream::reply aReply,
-                             clock::time_point aNow) override;
+  [[nodiscard]] reply_outcome Replied(upstream::reply aReply,
+                                      clock::time_point aNow) override;
   [[nodiscard]] answer Expired(stage aStage) const override;
 
 private:
-  [[nodiscard]] step TryAgain();
+  [[nodiscard]] step Retry();
 
   dispatch mDispatch;
 };
@@ -37,13 +38,14 @@
 public:
   using read_flow::read_flow;
 
-  [[nodiscard]] turn Replied(upstream::reply aReply,
-                             clock::time_point aNow) override;
-  [[nodiscard]] std::optional<step> Heard(clock::time_point aNow) override;
+  [[nodiscard]] reply_outcome Replied(upstream::reply aReply,
+                                      clock::time_point aNow) override;
+  [[nodiscard]] std::optional<step> OnStatusUpdate(
+    clock::time_point aNow) override;
 
 protected:
-  [[nodiscard]] std::vector<upstream::statement> Opening() const override;
-  [[nodiscard]] bool StatusAfter() const override;
+  [[nodiscard]] std::vector<upstream::statement> Preamble() const override;
+  [[nodiscard]] bool NeedsStatusAfter() const override;
 
 private:
   transaction_id mTransaction = 0;
--- a/src/currantshed/group/changes.cpp
+++ b/src/currantshed/group/changes.cpp
@@ -28,20 +28,20 @@
 }
 
 route::choice
-change_flow::Place(const std::vector<route::candidate>& aCandidates,
-                   clock::time_point aNow) const
+change_flow::ChooseServer(const std::vector<route::candidate>& aCandidates,
+                          clock::time_point aNow) const
 {
   return route::ChoosePrimary(
-    aCandidates, Request().work.servedIn, Shared().tracker, aNow);
+    aCandidates, Request().work.servedIn, Context().tracker, aNow);
 }
 
 std::optional<answer>
-change_flow::GiveUp(reason aWhy, clock::time_point aNow)
+change_flow::OnNoServer(reason aWhy, clock::time_point aNow)
 {
-  if (mDoubtful || mPhase != phase::kApply) {
+  if (mOutcomeUnknown || mPhase != phase::kApply) {
     return std::nullopt;
   }
-  if (aWhy == reason::kNoEligibleServer || HasWaitedLong(aNow)) {
+  if (aWhy == reason::kNoEligibleServer || HasWaitedTooLong(aNow)) {
     return NotRun(Request(), aWhy);
   }
   return std::nullopt;
@@ -51,13 +51,14 @@
 change_flow::Compose(const dispatch& aDispatch)
 {
   mDispatch = aDispatch;
-  const auto term = Shared().tracker.Term();
+  const auto term = Context().tracker.Term();
   mTerm = term ? term->term : 0;
   switch (mPhase) {
     case phase::kLookUp:
-      return LookUpBatch(*Shared().dialect, Request().key);
+      return LookUpBatch(*Context().dialect, Request().key);
     case phase::kVoid:
-      return VoidBatch(*Shared().dialect, Request().key, Digest().value_or(""));
+      return VoidBatch(
+        *Context().dialect, Request().key, Digest().value_or(""));
     case phase::kApply:
       break;
   }
@@ -65,40 +66,40 @@
 }
 
 bool
-change_flow::IsOvertaken(clock::time_point) const
+change_flow::ShouldAbort(clock::time_point) const
 {
-  const auto term = Shared().tracker.Term();
+  const auto term = Context().tracker.Term();
   return term && term->term > mTerm;
 }
 
-turn
+reply_outcome
 change_flow::Replied(upstream::reply aReply, clock::time_point aNow)
 {
   switch (mPhase) {
     case phase::kLookUp:
-      return LookedUp(aReply, aNow);
+      return OnLookUpReply(aReply, aNow);
     case phase::kVoid:
-      return Voided(aReply, aNow);
+      return OnVoidReply(aReply, aNow);
     case phase::kApply:
       break;
   }
-  return ChangeReplied(std::move(aReply), aNow);
+  return OnChangeReply(std::move(aReply), aNow);
 }
 
 std::optional<step>
-change_flow::Heard(clock::time_point aNow)
+change_flow::OnStatusUpdate(clock::time_point aNow)
 {
-  if (mParked) {
-    mParked = false;
-    return queue_again{};
+  if (mAwaitingUpdate) {
+    mAwaitingUpdate = false;
+    return requeue{};
   }
-  if (Shared().tracker.IsHeldByMajority(mPosition, mDispatch.sentAt, aNow)) {
+  if (Context().tracker.IsHeldByMajority(mPosition, mDispatch.sentAt, aNow)) {
     return finish{ std::move(*mAnswer) };
   }
-  const auto term = Shared().tracker.Term();
+  const auto term = Context().tracker.Term();
   if (term && term->term > mPosition.term) {
     mAnswer.reset();
-    return Doubt();
+    return ResolveOutcome();
   }
   return std::nullopt;
 }
@@ -107,7 +108,7 @@
 change_flow::Expired(stage aStage) const
 {
   const auto neverSent =
-    aStage == stage::kQueued && !mDoubtful && mPhase == phase::kApply;
+    aStage == stage::kQueued && !mOutcomeUnknown && mPhase == phase::kApply;
   return neverSent ? NotRun(Request(), reason::kDeadline)
                    : Unknown(Request(), reason::kDeadline);
 }
@@ -124,34 +125,35 @@
   mPhase = aPhase;
 }
 
-turn
-change_flow::ChangeReplied(upstream::reply aReply, clock::time_point aNow)
+reply_outcome
+change_flow::OnChangeReply(upstream::reply aReply, clock::time_point aNow)
 {
   if (aReply.end == batch_end::kServerError) {
-    return ChangeRefused(aReply);
+    return OnChangeRefused(aReply);
   }
-  const auto first = RecordPlace() + 1;
+  const auto first = RecordIndex() + 1;
   const auto size = aReply.results.size();
   if (aReply.end == batch_end::kTorn || size < first + kClosing) {
-    return { Doubt(), connection_fate::kClose };
+    return { ResolveOutcome(), connection_fate::kClose };
   }
   const auto after = size - 1;
   const auto before = size - kClosing;
   const auto position = PositionOf(aReply, before, after);
   if (!position) {
-    return { Doubt(), connection_fate::kClose };
+    return { ResolveOutcome(), connection_fate::kClose };
   }
-  auto made = ServedBy(Request(), mDispatch, server_role::kPrimary);
+  auto result = ServedBy(Request(), mDispatch, server_role::kPrimary);
   const auto begin = aReply.results.begin();
   const auto offset = static_cast<std::ptrdiff_t>(first);
-  made.results.assign(
+  result.results.assign(
     std::make_move_iterator(begin + offset),
     std::make_move_iterator(begin + static_cast<std::ptrdiff_t>(before)));
-  return { Confirm(std::move(made), *position, aNow), connection_fate::kKeep };
+  return { AnswerOnceConfirmed(std::move(result), *position, aNow),
+           connection_fate::kKeep };
 }
 
-turn
-change_flow::ChangeRefused(const upstream::reply& aReply)
+reply_outcome
+change_flow::OnChangeRefused(const upstream::reply& aReply)
 {
   const auto failed = aReply.results.size();
   const auto size = ComposeChange().size();
@@ -160,69 +162,71 @@
     failed > commit ||
     (failed == commit && !IsCertainAtCommit(aReply.sqlState));
   if (mayHaveCommitted) {
-    return { Doubt(), connection_fate::kClose };
+    return { ResolveOutcome(), connection_fate::kClose };
   }
-  if (failed == RecordPlace() &&
+  if (failed == RecordIndex() &&
       aReply.sqlState == upstream::kUniqueViolationState) {
     mPhase = phase::kLookUp;
-    return { queue_again{}, connection_fate::kRollBack };
+    return { requeue{}, connection_fate::kRollBack };
   }
   const auto kind = Classify(aReply.sqlState);
-  if (kind == refusal::kNotPrimary || failed < RecordPlace()) {
-    return { TryAgain(reason::kNoPrimary), connection_fate::kClose };
+  if (kind == refusal::kNotPrimary || failed < RecordIndex()) {
+    return { Retry(reason::kNoPrimary), connection_fate::kClose };
   }
   if (kind == refusal::kTransient) {
-    return { TryAgain(reason::kOverloaded), connection_fate::kRollBack };
+    return { Retry(reason::kOverloaded), connection_fate::kRollBack };
   }
-  auto made = StatementRefused(Request(), aReply);
-  if (!mDoubtful) {
-    return { finish{ std::move(made) }, connection_fate::kRollBack };
+  auto result = StatementRefused(Request(), aReply);
+  if (!mOutcomeUnknown) {
+    return { finish{ std::move(result) }, connection_fate::kRollBack };
   }
   // An earlier attempt may still run: the void decides.
-  mIfVoid = std::move(made);
+  mAnswerIfVoid = std::move(result);
   mPhase = phase::kVoid;
-  return { queue_again{}, connection_fate::kRollBack };
+  return { requeue{}, connection_fate::kRollBack };
 }
 
-turn
-change_flow::LookedUp(const upstream::reply& aReply, clock::time_point aNow)
+reply_outcome
+change_flow::OnLookUpReply(const upstream::reply& aReply,
+                           clock::time_point aNow)
 {
   if (aReply.end != batch_end::kComplete) {
-    return { TryAgain(reason::kNoPrimary), connection_fate::kClose };
+    return { Retry(reason::kNoPrimary), connection_fate::kClose };
   }
   const auto position = PositionOf(aReply, kLookUpStatus, kLookUpStatus);
   if (!position) {
-    return { TryAgain(reason::kNoPrimary), connection_fate::kClose };
+    return { Retry(reason::kNoPrimary), connection_fate::kClose };
   }
   const auto record = outcome::ReadStoredOutcome(aReply.results[kLookUpRecord]);
   if (!record) {
     // The record went with an unconfirmed history: the change hasn't run.
-    mPhase =
-      mDoubtful && !Request().work.repeatable ? phase::kVoid : phase::kApply;
-    return { TryAgain(reason::kNoPrimary), connection_fate::kKeep };
+    mPhase = mOutcomeUnknown && !Request().work.repeatable ? phase::kVoid
+                                                           : phase::kApply;
+    return { Retry(reason::kNoPrimary), connection_fate::kKeep };
   }
-  return { Confirm(FromRecord(*record), *position, aNow),
+  return { AnswerOnceConfirmed(FromRecord(*record), *position, aNow),
            connection_fate::kKeep };
 }
 
-turn
-change_flow::Voided(const upstream::reply& aReply, clock::time_point aNow)
+reply_outcome
+change_flow::OnVoidReply(const upstream::reply& aReply, clock::time_point aNow)
 {
   if (aReply.end != batch_end::kComplete) {
-    return { TryAgain(reason::kNoPrimary), connection_fate::kClose };
+    return { Retry(reason::kNoPrimary), connection_fate::kClose };
   }
   const auto position = PositionOf(aReply, kVoidBefore, kVoidAfter);
   if (!position) {
-    return { TryAgain(reason::kNoPrimary), connection_fate::kClose };
+    return { Retry(reason::kNoPrimary), connection_fate::kClose };
   }
   const auto record = outcome::ReadStoredOutcome(aReply.results[kVoidRecord]);
   if (!record) {
-    return { TryAgain(reason::kNoPrimary), connection_fate::kClose };
+    return { Retry(reason::kNoPrimary), connection_fate::kClose };
   }
-  auto made =
-    record->isVoid && mIfVoid ? std::move(*mIfVoid) : FromRecord(*record);
-  mIfVoid.reset();
-  return { Confirm(std::move(made), *position, aNow), connection_fate::kKeep };
+  auto result = record->isVoid && mAnswerIfVoid ? std::move(*mAnswerIfVoid)
+                                                : FromRecord(*record);
+  mAnswerIfVoid.reset();
+  return { AnswerOnceConfirmed(std::move(result), *position, aNow),
+           connection_fate::kKeep };
 }
 
 std::optional<position::log_position>
@@ -230,8 +234,8 @@
                         std::size_t aBefore,
                         std::size_t aAfter)
 {
-  const auto before = TakeStatus(Shared(), mDispatch, aReply, aBefore);
-  const auto after = TakeStatus(Shared(), mDispatch, aReply, aAfter);
+  const auto before = TakeStatus(Context(), mDispatch, aReply, aBefore);
+  const auto after = TakeStatus(Context(), mDispatch, aReply, aAfter);
   if (!before || !after || before->term != after->term ||
       before->role != server_role::kPrimary ||
       after->role != server_role::kPrimary) {
@@ -241,42 +245,42 @@
 }
 
 step
-change_flow::Confirm(answer aAnswer,
-                     const position::log_position& aPosition,
-                     clock::time_point aNow)
+change_flow::AnswerOnceConfirmed(answer aAnswer,
+                                 const position::log_position& aPosition,
+                                 clock::time_point aNow)
 {
   mPosition = aPosition;
   mAnswer = std::move(aAnswer);
   mAnswer->position = aPosition;
-  if (auto next = Heard(aNow)) {
+  if (auto next = OnStatusUpdate(aNow)) {
     return std::move(*next);
   }
-  return await_word{};
+  return await_status{};
 }
 
 step
-change_flow::Doubt()
+change_flow::ResolveOutcome()
 {
-  mDoubtful = true;
+  mOutcomeUnknown = true;
   const auto resend = MayBeResent() && Request().work.repeatable;
   mPhase = resend && mPhase != phase::kVoid ? phase::kApply : phase::kVoid;
-  if (!Shared().retries.TryWithdraw()) {
+  if (!Context().retries.TryWithdraw()) {
     return finish{ Unknown(Request(), reason::kUnreachable) };
   }
-  return queue_again{};
+  return requeue{};
 }
 
 step
-change_flow::TryAgain(reason aWhy)
+change_flow::Retry(reason aWhy)
 {
   if (mPhase == phase::kApply && !MayBeResent()) {
     return finish{ NotRun(Request(), reason::kTransactionLost) };
   }
-  if (Shared().retries.TryWithdraw()) {
-    mParked = true;
-    return await_word{};
+  if (Context().retries.TryWithdraw()) {
+    mAwaitingUpdate = true;
+    return await_status{};
   }
-  const auto hasNotRun = !mDoubtful && mPhase == phase::kApply;
+  const auto hasNotRun = !mOutcomeUnknown && mPhase == phase::kApply;
   return finish{ hasNotRun ? NotRun(Request(), aWhy)
                            : Unknown(Request(), aWhy) };
 }
@@ -291,9 +295,9 @@
   if (digest && *digest != aRecord.digest) {
     return Refused(Request(), reason::kKeyReused);
   }
-  auto made = ServedBy(Request(), mDispatch, server_role::kPrimary);
-  made.repeated = true;
-  return made;
+  auto result = ServedBy(Request(), mDispatch, server_role::kPrimary);
+  result.repeated = true;
+  return result;
 }
 
 } // namespace currantshed::group
--- a/src/currantshed/group/changes.hpp
+++ b/src/currantshed/group/changes.hpp
@@ -18,17 +18,19 @@
   using flow::flow;
 
   [[nodiscard]] bool ReadOnly() const override;
-  [[nodiscard]] route::choice Place(
+  [[nodiscard]] route::choice ChooseServer(
     const std::vector<route::candidate>& aCandidates,
     clock::time_point aNow) const override;
-  [[nodiscard]] std::optional<answer> GiveUp(outcome::reason aWhy,
-                                             clock::time_point aNow) override;
+  [[nodiscard]] std::optional<answer> OnNoServer(
+    outcome::reason aWhy,
+    clock::time_point aNow) override;
   [[nodiscard]] std::vector<upstream::statement> Compose(
     const dispatch& aDispatch) override;
-  [[nodiscard]] bool IsOvertaken(clock::time_point aNow) const override;
-  [[nodiscard]] turn Replied(upstream::reply aReply,
-                             clock::time_point aNow) override;
-  [[nodiscard]] std::optional<step> Heard(clock::time_point aNow) override;
+  [[nodiscard]] bool ShouldAbort(clock::time_point aNow) const override;
+  [[nodiscard]] reply_outcome Replied(upstream::reply aReply,
+                                      clock::time_point aNow) override;
+  [[nodiscard]] std::optional<step> OnStatusUpdate(
+    clock::time_point aNow) override;
   [[nodiscard]] answer Expired(stage aStage) const override;
 
 protected:
@@ -49,7 +51,7 @@
     const = 0;
 
   /// Place in that batch of the statement that records the outcome.
-  [[nodiscard]] virtual std::size_t RecordPlace() const = 0;
+  [[nodiscard]] virtual std::size_t RecordIndex() const = 0;
 
   /// Whether the change's batch can be sent once more at all; whether it may
   /// be while a doubt stands is for the class to say.
@@ -63,13 +65,13 @@
   void SetPhase(phase aPhase) noexcept;
 
 private:
-  [[nodiscard]] turn ChangeReplied(upstream::reply aReply,
-                                   clock::time_point aNow);
-  [[nodiscard]] turn ChangeRefused(const upstream::reply& aReply);
-  [[nodiscard]] turn LookedUp(const upstream::reply& aReply,
-                              clock::time_point aNow);
-  [[nodiscard]] turn Voided(const upstream::reply& aReply,
-                            clock::time_point aNow);
+  [[nodiscard]] reply_outcome OnChangeReply(upstream::reply aReply,
+                                            clock::time_point aNow);
+  [[nodiscard]] reply_outcome OnChangeRefused(const upstream::reply& aReply);
+  [[nodiscard]] reply_outcome OnLookUpReply(const upstream::reply& aReply,
+                                            clock::time_point aNow);
+  [[nodiscard]] reply_outcome OnVoidReply(const upstream::reply& aReply,
+                                          clock::time_point aNow);
   /// Reads the words at the two places; none unless the server was primary
   /// of one term in both.
   [[nodiscard]] std::optional<position::log_position> PositionOf(
@@ -77,12 +79,13 @@
     std::size_t aBefore,
     std::size_t aAfter);
   /// Has the answer to give once the position is confirmed.
-  [[nodiscard]] step Confirm(answer aAnswer,
-                             const position::log_position& aPosition,
-                             clock::time_point aNow);
-  [[nodiscard]] step Doubt();
+  [[nodiscard]] step AnswerOnceConfirmed(
+    answer aAnswer,
+    const position::log_position& aPosition,
+    clock::time_point aNow);
+  [[nodiscard]] step ResolveOutcome();
   /// The change has certainly not run, for the server's state at the time.
-  [[nodiscard]] step TryAgain(outcome::reason aWhy);
+  [[nodiscard]] step Retry(outcome::reason aWhy);
   /// What the record of the key says.
   [[nodiscard]] answer FromRecord(const outcome::stored_outcome& aRecord) const;
 
@@ -90,12 +93,12 @@
   dispatch mDispatch;
   position::term_id mTerm = 0;
   // Whether an attempt was sent of which it isn't known how it ended.
-  bool mDoubtful = false;
+  bool mOutcomeUnknown = false;
   // Whether it waits for any news before it tries again: the server that was
   // taken for the primary refused.
-  bool mParked = false;
+  bool mAwaitingUpdate = false;
   // What to answer if the doubt turns out as "never ran".
-  std::optional<answer> mIfVoid;
+  std::optional<answer> mAnswerIfVoid;
   // The answer to give once mPosition is confirmed.
   std::optional<answer> mAnswer;
   position::log_position mPosition;
--- a/src/currantshed/group/links_supply.cpp
+++ b/src/currantshed/group/connection_supply.cpp
@@ -1,37 +1,36 @@
 #include <algorithm>
 #include <utility>
 
-#include "currantshed/group/links.hpp"
+#include "currantshed/group/statement_connections.hpp"
 
 namespace currantshed::group {
 
 namespace {
 
 // Connections of a server that open transactions leave to other requests.
-constexpr unsigned kKeptFromTransactions = 2;
+constexpr unsigned kReservedForOthers = 2;
 
 unsigned
-MostTransactions(unsigned aConnections)
+MaxTransactions(unsigned aConnections)
 {
-  return aConnections > kKeptFromTransactions
-           ? aConnections - kKeptFromTransactions
-           : 1;
+  return aConnections > kReservedForOthers ? aConnections - kReservedForOthers
+                                           : 1;
 }
 
 } // namespace
 
 std::vector<route::candidate>
-links::Candidates(bool aReadOnly,
-                  bool aForTransaction,
-                  clock::time_point aNow) const
+statement_connections::Candidates(bool aReadOnly,
+                                  bool aForTransaction,
+                                  clock::time_point aNow) const
 {
   std::vector<route::candidate> candidates;
   candidates.reserve(mServers.size());
   for (const auto& server : mServers) {
     const auto& pool = server.pool;
-    const auto hasPlace =
+    const auto hasRoom =
       !aForTransaction || mContext.transactions.CountOn(server.description.id) <
-                            MostTransactions(pool.Limits().connections);
+                            MaxTransactions(pool.Limits().connections);
     route::candidate candidate;
     candidate.server = server.description.id;
     candidate.failureDomain = server.description.failureDomain;
@@ -39,7 +38,7 @@
     candidate.inUse =
       pool.Running() + server.claimsReadOnly + server.claimsReadWrite;
     candidate.slots = pool.Limits().slots;
-    candidate.hasCapacity = hasPlace && candidate.inUse < candidate.slots &&
+    candidate.hasCapacity = hasRoom && candidate.inUse < candidate.slots &&
                             pool.CanProvide(aReadOnly, aNow);
     candidate.connected = pool.Idle(aReadOnly).has_value();
     candidates.push_back(std::move(candidate));
@@ -48,7 +47,7 @@
 }
 
 bool
-links::HasSlot() const
+statement_connections::HasSlot() const
 {
   return std::any_of(
     mServers.begin(), mServers.end(), [](const server& aServer) {
@@ -57,7 +56,7 @@
 }
 
 void
-links::BeginPass()
+statement_connections::BeginPass()
 {
   for (auto& server : mServers) {
     server.claimsReadOnly = 0;
@@ -66,7 +65,9 @@
 }
 
 std::optional<connection_id>
-links::Acquire(std::size_t aCandidate, bool aReadOnly, clock::time_point aNow)
+statement_connections::Acquire(std::size_t aCandidate,
+                               bool aReadOnly,
+                               clock::time_point aNow)
 {
   auto& server = mServers[aCandidate];
   if (const auto idle = server.pool.Idle(aReadOnly)) {
@@ -91,7 +92,7 @@
 }
 
 void
-links::KeepSpares(clock::time_point aNow)
+statement_connections::OpenSpares(clock::time_point aNow)
 {
   const auto primary = mContext.tracker.Primary(aNow);
   for (auto& server : mServers) {
@@ -116,20 +117,22 @@
 }
 
 void
-links::Open(server& aServer, bool aReadOnly)
+statement_connections::Open(server& aServer, bool aReadOnly)
 {
   const auto id = ++mLastConnection;
   aServer.pool.Add(id, aReadOnly);
-  link opened;
+  connection_state opened;
   opened.server = aServer.description.id;
   opened.readOnly = aReadOnly;
-  mLinks.emplace(id, std::move(opened));
+  mStates.emplace(id, std::move(opened));
   mActions.emplace_back(
     open_connection{ id, aServer.description.id, aReadOnly });
 }
 
 void
-links::OpenSpare(server& aServer, bool aReadOnly, clock::time_point aNow)
+statement_connections::OpenSpare(server& aServer,
+                                 bool aReadOnly,
+                                 clock::time_point aNow)
 {
   const auto& pool = aServer.pool;
   if (!pool.Idle(aReadOnly) && pool.Opening(aReadOnly) == 0 && pool.HasSlot() &&
--- a/src/currantshed/group/progress.cpp
+++ b/src/currantshed/group/dispatch.cpp
@@ -11,29 +11,30 @@
 using outcome::reason;
 
 // Waiting requests that are looked at for each event.
-constexpr int kMostLookedAt = 32;
+constexpr int kMaxExamined = 32;
 // While all slots are taken, waiting requests are looked at this often.
-constexpr std::chrono::milliseconds kLookInterval{ 10 };
+constexpr std::chrono::milliseconds kFullDispatchInterval{ 10 };
 // Requests sent for one reply: the one that waits for the place, and the one
 // that was answered itself if it goes on elsewhere.
-constexpr std::size_t kSentForOneFreed = 2;
+constexpr std::size_t kMaxSentPerFreed = 2;
 
 } // namespace
 
 void
-group_engine::Pump(clock::time_point aNow)
+group_engine::DispatchAll(clock::time_point aNow)
 {
-  PumpTransactions(aNow);
+  DispatchTransactions(aNow);
   // While all slots are taken, the queues only need a look for requests that
   // have waited for too long.
-  if (mLinks.HasSlot() || aNow >= mLooked + kLookInterval) {
-    mLooked = aNow;
-    PumpQueues(std::numeric_limits<std::size_t>::max(), aNow);
+  if (mConnections.HasSlot() ||
+      aNow >= mLastFullDispatch + kFullDispatchInterval) {
+    mLastFullDispatch = aNow;
+    DispatchQueues(std::numeric_limits<std::size_t>::max(), aNow);
   }
 }
 
 void
-group_engine::PumpTransactions(clock::time_point aNow)
+group_engine::DispatchTransactions(clock::time_point aNow)
 {
   std::vector<request_id> waiting;
   for (const auto& request : mTransactions.Entries()) {
@@ -45,16 +46,16 @@
 }
 
 void
-group_engine::PumpQueues(std::size_t aMostSent, clock::time_point aNow)
+group_engine::DispatchQueues(std::size_t aMaxSent, clock::time_point aNow)
 {
-  mLinks.BeginPass();
+  mConnections.BeginPass();
   // All lanes in one order; the first ones only, since those behind them
   // would wait for the same servers.
   std::vector<admit::waiting> waiting;
   for (const auto* queue : { &mReads, &mFreshReads, &mWrites }) {
     int looked = 0;
     for (const auto& request : queue->Entries()) {
-      if (++looked > kMostLookedAt) {
+      if (++looked > kMaxExamined) {
         break;
       }
       waiting.push_back(request);
@@ -64,48 +65,48 @@
   std::size_t sent = 0;
   for (const auto& request : waiting) {
     sent += TrySend(request.request, aNow) ? 1 : 0;
-    if (sent >= aMostSent) {
+    if (sent >= aMaxSent) {
       return;
     }
   }
 }
 
 void
-group_engine::PumpFreed(clock::time_point aNow)
+group_engine::DispatchFreed(clock::time_point aNow)
 {
-  if (aNow >= mLooked + kLookInterval) {
-    Pump(aNow);
+  if (aNow >= mLastFullDispatch + kFullDispatchInterval) {
+    DispatchAll(aNow);
     return;
   }
-  PumpTransactions(aNow);
-  PumpQueues(kSentForOneFreed, aNow);
+  DispatchTransactions(aNow);
+  DispatchQueues(kMaxSentPerFreed, aNow);
 }
 
 bool
 group_engine::TrySend(request_id aRequest, clock::time_point aNow)
 {
   const auto found = mEntries.find(aRequest);
-  if (found == mEntries.end() || found->second.at != stage::kQueued) {
+  if (found == mEntries.end() || found->second.currentStage != stage::kQueued) {
     return false;
   }
-  auto& way = *found->second.way;
-  if (const auto pinned = way.Pinned()) {
-    if (!mLinks.Dispatch(*pinned, aNow)) {
-      mContext.transactions.Remove(way.Request().transaction);
-      Finish(aRequest, NotRun(way.Request(), reason::kTransactionLost));
+  auto& requestFlow = *found->second.requestFlow;
+  if (const auto pinned = requestFlow.Pinned()) {
+    if (!mConnections.Dispatch(*pinned, aNow)) {
+      mContext.transactions.Remove(requestFlow.Request().transaction);
+      Finish(aRequest, NotRun(requestFlow.Request(), reason::kTransactionLost));
       return false;
     }
-    if (!mLinks.CanRun(*pinned)) {
+    if (!mConnections.CanRun(*pinned)) {
       return false;
     }
     Send(aRequest, *pinned, aNow);
     return true;
   }
-  const auto isBegin = way.Request().kind == operation::kBegin;
-  const auto chosen =
-    way.Place(mLinks.Candidates(way.ReadOnly(), isBegin, aNow), aNow);
+  const auto isBegin = requestFlow.Request().kind == operation::kBegin;
+  const auto chosen = requestFlow.ChooseServer(
+    mConnections.Candidates(requestFlow.ReadOnly(), isBegin, aNow), aNow);
   if (chosen.state == route::availability::kNone) {
-    if (auto made = way.GiveUp(chosen.why, aNow)) {
+    if (auto made = requestFlow.OnNoServer(chosen.why, aNow)) {
       Finish(aRequest, std::move(*made));
     }
     return false;
@@ -114,12 +115,13 @@
     return false;
   }
   if (IsTooLate(found->second, aNow)) {
-    auto made = NotRun(way.Request(), reason::kOverloaded);
-    made.retryAfter = QueueOf(found->second.waitsIn).RetryAfter(aRequest, aNow);
+    auto made = NotRun(requestFlow.Request(), reason::kOverloaded);
+    made.retryAfter = QueueOf(found->second.queue).RetryAfter(aRequest, aNow);
     Finish(aRequest, std::move(made));
     return false;
   }
-  const auto connection = mLinks.Acquire(chosen.index, way.ReadOnly(), aNow);
+  const auto connection =
+    mConnections.Acquire(chosen.index, requestFlow.ReadOnly(), aNow);
   if (!connection) {
     return false;
   }
@@ -133,8 +135,8 @@
   // What was sent before may have to be resolved, and goes on.
   const auto wasSent = aEntry.sentAt != clock::time_point{};
   return !wasSent &&
-         !QueueOf(aEntry.waitsIn)
-            .CanMeetDeadline(WaitingOf(aEntry.way->Request()), aNow);
+         !QueueOf(aEntry.queue)
+            .CanMeetDeadline(WaitingOf(aEntry.requestFlow->Request()), aNow);
 }
 
 void
@@ -143,27 +145,29 @@
                    clock::time_point aNow)
 {
   auto& entry = mEntries.at(aRequest);
-  auto& way = *entry.way;
-  auto& queue = QueueOf(entry.waitsIn);
-  queue.Remove(WaitingOf(way.Request()));
+  auto& requestFlow = *entry.requestFlow;
+  auto& queue = QueueOf(entry.queue);
+  queue.Remove(WaitingOf(requestFlow.Request()));
   queue.Departed(aNow);
-  entry.at = stage::kRunning;
+  entry.currentStage = stage::kRunning;
   entry.connection = aConnection;
   entry.sentAt = aNow;
-  const auto sent = mLinks.Dispatch(aConnection, aNow);
-  mLinks.Run(aConnection, aRequest, way.Compose(*sent));
+  const auto sent = mConnections.Dispatch(aConnection, aNow);
+  mConnections.Run(aConnection, aRequest, requestFlow.Compose(*sent));
   mRunning.insert(aRequest);
-  if (way.WantsWord()) {
-    mRounds.Want(aNow);
+  if (requestFlow.NeedsStatus()) {
+    mPoller.RequireStatusSince(aNow);
   }
 }
 
 void
-group_engine::Take(request_id aRequest, turn aTurn, clock::time_point aNow)
+group_engine::ApplyReply(request_id aRequest,
+                         reply_outcome aTurn,
+                         clock::time_point aNow)
 {
   auto& entry = mEntries.at(aRequest);
   mRunning.erase(aRequest);
-  mLinks.Settle(entry.connection, aTurn.fate);
+  mConnections.ApplyFate(entry.connection, aTurn.fate);
   Apply(aRequest, std::move(aTurn.next), aNow);
 }
 
@@ -174,24 +178,25 @@
     const auto& ended = mEntries.at(aRequest);
     const auto wasSent = ended.sentAt != clock::time_point{};
     if (wasSent && end->reply.verdict == outcome::verdict::kDone) {
-      QueueOf(ended.waitsIn).Served(aNow - ended.sentAt);
+      QueueOf(ended.queue).Served(aNow - ended.sentAt);
     }
     Finish(aRequest, std::move(end->reply));
     return;
   }
   auto& entry = mEntries.at(aRequest);
-  if (std::holds_alternative<await_word>(aStep)) {
-    entry.at = stage::kAwaiting;
+  if (std::holds_alternative<await_status>(aStep)) {
+    entry.currentStage = stage::kAwaitingStatus;
     mAwaiting.insert(aRequest);
     return;
   }
   mAwaiting.erase(aRequest);
-  entry.at = stage::kQueued;
-  if (entry.waitsIn == lane::kTransactions && !entry.way->Pinned()) {
+  entry.currentStage = stage::kQueued;
+  if (entry.queue == queue_kind::kTransactions &&
+      !entry.requestFlow->Pinned()) {
     // A commit in doubt is resolved wherever the primary is.
-    entry.waitsIn = lane::kWrites;
+    entry.queue = queue_kind::kWrites;
   }
-  QueueOf(entry.waitsIn).Requeue(WaitingOf(entry.way->Request()));
+  QueueOf(entry.queue).Requeue(WaitingOf(entry.requestFlow->Request()));
 }
 
 void
@@ -200,41 +205,42 @@
   if (auto* open = mContext.transactions.UsedBy(aRequest)) {
     open->user.reset();
   }
-  Forget(aRequest);
+  Remove(aRequest);
   mActions.emplace_back(give_answer{ std::move(aAnswer) });
 }
 
 void
-group_engine::Tear(request_id aRequest, clock::time_point aNow)
+group_engine::AbortBatch(request_id aRequest, clock::time_point aNow)
 {
   const auto found = mEntries.find(aRequest);
-  if (found == mEntries.end() || found->second.at != stage::kRunning) {
+  if (found == mEntries.end() ||
+      found->second.currentStage != stage::kRunning) {
     return;
   }
   upstream::reply torn;
   torn.end = upstream::batch_end::kTorn;
-  auto next = found->second.way->Replied(std::move(torn), aNow);
+  auto next = found->second.requestFlow->Replied(std::move(torn), aNow);
   next.fate = connection_fate::kClose;
-  Take(aRequest, std::move(next), aNow);
+  ApplyReply(aRequest, std::move(next), aNow);
 }
 
 void
-group_engine::Forget(request_id aRequest)
+group_engine::Remove(request_id aRequest)
 {
   const auto found = mEntries.find(aRequest);
   if (found == mEntries.end()) {
     return;
   }
   auto& entry = found->second;
-  const auto& request = entry.way->Request();
+  const auto& request = entry.requestFlow->Request();
   // A transaction whose request goes while it may have changed it is lost.
   if (auto* open = mContext.transactions.UsedBy(aRequest)) {
     open->user.reset();
-    if (entry.at != stage::kQueued) {
+    if (entry.currentStage != stage::kQueued) {
       mContext.transactions.Abandon(open->id);
     }
   }
-  QueueOf(entry.waitsIn).Remove(WaitingOf(request));
+  QueueOf(entry.queue).Remove(WaitingOf(request));
   mDeadlines.erase({ request.deadline, aRequest });
   mRunning.erase(aRequest);
   mAwaiting.erase(aRequest);
--- a/src/currantshed/group/engine.hpp
+++ b/src/currantshed/group/engine.hpp
@@ -44,7 +44,7 @@
 /// Asks a server for its status, on a connection kept for this; answered by
 /// StatusArrived, or StatusFailed. The adapter notes when it sent the
 /// question. At most one question a server is under way.
-struct ask_status
+struct request_status
 {
   upstream::server_id server;
 };
@@ -59,7 +59,7 @@
 using action = std::variant<open_connection,
                             close_connection,
                             run_batch,
-                            ask_status,
+                            request_status,
                             give_answer>;
 
 /// Bounds and times of one engine.
--- a/src/currantshed/group/flow.cpp
+++ b/src/currantshed/group/flow.cpp
@@ -28,25 +28,25 @@
 }
 
 std::optional<answer>
-flow::GiveUp(outcome::reason, clock::time_point)
+flow::OnNoServer(outcome::reason, clock::time_point)
 {
   return std::nullopt;
 }
 
 bool
-flow::IsOvertaken(clock::time_point) const
+flow::ShouldAbort(clock::time_point) const
 {
   return false;
 }
 
 std::optional<step>
-flow::Heard(clock::time_point)
+flow::OnStatusUpdate(clock::time_point)
 {
   return std::nullopt;
 }
 
 bool
-flow::WantsWord() const
+flow::NeedsStatus() const
 {
   return false;
 }
@@ -58,7 +58,7 @@
 }
 
 bool
-flow::HasWaitedLong(clock::time_point aNow) const
+flow::HasWaitedTooLong(clock::time_point aNow) const
 {
   clock::duration patience = (mRequest.deadline - mSubmitted) / kWaitPart;
   if (mContext.primarySeenAt + kLongestFailover < aNow) {
@@ -74,7 +74,7 @@
 }
 
 context&
-flow::Shared() const noexcept
+flow::Context() const noexcept
 {
   return mContext;
 }
--- a/src/currantshed/group/flow.hpp
+++ b/src/currantshed/group/flow.hpp
@@ -14,11 +14,11 @@
 namespace currantshed::group {
 
 /// The request waits for a server to run its next batch.
-struct queue_again
+struct requeue
 {};
 
 /// The request waits for the servers' word, asked for from now on.
-struct await_word
+struct await_status
 {};
 
 /// The request has its answer.
@@ -28,7 +28,7 @@
 };
 
 /// What a request does next.
-using step = std::variant<queue_again, await_word, finish>;
+using step = std::variant<requeue, await_status, finish>;
 
 /// What becomes of the connection that a batch ran on.
 enum class connection_fate
@@ -44,7 +44,7 @@
 };
 
 /// What follows from a reply.
-struct turn
+struct reply_outcome
 {
   step next;
   connection_fate fate = connection_fate::kClose;
@@ -58,7 +58,7 @@
   /// A batch is under way.
   kRunning,
   /// Waits for the servers' word.
-  kAwaiting,
+  kAwaitingStatus,
 };
 
 /// The way of one request to its answer, as a state machine: the engine
@@ -79,13 +79,14 @@
   [[nodiscard]] virtual std::optional<connection_id> Pinned() const;
 
   /// Chooses the server for its next batch, where it isn't pinned.
-  [[nodiscard]] virtual route::choice Place(
+  [[nodiscard]] virtual route::choice ChooseServer(
     const std::vector<route::candidate>& aCandidates,
     clock::time_point aNow) const = 0;
 
   /// No server can take it at present: its answer, or none to go on waiting.
-  [[nodiscard]] virtual std::optional<answer> GiveUp(outcome::reason aWhy,
-                                                     clock::time_point aNow);
+  [[nodiscard]] virtual std::optional<answer> OnNoServer(
+    outcome::reason aWhy,
+    clock::time_point aNow);
 
   /// Its next batch, which is sent at once.
   [[nodiscard]] virtual std::vector<upstream::statement> Compose(
@@ -93,19 +94,20 @@
 
   /// Whether there is no sense in waiting for the reply to the batch under
   /// way. The connection is closed then, and the batch counts as torn.
-  [[nodiscard]] virtual bool IsOvertaken(clock::time_point aNow) const;
+  [[nodiscard]] virtual bool ShouldAbort(clock::time_point aNow) const;
 
   /// The batch under way has ended.
-  [[nodiscard]] virtual turn Replied(upstream::reply aReply,
-                                     clock::time_point aNow) = 0;
+  [[nodiscard]] virtual reply_outcome Replied(upstream::reply aReply,
+                                              clock::time_point aNow) = 0;
 
   /// News of the servers' words while it waits for them: what comes next, or
   /// none to go on waiting.
-  [[nodiscard]] virtual std::optional<step> Heard(clock::time_point aNow);
+  [[nodiscard]] virtual std::optional<step> OnStatusUpdate(
+    clock::time_point aNow);
 
   /// Whether it will need the servers' word, asked for since its batch was
   /// sent, when the batch ends.
-  [[nodiscard]] virtual bool WantsWord() const;
+  [[nodiscard]] virtual bool NeedsStatus() const;
 
   /// Its time is up.
   [[nodiscard]] virtual answer Expired(stage aStage) const = 0;
@@ -117,11 +119,11 @@
   /// caller should rather come back: half of its time while a failover may be
   /// under way, and no more than the validity when there has been no primary
   /// for long.
-  [[nodiscard]] bool HasWaitedLong(clock::time_point aNow) const;
+  [[nodiscard]] bool HasWaitedTooLong(clock::time_point aNow) const;
 
   [[nodiscard]] clock::time_point Submitted() const noexcept;
 
-  [[nodiscard]] context& Shared() const noexcept;
+  [[nodiscard]] context& Context() const noexcept;
 
 private:
   context& mContext;
--- a/src/currantshed/group/group_engine.cpp
+++ b/src/currantshed/group/group_engine.cpp
@@ -17,8 +17,8 @@
 
 group_engine::group_engine(const engine_settings& aSettings)
   : mContext(aSettings)
-  , mLinks(mContext, mActions)
-  , mRounds(aSettings)
+  , mConnections(mContext, mActions)
+  , mPoller(aSettings)
   , mReads(aSettings.queueLimit)
   , mFreshReads(aSettings.queueLimit)
   , mWrites(aSettings.queueLimit)
@@ -35,11 +35,11 @@
   }
   mContext.transactionLimit = aGroup.transactionLimit;
   mContext.tracker.SetMembers(servers);
-  mRounds.SetMembers(servers);
-  for (const auto request : mLinks.Configure(aGroup)) {
-    Tear(request, aNow);
+  mPoller.SetMembers(servers);
+  for (const auto request : mConnections.Configure(aGroup)) {
+    AbortBatch(request, aNow);
   }
-  Follow(aNow);
+  AfterEvent(aNow);
 }
 
 void
@@ -49,42 +49,42 @@
   if (found == mEntries.end()) {
     return;
   }
-  if (found->second.at == stage::kRunning) {
-    mLinks.Orphan(found->second.connection);
+  if (found->second.currentStage == stage::kRunning) {
+    mConnections.Orphan(found->second.connection);
     if (const auto* open = mContext.transactions.UsedBy(aRequest)) {
       mContext.transactions.Remove(open->id);
     }
   }
-  Forget(aRequest);
-  Follow(aNow);
+  Remove(aRequest);
+  AfterEvent(aNow);
 }
 
 void
 group_engine::ConnectionOpened(connection_id aConnection,
                                clock::time_point aNow)
 {
-  mLinks.Opened(aConnection);
-  FollowFreed(aNow);
+  mConnections.Opened(aConnection);
+  AfterFreed(aNow);
 }
 
 void
 group_engine::ConnectionFailed(connection_id aConnection,
                                clock::time_point aNow)
 {
-  mLinks.Failed(aConnection, aNow);
-  Follow(aNow);
+  mConnections.Failed(aConnection, aNow);
+  AfterEvent(aNow);
 }
 
 void
 group_engine::ConnectionLost(connection_id aConnection, clock::time_point aNow)
 {
-  if (const auto request = mLinks.Lost(aConnection)) {
-    Tear(*request, aNow);
+  if (const auto request = mConnections.Lost(aConnection)) {
+    AbortBatch(*request, aNow);
   }
   if (const auto* open = mContext.transactions.OnConnection(aConnection)) {
     mContext.transactions.Remove(open->id);
   }
-  Follow(aNow);
+  AfterEvent(aNow);
 }
 
 void
@@ -93,16 +93,17 @@
                       upstream::reply aReply,
                       clock::time_point aNow)
 {
-  const auto ended = mLinks.Ended(aConnection, aBatch, aReply.end);
+  const auto ended = mConnections.Ended(aConnection, aBatch, aReply.end);
   if (ended && ended->request) {
     const auto found = mEntries.find(*ended->request);
     if (found != mEntries.end()) {
-      auto& way = *found->second.way;
-      Take(*ended->request, way.Replied(std::move(aReply), aNow), aNow);
-      SpreadNews(aNow);
+      auto& requestFlow = *found->second.requestFlow;
+      ApplyReply(
+        *ended->request, requestFlow.Replied(std::move(aReply), aNow), aNow);
+      NotifyWaiters(aNow);
     }
   }
-  FollowFreed(aNow);
+  AfterFreed(aNow);
 }
 
 void
@@ -112,24 +113,24 @@
                             clock::time_point aNow)
 {
   mContext.tracker.Record(aServer, aStatus, aAskedAt);
-  mRounds.Answered(aServer);
-  SpreadNews(aNow);
-  Follow(aNow);
+  mPoller.Answered(aServer);
+  NotifyWaiters(aNow);
+  AfterEvent(aNow);
 }
 
 void
 group_engine::StatusFailed(const upstream::server_id& aServer,
                            clock::time_point aNow)
 {
-  mRounds.Failed(aServer);
-  Follow(aNow);
+  mPoller.Failed(aServer);
+  AfterEvent(aNow);
 }
 
 void
 group_engine::Drain(clock::time_point aNow)
 {
   mDraining = true;
-  Follow(aNow);
+  AfterEvent(aNow);
 }
 
 // How long an open transaction may be without a request.
@@ -144,20 +145,20 @@
 group_engine::Tick(clock::time_point aNow)
 {
   Expire(aNow);
-  TearOvertaken(aNow);
+  AbortStaleBatches(aNow);
   const auto overdue = mContext.transactions.Overdue(
     aNow - mContext.transactionLimit, aNow - TransactionIdle());
   for (const auto id : overdue) {
     mContext.transactions.Abandon(id);
   }
-  mLinks.KeepSpares(aNow);
-  Follow(aNow);
+  mConnections.OpenSpares(aNow);
+  AfterEvent(aNow);
 }
 
 clock::time_point
 group_engine::NextTick() const noexcept
 {
-  auto next = mRounds.NextDue(Demand());
+  auto next = mPoller.NextDue(PollDemand());
   if (!mDeadlines.empty()) {
     next = std::min(next, mDeadlines.begin()->first);
   }
@@ -169,7 +170,7 @@
                           !mFreshReads.Entries().empty() ||
                           !mWrites.Entries().empty();
   if (someQueued) {
-    next = std::min(next, mLooked + kLookInterval);
+    next = std::min(next, mLastFullDispatch + kLookInterval);
   }
   return next;
 }
--- a/src/currantshed/group/group_engine.hpp
+++ b/src/currantshed/group/group_engine.hpp
@@ -13,8 +13,8 @@
 #include "currantshed/group/context.hpp"
 #include "currantshed/group/engine.hpp"
 #include "currantshed/group/flow.hpp"
-#include "currantshed/group/links.hpp"
-#include "currantshed/group/rounds.hpp"
+#include "currantshed/group/statement_connections.hpp"
+#include "currantshed/group/status_poller.hpp"
 
 namespace currantshed::group {
 
@@ -57,7 +57,7 @@
 private:
   /// Which queue a request waits in: those in one wait for the same servers,
   /// so that the rate at which it drains tells how long each will wait.
-  enum class lane
+  enum class queue_kind
   {
     kReads,
     kFreshReads,
@@ -68,9 +68,9 @@
   /// A request on its way.
   struct entry
   {
-    std::unique_ptr<flow> way;
-    stage at = stage::kQueued;
-    lane waitsIn = lane::kReads;
+    std::unique_ptr<flow> requestFlow;
+    stage currentStage = stage::kQueued;
+    queue_kind queue = queue_kind::kReads;
     connection_id connection = 0;
     clock::time_point sentAt;
   };
@@ -84,19 +84,19 @@
   [[nodiscard]] std::optional<answer> PrecheckInTransaction(request& aRequest);
   [[nodiscard]] std::unique_ptr<flow> MakeFlow(request aRequest,
                                                clock::time_point aNow);
-  [[nodiscard]] static lane LaneOf(const request& aRequest);
+  [[nodiscard]] static queue_kind QueueKindOf(const request& aRequest);
   [[nodiscard]] static admit::waiting WaitingOf(const request& aRequest);
-  [[nodiscard]] admit::deadline_queue& QueueOf(lane aLane);
+  [[nodiscard]] admit::deadline_queue& QueueOf(queue_kind aKind);
   /// Gives a new request its place, or its refusal.
-  void Enter(entry aEntry, clock::time_point aNow);
+  void Enqueue(entry aEntry, clock::time_point aNow);
 
   /// Sends what can be sent.
-  void Pump(clock::time_point aNow);
-  void PumpTransactions(clock::time_point aNow);
-  void PumpQueues(std::size_t aMostSent, clock::time_point aNow);
+  void DispatchAll(clock::time_point aNow);
+  void DispatchTransactions(clock::time_point aNow);
+  void DispatchQueues(std::size_t aMaxSent, clock::time_point aNow);
   /// The same after one place or connection became free: what can't be sent
   /// for it couldn't before either, so the rest waits for the next full look.
-  void PumpFreed(clock::time_point aNow);
+  void DispatchFreed(clock::time_point aNow);
   /// Tries to send one waiting request; false when it has to go on waiting.
   bool TrySend(request_id aRequest, clock::time_point aNow);
   /// Whether a request that was never sent would only run in vain.
@@ -106,32 +106,34 @@
             clock::time_point aNow);
 
   void Apply(request_id aRequest, step aStep, clock::time_point aNow);
-  void Take(request_id aRequest, turn aTurn, clock::time_point aNow);
+  void ApplyReply(request_id aRequest,
+                  reply_outcome aTurn,
+                  clock::time_point aNow);
   void Finish(request_id aRequest, answer aAnswer);
-  void Tear(request_id aRequest, clock::time_point aNow);
+  void AbortBatch(request_id aRequest, clock::time_point aNow);
   /// Takes a request out of everything; true when there was one.
-  void Forget(request_id aRequest);
+  void Remove(request_id aRequest);
 
   /// Tells those who wait for the servers' words that there are news.
-  void SpreadNews(clock::time_point aNow);
+  void NotifyWaiters(clock::time_point aNow);
   void Expire(clock::time_point aNow);
-  void TearOvertaken(clock::time_point aNow);
+  void AbortStaleBatches(clock::time_point aNow);
   void EndTransactions(clock::time_point aNow);
   [[nodiscard]] std::chrono::milliseconds TransactionIdle() const noexcept;
-  void Ask(clock::time_point aNow);
-  [[nodiscard]] demand Demand() const;
+  void PollStatus(clock::time_point aNow);
+  [[nodiscard]] poll_demand PollDemand() const;
   /// What follows every event.
-  void Follow(clock::time_point aNow);
+  void AfterEvent(clock::time_point aNow);
   /// What follows one place or connection that became free.
-  void FollowFreed(clock::time_point aNow);
+  void AfterFreed(clock::time_point aNow);
   /// What follows one request that came: the others can go no sooner for it.
-  void FollowEntered(request_id aRequest, clock::time_point aNow);
-  void Conclude(clock::time_point aNow);
+  void AfterSubmit(request_id aRequest, clock::time_point aNow);
+  void FinishEvent(clock::time_point aNow);
 
   std::vector<action> mActions;
   context mContext;
-  links mLinks;
-  rounds mRounds;
+  statement_connections mConnections;
+  status_poller mPoller;
   bool mDraining = false;
   absl::flat_hash_map<request_id, entry> mEntries;
   admit::deadline_queue mReads;
@@ -145,7 +147,7 @@
   // The version of the board whose news were spread last.
   std::uint64_t mVersionSeen = 0;
   // When the queues were last looked at.
-  clock::time_point mLooked{};
+  clock::time_point mLastFullDispatch{};
 };
 
 } // namespace currantshed::group
--- a/src/currantshed/group/upkeep.cpp
+++ b/src/currantshed/group/maintenance.cpp
@@ -6,7 +6,7 @@
 namespace currantshed::group {
 
 void
-group_engine::SpreadNews(clock::time_point aNow)
+group_engine::NotifyWaiters(clock::time_point aNow)
 {
   if (mContext.tracker.Version() == mVersionSeen) {
     return;
@@ -18,7 +18,7 @@
     if (found == mEntries.end()) {
       continue;
     }
-    if (auto next = found->second.way->Heard(aNow)) {
+    if (auto next = found->second.requestFlow->OnStatusUpdate(aNow)) {
       Apply(request, std::move(*next), aNow);
     }
   }
@@ -31,7 +31,7 @@
     for (const auto id : mContext.transactions.Outdated(mTermSeen)) {
       mContext.transactions.Abandon(id);
     }
-    TearOvertaken(aNow);
+    AbortStaleBatches(aNow);
   }
 }
 
@@ -41,28 +41,28 @@
   while (!mDeadlines.empty() && mDeadlines.begin()->first <= aNow) {
     const auto request = mDeadlines.begin()->second;
     auto& entry = mEntries.at(request);
-    auto made = entry.way->Expired(entry.at);
+    auto made = entry.requestFlow->Expired(entry.currentStage);
     const auto connection = entry.connection;
-    const auto isRunning = entry.at == stage::kRunning;
-    Forget(request);
+    const auto isRunning = entry.currentStage == stage::kRunning;
+    Remove(request);
     if (isRunning) {
-      mLinks.Close(connection);
+      mConnections.Close(connection);
     }
     mActions.emplace_back(give_answer{ std::move(made) });
   }
 }
 
 void
-group_engine::TearOvertaken(clock::time_point aNow)
+group_engine::AbortStaleBatches(clock::time_point aNow)
 {
   std::vector<request_id> overtaken;
   for (const auto request : mRunning) {
-    if (mEntries.at(request).way->IsOvertaken(aNow)) {
+    if (mEntries.at(request).requestFlow->ShouldAbort(aNow)) {
       overtaken.push_back(request);
     }
   }
   for (const auto request : overtaken) {
-    Tear(request, aNow);
+    AbortBatch(request, aNow);
   }
 }
 
@@ -71,50 +71,50 @@
 {
   for (const auto connection : mContext.transactions.TakeAbandoned()) {
     // What may run on it is left to the server, which drops the transaction.
-    mLinks.Close(connection);
+    mConnections.Close(connection);
   }
 }
 
 void
-group_engine::Ask(clock::time_point aNow)
+group_engine::PollStatus(clock::time_point aNow)
 {
-  for (const auto& server : mRounds.Due(Demand(), aNow)) {
-    mActions.emplace_back(ask_status{ server });
+  for (const auto& server : mPoller.TakeDue(PollDemand(), aNow)) {
+    mActions.emplace_back(request_status{ server });
   }
 }
 
-demand
-group_engine::Demand() const
+poll_demand
+group_engine::PollDemand() const
 {
   return { !mAwaiting.empty(), mEntries.size() };
 }
 
 void
-group_engine::Follow(clock::time_point aNow)
+group_engine::AfterEvent(clock::time_point aNow)
 {
-  Pump(aNow);
-  Conclude(aNow);
+  DispatchAll(aNow);
+  FinishEvent(aNow);
 }
 
 void
-group_engine::FollowFreed(clock::time_point aNow)
+group_engine::AfterFreed(clock::time_point aNow)
 {
-  PumpFreed(aNow);
-  Conclude(aNow);
+  DispatchFreed(aNow);
+  FinishEvent(aNow);
 }
 
 void
-group_engine::FollowEntered(request_id aRequest, clock::time_point aNow)
+group_engine::AfterSubmit(request_id aRequest, clock::time_point aNow)
 {
   static_cast<void>(TrySend(aRequest, aNow));
-  Conclude(aNow);
+  FinishEvent(aNow);
 }
 
 void
-group_engine::Conclude(clock::time_point aNow)
+group_engine::FinishEvent(clock::time_point aNow)
 {
   EndTransactions(aNow);
-  Ask(aNow);
+  PollStatus(aNow);
 }
 
 } // namespace currantshed::group
--- a/src/currantshed/group/read_verification.cpp
+++ b/src/currantshed/group/read_verification.cpp
@@ -34,23 +34,22 @@
   return asOf && aNow - *asOf <= aRequest.work.maxStaleness;
 }
 
-read_judgement
+read_verdict
 JudgeFresh(const read_evidence& aEvidence,
            const status_tracker& aTracker,
            clock::time_point aNow)
 {
   if (aEvidence.before.role != server_role::kPrimary ||
       aEvidence.after.role != server_role::kPrimary) {
-    return read_judgement::kBad;
+    return read_verdict::kBad;
   }
   if (aTracker.IsHeldByMajority(
         aEvidence.after.applied, aEvidence.sentAt, aNow)) {
-    return read_judgement::kGood;
+    return read_verdict::kGood;
   }
   const auto term = aTracker.Term();
-  return term && term->term > aEvidence.after.term
-           ? read_judgement::kBad
-           : read_judgement::kUnconfirmed;
+  return term && term->term > aEvidence.after.term ? read_verdict::kBad
+                                                   : read_verdict::kUnconfirmed;
 }
 
 } // namespace
@@ -62,30 +61,30 @@
          aRequest.work.maxStaleness <= std::chrono::milliseconds{ 0 };
 }
 
-read_judgement
-Judge(const request& aRequest,
-      const read_evidence& aEvidence,
-      const status_tracker& aTracker,
-      clock::time_point aNow)
+read_verdict
+VerifyRead(const request& aRequest,
+           const read_evidence& aEvidence,
+           const status_tracker& aTracker,
+           clock::time_point aNow)
 {
   const auto& before = aEvidence.before;
   const auto& after = aEvidence.after;
   if (!HasKeptHistory(before, after, aTracker) ||
       before.applied < aRequest.floor) {
-    return read_judgement::kBad;
+    return read_verdict::kBad;
   }
   if (IsFresh(aRequest)) {
     return JudgeFresh(aEvidence, aTracker, aNow);
   }
   if (!IsFreshEnough(aRequest, before, aTracker, aNow)) {
-    return read_judgement::kBad;
+    return read_verdict::kBad;
   }
   if (aTracker.WasConfirmed(after.applied)) {
-    return read_judgement::kGood;
+    return read_verdict::kGood;
   }
   const auto term = aTracker.Term();
-  return term && term->term > after.applied.term ? read_judgement::kBad
-                                                 : read_judgement::kUnconfirmed;
+  return term && term->term > after.applied.term ? read_verdict::kBad
+                                                 : read_verdict::kUnconfirmed;
 }
 
 } // namespace currantshed::group
--- a/src/currantshed/group/read_verification.hpp
+++ b/src/currantshed/group/read_verification.hpp
@@ -20,7 +20,7 @@
 };
 
 /// What the evidence says about a read's rows.
-enum class read_judgement
+enum class read_verdict
 {
   /// They may be shown.
   kGood,
@@ -39,11 +39,11 @@
 /// before covers the session's position and the bound on staleness; what the
 /// word after shows must be confirmed. A fresh read must come from the
 /// primary of a term that a majority held when asked after the read was sent.
-[[nodiscard]] read_judgement
-Judge(const request& aRequest,
-      const read_evidence& aEvidence,
-      const confirm::status_tracker& aTracker,
-      clock::time_point aNow);
+[[nodiscard]] read_verdict
+VerifyRead(const request& aRequest,
+           const read_evidence& aEvidence,
+           const confirm::status_tracker& aTracker,
+           clock::time_point aNow);
 
 } // namespace currantshed::group
 
--- a/src/currantshed/group/reads.cpp
+++ b/src/currantshed/group/reads.cpp
@@ -15,10 +15,10 @@
 
 // Part of its time that a read waits for a replica which could take it,
 // before it goes to the primary.
-constexpr int kSpillPart = 4;
+constexpr int kPrimaryFallbackFraction = 4;
 // Status intervals without a word from a server, at least, before a read that
 // runs there is tried elsewhere.
-constexpr int kLeastSilentIntervals = 2;
+constexpr int kMinSilentIntervals = 2;
 
 } // namespace
 
@@ -29,8 +29,8 @@
 }
 
 route::choice
-read_flow::Place(const std::vector<route::candidate>& aCandidates,
-                 clock::time_point aNow) const
+read_flow::ChooseServer(const std::vector<route::candidate>& aCandidates,
+                        clock::time_point aNow) const
 {
   const auto& request = Request();
   const auto time = request.deadline - Submitted();
@@ -39,18 +39,18 @@
     request.floor,
     request.work.maxStaleness,
     IsFresh(request),
-    mTried,
-    aNow >= Submitted() + time / kSpillPart
+    mTriedServers,
+    aNow >= Submitted() + time / kPrimaryFallbackFraction
   };
-  return route::ChooseForRead(aCandidates, need, Shared().tracker, aNow);
+  return route::ChooseForRead(aCandidates, need, Context().tracker, aNow);
 }
 
 std::optional<answer>
-read_flow::GiveUp(reason aWhy, clock::time_point aNow)
+read_flow::OnNoServer(reason aWhy, clock::time_point aNow)
 {
   // Servers that were behind may have caught up when it comes to them again.
-  mTried.clear();
-  if (aWhy == reason::kNoEligibleServer || HasWaitedLong(aNow)) {
+  mTriedServers.clear();
+  if (aWhy == reason::kNoEligibleServer || HasWaitedTooLong(aNow)) {
     return NotRun(Request(), aWhy);
   }
   return std::nullopt;
@@ -62,48 +62,48 @@
   mDispatch = aDispatch;
   mEvidence = {};
   mEvidence.sentAt = aDispatch.sentAt;
-  auto batch = Opening();
+  auto batch = Preamble();
   batch.insert(
     batch.end(), Request().statements.begin(), Request().statements.end());
-  if (StatusAfter()) {
-    batch.push_back(Shared().dialect->Status());
+  if (NeedsStatusAfter()) {
+    batch.push_back(Context().dialect->Status());
   }
   return batch;
 }
 
 bool
-read_flow::IsOvertaken(clock::time_point aNow) const
+read_flow::ShouldAbort(clock::time_point aNow) const
 {
   // A server that runs a long statement still tells its status; one that is
   // silent is cut off or stuck.
-  const auto& settings = Shared().settings;
+  const auto& settings = Context().settings;
   const auto time = Request().deadline - mDispatch.sentAt;
-  const auto least = settings.statusInterval * kLeastSilentIntervals;
+  const auto minSilence = settings.statusInterval * kMinSilentIntervals;
   const auto silence = std::clamp<clock::duration>(
-    time / 2, least, settings.statusTimeout + least);
-  const auto* word = Shared().tracker.Find(mDispatch.server);
-  const auto heardAt = word == nullptr
-                         ? mDispatch.sentAt
-                         : std::max(mDispatch.sentAt, word->askedAt);
-  return aNow >= heardAt + silence;
+    time / 2, minSilence, settings.statusTimeout + minSilence);
+  const auto* status = Context().tracker.Find(mDispatch.server);
+  const auto lastStatusAt = status == nullptr
+                              ? mDispatch.sentAt
+                              : std::max(mDispatch.sentAt, status->askedAt);
+  return aNow >= lastStatusAt + silence;
 }
 
-turn
+reply_outcome
 read_flow::Replied(upstream::reply aReply, clock::time_point aNow)
 {
   if (aReply.end == batch_end::kServerError) {
-    return ServerRefused(aReply);
+    return OnServerError(aReply);
   }
   if (aReply.end == batch_end::kTorn) {
-    return Torn(aReply);
+    return OnTorn(aReply);
   }
-  const auto opening = Opening().size();
-  const auto end = opening + Request().statements.size();
-  const auto before = TakeStatus(Shared(), mDispatch, aReply, 0);
-  const auto after =
-    TakeStatus(Shared(), mDispatch, aReply, StatusAfter() ? end : opening - 1);
+  const auto preamble = Preamble().size();
+  const auto end = preamble + Request().statements.size();
+  const auto before = TakeStatus(Context(), mDispatch, aReply, 0);
+  const auto after = TakeStatus(
+    Context(), mDispatch, aReply, NeedsStatusAfter() ? end : preamble - 1);
   if (!before || !after || aReply.results.size() < end) {
-    return { TryElsewhere(reason::kUnreachable), connection_fate::kClose };
+    return { RetryElsewhere(reason::kUnreachable), connection_fate::kClose };
   }
   mEvidence.before = *before;
   mEvidence.after = *after;
@@ -111,21 +111,21 @@
   mAnswer.position = after->applied;
   const auto begin = aReply.results.begin();
   mAnswer.results.assign(
-    std::make_move_iterator(begin + static_cast<std::ptrdiff_t>(opening)),
+    std::make_move_iterator(begin + static_cast<std::ptrdiff_t>(preamble)),
     std::make_move_iterator(begin + static_cast<std::ptrdiff_t>(end)));
   auto next = Decide(aNow);
-  return { next ? std::move(*next) : step{ await_word{} },
+  return { next ? std::move(*next) : step{ await_status{} },
            connection_fate::kKeep };
 }
 
 std::optional<step>
-read_flow::Heard(clock::time_point aNow)
+read_flow::OnStatusUpdate(clock::time_point aNow)
 {
   return Decide(aNow);
 }
 
 bool
-read_flow::WantsWord() const
+read_flow::NeedsStatus() const
 {
   return IsFresh(Request());
 }
@@ -138,13 +138,13 @@
 }
 
 std::vector<upstream::statement>
-read_flow::Opening() const
+read_flow::Preamble() const
 {
-  return { Shared().dialect->Status() };
+  return { Context().dialect->Status() };
 }
 
 bool
-read_flow::StatusAfter() const
+read_flow::NeedsStatusAfter() const
 {
   return true;
 }
@@ -164,46 +164,46 @@
 std::optional<step>
 read_flow::Decide(clock::time_point aNow)
 {
-  switch (Judge(Request(), mEvidence, Shared().tracker, aNow)) {
-    case read_judgement::kGood:
+  switch (VerifyRead(Request(), mEvidence, Context().tracker, aNow)) {
+    case read_verdict::kGood:
       return finish{ std::move(mAnswer) };
-    case read_judgement::kBad:
-      return TryElsewhere(reason::kTooStale);
-    case read_judgement::kUnconfirmed:
+    case read_verdict::kBad:
+      return RetryElsewhere(reason::kTooStale);
+    case read_verdict::kUnconfirmed:
       break;
   }
   return std::nullopt;
 }
 
 step
-read_flow::TryElsewhere(reason aWhy)
+read_flow::RetryElsewhere(reason aWhy)
 {
-  mTried.push_back(mDispatch.server);
-  if (!Shared().retries.TryWithdraw()) {
+  mTriedServers.push_back(mDispatch.server);
+  if (!Context().retries.TryWithdraw()) {
     return finish{ NotRun(Request(), aWhy) };
   }
-  return queue_again{};
+  return requeue{};
 }
 
-turn
-read_flow::ServerRefused(const upstream::reply& aReply)
+reply_outcome
+read_flow::OnServerError(const upstream::reply& aReply)
 {
   if (Classify(aReply.sqlState) == refusal::kTransient ||
       aReply.sqlState == upstream::kStaleTermState) {
-    return { TryElsewhere(reason::kUnreachable), connection_fate::kClose };
+    return { RetryElsewhere(reason::kUnreachable), connection_fate::kClose };
   }
   return { finish{ StatementRefused(Request(), aReply) },
            connection_fate::kKeep };
 }
 
-turn
-read_flow::Torn(const upstream::reply& aReply)
+reply_outcome
+read_flow::OnTorn(const upstream::reply& aReply)
 {
   if (aReply.sqlState == upstream::kAnswerLimitState) {
     return { finish{ Refused(Request(), reason::kAnswerTooLarge) },
              connection_fate::kClose };
   }
-  return { TryElsewhere(reason::kUnreachable), connection_fate::kClose };
+  return { RetryElsewhere(reason::kUnreachable), connection_fate::kClose };
 }
 
 } // namespace currantshed::group
--- a/src/currantshed/group/reads.hpp
+++ b/src/currantshed/group/reads.hpp
@@ -15,27 +15,29 @@
   using flow::flow;
 
   [[nodiscard]] bool ReadOnly() const override;
-  [[nodiscard]] route::choice Place(
+  [[nodiscard]] route::choice ChooseServer(
     const std::vector<route::candidate>& aCandidates,
     clock::time_point aNow) const override;
-  [[nodiscard]] std::optional<answer> GiveUp(outcome::reason aWhy,
-                                             clock::time_point aNow) override;
+  [[nodiscard]] std::optional<answer> OnNoServer(
+    outcome::reason aWhy,
+    clock::time_point aNow) override;
   [[nodiscard]] std::vector<upstream::statement> Compose(
     const dispatch& aDispatch) override;
-  [[nodiscard]] bool IsOvertaken(clock::time_point aNow) const override;
-  [[nodiscard]] turn Replied(upstream::reply aReply,
-                             clock::time_point aNow) override;
-  [[nodiscard]] std::optional<step> Heard(clock::time_point aNow) override;
-  [[nodiscard]] bool WantsWord() const override;
+  [[nodiscard]] bool ShouldAbort(clock::time_point aNow) const override;
+  [[nodiscard]] reply_outcome Replied(upstream::reply aReply,
+                                      clock::time_point aNow) override;
+  [[nodiscard]] std::optional<step> OnStatusUpdate(
+    clock::time_point aNow) override;
+  [[nodiscard]] bool NeedsStatus() const override;
   [[nodiscard]] answer Expired(stage aStage) const override;
 
 protected:
   /// What runs before the statements: a status first.
-  [[nodiscard]] virtual std::vector<upstream::statement> Opening() const;
+  [[nodiscard]] virtual std::vector<upstream::statement> Preamble() const;
 
   /// Whether a status runs after the statements; else the last one of the
   /// opening stands for it.
-  [[nodiscard]] virtual bool StatusAfter() const;
+  [[nodiscard]] virtual bool NeedsStatusAfter() const;
 
   /// Where the last batch was sent.
   [[nodiscard]] const dispatch& Dispatched() const noexcept;
@@ -47,15 +49,15 @@
   /// Goes by what the evidence says now.
   [[nodiscard]] std::optional<step> Decide(clock::time_point aNow);
   /// Runs it elsewhere if that may be.
-  [[nodiscard]] step TryElsewhere(outcome::reason aWhy);
-  [[nodiscard]] turn ServerRefused(const upstream::reply& aReply);
-  [[nodiscard]] turn Torn(const upstream::reply& aReply);
+  [[nodiscard]] step RetryElsewhere(outcome::reason aWhy);
+  [[nodiscard]] reply_outcome OnServerError(const upstream::reply& aReply);
+  [[nodiscard]] reply_outcome OnTorn(const upstream::reply& aReply);
 
   dispatch mDispatch;
   read_evidence mEvidence;
   answer mAnswer;
   // Servers tried in vain; forgotten when all have been.
-  std::vector<upstream::server_id> mTried;
+  std::vector<upstream::server_id> mTriedServers;
 };
 
 } // namespace currantshed::group
--- a/src/currantshed/group/resolve.cpp
+++ b/src/currantshed/group/resolve.cpp
@@ -21,7 +21,7 @@
 }
 
 std::size_t
-resolve_flow::RecordPlace() const
+resolve_flow::RecordIndex() const
 {
   return 0;
 }
@@ -45,8 +45,8 @@
 }
 
 route::choice
-reconfirm_flow::Place(const std::vector<route::candidate>&,
-                      clock::time_point) const
+reconfirm_flow::ChooseServer(const std::vector<route::candidate>&,
+                             clock::time_point) const
 {
   return { route::availability::kNone, 0, reason::kNoEligibleServer };
 }
@@ -57,16 +57,16 @@
   return {};
 }
 
-turn
+reply_outcome
 reconfirm_flow::Replied(upstream::reply, clock::time_point)
 {
-  return { await_word{}, connection_fate::kClose };
+  return { await_status{}, connection_fate::kClose };
 }
 
 std::optional<step>
-reconfirm_flow::Heard(clock::time_point aNow)
+reconfirm_flow::OnStatusUpdate(clock::time_point aNow)
 {
-  const auto& tracker = Shared().tracker;
+  const auto& tracker = Context().tracker;
   const auto& position = Request().position;
   if (tracker.IsHeldByMajority(position, Submitted(), aNow)) {
     answer made;
--- a/src/currantshed/group/resolve.hpp
+++ b/src/currantshed/group/resolve.hpp
@@ -14,7 +14,7 @@
 
 protected:
   [[nodiscard]] std::vector<upstream::statement> ComposeChange() const override;
-  [[nodiscard]] std::size_t RecordPlace() const override;
+  [[nodiscard]] std::size_t RecordIndex() const override;
   [[nodiscard]] bool MayBeResent() const override;
   [[nodiscard]] std::optional<std::string> Digest() const override;
 };
@@ -27,14 +27,15 @@
   using flow::flow;
 
   [[nodiscard]] bool ReadOnly() const override;
-  [[nodiscard]] route::choice Place(
+  [[nodiscard]] route::choice ChooseServer(
     const std::vector<route::candidate>& aCandidates,
     clock::time_point aNow) const override;
   [[nodiscard]] std::vector<upstream::statement> Compose(
     const dispatch& aDispatch) override;
-  [[nodiscard]] turn Replied(upstream::reply aReply,
-                             clock::time_point aNow) override;
-  [[nodiscard]] std::optional<step> Heard(clock::time_point aNow) override;
+  [[nodiscard]] reply_outcome Replied(upstream::reply aReply,
+                                      clock::time_point aNow) override;
+  [[nodiscard]] std::optional<step> OnStatusUpdate(
+    clock::time_point aNow) override;
   [[nodiscard]] answer Expired(stage aStage) const override;
 };
 
--- a/src/currantshed/group/links.cpp
+++ b/src/currantshed/group/statement_connections.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/group/links.hpp"
+#include "currantshed/group/statement_connections.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -9,7 +9,7 @@
 
 // Whether a server goes by the same name at the same address.
 bool
-IsSamePlace(const member& aLeft, const member& aRight)
+IsSameEndpoint(const member& aLeft, const member& aRight)
 {
   return aLeft.id == aRight.id && aLeft.address == aRight.address &&
          aLeft.port == aRight.port;
@@ -17,14 +17,15 @@
 
 } // namespace
 
-links::links(context& aContext, std::vector<action>& aActions)
+statement_connections::statement_connections(context& aContext,
+                                             std::vector<action>& aActions)
   : mContext(aContext)
   , mActions(aActions)
 {
 }
 
 std::vector<request_id>
-links::Configure(const description& aGroup)
+statement_connections::Configure(const description& aGroup)
 {
   auto torn = CloseAllBut(aGroup);
   std::vector<server> servers;
@@ -43,25 +44,25 @@
 }
 
 std::vector<request_id>
-links::CloseAllBut(const description& aGroup)
+statement_connections::CloseAllBut(const description& aGroup)
 {
   std::vector<request_id> torn;
   std::vector<connection_id> closed;
-  for (const auto& [id, link] : mLinks) {
-    const auto* known = Find(link.server);
+  for (const auto& [id, state] : mStates) {
+    const auto* known = Find(state.server);
     const auto stays =
       known != nullptr &&
       std::any_of(aGroup.members.begin(),
                   aGroup.members.end(),
                   [known](const member& aMember) {
-                    return IsSamePlace(aMember, known->description);
+                    return IsSameEndpoint(aMember, known->description);
                   });
     if (stays) {
       continue;
     }
     closed.push_back(id);
-    if (link.running && link.request) {
-      torn.push_back(*link.request);
+    if (state.running && state.request) {
+      torn.push_back(*state.request);
     }
   }
   for (const auto id : closed) {
@@ -71,19 +72,20 @@
 }
 
 bool
-links::CanRun(connection_id aConnection) const
+statement_connections::CanRun(connection_id aConnection) const
 {
   // Whatever holds the slots may wait in the server for a lock of this very
   // transaction, so its own statements never wait for them.
-  const auto found = mLinks.find(aConnection);
-  return found != mLinks.end() && !found->second.running;
+  const auto found = mStates.find(aConnection);
+  return found != mStates.end() && !found->second.running;
 }
 
 std::optional<dispatch>
-links::Dispatch(connection_id aConnection, clock::time_point aNow) const
+statement_connections::Dispatch(connection_id aConnection,
+                                clock::time_point aNow) const
 {
-  const auto found = mLinks.find(aConnection);
-  if (found == mLinks.end()) {
+  const auto found = mStates.find(aConnection);
+  if (found == mStates.end()) {
     return std::nullopt;
   }
   const auto* server = Find(found->second.server);
@@ -96,22 +98,22 @@
 }
 
 void
-links::Run(connection_id aConnection,
-           request_id aRequest,
-           std::vector<upstream::statement> aStatements)
+statement_connections::Run(connection_id aConnection,
+                           request_id aRequest,
+                           std::vector<upstream::statement> aStatements)
 {
-  const auto found = mLinks.find(aConnection);
-  if (found != mLinks.end()) {
+  const auto found = mStates.find(aConnection);
+  if (found != mStates.end()) {
     found->second.request = aRequest;
     Start(aConnection, found->second, std::move(aStatements));
   }
 }
 
 void
-links::Opened(connection_id aConnection)
+statement_connections::Opened(connection_id aConnection)
 {
-  const auto found = mLinks.find(aConnection);
-  if (found == mLinks.end()) {
+  const auto found = mStates.find(aConnection);
+  if (found == mStates.end()) {
     return;
   }
   if (auto* server = Find(found->second.server)) {
@@ -120,41 +122,41 @@
 }
 
 void
-links::Failed(connection_id aConnection, clock::time_point aNow)
+statement_connections::Failed(connection_id aConnection, clock::time_point aNow)
 {
-  const auto found = mLinks.find(aConnection);
-  if (found == mLinks.end()) {
+  const auto found = mStates.find(aConnection);
+  if (found == mStates.end()) {
     return;
   }
   if (auto* server = Find(found->second.server)) {
     server->pool.Failed(aConnection, aNow);
   }
-  mLinks.erase(found);
+  mStates.erase(found);
 }
 
 std::optional<ended_batch>
-links::Ended(connection_id aConnection,
-             std::uint64_t aBatch,
-             upstream::batch_end aEnd)
+statement_connections::Ended(connection_id aConnection,
+                             std::uint64_t aBatch,
+                             upstream::batch_end aEnd)
 {
-  const auto found = mLinks.find(aConnection);
-  if (found == mLinks.end() || !found->second.running ||
+  const auto found = mStates.find(aConnection);
+  if (found == mStates.end() || !found->second.running ||
       found->second.batch != aBatch) {
     return std::nullopt;
   }
-  auto& link = found->second;
-  link.running = false;
-  if (auto* server = Find(link.server)) {
+  auto& state = found->second;
+  state.running = false;
+  if (auto* server = Find(state.server)) {
     server->pool.BatchEnded(aConnection);
   }
-  const auto request = std::exchange(link.request, std::nullopt);
-  if (std::exchange(link.cleaning, false)) {
-    Settle(aConnection,
-           aEnd == upstream::batch_end::kComplete ? connection_fate::kKeep
-                                                  : connection_fate::kClose);
+  const auto request = std::exchange(state.request, std::nullopt);
+  if (std::exchange(state.cleaning, false)) {
+    ApplyFate(aConnection,
+              aEnd == upstream::batch_end::kComplete ? connection_fate::kKeep
+                                                     : connection_fate::kClose);
     return ended_batch{};
   }
-  if (link.orphaned) {
+  if (state.orphaned) {
     Close(aConnection);
     return ended_batch{};
   }
@@ -162,10 +164,11 @@
 }
 
 void
-links::Settle(connection_id aConnection, connection_fate aFate)
+statement_connections::ApplyFate(connection_id aConnection,
+                                 connection_fate aFate)
 {
-  const auto found = mLinks.find(aConnection);
-  if (found == mLinks.end()) {
+  const auto found = mStates.find(aConnection);
+  if (found == mStates.end()) {
     return;
   }
   auto* server = Find(found->second.server);
@@ -184,29 +187,29 @@
 }
 
 void
-links::Orphan(connection_id aConnection)
+statement_connections::Orphan(connection_id aConnection)
 {
-  const auto found = mLinks.find(aConnection);
-  if (found != mLinks.end()) {
+  const auto found = mStates.find(aConnection);
+  if (found != mStates.end()) {
     found->second.orphaned = true;
     found->second.request.reset();
   }
 }
 
 void
-links::Close(connection_id aConnection)
+statement_connections::Close(connection_id aConnection)
 {
-  if (mLinks.contains(aConnection)) {
+  if (mStates.contains(aConnection)) {
     Erase(aConnection);
     mActions.emplace_back(close_connection{ aConnection });
   }
 }
 
 std::optional<request_id>
-links::Lost(connection_id aConnection)
+statement_connections::Lost(connection_id aConnection)
 {
-  const auto found = mLinks.find(aConnection);
-  if (found == mLinks.end()) {
+  const auto found = mStates.find(aConnection);
+  if (found == mStates.end()) {
     return std::nullopt;
   }
   const auto request = found->second.request;
@@ -214,8 +217,8 @@
   return request;
 }
 
-links::server*
-links::Find(const upstream::server_id& aServer)
+statement_connections::server*
+statement_connections::Find(const upstream::server_id& aServer)
 {
   const auto found = std::find_if(
     mServers.begin(), mServers.end(), [&aServer](const server& aCandidate) {
@@ -224,8 +227,8 @@
   return found == mServers.end() ? nullptr : &*found;
 }
 
-const links::server*
-links::Find(const upstream::server_id& aServer) const
+const statement_connections::server*
+statement_connections::Find(const upstream::server_id& aServer) const
 {
   const auto found = std::find_if(
     mServers.begin(), mServers.end(), [&aServer](const server& aCandidate) {
@@ -235,30 +238,30 @@
 }
 
 void
-links::Erase(connection_id aConnection)
+statement_connections::Erase(connection_id aConnection)
 {
-  const auto found = mLinks.find(aConnection);
-  if (found == mLinks.end()) {
+  const auto found = mStates.find(aConnection);
+  if (found == mStates.end()) {
     return;
   }
   if (auto* server = Find(found->second.server)) {
     server->pool.Remove(aConnection);
   }
-  mLinks.erase(found);
+  mStates.erase(found);
 }
 
 void
-links::Start(connection_id aConnection,
-             link& aLink,
-             std::vector<upstream::statement> aStatements)
+statement_connections::Start(connection_id aConnection,
+                             connection_state& aState,
+                             std::vector<upstream::statement> aStatements)
 {
-  aLink.running = true;
-  aLink.batch = ++mLastBatch;
-  if (auto* server = Find(aLink.server)) {
+  aState.running = true;
+  aState.batch = ++mLastBatch;
+  if (auto* server = Find(aState.server)) {
     server->pool.BatchStarted(aConnection);
   }
   mActions.emplace_back(
-    run_batch{ aConnection, aLink.batch, std::move(aStatements) });
+    run_batch{ aConnection, aState.batch, std::move(aStatements) });
 }
 
 } // namespace currantshed::group
--- a/src/currantshed/group/links.hpp
+++ b/src/currantshed/group/statement_connections.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_GROUP_LINKS_HPP
-#define CURRANTSHED_GROUP_LINKS_HPP
+#ifndef CURRANTSHED_GROUP_STATEMENT_CONNECTIONS_HPP
+#define CURRANTSHED_GROUP_STATEMENT_CONNECTIONS_HPP
 
 #include <optional>
 #include <vector>
@@ -24,10 +24,10 @@
 
 /// The statement connections of one group: to which server each goes, what
 /// runs on it, and the actions that open, use and close them.
-class links
+class statement_connections
 {
 public:
-  links(context& aContext, std::vector<action>& aActions);
+  statement_connections(context& aContext, std::vector<action>& aActions);
 
   /// Takes over the servers. Connections to one that is gone, or has another
   /// address, are closed; requests whose batches ran on them are handed back.
@@ -77,7 +77,7 @@
                                                  upstream::batch_end aEnd);
 
   /// Deals with a connection after its batch.
-  void Settle(connection_id aConnection, connection_fate aFate);
+  void ApplyFate(connection_id aConnection, connection_fate aFate);
 
   /// The request no longer waits for what runs on the connection, which is
   /// closed when the batch ends.
@@ -91,7 +91,7 @@
 
   /// Opens connections that are likely to be needed, also by the next primary
   /// at a replica, and closes idle ones to servers that are leaving.
-  void KeepSpares(clock::time_point aNow);
+  void OpenSpares(clock::time_point aNow);
 
 private:
   struct server
@@ -103,7 +103,7 @@
     unsigned claimsReadWrite = 0;
   };
 
-  struct link
+  struct connection_state
   {
     upstream::server_id server;
     bool readOnly = false;
@@ -123,13 +123,13 @@
   void Erase(connection_id aConnection);
   void OpenSpare(server& aServer, bool aReadOnly, clock::time_point aNow);
   void Start(connection_id aConnection,
-             link& aLink,
+             connection_state& aState,
              std::vector<upstream::statement> aStatements);
 
   context& mContext;
   std::vector<action>& mActions;
   std::vector<server> mServers;
-  absl::flat_hash_map<connection_id, link> mLinks;
+  absl::flat_hash_map<connection_id, connection_state> mStates;
   connection_id mLastConnection = 0;
   std::uint64_t mLastBatch = 0;
 };
--- a/src/currantshed/group/submit.cpp
+++ b/src/currantshed/group/submit.cpp
@@ -68,13 +68,13 @@
     return;
   }
   entry entered;
-  entered.waitsIn = LaneOf(aRequest);
+  entered.queue = QueueKindOf(aRequest);
   const auto isQuestion = aRequest.kind == operation::kReconfirm;
-  entered.at = isQuestion ? stage::kAwaiting : stage::kQueued;
+  entered.currentStage = isQuestion ? stage::kAwaitingStatus : stage::kQueued;
   const auto request = aRequest.id;
-  entered.way = MakeFlow(std::move(aRequest), aNow);
-  Enter(std::move(entered), aNow);
-  FollowEntered(request, aNow);
+  entered.requestFlow = MakeFlow(std::move(aRequest), aNow);
+  Enqueue(std::move(entered), aNow);
+  AfterSubmit(request, aNow);
 }
 
 std::optional<answer>
@@ -158,19 +158,19 @@
   return std::make_unique<reconfirm_flow>(mContext, std::move(aRequest), aNow);
 }
 
-group_engine::lane
-group_engine::LaneOf(const request& aRequest)
+group_engine::queue_kind
+group_engine::QueueKindOf(const request& aRequest)
 {
   if (IsInTransaction(aRequest.kind)) {
-    return lane::kTransactions;
+    return queue_kind::kTransactions;
   }
   const auto isRead = aRequest.kind == operation::kRead ||
                       (aRequest.kind == operation::kBegin &&
                        aRequest.work.kind == policy::access::kRead);
   if (!isRead) {
-    return lane::kWrites;
+    return queue_kind::kWrites;
   }
-  return IsFresh(aRequest) ? lane::kFreshReads : lane::kReads;
+  return IsFresh(aRequest) ? queue_kind::kFreshReads : queue_kind::kReads;
 }
 
 admit::waiting
@@ -180,29 +180,29 @@
 }
 
 admit::deadline_queue&
-group_engine::QueueOf(lane aLane)
+group_engine::QueueOf(queue_kind aKind)
 {
-  switch (aLane) {
-    case lane::kReads:
+  switch (aKind) {
+    case queue_kind::kReads:
       return mReads;
-    case lane::kFreshReads:
+    case queue_kind::kFreshReads:
       return mFreshReads;
-    case lane::kWrites:
+    case queue_kind::kWrites:
       return mWrites;
-    case lane::kTransactions:
+    case queue_kind::kTransactions:
       break;
   }
   return mTransactions;
 }
 
 void
-group_engine::Enter(entry aEntry, clock::time_point aNow)
+group_engine::Enqueue(entry aEntry, clock::time_point aNow)
 {
-  const auto& request = aEntry.way->Request();
+  const auto& request = aEntry.requestFlow->Request();
   const auto id = request.id;
   const auto waiting = WaitingOf(request);
-  auto& queue = QueueOf(aEntry.waitsIn);
-  if (aEntry.at == stage::kQueued) {
+  auto& queue = QueueOf(aEntry.queue);
+  if (aEntry.currentStage == stage::kQueued) {
     const auto hasRoom =
       mEntries.size() < kEntriesForWaiting * mContext.settings.queueLimit;
     const auto offered =
@@ -214,8 +214,8 @@
       return;
     }
     for (const auto displaced : offered.displaced) {
-      auto made =
-        NotRun(mEntries.at(displaced).way->Request(), reason::kOverloaded);
+      auto made = NotRun(mEntries.at(displaced).requestFlow->Request(),
+                         reason::kOverloaded);
       made.retryAfter = queue.RetryAfter(displaced, aNow);
       Finish(displaced, std::move(made));
     }
@@ -223,7 +223,7 @@
   } else {
     mAwaiting.insert(id);
   }
-  if (aEntry.waitsIn == lane::kTransactions) {
+  if (aEntry.queue == queue_kind::kTransactions) {
     mContext.transactions.Find(request.transaction)->user = id;
   }
   mDeadlines.emplace(request.deadline, id);
--- a/src/currantshed/group/transaction_flows.cpp
+++ b/src/currantshed/group/transaction_flows.cpp
@@ -37,12 +37,12 @@
 std::optional<connection_id>
 statement_flow::Pinned() const
 {
-  return ConnectionOf(Shared(), Request().transaction);
+  return ConnectionOf(Context(), Request().transaction);
 }
 
 route::choice
-statement_flow::Place(const std::vector<route::candidate>&,
-                      clock::time_point) const
+statement_flow::ChooseServer(const std::vector<route::candidate>&,
+                             clock::time_point) const
 {
   return NoPlace();
 }
@@ -52,22 +52,22 @@
 {
   mDispatch = aDispatch;
   auto batch = Request().statements;
-  batch.push_back(Shared().dialect->Status());
+  batch.push_back(Context().dialect->Status());
   return batch;
 }
 
 bool
-statement_flow::IsOvertaken(clock::time_point) const
+statement_flow::ShouldAbort(clock::time_point) const
 {
-  return Shared().transactions.Find(Request().transaction) == nullptr;
+  return Context().transactions.Find(Request().transaction) == nullptr;
 }
 
-turn
+reply_outcome
 statement_flow::Replied(upstream::reply aReply, clock::time_point aNow)
 {
-  auto& transactions = Shared().transactions;
+  auto& transactions = Context().transactions;
   auto* open = transactions.Find(Request().transaction);
-  const auto lose = [&](answer aAnswer) -> turn {
+  const auto lose = [&](answer aAnswer) -> reply_outcome {
     transactions.Remove(Request().transaction);
     return { finish{ std::move(aAnswer) }, connection_fate::kClose };
   };
@@ -83,7 +83,7 @@
   }
   const auto place = Request().statements.size();
   const auto status = aReply.end == batch_end::kComplete
-                        ? TakeStatus(Shared(), mDispatch, aReply, place)
+                        ? TakeStatus(Context(), mDispatch, aReply, place)
                         : std::nullopt;
   if (!status || (!open->readOnly && status->term != open->term)) {
     return lose(NotRun(Request(), reason::kTransactionLost));
@@ -109,7 +109,7 @@
                          clock::time_point aNow)
   : change_flow(aContext, std::move(aRequest), aNow)
 {
-  if (const auto* open = Shared().transactions.Find(Request().transaction)) {
+  if (const auto* open = Context().transactions.Find(Request().transaction)) {
     mDigest = open->digest.Text();
   }
 }
@@ -120,14 +120,14 @@
   if (Phase() != phase::kApply) {
     return std::nullopt;
   }
-  return ConnectionOf(Shared(), Request().transaction);
+  return ConnectionOf(Context(), Request().transaction);
 }
 
-turn
+reply_outcome
 commit_flow::Replied(upstream::reply aReply, clock::time_point aNow)
 {
   if (Phase() == phase::kApply) {
-    Shared().transactions.Remove(Request().transaction);
+    Context().transactions.Remove(Request().transaction);
   }
   return change_flow::Replied(std::move(aReply), aNow);
 }
@@ -135,7 +135,7 @@
 std::vector<upstream::statement>
 commit_flow::ComposeChange() const
 {
-  const auto& dialect = *Shared().dialect;
+  const auto& dialect = *Context().dialect;
   const auto& key = Request().key;
   return { dialect.RecordOutcome(key.Text(), key.IssuedAt(), mDigest),
            dialect.Status(),
@@ -144,7 +144,7 @@
 }
 
 std::size_t
-commit_flow::RecordPlace() const
+commit_flow::RecordIndex() const
 {
   return 0;
 }
@@ -170,11 +170,12 @@
 std::optional<connection_id>
 end_flow::Pinned() const
 {
-  return ConnectionOf(Shared(), Request().transaction);
+  return ConnectionOf(Context(), Request().transaction);
 }
 
 route::choice
-end_flow::Place(const std::vector<route::candidate>&, clock::time_point) const
+end_flow::ChooseServer(const std::vector<route::candidate>&,
+                       clock::time_point) const
 {
   return NoPlace();
 }
@@ -183,20 +184,20 @@
 end_flow::Compose(const dispatch& aDispatch)
 {
   mDispatch = aDispatch;
-  const auto& dialect = *Shared().dialect;
+  const auto& dialect = *Context().dialect;
   return { Request().kind == operation::kRollback ? dialect.Rollback()
                                                   : dialect.Commit() };
 }
 
-turn
+reply_outcome
 end_flow::Replied(upstream::reply aReply, clock::time_point)
 {
   auto made = ServedBy(Request(), mDispatch, server_role::kPrimary);
-  if (const auto* open = Shared().transactions.Find(Request().transaction)) {
+  if (const auto* open = Context().transactions.Find(Request().transaction)) {
     made.position = open->position;
     made.byReplica = open->role != server_role::kPrimary;
   }
-  Shared().transactions.Remove(Request().transaction);
+  Context().transactions.Remove(Request().transaction);
   // Where the reply is torn, the server drops the transaction by itself.
   return { finish{ std::move(made) },
            aReply.end == batch_end::kComplete ? connection_fate::kKeep
--- a/src/currantshed/group/transaction_flows.hpp
+++ b/src/currantshed/group/transaction_flows.hpp
@@ -13,14 +13,14 @@
 
   [[nodiscard]] bool ReadOnly() const override;
   [[nodiscard]] std::optional<connection_id> Pinned() const override;
-  [[nodiscard]] route::choice Place(
+  [[nodiscard]] route::choice ChooseServer(
     const std::vector<route::candidate>& aCandidates,
     clock::time_point aNow) const override;
   [[nodiscard]] std::vector<upstream::statement> Compose(
     const dispatch& aDispatch) override;
-  [[nodiscard]] bool IsOvertaken(clock::time_point aNow) const override;
-  [[nodiscard]] turn Replied(upstream::reply aReply,
-                             clock::time_point aNow) override;
+  [[nodiscard]] bool ShouldAbort(clock::time_point aNow) const override;
+  [[nodiscard]] reply_outcome Replied(upstream::reply aReply,
+                                      clock::time_point aNow) override;
   [[nodiscard]] answer Expired(stage aStage) const override;
 
 private:
@@ -34,12 +34,12 @@
   commit_flow(context& aContext, request aRequest, clock::time_point aNow);
 
   [[nodiscard]] std::optional<connection_id> Pinned() const override;
-  [[nodiscard]] turn Replied(upstream::reply aReply,
-                             clock::time_point aNow) override;
+  [[nodiscard]] reply_outcome Replied(upstream::reply aReply,
+                                      clock::time_point aNow) override;
 
 protected:
   [[nodiscard]] std::vector<upstream::statement> ComposeChange() const override;
-  [[nodiscard]] std::size_t RecordPlace() const override;
+  [[nodiscard]] std::size_t RecordIndex() const override;
   [[nodiscard]] bool MayBeResent() const override;
   [[nodiscard]] std::optional<std::string> Digest() const override;
 
@@ -56,13 +56,13 @@
 
   [[nodiscard]] bool ReadOnly() const override;
   [[nodiscard]] std::optional<connection_id> Pinned() const override;
-  [[nodiscard]] route::choice Place(
+  [[nodiscard]] route::choice ChooseServer(
     const std::vector<route::candidate>& aCandidates,
     clock::time_point aNow) const override;
   [[nodiscard]] std::vector<upstream::statement> Compose(
     const dispatch& aDispatch) override;
-  [[nodiscard]] turn Replied(upstream::reply aReply,
-                             clock::time_point aNow) override;
+  [[nodiscard]] reply_outcome Replied(upstream::reply aReply,
+                                      clock::time_point aNow) override;
   [[nodiscard]] answer Expired(stage aStage) const override;
 
 private:
--- a/src/currantshed/group/writes.cpp
+++ b/src/currantshed/group/writes.cpp
@@ -19,7 +19,7 @@
 std::vector<upstream::statement>
 write_flow::ComposeChange() const
 {
-  const auto& dialect = *Shared().dialect;
+  const auto& dialect = *Context().dialect;
   const auto& key = Request().key;
   std::vector<upstream::statement> batch;
   batch.push_back(dialect.Begin(false));
@@ -33,7 +33,7 @@
 }
 
 std::size_t
-write_flow::RecordPlace() const
+write_flow::RecordIndex() const
 {
   return 1;
 }
--- a/src/currantshed/group/writes.hpp
+++ b/src/currantshed/group/writes.hpp
@@ -14,7 +14,7 @@
 
 protected:
   [[nodiscard]] std::vector<upstream::statement> ComposeChange() const override;
-  [[nodiscard]] std::size_t RecordPlace() const override;
+  [[nodiscard]] std::size_t RecordIndex() const override;
   [[nodiscard]] bool MayBeResent() const override;
   [[nodiscard]] std::optional<std::string> Digest() const override;
 
--- a/src/currantshed/pooler/failover_watch.cpp
+++ b/src/currantshed/pooler/failover_watch.cpp
@@ -15,7 +15,7 @@
 failover_watch::On(const failover::report_suspicion& aTold,
                    clock::time_point aNow)
 {
-  if (aTold.word.primary.empty()) {
+  if (aTold.report.primary.empty()) {
     mSuspectedAt.reset();
   } else if (!mSuspectedAt) {
     mSuspectedAt = aNow;
--- a/src/currantshed/pooler/group_guard.cpp
+++ b/src/currantshed/pooler/group_guard.cpp
@@ -108,14 +108,14 @@
 group_guard::Heard(const member::heartbeat& aBeat)
 {
   const auto now = Now();
-  failover::suspicion word{ mName, 0, {} };
+  failover::suspicion report{ mName, 0, {} };
   for (const auto& told : aBeat.suspicions) {
     if (told.group == mName) {
-      word = told;
+      report = told;
     }
   }
   mCoordinator->PeerSuspects(
-    aBeat.sender.id, aBeat.sender.failureDomain, word, now);
+    aBeat.sender.id, aBeat.sender.failureDomain, report, now);
   for (const auto& news : aBeat.terms) {
     if (news.group == mName) {
       mCoordinator->PeerAnnounces(news.term, news.primary, now);
@@ -318,13 +318,13 @@
 group_guard::Do(const failover::report_suspicion& aAction)
 {
   log::Write(log::level::kInfo,
-             aAction.word.primary.empty() ? "suspicion_withdrawn"
-                                          : "primary_suspected",
+             aAction.report.primary.empty() ? "suspicion_withdrawn"
+                                            : "primary_suspected",
              { { "group", mName },
-               { "term", Number(aAction.word.term) },
-               { "primary", aAction.word.primary } });
-  mReach.Suspect(aAction.word);
-  mListener.suspected(aAction.word);
+               { "term", Number(aAction.report.term) },
+               { "primary", aAction.report.primary } });
+  mReach.Suspect(aAction.report);
+  mListener.suspected(aAction.report);
 }
 
 void
--- a/src/currantshed/pooler/group_runner.cpp
+++ b/src/currantshed/pooler/group_runner.cpp
@@ -162,7 +162,7 @@
 }
 
 void
-group_runner::Do(const group::ask_status& aAction)
+group_runner::Do(const group::request_status& aAction)
 {
   const upstream::server_id& server = aAction.server;
   const group::member* member = Find(server);
--- a/src/currantshed/pooler/group_runner.hpp
+++ b/src/currantshed/pooler/group_runner.hpp
@@ -61,7 +61,7 @@
   void Do(const group::open_connection& aAction);
   void Do(const group::close_connection& aAction);
   void Do(group::run_batch& aAction);
-  void Do(const group::ask_status& aAction);
+  void Do(const group::request_status& aAction);
   void Do(group::give_answer& aAction);
   void Opened(group::connection_id aConnection, bool aIsOpen);
   void Lost(group::connection_id aConnection);
--- a/test/currantshed/failover/world.cpp
+++ b/test/currantshed/failover/cluster_simulation.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/failover/world.hpp"
+#include "currantshed/failover/cluster_simulation.hpp"
 
 namespace currantshed::failover::test {
 
@@ -21,7 +21,7 @@
 
 } // namespace
 
-world::world(const world_settings& aSettings)
+cluster_simulation::cluster_simulation(const world_settings& aSettings)
   : mSettings(aSettings)
   , mChance(aSettings.seed)
   , mServers(aSettings.servers)
@@ -52,13 +52,13 @@
 }
 
 void
-world::At(milliseconds aTime, std::function<void()> aWhat)
+cluster_simulation::At(milliseconds aTime, std::function<void()> aWhat)
 {
   Push(From(aTime), std::move(aWhat));
 }
 
 void
-world::Run(milliseconds aUntil)
+cluster_simulation::Run(milliseconds aUntil)
 {
   while (!mEvents.empty() && mEvents.begin()->first.first <= From(aUntil)) {
     auto event = mEvents.extract(mEvents.begin());
@@ -69,19 +69,19 @@
 }
 
 void
-world::KillPooler(unsigned aPooler)
+cluster_simulation::KillPooler(unsigned aPooler)
 {
   mPoolers.at(aPooler).alive = false;
 }
 
 void
-world::PausePooler(unsigned aPooler, milliseconds aFor)
+cluster_simulation::PausePooler(unsigned aPooler, milliseconds aFor)
 {
   mPoolers.at(aPooler).pausedUntil = mNow + aFor;
 }
 
 void
-world::Isolate(const std::string& aName, bool aCut)
+cluster_simulation::Isolate(const std::string& aName, bool aCut)
 {
   std::vector<std::string> others;
   for (const auto& [id, server] : mServers.All()) {
@@ -100,7 +100,7 @@
 }
 
 void
-world::SetLeaving(const upstream::server_id& aServer)
+cluster_simulation::SetLeaving(const upstream::server_id& aServer)
 {
   for (auto& member : mGroup.members) {
     member.leaving = member.leaving || member.id == aServer;
@@ -114,27 +114,27 @@
 }
 
 void
-world::CheckSettled()
+cluster_simulation::CheckSettled()
 {
   const fake_server* primary = nullptr;
   for (const auto& [id, server] : mServers.All()) {
     if (server.alive && server.role == upstream::server_role::kPrimary) {
       if (primary != nullptr) {
-        mBreaches.emplace_back("two primaries at the end");
+        mViolations.emplace_back("two primaries at the end");
       }
       primary = &server;
     }
   }
   if (primary == nullptr) {
-    mBreaches.emplace_back("no primary at the end");
+    mViolations.emplace_back("no primary at the end");
     return;
   }
   for (const auto& [id, server] : mServers.All()) {
     if (server.alive && server.term != primary->term) {
-      mBreaches.push_back(id + " is in another term at the end");
+      mViolations.push_back(id + " is in another term at the end");
     }
     if (server.alive && server.role == upstream::server_role::kFenced) {
-      mBreaches.push_back(id + " is fenced at the end");
+      mViolations.push_back(id + " is fenced at the end");
     }
   }
   std::set<std::uint64_t> kept;
@@ -143,14 +143,14 @@
   }
   for (const auto& change : mConfirmed) {
     if (!kept.contains(change.record.change)) {
-      mBreaches.push_back("confirmed change " +
-                          std::to_string(change.record.change) + " is lost");
+      mViolations.push_back("confirmed change " +
+                            std::to_string(change.record.change) + " is lost");
     }
   }
 }
 
 std::optional<milliseconds>
-world::ConfirmedAfter(milliseconds aTime) const
+cluster_simulation::ConfirmedAfter(milliseconds aTime) const
 {
   for (const auto& change : mConfirmed) {
     if (change.at > From(aTime)) {
@@ -162,14 +162,14 @@
 }
 
 void
-world::Push(clock::time_point aTime, std::function<void()> aWhat)
+cluster_simulation::Push(clock::time_point aTime, std::function<void()> aWhat)
 {
   mEvents.emplace(std::pair{ aTime, mNumber++ }, std::move(aWhat));
 }
 
 void
-world::Deliver(std::size_t aPooler,
-               const std::function<void(coordinator&)>& aWhat)
+cluster_simulation::Deliver(std::size_t aPooler,
+                            const std::function<void(coordinator&)>& aWhat)
 {
   auto& pooler = mPoolers.at(aPooler);
   if (!pooler.alive) {
@@ -185,7 +185,7 @@
 }
 
 void
-world::Drain(std::size_t aPooler)
+cluster_simulation::Drain(std::size_t aPooler)
 {
   auto& pooler = mPoolers.at(aPooler);
   for (const auto& wanted : pooler.core->TakeActions()) {
@@ -204,7 +204,7 @@
 }
 
 void
-world::Do(std::size_t aPooler, const action& aAction)
+cluster_simulation::Do(std::size_t aPooler, const action& aAction)
 {
   auto& self = mPoolers.at(aPooler);
   if (const auto* ask = std::get_if<probe>(&aAction)) {
@@ -254,16 +254,16 @@
     DoSwap(aPooler, *swap);
   } else if (const auto* news = std::get_if<announce>(&aAction)) {
     self.news = *news;
-  } else if (const auto* word = std::get_if<report_suspicion>(&aAction)) {
-    self.word = word->word;
+  } else if (const auto* report = std::get_if<report_suspicion>(&aAction)) {
+    self.report = report->report;
   }
 }
 
 void
-world::Call(std::size_t aPooler,
-            const upstream::server_id& aServer,
-            const server_call& aCall,
-            const server_answer& aAnswer)
+cluster_simulation::Call(std::size_t aPooler,
+                         const upstream::server_id& aServer,
+                         const server_call& aCall,
+                         const server_answer& aAnswer)
 {
   const auto linked = [this, aPooler, aServer] {
     return mServers.At(aServer).alive &&
@@ -296,7 +296,8 @@
 }
 
 void
-world::Repeat(const upstream::server_id& aServer, const server_call& aCall)
+cluster_simulation::Repeat(const upstream::server_id& aServer,
+                           const server_call& aCall)
 {
   constexpr unsigned kMille = 1000;
   constexpr unsigned kLatest = 3000;
@@ -312,11 +313,11 @@
 }
 
 void
-world::DoPromote(std::size_t aPooler, const promote& aWhat)
+cluster_simulation::DoPromote(std::size_t aPooler, const promote& aWhat)
 {
   if (++mPromoteSent[aWhat.term] > 1) {
-    mBreaches.push_back("term " + std::to_string(aWhat.term) +
-                        " is promoted twice");
+    mViolations.push_back("term " + std::to_string(aWhat.term) +
+                          " is promoted twice");
   }
   Call(
     aPooler,
@@ -334,22 +335,23 @@
 }
 
 void
-world::NotePromotion(const promote& aWhat)
+cluster_simulation::NotePromotion(const promote& aWhat)
 {
   if (!mPromoted.emplace(aWhat.term, aWhat.server).second) {
-    mBreaches.push_back("two primaries in term " + std::to_string(aWhat.term));
+    mViolations.push_back("two primaries in term " +
+                          std::to_string(aWhat.term));
   }
   for (const auto& change : mConfirmed) {
     if (change.record.term < aWhat.term && mNow - change.at < kValidity) {
-      mBreaches.push_back("term " + std::to_string(aWhat.term) +
-                          " began while an older acknowledgement holds");
+      mViolations.push_back("term " + std::to_string(aWhat.term) +
+                            " began while an older acknowledgement holds");
       return;
     }
   }
 }
 
 void
-world::DoRead(std::size_t aPooler)
+cluster_simulation::DoRead(std::size_t aPooler)
 {
   Push(mNow + Delay(), [this, aPooler] {
     const bool reached = !mStore.down;
@@ -363,7 +365,7 @@
 }
 
 void
-world::DoSwap(std::size_t aPooler, const swap_record& aWhat)
+cluster_simulation::DoSwap(std::size_t aPooler, const swap_record& aWhat)
 {
   Push(mNow + Delay(), [this, aPooler, aWhat] {
     auto outcome = store::swap_outcome::kUnknown;
@@ -384,7 +386,7 @@
 }
 
 void
-world::Beat(std::size_t aPooler)
+cluster_simulation::Beat(std::size_t aPooler)
 {
   Push(mNow + kBeatInterval, [this, aPooler] { Beat(aPooler); });
   const auto& self = mPoolers.at(aPooler);
@@ -401,10 +403,10 @@
           peer,
           from = self.name,
           domain = "d" + std::to_string(aPooler % 3),
-          word = self.word,
+          report = self.report,
           news = self.news] {
            Deliver(peer, [=, this](coordinator& aCore) {
-             aCore.PeerSuspects(from, domain, word, mNow);
+             aCore.PeerSuspects(from, domain, report, mNow);
              if (news.term > 0) {
                aCore.PeerAnnounces(news.term, news.primary, mNow);
              }
@@ -415,7 +417,7 @@
 
 // Replicates, and at every other turn writes and confirms at each pooler.
 void
-world::Write()
+cluster_simulation::Write()
 {
   Push(mNow + kReplicateInterval, [this] { Write(); });
   mServers.Replicate(mNow);
@@ -446,7 +448,7 @@
 
 // Engines send no changes to a server that is marked as leaving.
 bool
-world::IsLeaving(const upstream::server_id& aServer) const
+cluster_simulation::IsLeaving(const upstream::server_id& aServer) const
 {
   return std::any_of(
     mGroup.members.begin(), mGroup.members.end(), [&](const auto& aMember) {
@@ -455,21 +457,21 @@
 }
 
 bool
-world::Lost()
+cluster_simulation::Lost()
 {
   constexpr unsigned kMille = 1000;
   return mChance() % kMille < mSettings.lossPerMille;
 }
 
 clock::duration
-world::Delay()
+cluster_simulation::Delay()
 {
   constexpr unsigned kSpread = 2500;
   return microseconds{ 500 + static_cast<int>(mChance() % kSpread) };
 }
 
 coordinator_settings
-world::SettingsOf(unsigned aPooler) const
+cluster_simulation::SettingsOf(unsigned aPooler) const
 {
   coordinator_settings settings;
   settings.vm = "p" + std::to_string(aPooler);
--- a/test/currantshed/failover/world.hpp
+++ b/test/currantshed/failover/cluster_simulation.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_TEST_FAILOVER_WORLD_HPP
-#define CURRANTSHED_TEST_FAILOVER_WORLD_HPP
+#ifndef CURRANTSHED_TEST_FAILOVER_CLUSTER_SIMULATION_HPP
+#define CURRANTSHED_TEST_FAILOVER_CLUSTER_SIMULATION_HPP
 
 #include <functional>
 #include <memory>
@@ -30,10 +30,10 @@
 /// servers and a fake store, in virtual time. A writer at each pooler keeps
 /// adding changes at every server that calls itself primary, and notes which
 /// of them a majority confirmed. Breaches of the rules are collected as text.
-class world
+class cluster_simulation
 {
 public:
-  explicit world(const world_settings& aSettings);
+  explicit cluster_simulation(const world_settings& aSettings);
 
   /// Does something at a time from the beginning.
   void At(std::chrono::milliseconds aTime, std::function<void()> aWhat);
@@ -64,9 +64,9 @@
   /// change.
   void CheckSettled();
 
-  [[nodiscard]] const std::vector<std::string>& Breaches() const
+  [[nodiscard]] const std::vector<std::string>& Violations() const
   {
-    return mBreaches;
+    return mViolations;
   }
   /// Promotions that servers accepted.
   [[nodiscard]] std::size_t Promotions() const { return mPromoted.size(); }
@@ -82,7 +82,7 @@
     std::unique_ptr<coordinator> core;
     bool alive = true;
     clock::time_point pausedUntil;
-    suspicion word;
+    suspicion report;
     announce news;
     std::uint64_t tickNumber = 0;
   };
@@ -132,7 +132,7 @@
   std::map<position::term_id, unsigned> mPromoteSent;
   std::vector<fake_record> mWaiting;
   std::vector<confirmed_change> mConfirmed;
-  std::vector<std::string> mBreaches;
+  std::vector<std::string> mViolations;
 };
 
 } // namespace currantshed::failover::test
--- a/test/currantshed/failover/coordinator.cpp
+++ b/test/currantshed/failover/coordinator.cpp
@@ -4,13 +4,13 @@
 
 #include <absl/strings/str_cat.h>
 
-#include "currantshed/failover/world.hpp"
+#include "currantshed/failover/cluster_simulation.hpp"
 
 #include <CppUTest/TestHarness.h>
 
 namespace {
 
-using currantshed::failover::test::world;
+using currantshed::failover::test::cluster_simulation;
 using currantshed::failover::test::world_settings;
 using std::chrono::milliseconds;
 
@@ -20,7 +20,7 @@
 constexpr std::uint64_t kSeeds[] = { 1, 2, 3, 5, 8, 13, 21, 34, 55, 89 };
 constexpr std::size_t kAny = 1000;
 
-using fault = void (*)(world&);
+using fault = void (*)(cluster_simulation&);
 
 struct fault_row
 {
@@ -34,18 +34,18 @@
 };
 
 void
-Nothing(world& /*aWorld*/)
+Nothing(cluster_simulation& /*aWorld*/)
 {
 }
 
 void
-KillPrimary(world& aWorld)
+KillPrimary(cluster_simulation& aWorld)
 {
   aWorld.At(kFault, [&] { aWorld.Servers().At("s0").alive = false; });
 }
 
 void
-CutPrimary(world& aWorld)
+CutPrimary(cluster_simulation& aWorld)
 {
   aWorld.At(kFault, [&] { aWorld.Isolate("s0", true); });
   aWorld.At(kRepair, [&] { aWorld.Isolate("s0", false); });
@@ -53,7 +53,7 @@
 
 // The poolers still reach the primary, its replicas do not.
 void
-CutPrimaryFromReplicas(world& aWorld)
+CutPrimaryFromReplicas(cluster_simulation& aWorld)
 {
   aWorld.At(kFault, [&] {
     aWorld.Servers().Cut("s0", "s1");
@@ -64,7 +64,7 @@
 
 // The replicas still hear the primary, two poolers do not.
 void
-CutPrimaryFromPoolers(world& aWorld)
+CutPrimaryFromPoolers(cluster_simulation& aWorld)
 {
   aWorld.At(kFault, [&] {
     aWorld.Servers().Cut("s0", "p0");
@@ -74,7 +74,7 @@
 }
 
 void
-CutPooler(world& aWorld)
+CutPooler(cluster_simulation& aWorld)
 {
   aWorld.At(kFault, [&] { aWorld.Isolate("p0", true); });
   aWorld.At(kRepair, [&] { aWorld.Isolate("p0", false); });
@@ -82,14 +82,14 @@
 
 // Cut off from the primary only: it hears the replicas and its peers.
 void
-CutPoolerFromPrimary(world& aWorld)
+CutPoolerFromPrimary(cluster_simulation& aWorld)
 {
   aWorld.At(kFault, [&] { aWorld.Servers().Cut("p0", "s0"); });
   aWorld.At(kRepair, [&] { aWorld.Servers().HealAll(); });
 }
 
 void
-PauseEveryPooler(world& aWorld)
+PauseEveryPooler(cluster_simulation& aWorld)
 {
   aWorld.At(kFault, [&] {
     for (unsigned pooler = 0; pooler < 3; ++pooler) {
@@ -99,7 +99,7 @@
 }
 
 void
-KillPrimaryStoreDown(world& aWorld)
+KillPrimaryStoreDown(cluster_simulation& aWorld)
 {
   aWorld.At(kFault - milliseconds{ 500 }, [&] { aWorld.Store().down = true; });
   KillPrimary(aWorld);
@@ -108,7 +108,7 @@
 
 // No term was ever reserved: the failover waits for the store.
 void
-KillPrimaryStoreNeverUp(world& aWorld)
+KillPrimaryStoreNeverUp(cluster_simulation& aWorld)
 {
   aWorld.Store().down = true;
   KillPrimary(aWorld);
@@ -116,7 +116,7 @@
 }
 
 void
-KillPrimaryAnswersLost(world& aWorld)
+KillPrimaryAnswersLost(cluster_simulation& aWorld)
 {
   aWorld.Store().losesAnswers = true;
   KillPrimary(aWorld);
@@ -125,7 +125,7 @@
 
 // The next primary dies as soon as it is there; the first one is back.
 void
-KillTwoPrimaries(world& aWorld)
+KillTwoPrimaries(cluster_simulation& aWorld)
 {
   aWorld.At(kFault, [&] { aWorld.Servers().At("s0").alive = false; });
   aWorld.At(kFault + milliseconds{ 800 }, [&] {
@@ -139,14 +139,14 @@
 }
 
 void
-KillPrimaryAndPooler(world& aWorld)
+KillPrimaryAndPooler(cluster_simulation& aWorld)
 {
   KillPrimary(aWorld);
   aWorld.At(kFault, [&] { aWorld.KillPooler(0); });
 }
 
 void
-LagThenKill(world& aWorld)
+LagThenKill(cluster_simulation& aWorld)
 {
   aWorld.At(kFault - milliseconds{ 1000 },
             [&] { aWorld.Servers().At("s1").lagging = true; });
@@ -155,20 +155,20 @@
 }
 
 void
-LeavePrimary(world& aWorld)
+LeavePrimary(cluster_simulation& aWorld)
 {
   aWorld.At(kFault, [&] { aWorld.SetLeaving("s0"); });
 }
 
 // A fence whose promoter is gone, at one server only.
 void
-StrayFence(world& aWorld)
+StrayFence(cluster_simulation& aWorld)
 {
   aWorld.At(kFault, [&] { aWorld.Servers().At("s2").Fence(50); });
 }
 
 void
-FenceEverywhere(world& aWorld)
+FenceEverywhere(cluster_simulation& aWorld)
 {
   aWorld.At(kFault, [&] {
     for (auto& [id, server] : aWorld.Servers().All()) {
@@ -178,7 +178,7 @@
 }
 
 void
-ReplicasForget(world& aWorld)
+ReplicasForget(cluster_simulation& aWorld)
 {
   aWorld.At(kFault, [&] {
     aWorld.Servers().At("s1").follows.reset();
@@ -258,30 +258,31 @@
 {
   const char* name;
   // Stops the first pooler now and, where it is to come back, until a time.
-  void (*given)(world&, milliseconds);
+  void (*given)(cluster_simulation&, milliseconds);
 };
 
 const stop_row kStopRows[] = {
-  { "dies", [](world& aWorld, milliseconds) { aWorld.KillPooler(0); } },
+  { "dies",
+    [](cluster_simulation& aWorld, milliseconds) { aWorld.KillPooler(0); } },
   { "pauses",
-    [](world& aWorld, milliseconds aUntil) {
+    [](cluster_simulation& aWorld, milliseconds aUntil) {
       aWorld.PausePooler(0, aUntil - aWorld.Now());
     } },
   { "is cut off",
-    [](world& aWorld, milliseconds aUntil) {
+    [](cluster_simulation& aWorld, milliseconds aUntil) {
       aWorld.Isolate("p0", true);
       aWorld.At(aUntil, [&aWorld] { aWorld.Isolate("p0", false); });
     } },
 };
 
 void
-CheckWorld(world& aWorld, const std::string& aName)
+CheckWorld(cluster_simulation& aWorld, const std::string& aName)
 {
   aWorld.At(kRepair, [&] { aWorld.EndLosses(); });
   aWorld.Run(kEnd);
   aWorld.CheckSettled();
-  for (const auto& breach : aWorld.Breaches()) {
-    CHECK_TEXT(false, absl::StrCat(aName, ": ", breach).c_str());
+  for (const auto& violation : aWorld.Violations()) {
+    CHECK_TEXT(false, absl::StrCat(aName, ": ", violation).c_str());
   }
   CHECK_TEXT(aWorld.Confirmed() > 100, aName.c_str());
   CHECK_TEXT(aWorld.ConfirmedAfter(kEnd - milliseconds{ 1000 }).has_value(),
@@ -298,7 +299,7 @@
     for (const auto seed : kSeeds) {
       auto settings = row.settings;
       settings.seed = seed;
-      world subject(settings);
+      cluster_simulation subject(settings);
       row.given(subject);
       const auto name = absl::StrCat(row.name, ", seed ", seed);
       CheckWorld(subject, name);
@@ -318,7 +319,8 @@
 {
   for (int after = 200; after <= 700; after += 5) {
     for (const auto& row : kStopRows) {
-      world subject({ 3, 3, 0, 0, static_cast<std::uint64_t>(after) });
+      cluster_simulation subject(
+        { 3, 3, 0, 0, static_cast<std::uint64_t>(after) });
       KillPrimary(subject);
       // Comes back at many moments of its own retries as well.
       const auto back =
@@ -354,7 +356,7 @@
     for (const auto seed : kSeeds) {
       world_settings settings;
       settings.seed = seed;
-      world subject(settings);
+      cluster_simulation subject(settings);
       LeavePrimary(subject);
       subject.At(kFault + row.between, [&] { subject.SetLeaving("s1"); });
       subject.Run(kFault + row.between + milliseconds{ 3000 });
--- a/test/currantshed/failover/detector.cpp
+++ b/test/currantshed/failover/detector.cpp
@@ -131,12 +131,12 @@
     { kSilent, kHigher, kHigher },
     {},
     kLong,
-    cause::kVacant },
+    cause::kNoPrimary },
   { "one fenced, one lost it",
     { kSilent, kHigher, kLost },
     {},
     kLong,
-    cause::kVacant },
+    cause::kNoPrimary },
   { "one fenced, the rest is well",
     { kLeads, kHears, kHigher },
     {},
@@ -146,7 +146,7 @@
     { kLeads, kHears, kHigher },
     {},
     kVeryLong,
-    cause::kStray },
+    cause::kHigherTerm },
   { "replicas that follow nobody, primary well",
     { kLeads, kForgot, kForgot },
     {},
@@ -156,7 +156,7 @@
     { kForgot, kForgot, kForgot },
     {},
     kLong,
-    cause::kVacant },
+    cause::kNoPrimary },
   { "primary leaves", { kLeaves, kHears, kHears }, {}, kLong, cause::kLeaving },
   { "primary leaves, nobody caught up",
     { kLeaves, kBehind, kBehind },
@@ -206,12 +206,12 @@
 // Probes and words arrive every 50 ms for the row's time; gives the last
 // judgement.
 cause
-Judge(const judge_row& aRow)
+Assess(const judge_row& aRow)
 {
   coordinator_settings settings;
   settings.failureDomain = "d0";
   settings.owners = 3;
-  server_watch watch(settings);
+  server_monitor watch(settings);
   detector subject(settings);
   const auto group = Describe(aRow);
   time_point now{ milliseconds{ 1000 } };
@@ -233,7 +233,7 @@
     for (const auto& domain : aRow.suspecting) {
       subject.PeerSuspects("vm-" + domain, domain, { "g", 4, "s0" }, now);
     }
-    found = subject.Judge(watch, { 4, "s0" }, now);
+    found = subject.Assess(watch, { 4, "s0" }, now);
   }
   return found;
 }
@@ -245,7 +245,7 @@
 TEST(detector, judge)
 {
   for (const auto& row : kJudgeRows) {
-    CHECK_TEXT(Judge(row) == row.expect, row.name);
+    CHECK_TEXT(Assess(row) == row.expect, row.name);
   }
 }
 
@@ -255,7 +255,7 @@
 {
   coordinator_settings settings;
   settings.owners = 3;
-  server_watch watch(settings);
+  server_monitor watch(settings);
   detector subject(settings);
   const auto group = Describe(kJudgeRows[0]);
   const time_point asked{ milliseconds{ 1000 } };
@@ -265,7 +265,7 @@
   watch.Tick(asked, probes);
   watch.Answered("s1", StatusOf(kLost), asked, woken);
   watch.Answered("s2", StatusOf(kLost), asked, woken);
-  CHECK(subject.Judge(watch, { 4, "s0" }, woken) == cause::kNone);
+  CHECK(subject.Assess(watch, { 4, "s0" }, woken) == cause::kNone);
   const auto later = woken + milliseconds{ 100 };
-  CHECK(subject.Judge(watch, { 4, "s0" }, later) == cause::kNone);
+  CHECK(subject.Assess(watch, { 4, "s0" }, later) == cause::kNone);
 }
--- a/test/currantshed/failover/fault_schedules.cpp
+++ b/test/currantshed/failover/fault_schedules.cpp
@@ -7,13 +7,13 @@
 
 #include <absl/strings/str_cat.h>
 
-#include "currantshed/failover/world.hpp"
+#include "currantshed/failover/cluster_simulation.hpp"
 
 #include <CppUTest/TestHarness.h>
 
 namespace {
 
-using currantshed::failover::test::world;
+using currantshed::failover::test::cluster_simulation;
 using std::chrono::milliseconds;
 
 constexpr milliseconds kFaultsEnd{ 12000 };
@@ -21,7 +21,9 @@
 
 // Fault number aKind of a random schedule, at a random server and pooler.
 void
-AddFault(world& aWorld, std::mt19937_64& aChance, milliseconds aTime)
+AddFault(cluster_simulation& aWorld,
+         std::mt19937_64& aChance,
+         milliseconds aTime)
 {
   const auto server = "s" + std::to_string(aChance() % 3);
   const auto pooler = static_cast<unsigned>(aChance() % 3);
@@ -95,7 +97,7 @@
   for (std::uint64_t seed = 1; seed <= runs; ++seed) {
     std::mt19937_64 chance(seed);
     const auto loss = static_cast<unsigned>(chance() % 200);
-    world subject({ 3, 3, loss, loss, seed });
+    cluster_simulation subject({ 3, 3, loss, loss, seed });
     for (int fault = 0; fault < kFaults; ++fault) {
       AddFault(subject, chance, milliseconds{ 2000 + chance() % 9000 });
     }
@@ -105,8 +107,8 @@
     });
     subject.Run(kEnd);
     subject.CheckSettled();
-    for (const auto& breach : subject.Breaches()) {
-      CHECK_TEXT(false, absl::StrCat("seed ", seed, ": ", breach).c_str());
+    for (const auto& violation : subject.Violations()) {
+      CHECK_TEXT(false, absl::StrCat("seed ", seed, ": ", violation).c_str());
     }
     const auto last = subject.ConfirmedAfter(kEnd - milliseconds{ 500 });
     CHECK_TEXT(last.has_value(), absl::StrCat("seed ", seed).c_str());
--- a/test/currantshed/failover/follower_repair.cpp
+++ b/test/currantshed/failover/follower_repair.cpp
@@ -85,7 +85,7 @@
              milliseconds aTime)
 {
   const coordinator_settings settings;
-  server_watch watch(settings);
+  server_monitor watch(settings);
   follower_repair subject(settings, watch);
   currantshed::group::description group;
   group.members.resize(2);
--- a/test/currantshed/failover/promoter.cpp
+++ b/test/currantshed/failover/promoter.cpp
@@ -117,15 +117,16 @@
 
 // Reserves terms 5 and 6 from a store that is empty.
 void
-FillBook(term_book& aBook)
+FillBook(term_reservations& aReservations)
 {
   std::vector<action> actions;
-  aBook.See(kTerm - 1);
-  aBook.SetUrgent(true);
-  aBook.Tick(kStart, actions);
-  aBook.RecordRead(true, {}, kStart);
-  aBook.Tick(kStart, actions);
-  aBook.RecordSwapped(currantshed::store::swap_outcome::kApplied, kStart);
+  aReservations.ObserveTerm(kTerm - 1);
+  aReservations.SetUrgent(true);
+  aReservations.Tick(kStart, actions);
+  aReservations.RecordRead(true, {}, kStart);
+  aReservations.Tick(kStart, actions);
+  aReservations.RecordSwapped(currantshed::store::swap_outcome::kApplied,
+                              kStart);
 }
 
 // A watch, a book and a promoter, where each fence is answered at once.
@@ -174,8 +175,8 @@
 
   coordinator_settings settings;
   std::vector<fenced_row> servers;
-  server_watch watch;
-  term_book book;
+  server_monitor watch;
+  term_reservations book;
   promoter subject;
   time_point now = kStart;
   time_point promotedAt;
--- a/test/currantshed/failover/term_record.cpp
+++ b/test/currantshed/failover/term_record.cpp
@@ -96,7 +96,7 @@
 {
   const term_record record{ 4, "s\"1", 9, { { 8, "a", "a-1" } }, { "x", "y" } };
   term_record again;
-  CHECK_FALSE(ParseRecord(PrintRecord(record), again));
+  CHECK_FALSE(ParseRecord(SerializeRecord(record), again));
   CHECK(record == again);
 }
 
--- a/test/currantshed/failover/term_book.cpp
+++ b/test/currantshed/failover/term_reservations.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/failover/term_book.hpp"
+#include "currantshed/failover/term_reservations.hpp"
 
 #include <map>
 #include <random>
@@ -85,7 +85,7 @@
     book.RecordSwapped(outcome, now);
   }
 
-  term_book book;
+  term_reservations book;
   time_point now;
   unsigned swaps = 0;
 };
@@ -125,9 +125,9 @@
 
 } // namespace
 
-TEST_GROUP(term_book){};
+TEST_GROUP(term_reservations){};
 
-TEST(term_book, store)
+TEST(term_reservations, store)
 {
   for (const auto& row : kBookRows) {
     fake_store store;
@@ -135,7 +135,7 @@
     for (const auto& given : row.calls) {
       subject.Step(store, given);
     }
-    const auto lowest = subject.book.Lowest().value_or(0);
+    const auto lowest = subject.book.LowestUsable().value_or(0);
     UNSIGNED_LONGS_EQUAL_TEXT(row.expectLowest, lowest, row.name);
     UNSIGNED_LONGS_EQUAL_TEXT(row.expectSwaps, subject.swaps, row.name);
   }
@@ -162,7 +162,7 @@
 };
 
 // How long an owner that has just started is without a number.
-TEST(term_book, first_numbers_come_soon)
+TEST(term_reservations, first_numbers_come_soon)
 {
   for (const auto& row : kPaceRows) {
     for (const auto* vm : { "a", "b", "c", "d", "e", "f" }) {
@@ -172,13 +172,13 @@
       for (const auto given : row.calls) {
         subject.Step(store, given);
       }
-      CHECK_TEXT(subject.book.Lowest().has_value(), row.name);
+      CHECK_TEXT(subject.book.LowestUsable().has_value(), row.name);
       CHECK_TEXT(subject.now.time_since_epoch() <= row.longest, row.name);
     }
   }
 }
 
-TEST(term_book, a_broken_record_is_never_written_over)
+TEST(term_reservations, a_broken_record_is_never_written_over)
 {
   fake_store store;
   store.content = { "broken", 7 };
@@ -190,44 +190,44 @@
   UNSIGNED_LONGS_EQUAL(0, subject.swaps);
 }
 
-TEST(term_book, numbers_are_above_all_seen_and_topped_up)
+TEST(term_reservations, numbers_are_above_all_seen_and_topped_up)
 {
   fake_store store;
   bench subject("a");
-  subject.book.See(40);
+  subject.book.ObserveTerm(40);
   subject.Step(store, call::kGood);
   subject.Step(store, call::kGood);
-  UNSIGNED_LONGS_EQUAL(41, subject.book.Lowest().value_or(0));
-  subject.book.See(41);
-  UNSIGNED_LONGS_EQUAL(42, subject.book.Lowest().value_or(0));
-  subject.book.See(90);
-  CHECK_FALSE(subject.book.Lowest().has_value());
+  UNSIGNED_LONGS_EQUAL(41, subject.book.LowestUsable().value_or(0));
+  subject.book.ObserveTerm(41);
+  UNSIGNED_LONGS_EQUAL(42, subject.book.LowestUsable().value_or(0));
+  subject.book.ObserveTerm(90);
+  CHECK_FALSE(subject.book.LowestUsable().has_value());
   subject.Step(store, call::kGood);
   subject.Step(store, call::kGood);
-  UNSIGNED_LONGS_EQUAL(91, subject.book.Lowest().value_or(0));
+  UNSIGNED_LONGS_EQUAL(91, subject.book.LowestUsable().value_or(0));
 }
 
 // A pooler that owns a group again has a new book in the same incarnation: it
 // must not take an earlier change for its own.
-TEST(term_book, a_second_book_of_the_same_incarnation)
+TEST(term_reservations, a_second_book_of_the_same_incarnation)
 {
   fake_store store;
   bench first("a");
   first.Step(store, call::kGood);
   first.Step(store, call::kGood);
   bench second("a");
-  second.book.See(1);
+  second.book.ObserveTerm(1);
   for (const auto given :
        { call::kGood, call::kRequestLost, call::kGood, call::kGood }) {
     second.Step(store, given);
     term_record record;
     CHECK_FALSE(ParseRecord(store.content.value, record));
-    CHECK(second.book.Lowest().value_or(0) <= record.highest);
+    CHECK(second.book.LowestUsable().value_or(0) <= record.highest);
   }
-  UNSIGNED_LONGS_EQUAL(3, second.book.Lowest().value_or(0));
+  UNSIGNED_LONGS_EQUAL(3, second.book.LowestUsable().value_or(0));
 }
 
-TEST(term_book, a_quiet_book_makes_no_calls)
+TEST(term_reservations, a_quiet_book_makes_no_calls)
 {
   fake_store store;
   bench subject("a");
@@ -242,7 +242,7 @@
   CHECK(subject.book.NextTick() == time_point::max());
 }
 
-TEST(term_book, a_primary_is_published_once_the_store_is_up)
+TEST(term_reservations, a_primary_is_published_once_the_store_is_up)
 {
   fake_store store;
   bench subject("a");
@@ -254,12 +254,12 @@
   CHECK_FALSE(ParseRecord(store.content.value, record));
   UNSIGNED_LONGS_EQUAL(5, record.term);
   STRCMP_EQUAL("s2", record.primary.c_str());
-  CHECK(subject.book.Lowest().value_or(0) > 5);
+  CHECK(subject.book.LowestUsable().value_or(0) > 5);
 }
 
 // Several books with one store that fails in every way: no number is held by
 // two of them, ever, and the record stays small.
-TEST(term_book, no_number_is_given_twice)
+TEST(term_reservations, no_number_is_given_twice)
 {
   constexpr call kCalls[] = { call::kGood,        call::kGood,
                               call::kDown,        call::kAnswerLost,
@@ -276,11 +276,11 @@
       const auto turn = chance() % books.size();
       auto& subject = books[turn];
       subject.Step(store, kCalls[chance() % std::size(kCalls)]);
-      const auto term = subject.book.Lowest();
+      const auto term = subject.book.LowestUsable();
       if (!term) {
         continue;
       }
-      subject.book.Take(*term);
+      subject.book.MarkUsed(*term);
       CHECK_TEXT(given.emplace(*term, turn).second,
                  absl::StrCat("seed ", seed).c_str());
     }
--- a/test/currantshed/group/thin_path.cpp
+++ b/test/currantshed/group/end_to_end.cpp
@@ -9,9 +9,9 @@
 using currantshed::test::fake_group;
 using namespace std::chrono_literals;
 
-TEST_GROUP(thin_path){};
+TEST_GROUP(end_to_end){};
 
-TEST(thin_path, a_write_is_read_back_from_a_replica)
+TEST(end_to_end, a_write_is_read_back_from_a_replica)
 {
   fake_group group;
   group.Run(100ms);
@@ -28,7 +28,7 @@
   CHECK(seen.position >= written.position);
 }
 
-TEST(thin_path, a_fresh_read_comes_from_the_primary)
+TEST(end_to_end, a_fresh_read_comes_from_the_primary)
 {
   fake_group group;
   group.Run(100ms);
--- a/test/currantshed/group/fake_group.cpp
+++ b/test/currantshed/group/fake_group.cpp
@@ -333,7 +333,7 @@
     Close(close->connection);
   } else if (const auto* batch = std::get_if<group::run_batch>(&aAction)) {
     RunBatch(*batch);
-  } else if (const auto* ask = std::get_if<group::ask_status>(&aAction)) {
+  } else if (const auto* ask = std::get_if<group::request_status>(&aAction)) {
     Ask(ask->server);
   } else if (const auto* given = std::get_if<group::give_answer>(&aAction)) {
     mAnswers[given->reply.request] = given->reply;
--- a/test/currantshed/group/random_faults.cpp
+++ b/test/currantshed/group/random_faults.cpp
@@ -72,7 +72,7 @@
       Judge();
     }
     JudgeValues();
-    return mBreach;
+    return mViolation;
   }
 
 private:
@@ -260,10 +260,10 @@
     }
   }
 
-  void Breach(const std::string& aWhat)
+  void Violation(const std::string& aWhat)
   {
-    if (mBreach.empty()) {
-      mBreach = aWhat;
+    if (mViolation.empty()) {
+      mViolation = aWhat;
     }
   }
 
@@ -317,7 +317,7 @@
       const auto& server = mGroup.Server(name);
       if (server.role == server_role::kPrimary &&
           server.term > aTold.position.term) {
-        Breach("acknowledged by a replaced primary");
+        Violation("acknowledged by a replaced primary");
       }
     }
   }
@@ -335,7 +335,7 @@
     }
     for (const auto& value : aAsked.mustSee) {
       if (!seen.contains(value)) {
-        Breach("read misses " + value);
+        Violation("read misses " + value);
       }
     }
   }
@@ -348,29 +348,29 @@
     }
     for (const auto& [value, times] : count) {
       if (times > 1) {
-        Breach("doubled " + value);
+        Violation("doubled " + value);
       }
       if (mNotRun.contains(value)) {
-        Breach("told not run, but ran " + value);
+        Violation("told not run, but ran " + value);
       }
     }
     for (const auto& [value, when] : mAcknowledged) {
       if (!count.contains(value)) {
-        Breach("lost " + value);
+        Violation("lost " + value);
       }
     }
     for (const auto& value : mShown) {
       if (!count.contains(value)) {
-        Breach("showed what was not kept " + value);
+        Violation("showed what was not kept " + value);
       }
     }
     for (const auto& one : mAsked) {
       if (!one.judged) {
-        Breach("no answer");
+        Violation("no answer");
       }
     }
     if (mGroup.Engine().Pending() != 0) {
-      Breach("pending " + std::to_string(mGroup.Engine().Pending()));
+      Violation("pending " + std::to_string(mGroup.Engine().Pending()));
     }
   }
 
@@ -386,7 +386,7 @@
   int mLast = 0;
   std::uint64_t mTerm = 1;
   // The first breach found; empty while there is none.
-  std::string mBreach;
+  std::string mViolation;
 };
 
 } // namespace
@@ -396,8 +396,8 @@
 TEST(random_faults, promises_hold)
 {
   for (unsigned seed = 1; seed <= kSeeds; ++seed) {
-    const auto breach = random_run(seed).Go();
-    const auto name = "seed " + std::to_string(seed) + ": " + breach;
-    CHECK_TEXT(breach.empty(), name.c_str());
+    const auto violation = random_run(seed).Go();
+    const auto name = "seed " + std::to_string(seed) + ": " + violation;
+    CHECK_TEXT(violation.empty(), name.c_str());
   }
 }
--- a/test/currantshed/group/read_verification.cpp
+++ b/test/currantshed/group/read_verification.cpp
@@ -7,10 +7,10 @@
 
 using currantshed::clock::time_point;
 using currantshed::confirm::status_tracker;
-using currantshed::group::Judge;
 using currantshed::group::read_evidence;
-using currantshed::group::read_judgement;
+using currantshed::group::read_verdict;
 using currantshed::group::request;
+using currantshed::group::VerifyRead;
 using currantshed::position::log_position;
 using currantshed::upstream::server_role;
 using currantshed::upstream::server_status;
@@ -67,7 +67,7 @@
   server_status before;
   server_status after;
   std::chrono::milliseconds sent;
-  read_judgement judgement;
+  read_verdict judgement;
 };
 
 const judge_row kJudgeRows[] = {
@@ -77,105 +77,105 @@
     Word(kReplica, 2, { 2, 45 }),
     Word(kReplica, 2, { 2, 50 }),
     0ms,
-    read_judgement::kGood },
+    read_verdict::kGood },
   { "behind the floor before, though not after",
     200ms,
     { 2, 45 },
     Word(kReplica, 2, { 2, 44 }),
     Word(kReplica, 2, { 2, 50 }),
     0ms,
-    read_judgement::kBad },
+    read_verdict::kBad },
   { "older than the bound before, though not after",
     100ms,
     {},
     Word(kReplica, 2, { 2, 49 }),
     Word(kReplica, 2, { 2, 50 }),
     0ms,
-    read_judgement::kBad },
+    read_verdict::kBad },
   { "shows more than was confirmed",
     200ms,
     {},
     Word(kReplica, 2, { 2, 50 }),
     Word(kReplica, 2, { 2, 51 }),
     0ms,
-    read_judgement::kUnconfirmed },
+    read_verdict::kUnconfirmed },
   { "its term changed in between",
     200ms,
     {},
     Word(kReplica, 2, { 2, 50 }),
     Word(kFenced, 3, { 2, 50 }),
     0ms,
-    read_judgement::kBad },
+    read_verdict::kBad },
   { "fenced for the next term: what was confirmed may be shown",
     200ms,
     {},
     Word(kFenced, 3, { 2, 50 }),
     Word(kFenced, 3, { 2, 50 }),
     0ms,
-    read_judgement::kGood },
+    read_verdict::kGood },
   { "it dropped records that were applied",
     200ms,
     {},
     Word(kReplica, 3, { 2, 52 }),
     Word(kReplica, 3, { 2, 50 }),
     0ms,
-    read_judgement::kBad },
+    read_verdict::kBad },
   { "it dropped records that may have been applied in between",
     200ms,
     {},
     Word(kFenced, 3, { 2, 52 }, { 2, 50 }),
     Word(kReplica, 3, { 2, 50 }),
     0ms,
-    read_judgement::kBad },
+    read_verdict::kBad },
   { "its log went on in a later term, from an unconfirmed end",
     200ms,
     {},
     Word(kFenced, 3, { 2, 52 }, { 2, 50 }),
     Word(kReplica, 3, { 3, 51 }, { 2, 50 }),
     0ms,
-    read_judgement::kBad },
+    read_verdict::kBad },
   { "its log went on in a later term, from a confirmed end",
     200ms,
     {},
     Word(kFenced, 3, { 2, 50 }),
     Word(kReplica, 3, { 3, 51 }, { 2, 50 }),
     0ms,
-    read_judgement::kGood },
+    read_verdict::kGood },
   { "fresh: the primary, and a majority asked since",
     0ms,
     {},
     Word(kPrimary, 2, { 2, 50 }),
     Word(kPrimary, 2, { 2, 50 }),
     0ms,
-    read_judgement::kGood },
+    read_verdict::kGood },
   { "fresh: the primary, but the majority was asked before",
     0ms,
     {},
     Word(kPrimary, 2, { 2, 50 }),
     Word(kPrimary, 2, { 2, 50 }),
     1ms,
-    read_judgement::kUnconfirmed },
+    read_verdict::kUnconfirmed },
   { "fresh: the majority's word is too old by now",
     0ms,
     {},
     Word(kPrimary, 2, { 2, 50 }),
     Word(kPrimary, 2, { 2, 50 }),
     195ms,
-    read_judgement::kUnconfirmed },
+    read_verdict::kUnconfirmed },
   { "fresh: a replica won't do",
     0ms,
     {},
     Word(kReplica, 2, { 2, 50 }),
     Word(kReplica, 2, { 2, 50 }),
     0ms,
-    read_judgement::kBad },
+    read_verdict::kBad },
   { "fresh: a primary of a term that is over",
     0ms,
     {},
     Word(kPrimary, 1, { 1, 90 }),
     Word(kPrimary, 1, { 1, 90 }),
     0ms,
-    read_judgement::kBad },
+    read_verdict::kBad },
 };
 
 } // namespace
@@ -190,7 +190,8 @@
     asked.work.maxStaleness = row.maxStaleness;
     asked.floor = row.floor;
     const read_evidence evidence{ row.before, row.after, kStart + row.sent };
-    const auto made = Judge(asked, evidence, tracker, kStart + row.sent + 10ms);
+    const auto made =
+      VerifyRead(asked, evidence, tracker, kStart + row.sent + 10ms);
     CHECK_TEXT(made == row.judgement, row.name);
   }
 }
--- a/test/currantshed/group/rounds.cpp
+++ b/test/currantshed/group/status_poller.cpp
@@ -1,13 +1,13 @@
-#include "currantshed/group/rounds.hpp"
+#include "currantshed/group/status_poller.hpp"
 
 #include <chrono>
 
 #include <CppUTest/TestHarness.h>
 
 using currantshed::clock::time_point;
-using currantshed::group::demand;
 using currantshed::group::engine_settings;
-using currantshed::group::rounds;
+using currantshed::group::poll_demand;
+using currantshed::group::status_poller;
 using namespace std::chrono_literals;
 
 namespace {
@@ -26,13 +26,13 @@
 {
   const char* name;
   end ended;
-  demand asked;
+  poll_demand asked;
   bool wanted;
   std::chrono::microseconds due;
 };
 
-constexpr demand kNobody{ false, 1 };
-constexpr demand kOneAlone{ true, 1 };
+constexpr poll_demand kNobody{ false, 1 };
+constexpr poll_demand kOneAlone{ true, 1 };
 
 constexpr due_row kDueRows[] = {
   { "answered, nobody waits", end::kAnswered, kNobody, false, 50ms },
@@ -54,16 +54,16 @@
 
 } // namespace
 
-TEST_GROUP(rounds){};
+TEST_GROUP(status_poller){};
 
-TEST(rounds, next_question)
+TEST(status_poller, next_question)
 {
   for (const auto& row : kDueRows) {
-    rounds questions{ engine_settings{} };
+    status_poller questions{ engine_settings{} };
     questions.SetMembers({ "s1" });
-    LONGS_EQUAL_TEXT(1, questions.Due(kNobody, kStart).size(), row.name);
+    LONGS_EQUAL_TEXT(1, questions.TakeDue(kNobody, kStart).size(), row.name);
     if (row.wanted) {
-      questions.Want(kStart + 2ms);
+      questions.RequireStatusSince(kStart + 2ms);
     }
     if (row.ended == end::kAnswered) {
       questions.Answered("s1");
@@ -72,8 +72,8 @@
     }
     CHECK_TEXT(questions.NextDue(row.asked) == kStart + row.due, row.name);
     const auto before = kStart + row.due - 1us;
-    LONGS_EQUAL_TEXT(0, questions.Due(row.asked, before).size(), row.name);
+    LONGS_EQUAL_TEXT(0, questions.TakeDue(row.asked, before).size(), row.name);
     LONGS_EQUAL_TEXT(
-      1, questions.Due(row.asked, kStart + row.due).size(), row.name);
+      1, questions.TakeDue(row.asked, kStart + row.due).size(), row.name);
   }
 }
--- a/test/matrix/pooler_node.cpp
+++ b/test/matrix/pooler_node.cpp
@@ -408,7 +408,7 @@
 }
 
 void
-pooler_node::Do(const group::ask_status& aAction, const fate& aFate)
+pooler_node::Do(const group::request_status& aAction, const fate& aFate)
 {
   question asked;
   asked.server = aAction.server;
@@ -613,7 +613,7 @@
 pooler_node::Do(const failover::report_suspicion& aAction, const fate& aFate)
 {
   if (!aFate.lost) {
-    mWord = aAction.word;
+    mWord = aAction.report;
   }
 }
 
--- a/test/matrix/pooler_node.hpp
+++ b/test/matrix/pooler_node.hpp
@@ -89,7 +89,7 @@
   void Do(const group::open_connection& aAction, const fate& aFate);
   void Do(const group::close_connection& aAction, const fate& aFate);
   void Do(const group::run_batch& aAction, const fate& aFate);
-  void Do(const group::ask_status& aAction, const fate& aFate);
+  void Do(const group::request_status& aAction, const fate& aFate);
   void Do(const group::give_answer& aAction, const fate& aFate);
   void Do(const failover::probe& aAction, const fate& aFate);
   void Do(const failover::fence& aAction, const fate& aFate);
