--- a/src/currantshed/group/changes.hpp
+++ b/src/currantshed/group/changes.hpp
@@ -6,12 +6,13 @@
 
 namespace currantshed::group {
 
-/// The way of a change under an idempotency key, from its first batch to an
-/// answer that holds. Its doubts are resolved on the primary of the term in
-/// force: by the change itself under the same key where the class may be
-/// repeated, else by making the key void, so that the unique key decides
-/// between the change and the void. Whatever is found is told only once a
-/// majority holds it. What can't be resolved in time is told as unknown.
+/// Processes a change under an idempotency key from its first batch to a
+/// confirmed answer. An unknown outcome is resolved on the primary of the term
+/// in force: by sending the change again under the same key if the class of
+/// work is repeatable, otherwise by voiding the key, where the unique key
+/// decides between the change and the void. The result is reported only once a
+/// majority holds it. An outcome that cannot be resolved before the deadline is
+/// reported as unknown.
 class change_flow : public flow
 {
 public:
@@ -34,30 +35,31 @@
   [[nodiscard]] answer Expired(stage aStage) const override;
 
 protected:
-  /// What its next batch does.
+  /// Purpose of the next batch.
   enum class phase
   {
     /// Runs the change.
     kApply,
-    /// Reads what became of a key that is there already.
+    /// Reads the outcome of a key that already exists.
     kLookUp,
-    /// Makes the key void unless the change is there.
+    /// Voids the key unless the change was applied.
     kVoid,
   };
 
-  /// The batch of the change itself. Its last three statements are a status,
-  /// the commit, and a status.
+  /// Returns the batch of the change itself. Its last three statements are a
+  /// status, the commit and a status.
   [[nodiscard]] virtual std::vector<upstream::statement> ComposeChange()
     const = 0;
 
-  /// Place in that batch of the statement that records the outcome.
+  /// Index of the statement in that batch that records the outcome.
   [[nodiscard]] virtual std::size_t RecordIndex() const = 0;
 
-  /// Whether the change's batch can be sent once more at all; whether it may
-  /// be while a doubt stands is for the class to say.
+  /// Whether the batch of the change can be sent again at all. Whether it may
+  /// be sent while an earlier attempt has an unknown outcome depends on the
+  /// class of work.
   [[nodiscard]] virtual bool MayBeResent() const = 0;
 
-  /// Digest of the change's statements; none when the caller only knows the
+  /// Digest of the statements of the change; none if the caller only knows the
   /// key.
   [[nodiscard]] virtual std::optional<std::string> Digest() const = 0;
 
@@ -72,34 +74,35 @@
                                             clock::time_point aNow);
   [[nodiscard]] reply_outcome OnVoidReply(const upstream::reply& aReply,
                                           clock::time_point aNow);
-  /// Reads the words at the two places; none unless the server was primary
-  /// of one term in both.
+  /// Reads the statuses at the two indexes and returns the position of the
+  /// second; none unless the server was the primary of the same term in both.
   [[nodiscard]] std::optional<position::log_position> PositionOf(
     const upstream::reply& aReply,
     std::size_t aBefore,
     std::size_t aAfter);
-  /// Has the answer to give once the position is confirmed.
+  /// Stores the answer, to be returned once the position is confirmed.
   [[nodiscard]] step AnswerOnceConfirmed(
     answer aAnswer,
     const position::log_position& aPosition,
     clock::time_point aNow);
   [[nodiscard]] step ResolveOutcome();
-  /// The change has certainly not run, for the server's state at the time.
+  /// Retries a change that certainly has not run, given the state of the server
+  /// at the time.
   [[nodiscard]] step Retry(outcome::reason aWhy);
-  /// What the record of the key says.
+  /// Converts the stored outcome of the key to an answer.
   [[nodiscard]] answer FromRecord(const outcome::stored_outcome& aRecord) const;
 
   phase mPhase = phase::kApply;
   dispatch mDispatch;
   position::term_id mTerm = 0;
-  // Whether an attempt was sent of which it isn't known how it ended.
+  // Whether the outcome of an attempt that was sent is unknown.
   bool mOutcomeUnknown = false;
-  // Whether it waits for any news before it tries again: the server that was
-  // taken for the primary refused.
+  // Whether it waits for any status update before it retries, because the
+  // server that was taken for the primary refused.
   bool mAwaitingUpdate = false;
-  // What to answer if the doubt turns out as "never ran".
+  // Answer if the unknown outcome turns out to be that the change never ran.
   std::optional<answer> mAnswerIfVoid;
-  // The answer to give once mPosition is confirmed.
+  // Answer to return once mPosition is confirmed.
   std::optional<answer> mAnswer;
   position::log_position mPosition;
 };
--- a/src/currantshed/group/context.hpp
+++ b/src/currantshed/group/context.hpp
@@ -15,7 +15,7 @@
 
 namespace currantshed::group {
 
-/// What the requests of one group share.
+/// State shared by the requests of one group.
 struct context
 {
   explicit context(const engine_settings& aSettings);
@@ -25,9 +25,9 @@
   confirm::status_tracker tracker;
   admit::retry_budget retries;
   transaction_table transactions;
-  /// When there last was a confirmed primary.
+  /// Last time at which there was a confirmed primary.
   clock::time_point primarySeenAt{};
-  /// How long a transaction may be open in all.
+  /// Maximum time that a transaction may be open.
   std::chrono::milliseconds transactionLimit{ 30000 };
 };
 
@@ -40,32 +40,32 @@
   clock::time_point sentAt;
 };
 
-/// Reads one status out of a complete reply and notes it on the board, dated
-/// by when the batch was sent. None when it isn't in the expected form.
+/// Reads one status from a complete reply and adds it to the tracker with the
+/// time at which the batch was sent. Returns none if the status is malformed.
 [[nodiscard]] std::optional<upstream::server_status>
 TakeStatus(context& aContext,
            const dispatch& aDispatch,
            const upstream::reply& aReply,
            std::size_t aIndex);
 
-/// The answer to a request that has not run, with a time to come back that
-/// fits the reason, spread by the request's number.
+/// Answer to a request that has not run. Its retry delay depends on the reason
+/// and gets a jitter derived from the request's identifier.
 [[nodiscard]] answer
 NotRun(const request& aRequest, outcome::reason aWhy);
 
-/// The answer to a request that would be refused again.
+/// Answer to a request that would be refused again.
 [[nodiscard]] answer
 Refused(const request& aRequest, outcome::reason aWhy);
 
-/// The answer to a change of which it isn't known whether it ran.
+/// Answer to a change whose outcome is unknown.
 [[nodiscard]] answer
 Unknown(const request& aRequest, outcome::reason aWhy);
 
-/// The answer to a request whose statement the database refused.
+/// Answer to a request with a statement that the database refused.
 [[nodiscard]] answer
 StatementRefused(const request& aRequest, const upstream::reply& aReply);
 
-/// An answer that the given server made.
+/// Answer with the results of the given server.
 [[nodiscard]] answer
 ServedBy(const request& aRequest,
          const dispatch& aDispatch,
--- a/src/currantshed/group/description.hpp
+++ b/src/currantshed/group/description.hpp
@@ -11,31 +11,31 @@
 
 namespace currantshed::group {
 
-/// One database server of a group, as the platform's list gives it.
+/// Database server of a group, as listed by the platform.
 struct member
 {
   upstream::server_id id;
-  /// IP number.
+  /// IP address.
   std::string address;
   std::uint16_t port = 0;
   std::string failureDomain;
-  /// Statements that the server runs at the same time.
+  /// Number of statements that the server runs concurrently.
   unsigned slots = 1;
-  /// Connections that the server accepts in all.
+  /// Total number of connections that the server accepts.
   unsigned connections = 1;
-  /// Marked as leaving: gets no new work.
+  /// Marked as leaving; gets no new work.
   bool leaving = false;
 
   [[nodiscard]] friend bool operator==(const member&, const member&) = default;
 };
 
-/// The servers of one group. The majority is counted over all of them,
-/// leaving ones included.
+/// Servers of one group. A majority is counted over all of them, including
+/// those marked as leaving.
 struct description
 {
   group_name name;
   std::vector<member> members;
-  /// How long a transaction may be open in all, as operators declare it.
+  /// Maximum time that a transaction may be open, as declared by operators.
   std::chrono::milliseconds transactionLimit{ 30000 };
 
   [[nodiscard]] friend bool operator==(const description&,
--- a/src/currantshed/group/flow.hpp
+++ b/src/currantshed/group/flow.hpp
@@ -13,57 +13,57 @@
 
 namespace currantshed::group {
 
-/// The request waits for a server to run its next batch.
+/// The request waits for a server that can run its next batch.
 struct requeue
 {};
 
-/// The request waits for the servers' word, asked for from now on.
+/// The request waits for server statuses requested from now on.
 struct await_status
 {};
 
-/// The request has its answer.
+/// The request is complete.
 struct finish
 {
   answer reply;
 };
 
-/// What a request does next.
+/// Next step of a request.
 using step = std::variant<requeue, await_status, finish>;
 
-/// What becomes of the connection that a batch ran on.
+/// What to do with the connection that a batch ran on.
 enum class connection_fate
 {
-  /// It is clean, and free for others.
+  /// Return it to the pool.
   kKeep,
-  /// Its transaction must be rolled back before others use it.
+  /// Roll its transaction back, then return it to the pool.
   kRollBack,
-  /// It stays with the transaction that is open on it.
+  /// Keep it assigned to the transaction that is open on it.
   kPin,
-  /// It is closed.
+  /// Close it.
   kClose,
 };
 
-/// What follows from a reply.
+/// Result of processing a reply.
 struct reply_outcome
 {
   step next;
   connection_fate fate = connection_fate::kClose;
 };
 
-/// Where a request is on its way.
+/// Processing stage of a request.
 enum class stage
 {
-  /// Waits for a server.
+  /// Waits for a server that can run its next batch.
   kQueued,
-  /// A batch is under way.
+  /// A batch has been sent and has not ended.
   kRunning,
-  /// Waits for the servers' word.
+  /// Waits for server statuses.
   kAwaitingStatus,
 };
 
-/// The way of one request to its answer, as a state machine: the engine
-/// gives it a server, a reply, news of the servers' words, or the end of its
-/// time, and it tells what comes next.
+/// State machine that takes one request to its answer. The engine passes it a
+/// server, a reply, a status update or the deadline, and it returns the next
+/// step.
 class flow
 {
 public:
@@ -72,53 +72,55 @@
   flow(const flow&) = delete;
   flow& operator=(const flow&) = delete;
 
-  /// Whether its next batch needs a connection that refuses changes.
+  /// Whether the next batch needs a read-only connection.
   [[nodiscard]] virtual bool ReadOnly() const = 0;
 
-  /// The connection that its next batch must run on; none when any will do.
+  /// Connection that the next batch must run on; none if any will do.
   [[nodiscard]] virtual std::optional<connection_id> Pinned() const;
 
-  /// Chooses the server for its next batch, where it isn't pinned.
+  /// Chooses the server for the next batch of a request that is not pinned to a
+  /// connection.
   [[nodiscard]] virtual route::choice ChooseServer(
     const std::vector<route::candidate>& aCandidates,
     clock::time_point aNow) const = 0;
 
-  /// No server can take it at present: its answer, or none to go on waiting.
+  /// Called when no server can run the request at present. Returns the final
+  /// answer, or none to keep waiting.
   [[nodiscard]] virtual std::optional<answer> OnNoServer(
     outcome::reason aWhy,
     clock::time_point aNow);
 
-  /// Its next batch, which is sent at once.
+  /// Returns the next batch, which is sent at once.
   [[nodiscard]] virtual std::vector<upstream::statement> Compose(
     const dispatch& aDispatch) = 0;
 
-  /// Whether there is no sense in waiting for the reply to the batch under
-  /// way. The connection is closed then, and the batch counts as torn.
+  /// Whether to stop waiting for the reply to the batch in progress. The
+  /// connection is then closed and the batch counts as torn.
   [[nodiscard]] virtual bool ShouldAbort(clock::time_point aNow) const;
 
-  /// The batch under way has ended.
+  /// Processes the reply to the batch in progress.
   [[nodiscard]] virtual reply_outcome Replied(upstream::reply aReply,
                                               clock::time_point aNow) = 0;
 
-  /// News of the servers' words while it waits for them: what comes next, or
-  /// none to go on waiting.
+  /// Processes a status update while the request waits for one. Returns the
+  /// next step, or none to keep waiting.
   [[nodiscard]] virtual std::optional<step> OnStatusUpdate(
     clock::time_point aNow);
 
-  /// Whether it will need the servers' word, asked for since its batch was
-  /// sent, when the batch ends.
+  /// Whether the request will need, when its batch ends, server statuses that
+  /// were requested after the batch was sent.
   [[nodiscard]] virtual bool NeedsStatus() const;
 
-  /// Its time is up.
+  /// Returns the answer to a request whose deadline has passed.
   [[nodiscard]] virtual answer Expired(stage aStage) const = 0;
 
   [[nodiscard]] const request& Request() const noexcept;
 
 protected:
-  /// Whether it has waited for a primary or a replica for so long that the
-  /// caller should rather come back: half of its time while a failover may be
-  /// under way, and no more than the validity when there has been no primary
-  /// for long.
+  /// Whether the request has waited so long for a primary or a replica that the
+  /// caller should retry later: half of its time while a failover may be in
+  /// progress, and no longer than the validity if there has been no primary for
+  /// long.
   [[nodiscard]] bool HasWaitedTooLong(clock::time_point aNow) const;
 
   [[nodiscard]] clock::time_point Submitted() const noexcept;
--- a/src/currantshed/group/fwd.hpp
+++ b/src/currantshed/group/fwd.hpp
@@ -6,16 +6,16 @@
 
 namespace currantshed::group {
 
-/// Name of a database group, as the platform gives it.
+/// Name of a database group, as listed by the platform.
 using group_name = std::string;
 
-/// Number of one request at one pooler, given by the adapter.
+/// Identifier of a request, unique within one pooler; assigned by the adapter.
 using request_id = std::uint64_t;
 
-/// Number of one connection of one engine, never used again.
+/// Identifier of a connection, unique within one engine and never reused.
 using connection_id = std::uint64_t;
 
-/// Number of one open transaction at one pooler.
+/// Identifier of an open transaction, unique within one pooler.
 using transaction_id = std::uint64_t;
 
 enum class operation;
--- a/src/currantshed/group/read_verification.hpp
+++ b/src/currantshed/group/read_verification.hpp
@@ -10,8 +10,8 @@
 
 namespace currantshed::group {
 
-/// The server's word right before and right after the statements of a read,
-/// out of one pipeline.
+/// Status of the server immediately before and after the statements of a read,
+/// all from one pipeline.
 struct read_evidence
 {
   upstream::server_status before;
@@ -19,26 +19,28 @@
   clock::time_point sentAt;
 };
 
-/// What the evidence says about a read's rows.
+/// Result of verifying a read.
 enum class read_verdict
 {
-  /// They may be shown.
+  /// The rows may be returned.
   kGood,
-  /// They may be good once the servers' word confirms what they show.
+  /// The rows may be returned once newer statuses confirm the position that
+  /// they reflect.
   kUnconfirmed,
-  /// The server can't serve this read.
+  /// The server cannot serve this read.
   kBad,
 };
 
-/// Whether the request must see all that was acknowledged before it.
+/// Whether the request must see everything that was acknowledged before it.
 [[nodiscard]] bool
 IsFresh(const request& aRequest) noexcept;
 
-/// Judges a read by its evidence. Between the two words the server must have
-/// kept its term, its role's history and all that it had stored; the word
-/// before covers the session's position and the bound on staleness; what the
-/// word after shows must be confirmed. A fresh read must come from the
-/// primary of a term that a majority held when asked after the read was sent.
+/// Verifies a read by the two statuses around it. Between them the server must
+/// not have changed its term or history or dropped stored records. The first
+/// status must cover the session's position and meet the staleness bound. The
+/// position in the second one must be confirmed. A fresh read must come from
+/// the primary of a term that a majority held, according to statuses requested
+/// after the read was sent.
 [[nodiscard]] read_verdict
 VerifyRead(const request& aRequest,
            const read_evidence& aEvidence,
--- a/src/currantshed/group/refusals.hpp
+++ b/src/currantshed/group/refusals.hpp
@@ -5,25 +5,25 @@
 
 namespace currantshed::group {
 
-/// What a server's refusal of a statement, by its SQLSTATE, says about the
-/// request. Classes are those of the SQL standard and of PostgreSQL.
+/// Meaning of a server error for the request, by its SQLSTATE. Classes are
+/// those of the SQL standard and of PostgreSQL.
 enum class refusal
 {
-  /// The statement is wrong, and would be refused again.
+  /// The statement is invalid and would fail again.
   kStatement,
-  /// The server takes no changes, or none of this term, at present.
+  /// The server accepts no writes at present, or none of this term.
   kNotPrimary,
-  /// The server or the load stood in the way: serialization, deadlock, locks,
-  /// resources, an operator. It may well run when tried again.
+  /// A temporary condition: serialization failure, deadlock, lock, resource
+  /// shortage or operator action. A retry may succeed.
   kTransient,
 };
 
 [[nodiscard]] refusal
 Classify(const std::string& aSqlState);
 
-/// Whether a refusal of the commit itself is certain to have dropped the
-/// change: constraints, serialization, and servers that take no changes. The
-/// standard's 40003 says that the outcome isn't known.
+/// Whether an error of the commit itself proves that the change was not
+/// applied: constraints, serialization failures, and servers that accept no
+/// writes. The outcome after SQLSTATE 40003 of the standard is unknown.
 [[nodiscard]] bool
 IsCertainAtCommit(const std::string& aSqlState);
 
--- a/src/currantshed/group/request.hpp
+++ b/src/currantshed/group/request.hpp
@@ -15,10 +15,10 @@
 
 namespace currantshed::group {
 
-/// What a request asks of a group.
+/// Type of a request to a group.
 enum class operation
 {
-  /// Runs statements that only read, each by itself.
+  /// Runs read-only statements, each on its own.
   kRead,
   /// Runs statements in one transaction under an idempotency key.
   kWrite,
@@ -26,17 +26,18 @@
   kBegin,
   /// Runs statements in an open transaction.
   kStatement,
-  /// Ends an open transaction, keeping its changes under the key given.
+  /// Commits an open transaction under the given idempotency key.
   kCommit,
-  /// Ends an open transaction, dropping its changes.
+  /// Rolls an open transaction back.
   kRollback,
-  /// Resolves a key: done if its change is there, else made void.
+  /// Determines the outcome of a key: done if its change was applied, otherwise
+  /// the key is voided.
   kResolve,
-  /// Asks whether a position is still confirmed in its own term.
+  /// Checks whether a position is still confirmed in its own term.
   kReconfirm,
 };
 
-/// One request to a group, at the pooler that serves it.
+/// Request to a group, at the pooler that serves it.
 struct request
 {
   request_id id = 0;
@@ -44,40 +45,41 @@
   policy::work_class work;
   std::vector<upstream::statement> statements;
   outcome::idempotency_key key;
-  /// The session's position: a read must cover it.
+  /// Position of the session; a read must cover it.
   position::log_position floor;
-  /// Asks for a fresh read whatever the class allows.
+  /// Requires a fresh read regardless of the class of work.
   bool fresh = false;
-  /// On the pooler's clock; a request past it is given up at once.
+  /// On the pooler's clock; a request is not processed any further after it.
   clock::time_point deadline;
-  /// For statements, commit and rollback: the transaction.
+  /// For statements, commit and rollback: the open transaction.
   transaction_id transaction = 0;
-  /// For reconfirmation: the position asked about.
+  /// For kReconfirm: the position to check.
   position::log_position position;
 };
 
-/// The final answer to one request.
+/// Final answer to one request.
 struct answer
 {
   request_id request = 0;
   outcome::verdict verdict = outcome::verdict::kUnknown;
   outcome::reason why = outcome::reason::kNone;
-  /// When to come back, for what was not run.
+  /// How long the caller should wait before a retry, for requests that did not
+  /// run.
   std::chrono::milliseconds retryAfter{ 0 };
   std::vector<upstream::result_set> results;
-  /// The confirmed position that the answer shows, for the session's token.
+  /// Confirmed position that the answer reflects, for the session token.
   position::log_position position;
   /// Set by an answer to kBegin.
   transaction_id transaction = 0;
-  /// The upstream that ran the statements; empty where none did.
+  /// Upstream that ran the statements; empty if none did.
   upstream::server_id servedBy;
   std::string failureDomain;
-  /// Whether a replica ran them.
+  /// Whether that upstream is a replica.
   bool byReplica = false;
-  /// Whether the change had been done before under the same key; there are
-  /// no rows then.
+  /// Whether the change had already been applied under the same key; the answer
+  /// has no rows then.
   bool repeated = false;
-  /// The database's word on a statement that it refused.
+  /// Error of the database for a statement that it refused.
   std::string sqlState;
   std::string message;
 };
--- a/src/currantshed/group/resolve.hpp
+++ b/src/currantshed/group/resolve.hpp
@@ -5,8 +5,8 @@
 
 namespace currantshed::group {
 
-/// The question what became of a key: done if its change is there, else the
-/// key is made void, so that the change can never run.
+/// Determines the outcome of a key: done if its change was applied; otherwise
+/// the key is voided, so that the change can never run.
 class resolve_flow : public change_flow
 {
 public:
@@ -19,8 +19,8 @@
   [[nodiscard]] std::optional<std::string> Digest() const override;
 };
 
-/// The question whether a position is still confirmed in its own term, by
-/// words asked for from now on.
+/// Checks whether a position is still confirmed in its own term, by statuses
+/// requested from now on.
 class reconfirm_flow : public flow
 {
 public:
--- a/src/currantshed/group/statement_connections.hpp
+++ b/src/currantshed/group/statement_connections.hpp
@@ -15,51 +15,54 @@
 
 namespace currantshed::group {
 
-/// A batch that has ended: whose it was.
+/// A batch that has ended.
 struct ended_batch
 {
-  /// None when it was the pool's own, or its request has gone.
+  /// The request that sent it; none if the batch was a rollback by the pool or
+  /// the request no longer exists.
   std::optional<request_id> request;
 };
 
-/// The statement connections of one group: to which server each goes, what
-/// runs on it, and the actions that open, use and close them.
+/// Statement connections of one group: the server of each, the batch that runs
+/// on it, and the actions that open, use and close them.
 class statement_connections
 {
 public:
   statement_connections(context& aContext, std::vector<action>& aActions);
 
-  /// Takes over the servers. Connections to one that is gone, or has another
-  /// address, are closed; requests whose batches ran on them are handed back.
+  /// Replaces the list of servers. Connections to servers that were removed or
+  /// have another address are closed; returns the requests whose batches ran on
+  /// them.
   [[nodiscard]] std::vector<request_id> Configure(const description& aGroup);
 
-  /// The servers as candidates for a batch on a connection of the kind.
-  /// Those for a new transaction leave some connections to the others.
+  /// Returns the servers as candidates for a batch on a connection of the given
+  /// kind. Candidates for a new transaction reserve some connections for other
+  /// requests.
   [[nodiscard]] std::vector<route::candidate> Candidates(
     bool aReadOnly,
     bool aForTransaction,
     clock::time_point aNow) const;
 
-  /// Whether any server could take a batch now.
+  /// Whether any server has a free slot.
   [[nodiscard]] bool HasSlot() const;
 
-  /// Forgets which connections being opened were meant for whom, before all
-  /// waiting requests are looked at again.
+  /// Resets the claims on connections being opened, before all waiting requests
+  /// are examined again.
   void BeginPass();
 
-  /// Gets a connection to the candidate: an idle one, or none while one is
-  /// opened for it, which takes a slot for the rest of the pass.
+  /// Acquires a connection to the candidate: an idle one, or none while one is
+  /// being opened, which takes up a slot until the end of the pass.
   [[nodiscard]] std::optional<connection_id> Acquire(std::size_t aCandidate,
                                                      bool aReadOnly,
                                                      clock::time_point aNow);
 
-  /// Whether a held connection may take its next batch: it has none under way.
-  /// Slots do not matter here, since others may hold them while they wait for
-  /// this one.
+  /// Whether a checked-out connection can run its next batch, which is when it
+  /// has none in progress. Free slots are not required, since the batches that
+  /// occupy them may wait for this one.
   [[nodiscard]] bool CanRun(connection_id aConnection) const;
 
-  /// What a batch that is sent now would be known by; none when the
-  /// connection is gone.
+  /// Returns the dispatch data of a batch that is sent now; none if the
+  /// connection no longer exists.
   [[nodiscard]] std::optional<dispatch> Dispatch(connection_id aConnection,
                                                  clock::time_point aNow) const;
 
@@ -71,26 +74,28 @@
   void Opened(connection_id aConnection);
   void Failed(connection_id aConnection, clock::time_point aNow);
 
-  /// A batch has ended; none when it isn't the one under way.
+  /// Records the end of a batch. Returns none if it is not the one in progress.
   [[nodiscard]] std::optional<ended_batch> Ended(connection_id aConnection,
                                                  std::uint64_t aBatch,
                                                  upstream::batch_end aEnd);
 
-  /// Deals with a connection after its batch.
+  /// Returns, rolls back, keeps or closes a connection after its batch.
   void ApplyFate(connection_id aConnection, connection_fate aFate);
 
-  /// The request no longer waits for what runs on the connection, which is
-  /// closed when the batch ends.
+  /// Detaches the connection from its request. It is closed when its batch
+  /// ends.
   void Orphan(connection_id aConnection);
 
-  /// Closes a connection at once.
+  /// Closes a connection immediately.
   void Close(connection_id aConnection);
 
-  /// The connection broke by itself: the request whose batch ran on it.
+  /// Handles a connection that broke. Returns the request whose batch ran on
+  /// it.
   [[nodiscard]] std::optional<request_id> Lost(connection_id aConnection);
 
-  /// Opens connections that are likely to be needed, also by the next primary
-  /// at a replica, and closes idle ones to servers that are leaving.
+  /// Opens connections that are likely to be needed, including read-write ones
+  /// to replicas that may become the next primary, and closes idle ones to
+  /// servers marked as leaving.
   void OpenSpares(clock::time_point aNow);
 
 private:
@@ -114,8 +119,8 @@
     std::optional<request_id> request;
   };
 
-  /// Closes the connections to servers that aren't at the same place there;
-  /// requests whose batches ran on them are handed back.
+  /// Closes the connections to servers that are not listed at the same address;
+  /// returns the requests whose batches ran on them.
   [[nodiscard]] std::vector<request_id> CloseAllBut(const description& aGroup);
   [[nodiscard]] server* Find(const upstream::server_id& aServer);
   [[nodiscard]] const server* Find(const upstream::server_id& aServer) const;
--- a/src/currantshed/group/statement_rules.hpp
+++ b/src/currantshed/group/statement_rules.hpp
@@ -5,10 +5,11 @@
 
 namespace currantshed::group {
 
-/// Whether a caller's statement may run. Statements that would begin or end
-/// a transaction break the promises about outcomes; those that change the
-/// state of a connection would reach the next one to use it; the project's
-/// own table and functions are not for callers.
+/// Whether a caller may run the statement. Refused are statements that begin or
+/// end a transaction, since they would invalidate the guarantees about
+/// outcomes; statements that change connection state, since the next user of
+/// the connection would see it; and access to this project's own table and
+/// functions.
 [[nodiscard]] bool
 MayCallerRun(const std::string& aSql);
 
--- a/src/currantshed/group/status_poller.hpp
+++ b/src/currantshed/group/status_poller.hpp
@@ -8,19 +8,21 @@
 
 namespace currantshed::group {
 
-/// What the engine's requests ask of the rounds.
+/// Load of the engine that determines how often to poll.
 struct poll_demand
 {
-  /// Whether nothing but newer words can help some request on.
+  /// Whether some request can only continue after a newer status.
   bool hasWaiters = false;
-  /// Requests in the engine. One that is alone is not kept waiting for
-  /// others to share its question; many share each one.
+  /// Requests in the engine. A single request does not wait for others to share
+  /// its status request; with many requests, each status request is shared by
+  /// more of them.
   std::size_t requests = 0;
 };
 
-/// When each server is asked for its status: at the usual interval, and as
-/// soon as the last answer is in while somebody waits for newer words. All
-/// who wait share the same questions. One question a server is under way.
+/// Decides when to request the status of each server: at the usual interval,
+/// and as soon as the last answer has arrived while a request waits for a newer
+/// status. All waiting requests share the same status requests. At most one is
+/// in flight per server.
 class status_poller
 {
 public:
@@ -28,19 +30,20 @@
 
   void SetMembers(const std::vector<upstream::server_id>& aServers);
 
-  /// The server answered, or the question failed.
+  /// The status of the server arrived, or the status request failed.
   void Answered(const upstream::server_id& aServer);
   void Failed(const upstream::server_id& aServer);
 
-  /// Somebody will need words asked for since the given time.
+  /// Some request will need statuses that are requested after the given time.
   void RequireStatusSince(clock::time_point aAskedSince);
 
-  /// The servers to be asked now.
+  /// Returns the servers whose status is to be requested now, and records the
+  /// requests as sent.
   [[nodiscard]] std::vector<upstream::server_id> TakeDue(
     const poll_demand& aDemand,
     clock::time_point aNow);
 
-  /// When Due is to be asked again.
+  /// When TakeDue is to be called next.
   [[nodiscard]] clock::time_point NextDue(const poll_demand& aDemand) const;
 
 private:
--- a/src/currantshed/group/transaction_flows.hpp
+++ b/src/currantshed/group/transaction_flows.hpp
@@ -27,7 +27,7 @@
   dispatch mDispatch;
 };
 
-/// Ends a transaction that may have changed data, keeping its changes.
+/// Commits a transaction that may have changed data.
 class commit_flow : public change_flow
 {
 public:
@@ -47,8 +47,8 @@
   std::string mDigest;
 };
 
-/// Ends a transaction without keeping changes: a rollback, or the commit of
-/// a read-only one.
+/// Ends a transaction without changes to keep: a rollback, or the commit of a
+/// read-only transaction.
 class end_flow : public flow
 {
 public:
--- a/src/currantshed/group/transaction_table.hpp
+++ b/src/currantshed/group/transaction_table.hpp
@@ -16,7 +16,7 @@
 
 namespace currantshed::group {
 
-/// One open transaction and the connection that it owns.
+/// Open transaction and the connection that it owns.
 struct transaction
 {
   transaction_id id = 0;
@@ -25,17 +25,17 @@
   std::string failureDomain;
   upstream::server_role role = upstream::server_role::kPrimary;
   bool readOnly = false;
-  /// The server's term when it began.
+  /// Term of the server at the start of the transaction.
   position::term_id term = 0;
-  /// For a read-only one, the confirmed position that it shows.
+  /// For a read-only transaction, the confirmed position that it shows.
   position::log_position position;
-  /// The class of work that it was opened for.
+  /// Class of work that the transaction was opened for.
   policy::work_class work;
-  /// Over the statements that ran in it.
+  /// Digest of the statements that ran in it.
   outcome::request_digest digest;
   clock::time_point begunAt;
   clock::time_point lastUsed;
-  /// The request that uses it at the moment; it takes one at a time.
+  /// Request that uses it at present; a transaction serves one at a time.
   std::optional<request_id> user;
 };
 
@@ -43,40 +43,44 @@
 class transaction_table
 {
 public:
-  /// Notes an open transaction and gives it its number. Numbers go by the
-  /// clock, so that an engine made later doesn't use an earlier one's again.
+  /// Adds an open transaction and assigns its identifier. Identifiers are
+  /// derived from the clock, so that a later engine does not reuse those of an
+  /// earlier one.
   transaction_id Add(transaction aTransaction, clock::time_point aNow);
 
   [[nodiscard]] transaction* Find(transaction_id aId);
   [[nodiscard]] transaction* OnConnection(connection_id aConnection);
   [[nodiscard]] transaction* UsedBy(request_id aRequest);
 
-  /// Forgets one that has ended, or whose connection is dealt with.
+  /// Removes a transaction that has ended or whose connection is already
+  /// handled.
   void Remove(transaction_id aId);
 
-  /// Forgets one that is still open; its connection is to be rolled back.
+  /// Removes a transaction that is still open; its connection must be rolled
+  /// back.
   void Abandon(transaction_id aId);
 
-  /// Connections of those abandoned since the last call.
+  /// Returns the connections of transactions abandoned since the last call.
   [[nodiscard]] std::vector<connection_id> TakeAbandoned();
 
-  /// Those whose time is up: no request uses them, and they were begun or
-  /// last used before the times given.
+  /// Returns the transactions that no request uses and that were begun or last
+  /// used before the given times.
   [[nodiscard]] std::vector<transaction_id> Overdue(
     clock::time_point aBegunBy,
     clock::time_point aUsedBy) const;
 
-  /// Those that may change data and whose term is lower than given.
+  /// Returns the transactions that may change data and have a term lower than
+  /// the given one.
   [[nodiscard]] std::vector<transaction_id> Outdated(
     position::term_id aTerm) const;
 
-  /// When the next one is overdue, by how long they may be open and idle;
-  /// none without one that no request uses.
+  /// When the next transaction becomes overdue, given how long transactions may
+  /// be open and idle; none if every transaction is in use.
   [[nodiscard]] std::optional<clock::time_point> NextOverdue(
     clock::duration aOpen,
     clock::duration aIdle) const;
 
-  /// Transactions that a server has open.
+  /// Number of open transactions on a server.
   [[nodiscard]] std::size_t CountOn(const upstream::server_id& aServer) const;
 
   [[nodiscard]] std::size_t Size() const noexcept;
