--- a/src/currantshed/failover/coordinator.cpp
+++ b/src/currantshed/failover/coordinator.cpp
@@ -16,13 +16,13 @@
 
 using std::chrono::milliseconds;
 
-// What later ranks wait with work that is not urgent, for each rank.
+// Delay per rank for changes that are not urgent.
 constexpr milliseconds kPlannedRankDelay{ 1000 };
-// A pooler that did not promote the primary looks after its publication
-// after this time, for each rank and once more.
+// Delay, per rank and once more, after which a pooler that did not promote the
+// primary publishes it.
 constexpr milliseconds kPublishDelay{ 2000 };
-// Time between two planned moves for the same marks of leaving servers, so that
-// a group never moves in circles.
+// Minimum time between two planned changes of the primary for the same set of
+// servers marked as leaving, so that the primary does not move back and forth.
 constexpr milliseconds kPlannedPause{ 10000 };
 
 bool
@@ -31,7 +31,7 @@
   return aCause == cause::kLeaving || aCause == cause::kHigherTerm;
 }
 
-// The servers that the platform marks as leaving.
+// Servers that the platform marks as leaving.
 std::vector<upstream::server_id>
 LeavingMarks(const group::description& aGroup)
 {
@@ -44,7 +44,7 @@
   return marked;
 }
 
-// Joins detection, terms, promotion and repair for one group.
+// Combines detection, terms, promotion and repair for one group.
 class group_coordinator final : public coordinator
 {
 public:
@@ -173,8 +173,8 @@
                           mReservations.NextTick(), mDeferUntil };
     auto next = clock::time_point::max();
     for (const auto time : due) {
-      // What is due already was seen to by the last event, and waits for
-      // another one.
+      // Times that have passed were handled by the last event and need another
+      // one.
       next = time > mNow ? std::min(next, time) : next;
     }
     return next;
@@ -196,7 +196,8 @@
            });
   }
 
-  // An answer to fence, promote or follow shows the server's state after it.
+  // A response to fence, promote or follow contains the server's status after
+  // it.
   void TakeStatus(const upstream::server_id& aServer,
                   const upstream::server_status& aStatus,
                   clock::time_point aNow)
@@ -221,7 +222,7 @@
     mReservations.Tick(mNow, mActions);
   }
 
-  // Someone else's higher term: leaves the field for a bounded time.
+  // On a higher term of another pooler, starts no failover for a bounded time.
   void DeferToHigherTerm()
   {
     const auto highest = mMonitor.HighestTerm();
@@ -233,9 +234,9 @@
       return;
     }
     mPromoter.Stop();
-    const auto delay = mSettings.validity + 2 * mSettings.suspectAfter +
-                       2 * mSettings.probeInterval * mSettings.rank;
-    mDeferUntil = mNow + delay;
+    const auto quietTime = mSettings.validity + 2 * mSettings.suspectAfter +
+                           2 * mSettings.probeInterval * mSettings.rank;
+    mDeferUntil = mNow + quietTime;
   }
 
   void FindPrimary()
--- a/src/currantshed/failover/coordinator.hpp
+++ b/src/currantshed/failover/coordinator.hpp
@@ -17,12 +17,13 @@
 
 namespace currantshed::failover {
 
-/// Name of one process's life: made at its start, never used again, so that
-/// a restarted process does not take up what it promised before.
+/// Identifier of one incarnation of a process, created at its start and never
+/// reused, so that a restarted process does not continue what it promised
+/// before.
 using incarnation_id = std::string;
 
-/// One pooler's word that it can't reach the primary of a term; sent to the
-/// group's other owners with each heartbeat while it lasts.
+/// Report of a pooler that it cannot reach the primary of a term; sent to the
+/// other owners of the group with each heartbeat while that lasts.
 struct suspicion
 {
   group::group_name group;
@@ -30,14 +31,14 @@
   upstream::server_id primary;
 };
 
-/// Asks a server for its status on the control connection; answered by
+/// Requests the status of a server on the control connection; answered by
 /// StatusArrived or StatusFailed.
 struct probe
 {
   upstream::server_id server;
 };
 
-/// Asks a server to accept a term above its own and to serve no primary
+/// Requests a server to accept a term above its own and to follow no primary
 /// until one is promoted; answered by FenceAnswered.
 struct fence
 {
@@ -45,15 +46,15 @@
   position::term_id term = 0;
 };
 
-/// Asks a server fenced at the term to become its primary; answered by
-/// PromoteAnswered. Sent at most once for each term.
+/// Requests a server fenced at the term to become its primary; answered by
+/// PromoteAnswered. Sent at most once per term.
 struct promote
 {
   upstream::server_id server;
   position::term_id term = 0;
 };
 
-/// Asks a server to follow the primary of a term; answered by
+/// Requests a server to follow the primary of a term; answered by
 /// FollowAnswered.
 struct follow
 {
@@ -74,15 +75,15 @@
   store::index expected = 0;
 };
 
-/// Tells the group's owners and the engine who leads the group now.
+/// Announces the current primary of the group to its owners and to the engine.
 struct announce
 {
   position::term_id term = 0;
   upstream::server_id primary;
 };
 
-/// Tells the group's other owners that this pooler can't reach the primary;
-/// an empty primary withdraws it.
+/// Reports to the other owners of the group that this pooler cannot reach the
+/// primary; an empty primary withdraws the report.
 struct report_suspicion
 {
   suspicion report;
@@ -97,34 +98,33 @@
                             announce,
                             report_suspicion>;
 
-/// Bounds and times of one coordinator.
+/// Limits and times of one coordinator.
 struct coordinator_settings
 {
-  /// Name of this pooler's VM.
+  /// Name of the VM of this pooler.
   std::string vm;
   incarnation_id incarnation;
   std::string failureDomain;
-  /// Rank among the group's owners, from zero; a later one waits longer
-  /// before it begins, so that duels are rare.
+  /// Rank among the owners of the group, from zero. A higher rank waits longer
+  /// before it begins a failover, so that concurrent failovers are rare.
   unsigned rank = 0;
-  /// Poolers that own the group now.
+  /// Number of poolers that own the group now.
   unsigned owners = 1;
   std::chrono::milliseconds probeInterval{ 50 };
   std::chrono::milliseconds probeTimeout{ 150 };
-  /// How long a primary may be silent before it is suspected.
+  /// How long a primary may fail to answer before it is suspected.
   std::chrono::milliseconds suspectAfter{ 200 };
-  /// How long an acknowledgement may hold (see engine_settings): what a
-  /// promoter waits from the fence on.
+  /// How long an acknowledgement may be valid (see engine_settings): the time
+  /// that a promoter waits after the fence.
   std::chrono::milliseconds validity{ 200 };
-  /// Terms that this pooler keeps reserved ahead for the group.
+  /// Number of terms that this pooler keeps reserved for the group.
   unsigned reserve = 2;
 };
 
-/// The decisions about one group's primary at one of the poolers that own
-/// the group: detection of failure, terms, fence, choice of the newest
-/// history, promotion, and making strayed servers follow. Does no I/O:
-/// events and the time go in, actions come out. Not safe for use by several
-/// threads.
+/// Decides about the primary of one group, at one of the poolers that own it:
+/// failure detection, terms, fencing, choice of the newest history, promotion,
+/// and repair of servers that do not follow the primary. Performs no I/O: it
+/// takes events with the current time and returns actions. Not thread-safe.
 class coordinator
 {
 public:
@@ -143,20 +143,21 @@
   virtual void StatusFailed(const upstream::server_id& aServer,
                             clock::time_point aNow) = 0;
 
-  /// Another owner's word that it can't reach the primary, or none.
+  /// Report of another owner that it cannot reach the primary; an empty primary
+  /// withdraws it.
   virtual void PeerSuspects(const std::string& aVm,
                             const std::string& aFailureDomain,
                             const suspicion& aReport,
                             clock::time_point aNow) = 0;
 
-  /// Another owner's word on who leads the group.
+  /// Announcement of the primary by another owner.
   virtual void PeerAnnounces(position::term_id aTerm,
                              const upstream::server_id& aPrimary,
                              clock::time_point aNow) = 0;
 
-  /// The answer to fence, promote or follow: the server's status after it
-  /// accepted or refused; aAccepted is false also when no answer came, and
-  /// aStatus is then of term zero.
+  /// Response to fence, promote or follow, with the status of the server after
+  /// it accepted or refused. Without a response, aAccepted is false and aStatus
+  /// has term zero.
   virtual void FenceAnswered(const upstream::server_id& aServer,
                              position::term_id aTerm,
                              bool aAccepted,
@@ -175,26 +176,26 @@
                               const upstream::server_status& aStatus,
                               clock::time_point aNow) = 0;
 
-  /// The platform's answer to read_record; false when the platform can't be
-  /// reached.
+  /// Response of the platform to read_record; aReached is false if the platform
+  /// cannot be reached.
   virtual void RecordRead(bool aReached,
                           const store::entry& aEntry,
                           clock::time_point aNow) = 0;
 
-  /// The platform's answer to swap_record.
+  /// Response of the platform to swap_record.
   virtual void RecordSwapped(store::swap_outcome aOutcome,
                              clock::time_point aNow) = 0;
 
   virtual void Tick(clock::time_point aNow) = 0;
 
-  /// When Tick is due at the latest.
+  /// Latest time at which Tick must be called.
   [[nodiscard]] virtual clock::time_point NextTick() const noexcept = 0;
 
-  /// Hands over the actions since the last call, oldest first.
+  /// Returns the actions since the last call, oldest first.
   [[nodiscard]] virtual std::vector<action> TakeActions() = 0;
 };
 
-/// Makes the coordinator of one group.
+/// Creates the coordinator of one group.
 [[nodiscard]] std::unique_ptr<coordinator>
 MakeCoordinator(const coordinator_settings& aSettings);
 
--- a/src/currantshed/failover/detector.cpp
+++ b/src/currantshed/failover/detector.cpp
@@ -11,19 +11,20 @@
 
 using std::chrono::milliseconds;
 
-// A peer repeats its suspicion with each heartbeat; without that it lapses.
+// Lifetime of a peer's suspicion, which it repeats with each heartbeat.
 constexpr milliseconds kSuspicionLifetime{ 700 };
 constexpr std::size_t kMinPoolers = 2;
-// How long a server may hold a higher term than the primary in force before
-// the group is brought above it.
+// How long a server may hold a higher term than the primary in force before the
+// group is moved above it.
 constexpr milliseconds kHigherTermAfter{ 5000 };
-// How long a leaving primary must be in force first, so that a move does not
-// chase another one.
+// How long a primary marked as leaving must have been in force before it is
+// replaced, so that a change of the primary does not immediately follow another
+// one.
 constexpr milliseconds kLeavingAfter{ 200 };
-// How much longer a primary must be out of reach when its replicas still hear
-// it: a lossy link to the poolers is no reason to depose it.
+// Factor by which a primary must be unreachable for longer if its replicas
+// still hear from it: a lossy link to the poolers is no reason to depose it.
 constexpr int kReachedFactor = 5;
-// Records that a replica may lack when a planned move begins.
+// Number of records that a replica may lack when a planned change begins.
 constexpr position::log_index kMaxMissingRecords = 64;
 
 bool
@@ -36,8 +37,9 @@
          *aStatus.sincePrimary > aSuspectAfter;
 }
 
-// Whether a majority answers and one that stays has caught up. Servers that
-// leave still count for the majority: fences and log records are no new work.
+// Whether a majority answers and a server that is not marked as leaving has
+// caught up. Servers marked as leaving still count for the majority, since
+// fences and log records are not new work.
 bool
 CanMove(const server_monitor& aMonitor,
         const server_view& aPrimary,
@@ -105,7 +107,8 @@
   absl::erase_if(mPeerSuspicions, [&](const auto& aEntry) {
     return aNow - aEntry.second.receivedAt > kSuspicionLifetime;
   });
-  // A new primary, perhaps known by a peer's word alone, gets its full time.
+  // A new primary, which may be known from a peer's announcement only, gets the
+  // full time before it is suspected.
   if (aPrimary != mJudged) {
     mJudged = aPrimary;
     mLost = {};
@@ -115,8 +118,8 @@
   }
   const bool inForce = aMonitor.IsInForce(aPrimary, aNow);
   const auto* primary = aMonitor.Find(aPrimary.server);
-  // Servers that were frozen say once that they lost the primary, before they
-  // read what it sent meanwhile.
+  // Servers that were frozen report once that they lost the primary, before
+  // they read what it sent in the meantime.
   mLost.Set(aPrimary.term > 0 && LostByServers(aMonitor, aPrimary, aNow), aNow);
   mNoPrimary.Set(!inForce && aMonitor.SeesNoPrimaryByMajority(aNow), aNow);
   mHigherTerm.Set(inForce && HasHigherTerm(aMonitor, aPrimary, aNow), aNow);
@@ -177,8 +180,8 @@
   return holds && aNow - since >= aTime;
 }
 
-// A majority of the group besides the primary says so directly: whatever the
-// primary believes, nothing more can be confirmed in its term.
+// A majority of the group without the primary reports the loss directly.
+// Whatever the primary believes, nothing more can be confirmed in its term.
 bool
 detector::LostByServers(const server_monitor& aMonitor,
                         const primary_ref& aPrimary,
@@ -199,11 +202,10 @@
                         const primary_ref& aPrimary,
                         clock::time_point aNow) const
 {
-  const auto patience =
+  const auto factor =
     aMonitor.IsReachedByMajority(aPrimary, aNow) ? kReachedFactor : 1;
-  if (aPrimary.term == 0 || !aMonitor.IsUnreachableFor(aPrimary.server,
-                                                       patience * mSuspectAfter,
-                                                       aNow)) {
+  if (aPrimary.term == 0 || !aMonitor.IsUnreachableFor(
+                              aPrimary.server, factor * mSuspectAfter, aNow)) {
     return false;
   }
   absl::flat_hash_set<std::string> domains{ mDomain };
--- a/src/currantshed/failover/detector.hpp
+++ b/src/currantshed/failover/detector.hpp
@@ -9,28 +9,30 @@
 
 namespace currantshed::failover {
 
-/// Why a group needs another primary.
+/// Reason for a change of the primary.
 enum class cause
 {
-  /// It does not.
+  /// No change is needed.
   kNone,
-  /// A majority of the group, or enough poolers, lost the primary.
+  /// A majority of the servers, or enough poolers, lost contact with the
+  /// primary.
   kLost,
-  /// A majority has seen no primary for some time: its promoter is gone, or
-  /// there never was one.
+  /// A majority has seen no primary for some time: its promoter stopped, or
+  /// there never was a primary.
   kNoPrimary,
-  /// The primary's server is marked leaving and another one has caught up.
+  /// The server of the primary is marked as leaving and another one has caught
+  /// up.
   kLeaving,
-  /// A server holds a higher term than the primary in force and can't join
-  /// it: the group has to be brought to a term above.
+  /// A server holds a higher term than the primary in force and cannot join it;
+  /// the group has to move to a term above.
   kHigherTerm,
 };
 
-/// Judges from probes and the other owners' words whether the group needs
-/// another primary. One cut-off pooler never comes to that by itself: it
-/// takes a majority of the group's servers, each asked directly, or poolers
-/// in a majority of the failure domains. One that does not reach a majority
-/// of the servers judges nothing.
+/// Failure detector: decides from probes and the reports of the other owners
+/// whether the group needs another primary. A pooler that is cut off never
+/// decides so alone: it takes a majority of the group's servers, each probed
+/// directly, or poolers in a majority of the failure domains. A pooler that
+/// does not reach a majority of the servers decides nothing.
 class detector
 {
 public:
@@ -43,12 +45,12 @@
                     const suspicion& aReport,
                     clock::time_point aNow);
 
-  /// Judges anew; aPrimary is the primary known now.
+  /// Evaluates the current state; aPrimary is the primary known now.
   [[nodiscard]] cause Assess(const server_monitor& aMonitor,
                              const primary_ref& aPrimary,
                              clock::time_point aNow);
 
-  /// When silence alone changes the judgement next.
+  /// When the result may next change without a new event.
   [[nodiscard]] clock::time_point NextTick() const noexcept;
 
 private:
@@ -59,7 +61,7 @@
     clock::time_point receivedAt;
   };
 
-  // Since when a condition has held without a break.
+  // Start of the uninterrupted time for which a condition has held.
   struct sustained_condition
   {
     bool holds = false;
--- a/src/currantshed/failover/error.hpp
+++ b/src/currantshed/failover/error.hpp
@@ -5,18 +5,18 @@
 
 namespace currantshed::failover {
 
-/// What can be wrong with a group's term record.
+/// Errors in a term record.
 enum class record_error
 {
-  /// The text is no JSON object.
+  /// The text is not a JSON object.
   kNotJson = 1,
   /// A field is missing or has another type.
   kWrongField,
-  /// The text is longer than any record that is written here.
+  /// The text is longer than any record written by this module.
   kTooLarge,
 };
 
-/// Category of this module's errors.
+/// Error category of this module.
 [[nodiscard]] const std::error_category&
 FailoverCategory() noexcept;
 
--- a/src/currantshed/failover/follower_repair.cpp
+++ b/src/currantshed/failover/follower_repair.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// Probe intervals that each rank leaves to the one before it.
+// Number of probe intervals that each rank leaves to the one before it.
 constexpr int kRankIntervals = 6;
-// Probe intervals between two tries.
+// Number of probe intervals between two attempts.
 constexpr int kRetryIntervals = 4;
 
 } // namespace
@@ -47,7 +47,7 @@
 follower_repair::Tick(clock::time_point aNow, std::vector<action>& aOut)
 {
   const auto* primary = mMonitor.Find(mPrimary.server);
-  // Only a primary that speaks for itself in this term is followed.
+  // Servers follow only a primary that itself reports this role in this term.
   if (mPrimary.term == 0 || primary == nullptr ||
       !mMonitor.IsFresh(*primary, aNow) ||
       primary->status->term != mPrimary.term ||
--- a/src/currantshed/failover/follower_repair.hpp
+++ b/src/currantshed/failover/follower_repair.hpp
@@ -10,21 +10,21 @@
 
 namespace currantshed::failover {
 
-/// Makes servers follow the primary of the group: those in a lower term, a
-/// healed old primary among them, those still fenced at the primary's term,
-/// and those that follow nobody. A server that can't join by its term refuses,
-/// so a late word does no harm.
+/// Makes servers follow the primary of the group: those in a lower term,
+/// including a former primary that is reachable again, those still fenced at
+/// the primary's term, and those that follow no primary. A server that cannot
+/// join in its term refuses, so a delayed request is harmless.
 class follower_repair
 {
 public:
   follower_repair(const coordinator_settings& aSettings,
                   const server_monitor& aMonitor);
 
-  /// Later ranks leave the work to earlier ones for a while.
+  /// Higher ranks let lower ones act first for a while.
   void SetRank(unsigned aRank) { mRank = aRank; }
 
-  /// The primary to follow. aOwn tells that it was promoted here, which makes
-  /// this pooler the first to act.
+  /// Sets the primary to follow. aOwn is true if it was promoted by this
+  /// pooler, which then acts first.
   void SetPrimary(const primary_ref& aPrimary, bool aOwn);
 
   void FollowAnswered(const upstream::server_id& aServer);
--- a/src/currantshed/failover/primary_ref.hpp
+++ b/src/currantshed/failover/primary_ref.hpp
@@ -6,7 +6,7 @@
 
 namespace currantshed::failover {
 
-/// The primary of one term; term zero stands for none.
+/// Primary of one term; term zero means none.
 struct primary_ref
 {
   position::term_id term = 0;
--- a/src/currantshed/failover/promoter.cpp
+++ b/src/currantshed/failover/promoter.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-// Fences are repeated this often before a try ends without a majority.
+// Number of times that fences are sent before an attempt ends without a
+// majority.
 constexpr int kFenceRounds = 3;
-// Validities that a server has for its promotion: it first applies all that
-// it has stored.
+// Time for a promotion, in multiples of the validity: the server first applies
+// all records that it has stored.
 constexpr int kPromoteValidities = 5;
 constexpr unsigned kDoublings = 3;
 
@@ -92,8 +93,8 @@
     Succeed(aServer);
     return;
   }
-  // Without any answer the promotion may have taken effect: the server's
-  // status tells.
+  // Without a response the promotion may have taken effect; the server's status
+  // will show it.
   if (aStatus.term != 0) {
     BackOff(aNow);
   }
@@ -116,7 +117,7 @@
       SendFences(aNow, aOut);
     }
   }
-  // A promoter that was paused first hears what happened meanwhile.
+  // A promoter that was paused first processes what arrived in the meantime.
   if (mStep == step::kWaitOut && aNow >= mDue && mMonitor.HasMajority(aNow)) {
     Promote(aNow, aOut);
   }
@@ -149,8 +150,8 @@
   return std::exchange(mPromoted, {});
 }
 
-// A term that was fenced in vain is still good while nothing above it has
-// been seen.
+// A term that was fenced without a majority remains usable while no higher one
+// has been seen.
 void
 promoter::PickTerm(clock::time_point aNow)
 {
@@ -169,7 +170,7 @@
   mStep = step::kFence;
   mNextFence = aNow;
   mGiveUp = aNow + kFenceRounds * mRetry;
-  // Answers that came after an earlier try had ended count as well.
+  // Responses that arrived after an earlier attempt ended count as well.
   if (mFenced.size() >= mMonitor.Majority()) {
     mStep = step::kWaitOut;
     mDue = aNow + mValidity;
@@ -191,15 +192,15 @@
   }
 }
 
-// A number belongs to one process alone, so a server that holds this one and
-// is fenced has accepted it from here, even if its answer was lost.
+// A term belongs to one process only, so a server that holds this one and is
+// fenced accepted it from this pooler, even if its response was lost.
 void
 promoter::ReadMonitor(clock::time_point aNow)
 {
   if (mStep == step::kIdle || mTerm == 0) {
     return;
   }
-  // Before a new term is picked this one may be an earlier failover's.
+  // Until a new term is picked, this one may be that of an earlier failover.
   const bool sent = mStep == step::kPromote || mStep == step::kBackOff;
   for (const auto& [id, server] : mMonitor.Servers()) {
     if (!server.status || server.status->term != mTerm) {
@@ -240,8 +241,8 @@
   aOut.emplace_back(promote{ mChosen, mTerm });
 }
 
-// Asked well after the promotion was sent, the server still waits for one, and
-// has nothing left to apply that could hold it up.
+// The promotion is lost if a server that was probed well after it was sent
+// still waits for one and has no more records to apply that could delay it.
 bool
 promoter::IsPromotionLost(clock::time_point aNow) const
 {
@@ -272,8 +273,8 @@
   mDue = aNow + NextPause();
 }
 
-// Whether there is still a reason must be judged anew: a pooler that was cut
-// off must not go on with an old one when it is back.
+// The reason for the failover must be evaluated again: a pooler that was cut
+// off must not act on an old one once it is connected again.
 void
 promoter::GiveUpFence(clock::time_point aNow)
 {
@@ -289,9 +290,10 @@
   return (RankDelay() + mProbeInterval) * (1U << doublings);
 }
 
-// The newest history of a majority holds all that was ever confirmed. Servers
-// that are better avoided are passed over if the others are a majority without
-// them: one that its replicas lost may hold more, but none of it confirmed.
+// The newest history in a majority contains everything that was ever confirmed.
+// Servers to be avoided are skipped if the others are a majority without them:
+// a primary that its replicas lost may hold more records, but none of those are
+// confirmed.
 upstream::server_id
 promoter::Choose() const
 {
@@ -334,7 +336,7 @@
   if (leftLeaves != rightLeaves) {
     return rightLeaves;
   }
-  // What is not applied yet would hold up the promotion.
+  // Records that are not applied yet would delay the promotion.
   if (left.applied != right.applied) {
     return left.applied > right.applied;
   }
--- a/src/currantshed/failover/promoter.hpp
+++ b/src/currantshed/failover/promoter.hpp
@@ -11,29 +11,29 @@
 
 namespace currantshed::failover {
 
-/// Where a failover stands.
+/// Step of a failover.
 enum class step
 {
-  /// None is under way.
+  /// No failover is in progress.
   kIdle,
   /// Waits for owners of a lower rank to begin.
   kRankDelay,
-  /// Waits for a term number.
+  /// Waits for a reserved term.
   kPickTerm,
-  /// Gets the term accepted by a majority.
+  /// Fences a majority at the term.
   kFence,
-  /// Waits until acknowledgements of older terms no longer hold.
+  /// Waits until acknowledgements of older terms are no longer valid.
   kWaitOut,
   /// Waits for the chosen server to become primary.
   kPromote,
-  /// Waits before the next try.
+  /// Backs off before the next attempt.
   kBackOff,
 };
 
-/// One pooler's failover of a group: takes a term, fences it at a majority,
-/// waits out what older terms may still acknowledge, and promotes the server
-/// with the newest history. Promotes once a term. Ends quietly when a higher
-/// term turns up.
+/// Failover of a group by one pooler: takes a term, fences a majority at it,
+/// waits until acknowledgements of older terms are no longer valid, and
+/// promotes the server with the newest history. Promotes at most once per term.
+/// Ends without further action if a higher term appears.
 class promoter
 {
 public:
@@ -43,23 +43,24 @@
 
   void SetRank(unsigned aRank) { mRank = aRank; }
 
-  /// Begins a failover unless one is under way. aPrevious is the primary
-  /// until now; where it is lost, another one is preferred. aExtraDelay is
-  /// added to the delay by rank.
+  /// Begins a failover unless one is in progress. aPrevious is the primary
+  /// until now; if it is lost, another one is preferred. aExtraDelay is added
+  /// to the delay by rank.
   void Begin(const primary_ref& aPrevious,
              bool aLost,
              clock::duration aExtraDelay,
              clock::time_point aNow);
 
-  /// The reason to begin is gone: ends unless fences are under way.
+  /// The reason for the failover no longer holds: ends it unless fences have
+  /// been sent.
   void Cancel();
 
-  /// Ends whatever is under way: a higher term, a new primary or other
-  /// servers turned up.
+  /// Ends a failover in progress because of a higher term, a new primary or a
+  /// changed set of servers.
   void Stop();
 
-  /// The group has other servers now: ends, and gives up the term, since a
-  /// majority is counted over one set of servers from begin to end.
+  /// The set of servers has changed: ends the failover and gives up its term,
+  /// since a majority must be counted over one set of servers throughout.
   void Abandon();
 
   void FenceAnswered(const upstream::server_id& aServer,
@@ -78,10 +79,10 @@
 
   [[nodiscard]] step Step() const noexcept { return mStep; }
 
-  /// The last term used here; zero before the first.
+  /// Last term used by this pooler; zero before the first.
   [[nodiscard]] position::term_id Term() const noexcept { return mTerm; }
 
-  /// Hands over the primary just made, once.
+  /// Returns the primary that was just promoted, once.
   [[nodiscard]] primary_ref TakePromoted();
 
 private:
@@ -115,14 +116,14 @@
   clock::time_point mGiveUp;
   clock::time_point mPromotedAt;
   position::term_id mTerm = 0;
-  // Whether the term is used up: its one promotion was sent, or it was given
-  // up.
+  // Whether the term must not be used any more: its one promotion was sent, or
+  // it was given up.
   bool mUsed = true;
   unsigned mTries = 0;
   clock::time_point mNotBefore;
   primary_ref mPrevious;
   bool mLost = false;
-  // Servers fenced at the term, as they stood then.
+  // Servers fenced at the term, with their status at that time.
   absl::btree_map<upstream::server_id, upstream::server_status> mFenced;
   upstream::server_id mChosen;
   primary_ref mPromoted;
--- a/src/currantshed/failover/server_monitor.cpp
+++ b/src/currantshed/failover/server_monitor.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// One failed probe may be a lost message.
+// A single failed probe may be a lost message.
 constexpr unsigned kFailuresToSuspect = 2;
 
 bool
@@ -68,7 +68,7 @@
   if (server.probing && aAskedAt >= *server.probing) {
     server.probing.reset();
   }
-  // A late answer to an older question tells nothing new.
+  // A late answer to an older probe contains nothing new.
   if (server.status &&
       (aAskedAt < server.askedAt || aStatus.term < server.status->term)) {
     return;
--- a/src/currantshed/failover/server_monitor.hpp
+++ b/src/currantshed/failover/server_monitor.hpp
@@ -12,24 +12,24 @@
 
 namespace currantshed::failover {
 
-/// What is known of one server of the group.
+/// Last known state of one server of the group.
 struct server_view
 {
   group::member member;
-  /// The server's last word, if it ever answered.
+  /// Last status; none if the server never answered.
   std::optional<upstream::server_status> status;
   clock::time_point askedAt;
-  /// Probes that failed since the last answer.
+  /// Number of probes that failed since the last answer.
   unsigned failures = 0;
-  /// Since when there has been no answer.
+  /// Time since which there has been no answer.
   clock::time_point silentSince;
-  /// When the probe under way was sent.
+  /// When the probe in flight was sent.
   std::optional<clock::time_point> probing;
   clock::time_point nextProbe;
 };
 
-/// The group's servers as the probes of this pooler show them. A server that
-/// does not answer says nothing about what it sees.
+/// State of the group's servers as seen by the probes of this pooler. A server
+/// that does not answer provides no evidence about the others.
 class server_monitor
 {
 public:
@@ -43,7 +43,7 @@
                 clock::time_point aNow);
   void Failed(const upstream::server_id& aServer, clock::time_point aNow);
 
-  /// Sends the probes that are due and gives up those that take too long.
+  /// Sends the probes that are due and times out those in flight for too long.
   void Tick(clock::time_point aNow, std::vector<action>& aOut);
   [[nodiscard]] clock::time_point NextTick() const noexcept;
 
@@ -56,46 +56,46 @@
   [[nodiscard]] const server_view* Find(
     const upstream::server_id& aServer) const;
 
-  /// Whether the server answered a question that was sent lately; an answer
-  /// that comes late says nothing about now.
+  /// Whether the server answered a recently sent probe. A late answer says
+  /// nothing about the present.
   [[nodiscard]] bool IsFresh(const server_view& aServer,
                              clock::time_point aNow) const;
 
-  /// Whether probes failed repeatedly over the time after which a silent
-  /// primary is suspected. One that was only not asked is not unreachable.
+  /// Whether probes failed repeatedly for as long as it takes to suspect a
+  /// silent primary. A server that was merely not probed is not unreachable.
   [[nodiscard]] bool IsUnreachable(const upstream::server_id& aServer,
                                    clock::time_point aNow) const;
 
-  /// Whether probes failed repeatedly over the given time.
+  /// Whether probes failed repeatedly for the given time.
   [[nodiscard]] bool IsUnreachableFor(const upstream::server_id& aServer,
                                       clock::duration aTime,
                                       clock::time_point aNow) const;
 
-  /// Whether so many of the others say lately that they hear the primary that
-  /// it has a majority with them.
+  /// Whether enough other servers reported recently that they hear from the
+  /// primary to form a majority with it.
   [[nodiscard]] bool IsReachedByMajority(const primary_ref& aPrimary,
                                          clock::time_point aNow) const;
 
-  /// More than half of the group's servers.
+  /// Smallest number of servers that is more than half of the group.
   [[nodiscard]] std::size_t Majority() const noexcept;
 
-  /// Whether a majority answered lately. Without it no failover can end, and
-  /// nothing newer than the own view is sure to be seen.
+  /// Whether a majority answered recently. Without it no failover can complete,
+  /// and newer states may exist that this pooler does not see.
   [[nodiscard]] bool HasMajority(clock::time_point aNow) const;
 
-  /// The highest term that any server told.
+  /// Highest term reported by any server.
   [[nodiscard]] position::term_id HighestTerm() const;
 
-  /// The server that calls itself primary in the highest term, if a majority
-  /// of the group has accepted that term.
+  /// Server that reports itself primary in the highest term, if a majority of
+  /// the group has accepted that term.
   [[nodiscard]] primary_ref AcceptedPrimary() const;
 
-  /// Whether the primary itself and a majority in its term answered lately.
+  /// Whether the primary and a majority in its term answered recently.
   [[nodiscard]] bool IsInForce(const primary_ref& aPrimary,
                                clock::time_point aNow) const;
 
-  /// Whether a majority answered lately that it sees no primary: fenced,
-  /// following nobody, or without word from the one followed.
+  /// Whether a majority reported recently that it sees no primary: fenced,
+  /// following no primary, or without contact to the one it follows.
   [[nodiscard]] bool SeesNoPrimaryByMajority(clock::time_point aNow) const;
 
 private:
--- a/src/currantshed/failover/term_record.cpp
+++ b/src/currantshed/failover/term_record.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::size_t kMaxRecordBytes = 65536;
 
-// Each reader gives false for a field that is missing or of another type.
+// Each reader returns false if the field is missing or has another type.
 bool
 ReadText(const json::object& aObject, const char* aField, std::string& aTarget)
 {
--- a/src/currantshed/failover/term_record.hpp
+++ b/src/currantshed/failover/term_record.hpp
@@ -11,13 +11,13 @@
 
 namespace currantshed::failover {
 
-/// Changes whose ids a record keeps.
+/// Number of change identifiers that a record keeps.
 constexpr std::size_t kRecordChanges = 16;
 
-/// Reservations that a record keeps.
+/// Number of reservations that a record keeps.
 constexpr std::size_t kRecordReservations = 32;
 
-/// A term number set aside for one process's life.
+/// Term reserved for one incarnation of a process.
 struct reservation
 {
   position::term_id term = 0;
@@ -28,35 +28,35 @@
                                        const reservation&) = default;
 };
 
-/// What the platform's store holds about a group's terms.
+/// Record of a group's terms in the platform's store.
 struct term_record
 {
-  /// The last term that was published with its primary.
+  /// Last term that was published with its primary.
   position::term_id term = 0;
   upstream::server_id primary;
-  /// The highest number ever given out; never goes down, so no number is
-  /// given twice even when its reservation has been dropped from the list.
+  /// Highest term ever reserved. It never decreases, so no term is reserved
+  /// twice even after its reservation was dropped from the list.
   position::term_id highest = 0;
-  /// Numbers set aside, for a reader; a bounded few, in order.
+  /// Reserved terms in order, for inspection; bounded.
   std::vector<reservation> reservations;
-  /// Ids of the last changes, newest last: they tell a lost answer from a
-  /// lost race.
+  /// Identifiers of the last changes, newest last. They distinguish a lost
+  /// response from a lost race.
   std::vector<std::string> changes;
 
   [[nodiscard]] friend bool operator==(const term_record&,
                                        const term_record&) = default;
 };
 
-/// Reads a record; an empty text is a record without any term.
+/// Parses a record; an empty text is a record without any term.
 [[nodiscard]] std::error_code
 ParseRecord(std::string_view aText, term_record& aRecord);
 
-/// The record as JSON.
+/// Serializes a record as JSON.
 [[nodiscard]] std::string
 SerializeRecord(const term_record& aRecord);
 
-/// Drops what no longer matters: numbers up to the published term, those of
-/// earlier incarnations of the VM, and the oldest beyond the bounds.
+/// Removes reservations up to the published term and of earlier incarnations of
+/// the VM, and the oldest entries beyond the limits.
 void
 PruneRecord(term_record& aRecord,
             const std::string& aVm,
--- a/src/currantshed/failover/term_reservations.cpp
+++ b/src/currantshed/failover/term_reservations.cpp
@@ -13,26 +13,29 @@
 
 using std::chrono::milliseconds;
 
-// The store's answer counts as lost after this; the change is read back.
+// Time after which a response of the store counts as lost; the change is then
+// read back.
 constexpr milliseconds kStoreTimeout{ 3000 };
 constexpr milliseconds kInitialBackoff{ 100 };
 constexpr milliseconds kMaxBackoff{ 5000 };
-// The same while a promoter waits for a term.
+// Maximum backoff while a promoter waits for a term.
 constexpr milliseconds kMaxUrgentBackoff{ 400 };
-// An owner without any term asks within this span, after those of lower ranks.
+// An owner without any term accesses the store within kFirstSpan, after the
+// owners of lower ranks.
 constexpr milliseconds kFirstSpan{ 300 };
 constexpr milliseconds kRankSpan{ 400 };
-// After a conflict, which shows that the store is up.
+// Delay after a conflict, which shows that the store is up.
 constexpr milliseconds kConflictPause{ 40 };
-// Terms are topped up at a moment within this span, so that many groups that
-// fail over together do not ask the store at once.
+// Reserved terms are replenished at a time within this span, so that many
+// groups that fail over together do not access the store at once.
 constexpr milliseconds kTopUpSpan{ 2000 };
 constexpr unsigned kDoublings = 6;
-// Conflicts in a row that are tried again at once.
+// Number of consecutive conflicts that are retried at once.
 constexpr unsigned kQuickRetries = 4;
 
-// Names a change by its author, what it was made from and what it makes: a
-// later book of the same incarnation never takes another change for its own.
+// Identifies a change by its author, the version that it is based on and its
+// content: a later object of the same incarnation never takes another change
+// for its own.
 std::string
 ChangeId(const incarnation_id& aIncarnation,
          const term_record& aChanged,
@@ -121,7 +124,7 @@
   }
   mState = state::kIdle;
   term_record record;
-  // A record that can't be read is never written over.
+  // A record that cannot be parsed is never overwritten.
   if (!aReached || ParseRecord(aEntry.value, record)) {
     Retry(aNow);
     return;
@@ -151,8 +154,8 @@
     return;
   }
   Retry(aNow);
-  // A conflict too may hide an earlier try that was applied: reading back
-  // tells.
+  // A conflict may also hide an earlier attempt that was applied; reading back
+  // shows it.
   const bool first = mFailures <= kQuickRetries;
   if (aOutcome == store::swap_outcome::kConflict && first) {
     mNotBefore = aNow + kConflictPause / 2 + Jitter(kConflictPause);
@@ -225,9 +228,9 @@
   return mUnpublished && aNow >= mPublishFrom;
 }
 
-// Takes over what the store says; true if a change of ours is in the way and
-// is sent again as it was. A change whose expected version has passed can
-// never be applied any more.
+// Compares the pending change with the store; true if it must be sent again
+// unchanged. A change whose expected version has passed can never be applied
+// any more.
 bool
 term_reservations::ResolvePending(const store::entry& aEntry,
                                   const term_record& aRecord)
@@ -318,7 +321,7 @@
   mNotBefore = aNow + pause / 2 + Jitter(pause / 2);
 }
 
-// Fixes once, for each need, when the store is asked.
+// Determines, once for each need, when the store is accessed.
 void
 term_reservations::ScheduleCall(clock::time_point aNow)
 {
--- a/src/currantshed/failover/term_reservations.hpp
+++ b/src/currantshed/failover/term_reservations.hpp
@@ -11,35 +11,35 @@
 
 namespace currantshed::failover {
 
-/// The term numbers that one pooler holds for a group. Keeps some reserved
-/// ahead in the platform's store by compare-and-swap, and publishes primaries
-/// there. While the store is down it keeps what it has. A number is used by
-/// one incarnation only, and only above every term seen.
+/// Terms that one pooler has reserved for a group. Keeps some reserved in the
+/// platform's store by compare-and-swap, and publishes primaries there. While
+/// the store is down, the reserved ones remain usable. A term is used by one
+/// incarnation only, and only if it is above every term seen.
 class term_reservations
 {
 public:
   explicit term_reservations(const coordinator_settings& aSettings);
 
-  /// Names the group, so that the groups of one pooler ask the store at
-  /// different moments.
+  /// Sets the group, whose name is part of the jitter: the groups of one pooler
+  /// then access the store at different times.
   void SetGroup(const group::group_name& aGroup);
 
-  /// Later ranks leave the store to earlier ones when all begin together.
+  /// Higher ranks access the store later when all owners start together.
   void SetRank(unsigned aRank) { mRank = aRank; }
 
-  /// A term was seen somewhere: only higher ones are of use from now on.
+  /// Records a term seen anywhere; only higher ones are usable from now on.
   void ObserveTerm(position::term_id aTerm);
 
-  /// The lowest number held above every term seen.
+  /// Lowest reserved term above every term seen.
   [[nodiscard]] std::optional<position::term_id> LowestUsable() const;
 
-  /// Removes a number: it is in use now.
+  /// Removes a term that is now in use.
   void MarkUsed(position::term_id aTerm);
 
-  /// Asks for numbers without delay while a promoter waits for one.
+  /// Requests terms without delay while a promoter waits for one.
   void SetUrgent(bool aUrgent);
 
-  /// Wants a primary published, not before the given time.
+  /// Schedules a primary for publication, not before the given time.
   void Publish(const primary_ref& aPrimary, clock::time_point aNotBefore);
 
   void RecordRead(bool aReached,
@@ -58,7 +58,7 @@
     kSwapping,
   };
 
-  // A change that has been sent and not been seen in the store yet.
+  // Change that was sent and has not been read back from the store yet.
   struct pending_change
   {
     std::string id;
--- a/src/currantshed/group/begin_flows.cpp
+++ b/src/currantshed/group/begin_flows.cpp
@@ -11,24 +11,24 @@
 using upstream::batch_end;
 using upstream::server_role;
 
-// Opening batch of a transaction that may change data: begin, status.
-constexpr std::size_t kOpeningStatus = 1;
-constexpr std::size_t kOpeningSize = 2;
+// First batch of a transaction that may change data: begin, status.
+constexpr std::size_t kPreambleStatus = 1;
+constexpr std::size_t kPreambleSize = 2;
 
 transaction
 MakeTransaction(const request& aRequest,
                 const dispatch& aDispatch,
                 const upstream::server_status& aStatus)
 {
-  transaction made;
-  made.connection = aDispatch.connection;
-  made.server = aDispatch.server;
-  made.failureDomain = aDispatch.failureDomain;
-  made.role = aStatus.role;
-  made.term = aStatus.term;
-  made.work = aRequest.work;
-  made.user = aRequest.id;
-  return made;
+  transaction result;
+  result.connection = aDispatch.connection;
+  result.server = aDispatch.server;
+  result.failureDomain = aDispatch.failureDomain;
+  result.role = aStatus.role;
+  result.term = aStatus.term;
+  result.work = aRequest.work;
+  result.user = aRequest.id;
+  return result;
 }
 
 bool
@@ -83,7 +83,7 @@
              connection_fate::kClose };
   }
   const auto isRefusal = aReply.end == batch_end::kServerError &&
-                         aReply.results.size() >= kOpeningSize &&
+                         aReply.results.size() >= kPreambleSize &&
                          aReply.sqlState != upstream::kStaleTermState &&
                          aReply.sqlState != upstream::kReadOnlyState;
   if (isRefusal) {
@@ -93,24 +93,24 @@
   if (aReply.end != batch_end::kComplete) {
     return { Retry(), connection_fate::kClose };
   }
-  const auto status = TakeStatus(Context(), mDispatch, aReply, kOpeningStatus);
+  const auto status = TakeStatus(Context(), mDispatch, aReply, kPreambleStatus);
   if (!status || status->role != server_role::kPrimary) {
     return { Retry(), connection_fate::kClose };
   }
   auto open = MakeTransaction(Request(), mDispatch, *status);
   open.digest.Add(Request().statements);
-  auto made = ServedBy(Request(), mDispatch, status->role);
-  made.transaction = Context().transactions.Add(std::move(open), aNow);
-  made.results.assign(
-    std::make_move_iterator(aReply.results.begin() + kOpeningSize),
+  auto result = ServedBy(Request(), mDispatch, status->role);
+  result.transaction = Context().transactions.Add(std::move(open), aNow);
+  result.results.assign(
+    std::make_move_iterator(aReply.results.begin() + kPreambleSize),
     std::make_move_iterator(aReply.results.end()));
-  return { finish{ std::move(made) }, connection_fate::kPin };
+  return { finish{ std::move(result) }, connection_fate::kPin };
 }
 
 answer
 begin_write_flow::Expired(stage) const
 {
-  // Without a commit nothing of it stays.
+  // Without a commit, none of its changes persist.
   return NotRun(Request(), reason::kDeadline);
 }
 
@@ -167,7 +167,7 @@
 std::vector<upstream::statement>
 begin_read_flow::Preamble() const
 {
-  // The status within the transaction is what fixes the state that it sees.
+  // The status query in the transaction fixes its snapshot.
   const auto& dialect = *Context().dialect;
   return { dialect.Status(), dialect.Begin(true), dialect.Status() };
 }
--- a/src/currantshed/group/begin_flows.hpp
+++ b/src/currantshed/group/begin_flows.hpp
@@ -5,8 +5,8 @@
 
 namespace currantshed::group {
 
-/// Opens a transaction that may change data, at the primary. What its first
-/// statements return is provisional, as everything is before the commit.
+/// Opens a transaction that may change data, at the primary. Results of its
+/// first statements are provisional, as all results are before the commit.
 class begin_write_flow : public flow
 {
 public:
@@ -31,8 +31,8 @@
   dispatch mDispatch;
 };
 
-/// Opens a read-only transaction where a read may run. It sees one state of
-/// the data throughout, which is verified here as a read's is.
+/// Opens a read-only transaction on a server that may run reads. It sees a
+/// single snapshot, which is verified once, here, in the same way as a read.
 class begin_read_flow : public read_flow
 {
 public:
--- a/src/currantshed/group/changes.cpp
+++ b/src/currantshed/group/changes.cpp
@@ -180,7 +180,7 @@
   if (!mOutcomeUnknown) {
     return { finish{ std::move(result) }, connection_fate::kRollBack };
   }
-  // An earlier attempt may still run: the void decides.
+  // An earlier attempt may still run, so the void decides the outcome.
   mAnswerIfVoid = std::move(result);
   mPhase = phase::kVoid;
   return { requeue{}, connection_fate::kRollBack };
@@ -199,7 +199,8 @@
   }
   const auto record = outcome::ReadStoredOutcome(aReply.results[kLookUpRecord]);
   if (!record) {
-    // The record went with an unconfirmed history: the change hasn't run.
+    // The record was lost with an unconfirmed history, so the change has not
+    // run.
     mPhase = mOutcomeUnknown && !Request().work.repeatable ? phase::kVoid
                                                            : phase::kApply;
     return { Retry(reason::kNoPrimary), connection_fate::kKeep };
--- a/src/currantshed/group/connection_supply.cpp
+++ b/src/currantshed/group/connection_supply.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Connections of a server that open transactions leave to other requests.
+// Connections of a server that open transactions must leave to other requests.
 constexpr unsigned kReservedForOthers = 2;
 
 unsigned
--- a/src/currantshed/group/context.cpp
+++ b/src/currantshed/group/context.cpp
@@ -9,8 +9,8 @@
 using outcome::reason;
 using outcome::verdict;
 
-// When to come back, by what has to change first: a failover, a replica that
-// catches up, a connection to another gateway, a change of the group.
+// Retry delay, by what has to change first: a failover, a replica that catches
+// up, a connection to another gateway, a change of the group.
 constexpr std::chrono::milliseconds kAfterFailover{ 200 };
 constexpr std::chrono::milliseconds kAfterCatchUp{ 50 };
 constexpr std::chrono::milliseconds kAfterMove{ 100 };
@@ -35,11 +35,11 @@
 answer
 Make(const request& aRequest, verdict aVerdict, reason aWhy)
 {
-  answer made;
-  made.request = aRequest.id;
-  made.verdict = aVerdict;
-  made.why = aWhy;
-  return made;
+  answer result;
+  result.request = aRequest.id;
+  result.verdict = aVerdict;
+  result.why = aWhy;
+  return result;
 }
 
 } // namespace
@@ -70,9 +70,9 @@
 answer
 NotRun(const request& aRequest, reason aWhy)
 {
-  auto made = Make(aRequest, verdict::kNotRun, aWhy);
-  made.retryAfter = admit::AddJitter(TimeToComeBack(aWhy), aRequest.id);
-  return made;
+  auto result = Make(aRequest, verdict::kNotRun, aWhy);
+  result.retryAfter = admit::AddJitter(TimeToComeBack(aWhy), aRequest.id);
+  return result;
 }
 
 answer
@@ -90,10 +90,10 @@
 answer
 StatementRefused(const request& aRequest, const upstream::reply& aReply)
 {
-  auto made = Make(aRequest, verdict::kRefused, reason::kStatement);
-  made.sqlState = aReply.sqlState;
-  made.message = aReply.message;
-  return made;
+  auto result = Make(aRequest, verdict::kRefused, reason::kStatement);
+  result.sqlState = aReply.sqlState;
+  result.message = aReply.message;
+  return result;
 }
 
 answer
@@ -101,11 +101,11 @@
          const dispatch& aDispatch,
          upstream::server_role aRole)
 {
-  auto made = Make(aRequest, verdict::kDone, reason::kNone);
-  made.servedBy = aDispatch.server;
-  made.failureDomain = aDispatch.failureDomain;
-  made.byReplica = aRole != upstream::server_role::kPrimary;
-  return made;
+  auto result = Make(aRequest, verdict::kDone, reason::kNone);
+  result.servedBy = aDispatch.server;
+  result.failureDomain = aDispatch.failureDomain;
+  result.byReplica = aRole != upstream::server_role::kPrimary;
+  return result;
 }
 
 } // namespace currantshed::group
--- a/src/currantshed/group/dispatch.cpp
+++ b/src/currantshed/group/dispatch.cpp
@@ -10,12 +10,12 @@
 
 using outcome::reason;
 
-// Waiting requests that are looked at for each event.
+// Maximum number of waiting requests examined per event.
 constexpr int kMaxExamined = 32;
-// While all slots are taken, waiting requests are looked at this often.
+// Interval at which waiting requests are examined while no slot is free.
 constexpr std::chrono::milliseconds kFullDispatchInterval{ 10 };
-// Requests sent for one reply: the one that waits for the place, and the one
-// that was answered itself if it goes on elsewhere.
+// Requests sent per reply: the one that waits for the slot, and the one just
+// answered if it continues on another server.
 constexpr std::size_t kMaxSentPerFreed = 2;
 
 } // namespace
@@ -24,8 +24,8 @@
 group_engine::DispatchAll(clock::time_point aNow)
 {
   DispatchTransactions(aNow);
-  // While all slots are taken, the queues only need a look for requests that
-  // have waited for too long.
+  // While no slot is free, the queues only need to be examined for requests
+  // that have waited too long.
   if (mConnections.HasSlot() ||
       aNow >= mLastFullDispatch + kFullDispatchInterval) {
     mLastFullDispatch = aNow;
@@ -49,13 +49,13 @@
 group_engine::DispatchQueues(std::size_t aMaxSent, clock::time_point aNow)
 {
   mConnections.BeginPass();
-  // All lanes in one order; the first ones only, since those behind them
-  // would wait for the same servers.
+  // All queues in one order of priority. Only the first requests are examined,
+  // since those behind them would wait for the same servers.
   std::vector<admit::waiting> waiting;
   for (const auto* queue : { &mReads, &mFreshReads, &mWrites }) {
-    int looked = 0;
+    int examined = 0;
     for (const auto& request : queue->Entries()) {
-      if (++looked > kMaxExamined) {
+      if (++examined > kMaxExamined) {
         break;
       }
       waiting.push_back(request);
@@ -106,8 +106,8 @@
   const auto chosen = requestFlow.ChooseServer(
     mConnections.Candidates(requestFlow.ReadOnly(), isBegin, aNow), aNow);
   if (chosen.state == route::availability::kNone) {
-    if (auto made = requestFlow.OnNoServer(chosen.why, aNow)) {
-      Finish(aRequest, std::move(*made));
+    if (auto result = requestFlow.OnNoServer(chosen.why, aNow)) {
+      Finish(aRequest, std::move(*result));
     }
     return false;
   }
@@ -115,9 +115,9 @@
     return false;
   }
   if (IsTooLate(found->second, aNow)) {
-    auto made = NotRun(requestFlow.Request(), reason::kOverloaded);
-    made.retryAfter = QueueOf(found->second.queue).RetryAfter(aRequest, aNow);
-    Finish(aRequest, std::move(made));
+    auto result = NotRun(requestFlow.Request(), reason::kOverloaded);
+    result.retryAfter = QueueOf(found->second.queue).RetryAfter(aRequest, aNow);
+    Finish(aRequest, std::move(result));
     return false;
   }
   const auto connection =
@@ -132,7 +132,8 @@
 bool
 group_engine::IsTooLate(const entry& aEntry, clock::time_point aNow)
 {
-  // What was sent before may have to be resolved, and goes on.
+  // A request that was sent before may have an unknown outcome to resolve, so
+  // it continues.
   const auto wasSent = aEntry.sentAt != clock::time_point{};
   return !wasSent &&
          !QueueOf(aEntry.queue)
@@ -162,13 +163,13 @@
 
 void
 group_engine::ApplyReply(request_id aRequest,
-                         reply_outcome aTurn,
+                         reply_outcome aOutcome,
                          clock::time_point aNow)
 {
   auto& entry = mEntries.at(aRequest);
   mRunning.erase(aRequest);
-  mConnections.ApplyFate(entry.connection, aTurn.fate);
-  Apply(aRequest, std::move(aTurn.next), aNow);
+  mConnections.ApplyFate(entry.connection, aOutcome.fate);
+  Apply(aRequest, std::move(aOutcome.next), aNow);
 }
 
 void
@@ -193,7 +194,8 @@
   entry.currentStage = stage::kQueued;
   if (entry.queue == queue_kind::kTransactions &&
       !entry.requestFlow->Pinned()) {
-    // A commit in doubt is resolved wherever the primary is.
+    // A commit with an unknown outcome is resolved on whichever server is the
+    // primary.
     entry.queue = queue_kind::kWrites;
   }
   QueueOf(entry.queue).Requeue(WaitingOf(entry.requestFlow->Request()));
@@ -233,7 +235,8 @@
   }
   auto& entry = found->second;
   const auto& request = entry.requestFlow->Request();
-  // A transaction whose request goes while it may have changed it is lost.
+  // A transaction is lost when its request ends while a batch of it may have
+  // run.
   if (auto* open = mContext.transactions.UsedBy(aRequest)) {
     open->user.reset();
     if (entry.currentStage != stage::kQueued) {
--- a/src/currantshed/group/engine.hpp
+++ b/src/currantshed/group/engine.hpp
@@ -21,12 +21,12 @@
 {
   connection_id connection = 0;
   upstream::server_id server;
-  /// Asks the server to refuse every change on this connection.
+  /// Makes the server refuse every change on this connection.
   bool readOnly = false;
 };
 
-/// Closes a connection at once, whatever is under way on it. Nothing is
-/// reported back for it.
+/// Closes a connection immediately, whatever is in progress on it. No event is
+/// reported for it afterwards.
 struct close_connection
 {
   connection_id connection = 0;
@@ -41,78 +41,79 @@
   std::vector<upstream::statement> statements;
 };
 
-/// Asks a server for its status, on a connection kept for this; answered by
-/// StatusArrived, or StatusFailed. The adapter notes when it sent the
-/// question. At most one question a server is under way.
+/// Requests the status of a server, on a connection reserved for this; answered
+/// by StatusArrived or StatusFailed. The adapter records when it sent the
+/// request. At most one request is in flight per server.
 struct request_status
 {
   upstream::server_id server;
 };
 
-/// Hands a final answer back.
+/// Returns a final answer.
 struct give_answer
 {
   answer reply;
 };
 
-/// What the engine wants done. The adapter does them in order.
+/// Action to be executed by the adapter, in order.
 using action = std::variant<open_connection,
                             close_connection,
                             run_batch,
                             request_status,
                             give_answer>;
 
-/// Bounds and times of one engine.
+/// Limits and times of one engine.
 struct engine_settings
 {
-  /// How long a majority's word holds, from when it was asked.
+  /// How long a confirmation by a majority is valid, from the time of the
+  /// status requests.
   std::chrono::milliseconds validity{ 200 };
-  /// Time between status rounds while nothing else asks for one.
+  /// Interval of status requests while no request needs an earlier one.
   std::chrono::milliseconds statusInterval{ 50 };
-  /// How long a status question may take before it counts as failed.
+  /// How long a status request may take before it counts as failed.
   std::chrono::milliseconds statusTimeout{ 150 };
-  /// How long an open transaction may be without a request.
+  /// How long an open transaction may be idle, without a request.
   std::chrono::milliseconds transactionIdle{ 10000 };
-  /// Requests that may wait in one engine.
+  /// Maximum number of waiting requests.
   std::size_t queueLimit = 512;
-  /// Share of a server's connections left for a takeover.
+  /// Fraction of a server's connections reserved for a failover.
   double takeoverReserve = 0.5;
-  /// How long outcomes are kept; an older key is refused.
+  /// How long outcomes are kept; an older key is rejected.
   std::chrono::hours keyRetention{ 24 };
 };
 
-/// All decisions about the requests of one group at the pooler that leads it:
-/// the choice of server, connections and slots, verified reads, confirmation
-/// by a majority, transactions, and the resolution of doubt. Does no I/O:
-/// events and the time go in, actions come out. Not safe for use by several
-/// threads.
+/// Decides about the requests of one group at the pooler that serves it: choice
+/// of server, connections and slots, verified reads, confirmation by a
+/// majority, transactions, and the resolution of unknown outcomes. Performs no
+/// I/O: it takes events with the current time and returns actions. Not
+/// thread-safe.
 class engine
 {
 public:
   virtual ~engine() = default;
 
-  /// Takes over the group's servers as the platform gives them now.
+  /// Replaces the list of servers of the group.
   virtual void Configure(const description& aGroup, clock::time_point aNow) = 0;
 
-  /// Accepts a request; its one answer comes as an action, at once or later.
-  /// The wall time dates idempotency keys.
+  /// Accepts a request. Its single answer is an action, at once or later. The
+  /// wall time is used for the age of idempotency keys.
   virtual void Submit(request aRequest,
                       clock::time_point aNow,
                       clock::wall_time aWallNow) = 0;
 
-  /// The caller has gone: what has not been sent is dropped, what runs is
-  /// left to end. No answer is given.
+  /// The caller has disconnected. A request that has not been sent is dropped;
+  /// a batch in progress runs to its end. No answer is returned.
   virtual void Cancel(request_id aRequest, clock::time_point aNow) = 0;
 
   virtual void ConnectionOpened(connection_id aConnection,
                                 clock::time_point aNow) = 0;
 
-  /// The server could not be reached, or refused the connection.
+  /// The server could not be reached or refused the connection.
   virtual void ConnectionFailed(connection_id aConnection,
                                 clock::time_point aNow) = 0;
 
-  /// An open connection broke. A batch under way is reported by Replied as
-  /// torn before this.
+  /// An open connection broke. A batch in progress on it is reported as torn by
+  /// Replied first.
   virtual void ConnectionLost(connection_id aConnection,
                               clock::time_point aNow) = 0;
 
@@ -121,7 +122,7 @@
                        upstream::reply aReply,
                        clock::time_point aNow) = 0;
 
-  /// A server's status; aAskedAt is when the question was sent.
+  /// Status of a server; aAskedAt is when the status request was sent.
   virtual void StatusArrived(const upstream::server_id& aServer,
                              const upstream::server_status& aStatus,
                              clock::time_point aAskedAt,
@@ -130,23 +131,23 @@
   virtual void StatusFailed(const upstream::server_id& aServer,
                             clock::time_point aNow) = 0;
 
-  /// Takes no new work from now on; what is under way ends as usual.
+  /// Accepts no new requests or transactions; work in progress ends normally.
   virtual void Drain(clock::time_point aNow) = 0;
 
-  /// Lets time pass: deadlines, timeouts, the next round of questions.
+  /// Processes everything that is due: deadlines, timeouts, status requests.
   virtual void Tick(clock::time_point aNow) = 0;
 
-  /// When Tick is due at the latest.
+  /// Latest time at which Tick must be called.
   [[nodiscard]] virtual clock::time_point NextTick() const noexcept = 0;
 
-  /// Requests and open transactions that have not ended.
+  /// Number of requests and open transactions that have not ended.
   [[nodiscard]] virtual std::size_t Pending() const noexcept = 0;
 
-  /// Hands over the actions since the last call, oldest first.
+  /// Returns the actions since the last call, oldest first.
   [[nodiscard]] virtual std::vector<action> TakeActions() = 0;
 };
 
-/// Makes the engine of one group.
+/// Creates the engine of one group.
 [[nodiscard]] std::unique_ptr<engine>
 MakeEngine(const engine_settings& aSettings);
 
--- a/src/currantshed/group/flow.cpp
+++ b/src/currantshed/group/flow.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-// Part of its time that a request waits for a server at most.
-constexpr int kWaitPart = 2;
-// A group that has had no primary for longer will not have one soon.
-constexpr std::chrono::milliseconds kLongestFailover{ 2000 };
+// Divisor of its total time that limits how long a request waits for a server.
+constexpr int kWaitDivisor = 2;
+// A group without a primary for longer than this is unlikely to get one soon.
+constexpr std::chrono::milliseconds kMaxFailoverTime{ 2000 };
 
 } // namespace
 
@@ -60,11 +60,11 @@
 bool
 flow::HasWaitedTooLong(clock::time_point aNow) const
 {
-  clock::duration patience = (mRequest.deadline - mSubmitted) / kWaitPart;
-  if (mContext.primarySeenAt + kLongestFailover < aNow) {
-    patience = std::min<clock::duration>(patience, mContext.settings.validity);
+  clock::duration maxWait = (mRequest.deadline - mSubmitted) / kWaitDivisor;
+  if (mContext.primarySeenAt + kMaxFailoverTime < aNow) {
+    maxWait = std::min<clock::duration>(maxWait, mContext.settings.validity);
   }
-  return aNow >= mSubmitted + patience;
+  return aNow >= mSubmitted + maxWait;
 }
 
 clock::time_point
--- a/src/currantshed/group/group_engine.cpp
+++ b/src/currantshed/group/group_engine.cpp
@@ -7,10 +7,11 @@
 
 namespace {
 
-// While requests wait for what no event tells, they are looked at this often.
+// Interval at which waiting requests are examined for conditions that no event
+// reports.
 constexpr std::chrono::milliseconds kLookInterval{ 10 };
-// How long a transaction may be without a request once the pooler leaves: half
-// the deadline of 2 s of the writes that wait for the rows which it holds.
+// How long a transaction may be idle once the pooler is draining: half of the 2
+// s deadline of the writes that wait for the rows it has locked.
 constexpr std::chrono::milliseconds kLeavingIdle{ 1000 };
 
 } // namespace
@@ -133,7 +134,7 @@
   AfterEvent(aNow);
 }
 
-// How long an open transaction may be without a request.
+// How long an open transaction may be idle.
 std::chrono::milliseconds
 group_engine::TransactionIdle() const noexcept
 {
--- a/src/currantshed/group/group_engine.hpp
+++ b/src/currantshed/group/group_engine.hpp
@@ -18,10 +18,9 @@
 
 namespace currantshed::group {
 
-/// The engine of one group. It moves requests along: from the queues to
-/// connections, from replies to what comes next, from news to those who wait
-/// for them, and out at the end of their time. What each request does on its
-/// way is for its flow to say.
+/// Engine of one group. Moves requests from the queues to connections, from
+/// replies to their next step, and on status updates and deadlines. The steps
+/// of each request are determined by its flow.
 class group_engine final : public engine
 {
 public:
@@ -55,8 +54,8 @@
   [[nodiscard]] std::vector<action> TakeActions() override;
 
 private:
-  /// Which queue a request waits in: those in one wait for the same servers,
-  /// so that the rate at which it drains tells how long each will wait.
+  /// Dispatch queue of a request. Requests in the same queue wait for the same
+  /// servers, so the rate at which it drains predicts their waiting time.
   enum class queue_kind
   {
     kReads,
@@ -65,7 +64,7 @@
     kTransactions,
   };
 
-  /// A request on its way.
+  /// Request in progress.
   struct entry
   {
     std::unique_ptr<flow> requestFlow;
@@ -77,7 +76,7 @@
 
   using timed_request = std::pair<clock::time_point, request_id>;
 
-  /// The answer that can be given before anything is tried.
+  /// Returns the answer if the request can be answered without being sent.
   [[nodiscard]] std::optional<answer> Precheck(request& aRequest,
                                                clock::time_point aNow,
                                                clock::wall_time aWallNow);
@@ -87,19 +86,21 @@
   [[nodiscard]] static queue_kind QueueKindOf(const request& aRequest);
   [[nodiscard]] static admit::waiting WaitingOf(const request& aRequest);
   [[nodiscard]] admit::deadline_queue& QueueOf(queue_kind aKind);
-  /// Gives a new request its place, or its refusal.
+  /// Adds a new request to its queue, or refuses it.
   void Enqueue(entry aEntry, clock::time_point aNow);
 
-  /// Sends what can be sent.
+  /// Sends all waiting requests that can be sent.
   void DispatchAll(clock::time_point aNow);
   void DispatchTransactions(clock::time_point aNow);
   void DispatchQueues(std::size_t aMaxSent, clock::time_point aNow);
-  /// The same after one place or connection became free: what can't be sent
-  /// for it couldn't before either, so the rest waits for the next full look.
+  /// Does the same after one slot or connection became free. Requests that
+  /// cannot use it could not be sent before either, so they wait for the next
+  /// call of DispatchAll.
   void DispatchFreed(clock::time_point aNow);
-  /// Tries to send one waiting request; false when it has to go on waiting.
+  /// Tries to send one waiting request; false if it has to keep waiting.
   bool TrySend(request_id aRequest, clock::time_point aNow);
-  /// Whether a request that was never sent would only run in vain.
+  /// Whether a request that was never sent can no longer end before its
+  /// deadline.
   [[nodiscard]] bool IsTooLate(const entry& aEntry, clock::time_point aNow);
   void Send(request_id aRequest,
             connection_id aConnection,
@@ -107,14 +108,14 @@
 
   void Apply(request_id aRequest, step aStep, clock::time_point aNow);
   void ApplyReply(request_id aRequest,
-                  reply_outcome aTurn,
+                  reply_outcome aOutcome,
                   clock::time_point aNow);
   void Finish(request_id aRequest, answer aAnswer);
   void AbortBatch(request_id aRequest, clock::time_point aNow);
-  /// Takes a request out of everything; true when there was one.
+  /// Removes a request from all queues and sets; true if it was present.
   void Remove(request_id aRequest);
 
-  /// Tells those who wait for the servers' words that there are news.
+  /// Passes a status update to the requests that wait for one.
   void NotifyWaiters(clock::time_point aNow);
   void Expire(clock::time_point aNow);
   void AbortStaleBatches(clock::time_point aNow);
@@ -122,11 +123,12 @@
   [[nodiscard]] std::chrono::milliseconds TransactionIdle() const noexcept;
   void PollStatus(clock::time_point aNow);
   [[nodiscard]] poll_demand PollDemand() const;
-  /// What follows every event.
+  /// Ends the processing of an event: dispatches all queues.
   void AfterEvent(clock::time_point aNow);
-  /// What follows one place or connection that became free.
+  /// Ends the processing of an event that freed one slot or connection.
   void AfterFreed(clock::time_point aNow);
-  /// What follows one request that came: the others can go no sooner for it.
+  /// Ends the processing of a new request, which cannot make the other ones
+  /// sendable.
   void AfterSubmit(request_id aRequest, clock::time_point aNow);
   void FinishEvent(clock::time_point aNow);
 
@@ -144,9 +146,9 @@
   absl::btree_set<request_id> mRunning;
   absl::btree_set<request_id> mAwaiting;
   position::term_id mTermSeen = 0;
-  // The version of the board whose news were spread last.
+  // Version of the tracker that waiting requests were last notified of.
   std::uint64_t mVersionSeen = 0;
-  // When the queues were last looked at.
+  // When all queues were last examined.
   clock::time_point mLastFullDispatch{};
 };
 
--- a/src/currantshed/group/maintenance.cpp
+++ b/src/currantshed/group/maintenance.cpp
@@ -41,27 +41,27 @@
   while (!mDeadlines.empty() && mDeadlines.begin()->first <= aNow) {
     const auto request = mDeadlines.begin()->second;
     auto& entry = mEntries.at(request);
-    auto made = entry.requestFlow->Expired(entry.currentStage);
+    auto result = entry.requestFlow->Expired(entry.currentStage);
     const auto connection = entry.connection;
     const auto isRunning = entry.currentStage == stage::kRunning;
     Remove(request);
     if (isRunning) {
       mConnections.Close(connection);
     }
-    mActions.emplace_back(give_answer{ std::move(made) });
+    mActions.emplace_back(give_answer{ std::move(result) });
   }
 }
 
 void
 group_engine::AbortStaleBatches(clock::time_point aNow)
 {
-  std::vector<request_id> overtaken;
+  std::vector<request_id> stale;
   for (const auto request : mRunning) {
     if (mEntries.at(request).requestFlow->ShouldAbort(aNow)) {
-      overtaken.push_back(request);
+      stale.push_back(request);
     }
   }
-  for (const auto request : overtaken) {
+  for (const auto request : stale) {
     AbortBatch(request, aNow);
   }
 }
@@ -70,7 +70,8 @@
 group_engine::EndTransactions(clock::time_point)
 {
   for (const auto connection : mContext.transactions.TakeAbandoned()) {
-    // What may run on it is left to the server, which drops the transaction.
+    // A batch that may run on it is left to the server, which rolls the
+    // transaction back.
     mConnections.Close(connection);
   }
 }
--- a/src/currantshed/group/read_verification.cpp
+++ b/src/currantshed/group/read_verification.cpp
@@ -8,9 +8,9 @@
 using upstream::server_role;
 using upstream::server_status;
 
-// Whether nothing that a statement saw between the two words can have been
-// dropped before the second one. A server drops records only when it begins
-// to follow a new primary; its log then ends lower, or in a later term.
+// Whether nothing that a statement saw between the two statuses can have been
+// dropped before the second one. A server drops records only when it begins to
+// follow a new primary; its log then ends lower, or in a later term.
 bool
 HasKeptHistory(const server_status& aBefore,
                const server_status& aAfter,
--- a/src/currantshed/group/reads.cpp
+++ b/src/currantshed/group/reads.cpp
@@ -13,11 +13,11 @@
 using outcome::reason;
 using upstream::batch_end;
 
-// Part of its time that a read waits for a replica which could take it,
-// before it goes to the primary.
-constexpr int kPrimaryFallbackFraction = 4;
-// Status intervals without a word from a server, at least, before a read that
-// runs there is tried elsewhere.
+// Divisor of its total time: how long a read waits for a replica that could
+// serve it before it may go to the primary.
+constexpr int kPrimaryFallbackDivisor = 4;
+// Minimum number of status intervals without an answer from a server before a
+// read that runs there is retried on another server.
 constexpr int kMinSilentIntervals = 2;
 
 } // namespace
@@ -40,7 +40,7 @@
     request.work.maxStaleness,
     IsFresh(request),
     mTriedServers,
-    aNow >= Submitted() + time / kPrimaryFallbackFraction
+    aNow >= Submitted() + time / kPrimaryFallbackDivisor
   };
   return route::ChooseForRead(aCandidates, need, Context().tracker, aNow);
 }
@@ -48,7 +48,7 @@
 std::optional<answer>
 read_flow::OnNoServer(reason aWhy, clock::time_point aNow)
 {
-  // Servers that were behind may have caught up when it comes to them again.
+  // Servers that were behind may have caught up by the next attempt.
   mTriedServers.clear();
   if (aWhy == reason::kNoEligibleServer || HasWaitedTooLong(aNow)) {
     return NotRun(Request(), aWhy);
@@ -74,8 +74,8 @@
 bool
 read_flow::ShouldAbort(clock::time_point aNow) const
 {
-  // A server that runs a long statement still tells its status; one that is
-  // silent is cut off or stuck.
+  // A server that runs a long statement still answers status requests; one that
+  // does not answer is cut off or frozen.
   const auto& settings = Context().settings;
   const auto time = Request().deadline - mDispatch.sentAt;
   const auto minSilence = settings.statusInterval * kMinSilentIntervals;
@@ -133,7 +133,7 @@
 answer
 read_flow::Expired(stage) const
 {
-  // What a read did is gone with its rows.
+  // A read has no effects beyond its rows.
   return NotRun(Request(), reason::kDeadline);
 }
 
--- a/src/currantshed/group/reads.hpp
+++ b/src/currantshed/group/reads.hpp
@@ -6,9 +6,9 @@
 
 namespace currantshed::group {
 
-/// A read: its statements run between two questions for the server's status
-/// and its rows are shown only if the evidence is good. Otherwise it runs
-/// again elsewhere, as far as its deadline and the retry budget allow.
+/// Read whose statements run between two status queries. Its rows are returned
+/// only if these verify it; otherwise it runs again on another server, as far
+/// as its deadline and the retry budget allow.
 class read_flow : public flow
 {
 public:
@@ -32,23 +32,23 @@
   [[nodiscard]] answer Expired(stage aStage) const override;
 
 protected:
-  /// What runs before the statements: a status first.
+  /// Statements that run before those of the caller; the first one is a status.
   [[nodiscard]] virtual std::vector<upstream::statement> Preamble() const;
 
-  /// Whether a status runs after the statements; else the last one of the
-  /// opening stands for it.
+  /// Whether a status query follows the statements; otherwise the last
+  /// statement of the preamble is used instead.
   [[nodiscard]] virtual bool NeedsStatusAfter() const;
 
   /// Where the last batch was sent.
   [[nodiscard]] const dispatch& Dispatched() const noexcept;
 
-  /// The servers' word around the last batch.
+  /// Statuses around the last batch.
   [[nodiscard]] const read_evidence& Evidence() const noexcept;
 
 private:
-  /// Goes by what the evidence says now.
+  /// Decides the next step from the evidence available now.
   [[nodiscard]] std::optional<step> Decide(clock::time_point aNow);
-  /// Runs it elsewhere if that may be.
+  /// Runs it on another server if the retry budget allows.
   [[nodiscard]] step RetryElsewhere(outcome::reason aWhy);
   [[nodiscard]] reply_outcome OnServerError(const upstream::reply& aReply);
   [[nodiscard]] reply_outcome OnTorn(const upstream::reply& aReply);
@@ -56,7 +56,7 @@
   dispatch mDispatch;
   read_evidence mEvidence;
   answer mAnswer;
-  // Servers tried in vain; forgotten when all have been.
+  // Servers on which it did not succeed; cleared when no candidate is left.
   std::vector<upstream::server_id> mTriedServers;
 };
 
--- a/src/currantshed/group/refusals.cpp
+++ b/src/currantshed/group/refusals.cpp
@@ -13,9 +13,9 @@
 constexpr std::string_view kConstraint = "23";
 constexpr std::string_view kRolledBack = "40";
 constexpr std::string_view kCompletionUnknown = "40003";
-// A statement that ran into the time set for statements would do so again.
+// A statement that exceeded the statement timeout would do so again.
 constexpr std::string_view kCancelled = "57014";
-// Rollback, resources, object state, operator, system.
+// Rollback, resources, object state, operator intervention, system errors.
 constexpr std::array<std::string_view, 5> kTransientClasses{ kRolledBack,
                                                              "53",
                                                              "55",
--- a/src/currantshed/group/resolve.cpp
+++ b/src/currantshed/group/resolve.cpp
@@ -69,11 +69,11 @@
   const auto& tracker = Context().tracker;
   const auto& position = Request().position;
   if (tracker.IsHeldByMajority(position, Submitted(), aNow)) {
-    answer made;
-    made.request = Request().id;
-    made.verdict = outcome::verdict::kDone;
-    made.position = position;
-    return finish{ std::move(made) };
+    answer result;
+    result.request = Request().id;
+    result.verdict = outcome::verdict::kDone;
+    result.position = position;
+    return finish{ std::move(result) };
   }
   const auto term = tracker.Term();
   if (term && term->term > position.term) {
--- a/src/currantshed/group/statement_connections.cpp
+++ b/src/currantshed/group/statement_connections.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// Whether a server goes by the same name at the same address.
+// Whether both have the same identifier and address.
 bool
 IsSameEndpoint(const member& aLeft, const member& aRight)
 {
@@ -74,8 +74,8 @@
 bool
 statement_connections::CanRun(connection_id aConnection) const
 {
-  // Whatever holds the slots may wait in the server for a lock of this very
-  // transaction, so its own statements never wait for them.
+  // Batches that occupy the slots may wait in the server for a lock of this
+  // transaction, so its own statements never wait for a slot.
   const auto found = mStates.find(aConnection);
   return found != mStates.end() && !found->second.running;
 }
--- a/src/currantshed/group/statement_rules.cpp
+++ b/src/currantshed/group/statement_rules.cpp
@@ -20,7 +20,7 @@
   "start",   "unlisten"
 };
 
-// Cuts a comment off the front of the text, with nested ones inside it.
+// Removes a comment from the front of the text, including nested ones.
 std::string_view
 WithoutBlockComment(std::string_view aSql)
 {
@@ -44,7 +44,7 @@
   return aSql.substr(place);
 }
 
-// Cuts off what may stand before the first word.
+// Removes what may precede the first keyword.
 std::string_view
 FromFirstWord(std::string_view aSql)
 {
--- a/src/currantshed/group/status_poller.cpp
+++ b/src/currantshed/group/status_poller.cpp
@@ -7,18 +7,18 @@
 
 namespace {
 
-// Least time between two questions to a server while somebody waits: it
-// grows by a step with each request in the engine, between the two bounds.
-constexpr std::chrono::microseconds kShortestGap{ 100 };
-constexpr std::chrono::microseconds kLongestGap{ 1000 };
-constexpr std::chrono::microseconds kGapForRequest{ 25 };
+// Minimum time between two status requests to a server while a request waits.
+// It grows by a step with each request in the engine, between the two bounds.
+constexpr std::chrono::microseconds kMinGap{ 100 };
+constexpr std::chrono::microseconds kMaxGap{ 1000 };
+constexpr std::chrono::microseconds kGapPerRequest{ 25 };
 
 std::chrono::microseconds
-LeastGap(std::size_t aRequests)
+GapFor(std::size_t aRequests)
 {
-  constexpr std::size_t kMost = kLongestGap / kGapForRequest;
-  const auto steps = static_cast<int>(std::min(aRequests, kMost));
-  return std::max(kShortestGap, kGapForRequest * steps);
+  constexpr std::size_t kMaxSteps = kMaxGap / kGapPerRequest;
+  const auto steps = static_cast<int>(std::min(aRequests, kMaxSteps));
+  return std::max(kMinGap, kGapPerRequest * steps);
 }
 
 } // namespace
@@ -97,12 +97,12 @@
     return clock::time_point::min();
   }
   if (aRequest.inFlight) {
-    // Without an answer for so long, the question counts as failed.
+    // Without an answer for this long, the status request counts as failed.
     return aRequest.sentAt + mTimeout;
   }
   const auto isWanted = aDemand.hasWaiters || aRequest.sentAt < mRequiredSince;
   if (isWanted && !aRequest.failed) {
-    return aRequest.sentAt + LeastGap(aDemand.requests);
+    return aRequest.sentAt + GapFor(aDemand.requests);
   }
   return aRequest.sentAt + mInterval;
 }
--- a/src/currantshed/group/submit.cpp
+++ b/src/currantshed/group/submit.cpp
@@ -15,8 +15,9 @@
 
 using outcome::reason;
 
-// Requests in all, those under way included, for each that may wait.
-constexpr std::size_t kEntriesForWaiting = 4;
+// Maximum number of requests, including those in progress, per request that may
+// wait.
+constexpr std::size_t kEntriesPerWaiting = 4;
 
 bool
 IsInTransaction(operation aKind)
@@ -63,14 +64,15 @@
                      clock::time_point aNow,
                      clock::wall_time aWallNow)
 {
-  if (auto made = Precheck(aRequest, aNow, aWallNow)) {
-    mActions.emplace_back(give_answer{ std::move(*made) });
+  if (auto result = Precheck(aRequest, aNow, aWallNow)) {
+    mActions.emplace_back(give_answer{ std::move(*result) });
     return;
   }
   entry entered;
   entered.queue = QueueKindOf(aRequest);
-  const auto isQuestion = aRequest.kind == operation::kReconfirm;
-  entered.currentStage = isQuestion ? stage::kAwaitingStatus : stage::kQueued;
+  const auto needsNoServer = aRequest.kind == operation::kReconfirm;
+  entered.currentStage =
+    needsNoServer ? stage::kAwaitingStatus : stage::kQueued;
   const auto request = aRequest.id;
   entered.requestFlow = MakeFlow(std::move(aRequest), aNow);
   Enqueue(std::move(entered), aNow);
@@ -89,8 +91,8 @@
     return Refused(aRequest, reason::kMalformed);
   }
   if (IsInTransaction(aRequest.kind)) {
-    if (auto made = PrecheckInTransaction(aRequest)) {
-      return made;
+    if (auto result = PrecheckInTransaction(aRequest)) {
+      return result;
     }
   } else if (mDraining && aRequest.kind != operation::kReconfirm) {
     return NotRun(aRequest, reason::kLeaving);
@@ -204,20 +206,20 @@
   auto& queue = QueueOf(aEntry.queue);
   if (aEntry.currentStage == stage::kQueued) {
     const auto hasRoom =
-      mEntries.size() < kEntriesForWaiting * mContext.settings.queueLimit;
+      mEntries.size() < kEntriesPerWaiting * mContext.settings.queueLimit;
     const auto offered =
       hasRoom ? queue.TryAdmit(waiting, aNow) : admit::admission{};
     if (!offered.admitted) {
-      auto made = NotRun(request, reason::kOverloaded);
-      made.retryAfter = queue.RetryAfter(id, aNow);
-      mActions.emplace_back(give_answer{ std::move(made) });
+      auto result = NotRun(request, reason::kOverloaded);
+      result.retryAfter = queue.RetryAfter(id, aNow);
+      mActions.emplace_back(give_answer{ std::move(result) });
       return;
     }
     for (const auto displaced : offered.displaced) {
-      auto made = NotRun(mEntries.at(displaced).requestFlow->Request(),
-                         reason::kOverloaded);
-      made.retryAfter = queue.RetryAfter(displaced, aNow);
-      Finish(displaced, std::move(made));
+      auto result = NotRun(mEntries.at(displaced).requestFlow->Request(),
+                           reason::kOverloaded);
+      result.retryAfter = queue.RetryAfter(displaced, aNow);
+      Finish(displaced, std::move(result));
     }
     mContext.retries.Deposit();
   } else {
--- a/src/currantshed/group/transaction_flows.cpp
+++ b/src/currantshed/group/transaction_flows.cpp
@@ -11,8 +11,8 @@
 using upstream::batch_end;
 using upstream::server_role;
 
-// The connection that an open transaction owns; one that no connection has
-// when the transaction is gone.
+// Connection that an open transaction owns; an identifier that no connection
+// has if the transaction no longer exists.
 connection_id
 ConnectionOf(context& aContext, transaction_id aTransaction)
 {
@@ -90,12 +90,12 @@
   }
   open->digest.Add(Request().statements);
   open->lastUsed = aNow;
-  auto made = ServedBy(Request(), mDispatch, open->role);
-  made.transaction = open->id;
-  made.position = open->position;
+  auto result = ServedBy(Request(), mDispatch, open->role);
+  result.transaction = open->id;
+  result.position = open->position;
   aReply.results.pop_back();
-  made.results = std::move(aReply.results);
-  return { finish{ std::move(made) }, connection_fate::kPin };
+  result.results = std::move(aReply.results);
+  return { finish{ std::move(result) }, connection_fate::kPin };
 }
 
 answer
@@ -192,14 +192,14 @@
 reply_outcome
 end_flow::Replied(upstream::reply aReply, clock::time_point)
 {
-  auto made = ServedBy(Request(), mDispatch, server_role::kPrimary);
+  auto result = ServedBy(Request(), mDispatch, server_role::kPrimary);
   if (const auto* open = Context().transactions.Find(Request().transaction)) {
-    made.position = open->position;
-    made.byReplica = open->role != server_role::kPrimary;
+    result.position = open->position;
+    result.byReplica = open->role != server_role::kPrimary;
   }
   Context().transactions.Remove(Request().transaction);
-  // Where the reply is torn, the server drops the transaction by itself.
-  return { finish{ std::move(made) },
+  // If the reply is torn, the server rolls the transaction back itself.
+  return { finish{ std::move(result) },
            aReply.end == batch_end::kComplete ? connection_fate::kKeep
                                               : connection_fate::kClose };
 }
--- a/src/currantshed/group/writes.hpp
+++ b/src/currantshed/group/writes.hpp
@@ -5,8 +5,8 @@
 
 namespace currantshed::group {
 
-/// A write: its statements run in a transaction of their own, which records
-/// the outcome under the key first.
+/// Write whose statements run in a transaction of their own, which first
+/// records the outcome under the key.
 class write_flow : public change_flow
 {
 public:
