--- a/bench/currantshed/failover/coordinator.cpp
+++ b/bench/currantshed/failover/coordinator.cpp
@@ -11,8 +11,8 @@
 using namespace currantshed;
 using std::chrono::milliseconds;
 
-// One probe of each of the three servers of a healthy group, and their
-// answers: what an owner does for a group every probe interval.
+// One probe of each of the three servers of a healthy group, and their answers:
+// the work of an owner per group and probe interval.
 void
 ProbeRound(benchmark::State& aState)
 {
--- a/test/currantshed/failover/cluster_simulation.cpp
+++ b/test/currantshed/failover/cluster_simulation.cpp
@@ -8,7 +8,7 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kCallTimeout{ 150 };
-constexpr milliseconds kBeatInterval{ 100 };
+constexpr milliseconds kHeartbeatInterval{ 100 };
 constexpr milliseconds kReplicateInterval{ 5 };
 constexpr milliseconds kWriteInterval{ 20 };
 constexpr milliseconds kValidity{ 200 };
@@ -21,9 +21,9 @@
 
 } // namespace
 
-cluster_simulation::cluster_simulation(const world_settings& aSettings)
+cluster_simulation::cluster_simulation(const simulation_settings& aSettings)
   : mSettings(aSettings)
-  , mChance(aSettings.seed)
+  , mGenerator(aSettings.seed)
   , mServers(aSettings.servers)
 {
   mGroup.name = "claimsbook-1";
@@ -46,7 +46,7 @@
         aCore.Configure(mGroup, rank, mSettings.poolers, mNow);
       });
     });
-    Push(mNow + Delay(), [this, pooler] { Beat(pooler); });
+    Push(mNow + Delay(), [this, pooler] { SendHeartbeat(pooler); });
   }
   Push(mNow, [this] { Write(); });
 }
@@ -207,15 +207,15 @@
 cluster_simulation::Do(std::size_t aPooler, const action& aAction)
 {
   auto& self = mPoolers.at(aPooler);
-  if (const auto* ask = std::get_if<probe>(&aAction)) {
+  if (const auto* probeAction = std::get_if<probe>(&aAction)) {
     const auto askedAt = mNow;
     Call(
       aPooler,
-      ask->server,
+      probeAction->server,
       [this](fake_server& aServer) {
         return std::pair{ true, aServer.Status(mNow) };
       },
-      [this, id = ask->server, askedAt](
+      [this, id = probeAction->server, askedAt](
         coordinator& aCore, bool aGood, const auto& aStatus) {
         if (aGood) {
           aCore.StatusArrived(id, aStatus, askedAt, mNow);
@@ -223,37 +223,38 @@
           aCore.StatusFailed(id, mNow);
         }
       });
-  } else if (const auto* ban = std::get_if<fence>(&aAction)) {
+  } else if (const auto* fenceAction = std::get_if<fence>(&aAction)) {
     Call(
       aPooler,
-      ban->server,
-      [this, term = ban->term](fake_server& aServer) {
+      fenceAction->server,
+      [this, term = fenceAction->term](fake_server& aServer) {
         const bool accepted = aServer.Fence(term);
         return std::pair{ accepted, aServer.Status(mNow) };
       },
-      [this, what = *ban](coordinator& aCore, bool aGood, const auto& aStatus) {
+      [this, what = *fenceAction](
+        coordinator& aCore, bool aGood, const auto& aStatus) {
         aCore.FenceAnswered(what.server, what.term, aGood, aStatus, mNow);
       });
-  } else if (const auto* raise = std::get_if<promote>(&aAction)) {
-    DoPromote(aPooler, *raise);
-  } else if (const auto* join = std::get_if<follow>(&aAction)) {
+  } else if (const auto* promoteAction = std::get_if<promote>(&aAction)) {
+    DoPromote(aPooler, *promoteAction);
+  } else if (const auto* followAction = std::get_if<follow>(&aAction)) {
     Call(
       aPooler,
-      join->server,
-      [this, what = *join](fake_server& aServer) {
+      followAction->server,
+      [this, what = *followAction](fake_server& aServer) {
         const bool accepted = aServer.Follow(what.term, what.primary, mNow);
         return std::pair{ accepted, aServer.Status(mNow) };
       },
-      [this,
-       what = *join](coordinator& aCore, bool aGood, const auto& aStatus) {
+      [this, what = *followAction](
+        coordinator& aCore, bool aGood, const auto& aStatus) {
         aCore.FollowAnswered(what.server, what.term, aGood, aStatus, mNow);
       });
   } else if (std::holds_alternative<read_record>(aAction)) {
     DoRead(aPooler);
   } else if (const auto* swap = std::get_if<swap_record>(&aAction)) {
     DoSwap(aPooler, *swap);
-  } else if (const auto* news = std::get_if<announce>(&aAction)) {
-    self.news = *news;
+  } else if (const auto* announced = std::get_if<announce>(&aAction)) {
+    self.announced = *announced;
   } else if (const auto* report = std::get_if<report_suspicion>(&aAction)) {
     self.report = report->report;
   }
@@ -265,9 +266,9 @@
                          const server_call& aCall,
                          const server_answer& aAnswer)
 {
-  const auto linked = [this, aPooler, aServer] {
+  const auto connected = [this, aPooler, aServer] {
     return mServers.At(aServer).alive &&
-           mServers.Linked(mPoolers.at(aPooler).name, aServer) && !Lost();
+           mServers.IsConnected(mPoolers.at(aPooler).name, aServer) && !Lost();
   };
   const auto fail = [this, aPooler, aAnswer] {
     Push(mNow + kCallTimeout, [this, aPooler, aAnswer] {
@@ -275,24 +276,25 @@
               [aAnswer](coordinator& aCore) { aAnswer(aCore, false, {}); });
     });
   };
-  Push(mNow + Delay(), [this, aPooler, aServer, aCall, aAnswer, linked, fail] {
-    if (!linked()) {
-      fail();
-      return;
-    }
-    const auto [accepted, status] = aCall(mServers.At(aServer));
-    Repeat(aServer, aCall);
-    if (!linked()) {
-      fail();
-      return;
-    }
-    Push(mNow + Delay(),
-         [this, aPooler, aAnswer, good = accepted, seen = status] {
-           Deliver(aPooler, [aAnswer, good, seen](coordinator& aCore) {
-             aAnswer(aCore, good, seen);
-           });
-         });
-  });
+  Push(mNow + Delay(),
+       [this, aPooler, aServer, aCall, aAnswer, connected, fail] {
+         if (!connected()) {
+           fail();
+           return;
+         }
+         const auto [accepted, status] = aCall(mServers.At(aServer));
+         Repeat(aServer, aCall);
+         if (!connected()) {
+           fail();
+           return;
+         }
+         Push(mNow + Delay(),
+              [this, aPooler, aAnswer, good = accepted, seen = status] {
+                Deliver(aPooler, [aAnswer, good, seen](coordinator& aCore) {
+                  aAnswer(aCore, good, seen);
+                });
+              });
+       });
 }
 
 void
@@ -301,10 +303,10 @@
 {
   constexpr unsigned kMille = 1000;
   constexpr unsigned kLatest = 3000;
-  if (mChance() % kMille >= mSettings.repeatPerMille) {
+  if (mGenerator() % kMille >= mSettings.repeatPerMille) {
     return;
   }
-  const milliseconds later{ mChance() % kLatest };
+  const milliseconds later{ mGenerator() % kLatest };
   Push(mNow + later, [this, aServer, aCall] {
     if (mServers.At(aServer).alive) {
       static_cast<void>(aCall(mServers.At(aServer)));
@@ -325,7 +327,7 @@
     [this, aWhat](fake_server& aServer) {
       const bool accepted = aServer.Promote(aWhat.term);
       if (accepted) {
-        NotePromotion(aWhat);
+        RecordPromotion(aWhat);
       }
       return std::pair{ accepted, aServer.Status(mNow) };
     },
@@ -335,7 +337,7 @@
 }
 
 void
-cluster_simulation::NotePromotion(const promote& aWhat)
+cluster_simulation::RecordPromotion(const promote& aWhat)
 {
   if (!mPromoted.emplace(aWhat.term, aWhat.server).second) {
     mViolations.push_back("two primaries in term " +
@@ -386,16 +388,17 @@
 }
 
 void
-cluster_simulation::Beat(std::size_t aPooler)
+cluster_simulation::SendHeartbeat(std::size_t aPooler)
 {
-  Push(mNow + kBeatInterval, [this, aPooler] { Beat(aPooler); });
+  Push(mNow + kHeartbeatInterval, [this, aPooler] { SendHeartbeat(aPooler); });
   const auto& self = mPoolers.at(aPooler);
   if (!self.alive || self.pausedUntil > mNow) {
     return;
   }
   for (std::size_t peer = 0; peer < mPoolers.size(); ++peer) {
-    const bool linked = mServers.Linked(self.name, mPoolers.at(peer).name);
-    if (peer == aPooler || !linked || Lost()) {
+    const bool connected =
+      mServers.IsConnected(self.name, mPoolers.at(peer).name);
+    if (peer == aPooler || !connected || Lost()) {
       continue;
     }
     Push(mNow + Delay(),
@@ -404,18 +407,18 @@
           from = self.name,
           domain = "d" + std::to_string(aPooler % 3),
           report = self.report,
-          news = self.news] {
+          announced = self.announced] {
            Deliver(peer, [=, this](coordinator& aCore) {
              aCore.PeerSuspects(from, domain, report, mNow);
-             if (news.term > 0) {
-               aCore.PeerAnnounces(news.term, news.primary, mNow);
+             if (announced.term > 0) {
+               aCore.PeerAnnounces(announced.term, announced.primary, mNow);
              }
            });
          });
   }
 }
 
-// Replicates, and at every other turn writes and confirms at each pooler.
+// Replicates, and on every other call writes and confirms at each pooler.
 void
 cluster_simulation::Write()
 {
@@ -426,7 +429,7 @@
     const bool confirmed =
       std::any_of(mPoolers.begin(), mPoolers.end(), [&](const auto& aPooler) {
         return aPooler.alive &&
-               mServers.Holders(aPooler.name, record) >= majority;
+               mServers.CountHolders(aPooler.name, record) >= majority;
       });
     if (confirmed) {
       mConfirmed.push_back({ record, mNow });
@@ -460,14 +463,14 @@
 cluster_simulation::Lost()
 {
   constexpr unsigned kMille = 1000;
-  return mChance() % kMille < mSettings.lossPerMille;
+  return mGenerator() % kMille < mSettings.lossPerMille;
 }
 
 clock::duration
 cluster_simulation::Delay()
 {
   constexpr unsigned kSpread = 2500;
-  return microseconds{ 500 + static_cast<int>(mChance() % kSpread) };
+  return microseconds{ 500 + static_cast<int>(mGenerator() % kSpread) };
 }
 
 coordinator_settings
--- a/test/currantshed/failover/cluster_simulation.hpp
+++ b/test/currantshed/failover/cluster_simulation.hpp
@@ -11,31 +11,32 @@
 
 namespace currantshed::failover::test {
 
-/// How a world is made.
-struct world_settings
+/// Parameters of a simulation.
+struct simulation_settings
 {
   unsigned poolers = 3;
   unsigned servers = 3;
-  /// Messages out of a thousand that are lost, each way, while faults last.
+  /// Messages per thousand that are lost, in each direction, while faults last.
   unsigned lossPerMille = 0;
-  /// Requests to servers out of a thousand that arrive once more, up to three
+  /// Requests to servers per thousand that arrive a second time, up to three
   /// seconds later.
   unsigned repeatPerMille = 0;
   std::uint64_t seed = 1;
-  /// Every pooler takes itself for the first one.
+  /// Whether every pooler has rank zero.
   bool sameRank = false;
 };
 
 /// Coordinators of one group at several poolers, p0, p1 and so on, with fake
 /// servers and a fake store, in virtual time. A writer at each pooler keeps
-/// adding changes at every server that calls itself primary, and notes which
-/// of them a majority confirmed. Breaches of the rules are collected as text.
+/// adding changes at every server that reports itself primary, and records
+/// which of them a majority confirmed. Violations of the rules are collected as
+/// text.
 class cluster_simulation
 {
 public:
-  explicit cluster_simulation(const world_settings& aSettings);
+  explicit cluster_simulation(const simulation_settings& aSettings);
 
-  /// Does something at a time from the beginning.
+  /// Runs a function at the given time after the start.
   void At(std::chrono::milliseconds aTime, std::function<void()> aWhat);
   void Run(std::chrono::milliseconds aUntil);
 
@@ -47,9 +48,9 @@
 
   void KillPooler(unsigned aPooler);
   void PausePooler(unsigned aPooler, std::chrono::milliseconds aFor);
-  /// Cuts a pooler or server off from everything else.
+  /// Disconnects a pooler or server from all others, or reconnects it.
   void Isolate(const std::string& aName, bool aCut);
-  /// From now on messages are neither lost nor repeated.
+  /// Stops the loss and repetition of messages.
   void EndLosses()
   {
     mSettings.lossPerMille = 0;
@@ -68,9 +69,9 @@
   {
     return mViolations;
   }
-  /// Promotions that servers accepted.
+  /// Number of promotions that servers accepted.
   [[nodiscard]] std::size_t Promotions() const { return mPromoted.size(); }
-  /// The first change confirmed after the given time.
+  /// Time of the first change confirmed after the given time.
   [[nodiscard]] std::optional<std::chrono::milliseconds> ConfirmedAfter(
     std::chrono::milliseconds aTime) const;
   [[nodiscard]] std::size_t Confirmed() const { return mConfirmed.size(); }
@@ -83,7 +84,7 @@
     bool alive = true;
     clock::time_point pausedUntil;
     suspicion report;
-    announce news;
+    announce announced;
     std::uint64_t tickNumber = 0;
   };
   struct confirmed_change
@@ -109,16 +110,16 @@
   void DoPromote(std::size_t aPooler, const promote& aWhat);
   void DoRead(std::size_t aPooler);
   void DoSwap(std::size_t aPooler, const swap_record& aWhat);
-  void Beat(std::size_t aPooler);
+  void SendHeartbeat(std::size_t aPooler);
   void Write();
-  void NotePromotion(const promote& aWhat);
+  void RecordPromotion(const promote& aWhat);
   [[nodiscard]] bool IsLeaving(const upstream::server_id& aServer) const;
   [[nodiscard]] bool Lost();
   [[nodiscard]] clock::duration Delay();
   [[nodiscard]] coordinator_settings SettingsOf(unsigned aPooler) const;
 
-  world_settings mSettings;
-  std::mt19937_64 mChance;
+  simulation_settings mSettings;
+  std::mt19937_64 mGenerator;
   fake_servers mServers;
   fake_store mStore;
   group::description mGroup;
--- a/test/currantshed/failover/coordinator.cpp
+++ b/test/currantshed/failover/coordinator.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 using currantshed::failover::test::cluster_simulation;
-using currantshed::failover::test::world_settings;
+using currantshed::failover::test::simulation_settings;
 using std::chrono::milliseconds;
 
 constexpr milliseconds kFault{ 3000 };
@@ -25,113 +25,115 @@
 struct fault_row
 {
   const char* name;
-  world_settings settings;
+  simulation_settings settings;
   fault given;
-  std::size_t fewestPromotions;
-  std::size_t mostPromotions;
-  // From the fault to the next confirmed change; zero where it is not bounded.
+  std::size_t minPromotions;
+  std::size_t maxPromotions;
+  // Maximum time from the fault to the next confirmed change; zero for no
+  // limit.
   milliseconds gap;
 };
 
 void
-Nothing(cluster_simulation& /*aWorld*/)
+Nothing(cluster_simulation& /*aSimulation*/)
 {
 }
 
 void
-KillPrimary(cluster_simulation& aWorld)
+KillPrimary(cluster_simulation& aSimulation)
 {
-  aWorld.At(kFault, [&] { aWorld.Servers().At("s0").alive = false; });
+  aSimulation.At(kFault, [&] { aSimulation.Servers().At("s0").alive = false; });
 }
 
 void
-CutPrimary(cluster_simulation& aWorld)
+CutPrimary(cluster_simulation& aSimulation)
 {
-  aWorld.At(kFault, [&] { aWorld.Isolate("s0", true); });
-  aWorld.At(kRepair, [&] { aWorld.Isolate("s0", false); });
+  aSimulation.At(kFault, [&] { aSimulation.Isolate("s0", true); });
+  aSimulation.At(kRepair, [&] { aSimulation.Isolate("s0", false); });
 }
 
-// The poolers still reach the primary, its replicas do not.
+// The poolers still reach the primary, but its replicas do not.
 void
-CutPrimaryFromReplicas(cluster_simulation& aWorld)
+CutPrimaryFromReplicas(cluster_simulation& aSimulation)
 {
-  aWorld.At(kFault, [&] {
-    aWorld.Servers().Cut("s0", "s1");
-    aWorld.Servers().Cut("s0", "s2");
+  aSimulation.At(kFault, [&] {
+    aSimulation.Servers().Cut("s0", "s1");
+    aSimulation.Servers().Cut("s0", "s2");
   });
-  aWorld.At(kRepair, [&] { aWorld.Servers().HealAll(); });
+  aSimulation.At(kRepair, [&] { aSimulation.Servers().HealAll(); });
 }
 
-// The replicas still hear the primary, two poolers do not.
+// The replicas still hear from the primary, but two poolers do not.
 void
-CutPrimaryFromPoolers(cluster_simulation& aWorld)
+CutPrimaryFromPoolers(cluster_simulation& aSimulation)
 {
-  aWorld.At(kFault, [&] {
-    aWorld.Servers().Cut("s0", "p0");
-    aWorld.Servers().Cut("s0", "p1");
+  aSimulation.At(kFault, [&] {
+    aSimulation.Servers().Cut("s0", "p0");
+    aSimulation.Servers().Cut("s0", "p1");
   });
-  aWorld.At(kRepair, [&] { aWorld.Servers().HealAll(); });
+  aSimulation.At(kRepair, [&] { aSimulation.Servers().HealAll(); });
 }
 
 void
-CutPooler(cluster_simulation& aWorld)
+CutPooler(cluster_simulation& aSimulation)
 {
-  aWorld.At(kFault, [&] { aWorld.Isolate("p0", true); });
-  aWorld.At(kRepair, [&] { aWorld.Isolate("p0", false); });
+  aSimulation.At(kFault, [&] { aSimulation.Isolate("p0", true); });
+  aSimulation.At(kRepair, [&] { aSimulation.Isolate("p0", false); });
 }
 
-// Cut off from the primary only: it hears the replicas and its peers.
+// Cut off from the primary only; it still reaches the replicas and its peers.
 void
-CutPoolerFromPrimary(cluster_simulation& aWorld)
+CutPoolerFromPrimary(cluster_simulation& aSimulation)
 {
-  aWorld.At(kFault, [&] { aWorld.Servers().Cut("p0", "s0"); });
-  aWorld.At(kRepair, [&] { aWorld.Servers().HealAll(); });
+  aSimulation.At(kFault, [&] { aSimulation.Servers().Cut("p0", "s0"); });
+  aSimulation.At(kRepair, [&] { aSimulation.Servers().HealAll(); });
 }
 
 void
-PauseEveryPooler(cluster_simulation& aWorld)
+PauseEveryPooler(cluster_simulation& aSimulation)
 {
-  aWorld.At(kFault, [&] {
+  aSimulation.At(kFault, [&] {
     for (unsigned pooler = 0; pooler < 3; ++pooler) {
-      aWorld.PausePooler(pooler, milliseconds{ 2000 + pooler });
+      aSimulation.PausePooler(pooler, milliseconds{ 2000 + pooler });
     }
   });
 }
 
 void
-KillPrimaryStoreDown(cluster_simulation& aWorld)
+KillPrimaryStoreDown(cluster_simulation& aSimulation)
 {
-  aWorld.At(kFault - milliseconds{ 500 }, [&] { aWorld.Store().down = true; });
-  KillPrimary(aWorld);
-  aWorld.At(kRepair, [&] { aWorld.Store().down = false; });
+  aSimulation.At(kFault - milliseconds{ 500 },
+                 [&] { aSimulation.Store().down = true; });
+  KillPrimary(aSimulation);
+  aSimulation.At(kRepair, [&] { aSimulation.Store().down = false; });
 }
 
-// No term was ever reserved: the failover waits for the store.
+// No term was ever reserved, so the failover waits for the store.
 void
-KillPrimaryStoreNeverUp(cluster_simulation& aWorld)
+KillPrimaryStoreNeverUp(cluster_simulation& aSimulation)
 {
-  aWorld.Store().down = true;
-  KillPrimary(aWorld);
-  aWorld.At(kRepair, [&] { aWorld.Store().down = false; });
+  aSimulation.Store().down = true;
+  KillPrimary(aSimulation);
+  aSimulation.At(kRepair, [&] { aSimulation.Store().down = false; });
 }
 
 void
-KillPrimaryAnswersLost(cluster_simulation& aWorld)
+KillPrimaryAnswersLost(cluster_simulation& aSimulation)
 {
-  aWorld.Store().losesAnswers = true;
-  KillPrimary(aWorld);
-  aWorld.At(kRepair, [&] { aWorld.Store().losesAnswers = false; });
+  aSimulation.Store().losesAnswers = true;
+  KillPrimary(aSimulation);
+  aSimulation.At(kRepair, [&] { aSimulation.Store().losesAnswers = false; });
 }
 
-// The next primary dies as soon as it is there; the first one is back.
+// The next primary dies right after its promotion; the first one is back.
 void
-KillTwoPrimaries(cluster_simulation& aWorld)
+KillTwoPrimaries(cluster_simulation& aSimulation)
 {
-  aWorld.At(kFault, [&] { aWorld.Servers().At("s0").alive = false; });
-  aWorld.At(kFault + milliseconds{ 800 }, [&] {
-    aWorld.Servers().At("s0").alive = true;
+  aSimulation.At(kFault, [&] { aSimulation.Servers().At("s0").alive = false; });
+  aSimulation.At(kFault + milliseconds{ 800 }, [&] {
+    aSimulation.Servers().At("s0").alive = true;
     for (const auto* id : { "s1", "s2" }) {
-      auto& server = aWorld.Servers().At(id);
+      auto& server = aSimulation.Servers().At(id);
       server.alive =
         server.role != currantshed::upstream::server_role::kPrimary;
     }
@@ -139,50 +141,51 @@
 }
 
 void
-KillPrimaryAndPooler(cluster_simulation& aWorld)
+KillPrimaryAndPooler(cluster_simulation& aSimulation)
 {
-  KillPrimary(aWorld);
-  aWorld.At(kFault, [&] { aWorld.KillPooler(0); });
+  KillPrimary(aSimulation);
+  aSimulation.At(kFault, [&] { aSimulation.KillPooler(0); });
 }
 
 void
-LagThenKill(cluster_simulation& aWorld)
+LagThenKill(cluster_simulation& aSimulation)
 {
-  aWorld.At(kFault - milliseconds{ 1000 },
-            [&] { aWorld.Servers().At("s1").lagging = true; });
-  KillPrimary(aWorld);
-  aWorld.At(kRepair, [&] { aWorld.Servers().At("s1").lagging = false; });
+  aSimulation.At(kFault - milliseconds{ 1000 },
+                 [&] { aSimulation.Servers().At("s1").lagging = true; });
+  KillPrimary(aSimulation);
+  aSimulation.At(kRepair,
+                 [&] { aSimulation.Servers().At("s1").lagging = false; });
 }
 
 void
-LeavePrimary(cluster_simulation& aWorld)
+LeavePrimary(cluster_simulation& aSimulation)
 {
-  aWorld.At(kFault, [&] { aWorld.SetLeaving("s0"); });
+  aSimulation.At(kFault, [&] { aSimulation.SetLeaving("s0"); });
 }
 
-// A fence whose promoter is gone, at one server only.
+// A fence at one server only, whose promoter has stopped.
 void
-StrayFence(cluster_simulation& aWorld)
+StrayFence(cluster_simulation& aSimulation)
 {
-  aWorld.At(kFault, [&] { aWorld.Servers().At("s2").Fence(50); });
+  aSimulation.At(kFault, [&] { aSimulation.Servers().At("s2").Fence(50); });
 }
 
 void
-FenceEverywhere(cluster_simulation& aWorld)
+FenceEverywhere(cluster_simulation& aSimulation)
 {
-  aWorld.At(kFault, [&] {
-    for (auto& [id, server] : aWorld.Servers().All()) {
+  aSimulation.At(kFault, [&] {
+    for (auto& [id, server] : aSimulation.Servers().All()) {
       server.Fence(50);
     }
   });
 }
 
 void
-ReplicasForget(cluster_simulation& aWorld)
+ReplicasForget(cluster_simulation& aSimulation)
 {
-  aWorld.At(kFault, [&] {
-    aWorld.Servers().At("s1").follows.reset();
-    aWorld.Servers().At("s2").follows.reset();
+  aSimulation.At(kFault, [&] {
+    aSimulation.Servers().At("s1").follows.reset();
+    aSimulation.Servers().At("s2").follows.reset();
   });
 }
 
@@ -257,36 +260,40 @@
 struct stop_row
 {
   const char* name;
-  // Stops the first pooler now and, where it is to come back, until a time.
+  // Stops the first pooler now and, if it is to return, until the given time.
   void (*given)(cluster_simulation&, milliseconds);
 };
 
 const stop_row kStopRows[] = {
   { "dies",
-    [](cluster_simulation& aWorld, milliseconds) { aWorld.KillPooler(0); } },
+    [](cluster_simulation& aSimulation, milliseconds) {
+      aSimulation.KillPooler(0);
+    } },
   { "pauses",
-    [](cluster_simulation& aWorld, milliseconds aUntil) {
-      aWorld.PausePooler(0, aUntil - aWorld.Now());
+    [](cluster_simulation& aSimulation, milliseconds aUntil) {
+      aSimulation.PausePooler(0, aUntil - aSimulation.Now());
     } },
   { "is cut off",
-    [](cluster_simulation& aWorld, milliseconds aUntil) {
-      aWorld.Isolate("p0", true);
-      aWorld.At(aUntil, [&aWorld] { aWorld.Isolate("p0", false); });
+    [](cluster_simulation& aSimulation, milliseconds aUntil) {
+      aSimulation.Isolate("p0", true);
+      aSimulation.At(aUntil,
+                     [&aSimulation] { aSimulation.Isolate("p0", false); });
     } },
 };
 
 void
-CheckWorld(cluster_simulation& aWorld, const std::string& aName)
+CheckSimulation(cluster_simulation& aSimulation, const std::string& aName)
 {
-  aWorld.At(kRepair, [&] { aWorld.EndLosses(); });
-  aWorld.Run(kEnd);
-  aWorld.CheckSettled();
-  for (const auto& violation : aWorld.Violations()) {
+  aSimulation.At(kRepair, [&] { aSimulation.EndLosses(); });
+  aSimulation.Run(kEnd);
+  aSimulation.CheckSettled();
+  for (const auto& violation : aSimulation.Violations()) {
     CHECK_TEXT(false, absl::StrCat(aName, ": ", violation).c_str());
   }
-  CHECK_TEXT(aWorld.Confirmed() > 100, aName.c_str());
-  CHECK_TEXT(aWorld.ConfirmedAfter(kEnd - milliseconds{ 1000 }).has_value(),
-             absl::StrCat(aName, ": none confirmed at the end").c_str());
+  CHECK_TEXT(aSimulation.Confirmed() > 100, aName.c_str());
+  CHECK_TEXT(
+    aSimulation.ConfirmedAfter(kEnd - milliseconds{ 1000 }).has_value(),
+    absl::StrCat(aName, ": none confirmed at the end").c_str());
 }
 
 } // namespace
@@ -302,9 +309,9 @@
       cluster_simulation subject(settings);
       row.given(subject);
       const auto name = absl::StrCat(row.name, ", seed ", seed);
-      CheckWorld(subject, name);
-      CHECK_TEXT(subject.Promotions() >= row.fewestPromotions, name.c_str());
-      CHECK_TEXT(subject.Promotions() <= row.mostPromotions, name.c_str());
+      CheckSimulation(subject, name);
+      CHECK_TEXT(subject.Promotions() >= row.minPromotions, name.c_str());
+      CHECK_TEXT(subject.Promotions() <= row.maxPromotions, name.c_str());
       if (row.gap > milliseconds{}) {
         const auto after = subject.ConfirmedAfter(kFault);
         CHECK_TEXT(after && *after - kFault <= row.gap, name.c_str());
@@ -313,8 +320,9 @@
   }
 }
 
-// The first pooler stops at each moment of its failover, for good or for a
-// while; the others end it, and when it is back it deposes nobody.
+// The first pooler stops at every moment of its failover, permanently or for a
+// while. The others complete the failover, and a pooler that returns deposes
+// nobody.
 TEST(coordinator, promoter_stops_at_every_moment)
 {
   for (int after = 200; after <= 700; after += 5) {
@@ -322,7 +330,7 @@
       cluster_simulation subject(
         { 3, 3, 0, 0, static_cast<std::uint64_t>(after) });
       KillPrimary(subject);
-      // Comes back at many moments of its own retries as well.
+      // Returns at many moments of its own retries as well.
       const auto back =
         kFault + kStop + milliseconds{ after + after * 13 % 450 };
       subject.At(kFault + milliseconds{ after },
@@ -330,16 +338,16 @@
       std::size_t settled = 0;
       subject.At(back, [&] { settled = subject.Promotions(); });
       subject.At(kRepair, [&] { subject.Servers().At("s0").alive = true; });
-      CheckWorld(subject, absl::StrCat(row.name, " after ", after));
+      CheckSimulation(subject, absl::StrCat(row.name, " after ", after));
       const auto name = absl::StrCat(row.name, " after ", after);
       UNSIGNED_LONGS_EQUAL_TEXT(settled, subject.Promotions(), name.c_str());
     }
   }
 }
 
-// Servers that leave are left by the primary soon, also when the second one
-// is marked while the first move has just ended, and when those that stay are
-// no majority.
+// The primary soon moves away from servers marked as leaving, also when the
+// second one is marked right after the first move and when the remaining ones
+// are no majority.
 TEST(coordinator, servers_leave)
 {
   struct row
@@ -354,7 +362,7 @@
   };
   for (const auto& row : rows) {
     for (const auto seed : kSeeds) {
-      world_settings settings;
+      simulation_settings settings;
       settings.seed = seed;
       cluster_simulation subject(settings);
       LeavePrimary(subject);
--- a/test/currantshed/failover/detector.cpp
+++ b/test/currantshed/failover/detector.cpp
@@ -18,8 +18,8 @@
 constexpr int kNoAnswer = -1;
 constexpr int kNobody = -2;
 
-// What one server answers all the time: its term, role, and since when it
-// lost its primary, in milliseconds.
+// Constant status of one server: its term, role, and time since it lost its
+// primary, in milliseconds.
 struct server_row
 {
   position::term_id term;
@@ -203,37 +203,37 @@
   return status;
 }
 
-// Probes and words arrive every 50 ms for the row's time; gives the last
-// judgement.
+// Probe answers and suspicions arrive every 50 ms for the time of the row;
+// returns the last result.
 cause
 Assess(const judge_row& aRow)
 {
   coordinator_settings settings;
   settings.failureDomain = "d0";
   settings.owners = 3;
-  server_monitor watch(settings);
+  server_monitor monitor(settings);
   detector subject(settings);
   const auto group = Describe(aRow);
   time_point now{ milliseconds{ 1000 } };
   const auto end = now + aRow.lasting;
-  watch.Configure(group, now);
+  monitor.Configure(group, now);
   cause found = cause::kNone;
   for (; now <= end; now += milliseconds{ 50 }) {
     std::vector<action> probes;
-    watch.Tick(now, probes);
+    monitor.Tick(now, probes);
     for (std::size_t index = 0; index < aRow.servers.size(); ++index) {
       const auto& server = aRow.servers[index];
       const auto& id = group.members[index].id;
       if (server.since != kNoAnswer) {
-        watch.Answered(id, StatusOf(server), now, now);
+        monitor.Answered(id, StatusOf(server), now, now);
       } else {
-        watch.Failed(id, now);
+        monitor.Failed(id, now);
       }
     }
     for (const auto& domain : aRow.suspecting) {
       subject.PeerSuspects("vm-" + domain, domain, { "g", 4, "s0" }, now);
     }
-    found = subject.Assess(watch, { 4, "s0" }, now);
+    found = subject.Assess(monitor, { 4, "s0" }, now);
   }
   return found;
 }
@@ -249,23 +249,23 @@
   }
 }
 
-// Answers to old questions, as a pooler finds them when it wakes up, are no
-// evidence.
-TEST(detector, late_answers_tell_nothing)
+// Answers to old probes, as received by a pooler that resumes after a pause,
+// are no evidence.
+TEST(detector, late_answers_are_no_evidence)
 {
   coordinator_settings settings;
   settings.owners = 3;
-  server_monitor watch(settings);
+  server_monitor monitor(settings);
   detector subject(settings);
   const auto group = Describe(kJudgeRows[0]);
   const time_point asked{ milliseconds{ 1000 } };
   const auto woken = asked + milliseconds{ 5000 };
-  watch.Configure(group, asked);
+  monitor.Configure(group, asked);
   std::vector<action> probes;
-  watch.Tick(asked, probes);
-  watch.Answered("s1", StatusOf(kLost), asked, woken);
-  watch.Answered("s2", StatusOf(kLost), asked, woken);
-  CHECK(subject.Assess(watch, { 4, "s0" }, woken) == cause::kNone);
+  monitor.Tick(asked, probes);
+  monitor.Answered("s1", StatusOf(kLost), asked, woken);
+  monitor.Answered("s2", StatusOf(kLost), asked, woken);
+  CHECK(subject.Assess(monitor, { 4, "s0" }, woken) == cause::kNone);
   const auto later = woken + milliseconds{ 100 };
-  CHECK(subject.Assess(watch, { 4, "s0" }, later) == cause::kNone);
+  CHECK(subject.Assess(monitor, { 4, "s0" }, later) == cause::kNone);
 }
--- a/test/currantshed/failover/fake_servers.hpp
+++ b/test/currantshed/failover/fake_servers.hpp
@@ -17,7 +17,7 @@
 
 namespace currantshed::failover::test {
 
-/// One record of a fake server's log.
+/// Record of a fake server's log.
 struct fake_record
 {
   position::term_id term = 0;
@@ -27,7 +27,7 @@
                                        const fake_record&) = default;
 };
 
-/// A database server reduced to its rules on terms and its log.
+/// Database server reduced to its rules on terms and its log.
 class fake_server
 {
 public:
@@ -42,7 +42,8 @@
     status.applied = status.stored;
     if (role == upstream::server_role::kReplica && follows) {
       status.sincePrimary =
-        std::chrono::duration_cast<std::chrono::milliseconds>(aNow - heardAt);
+        std::chrono::duration_cast<std::chrono::milliseconds>(aNow -
+                                                              lastContactAt);
     }
     return status;
   }
@@ -79,7 +80,7 @@
     term = aTerm;
     role = upstream::server_role::kReplica;
     follows = aPrimary;
-    heardAt = aNow;
+    lastContactAt = aNow;
     return true;
   }
 
@@ -99,7 +100,7 @@
 
   [[nodiscard]] bool Holds(const fake_record& aRecord) const
   {
-    // Terms never go down along a log.
+    // Terms never decrease along a log.
     const auto found =
       std::find_if(log.rbegin(), log.rend(), [&](const auto& aOwn) {
         return aOwn == aRecord || aOwn.term < aRecord.term;
@@ -111,13 +112,13 @@
   upstream::server_role role = upstream::server_role::kReplica;
   std::vector<fake_record> log{ { 1, 0 } };
   std::optional<upstream::server_id> follows;
-  time_point heardAt;
+  time_point lastContactAt;
   bool alive = true;
-  /// Replication to this server stands still; it still hears the primary.
+  /// Replication to this server is stopped; it still hears from the primary.
   bool lagging = false;
 };
 
-/// The servers of a group and the links between all parties.
+/// Servers of a group and the connectivity between all parties.
 class fake_servers
 {
 public:
@@ -155,17 +156,18 @@
 
   void HealAll() { mCuts.clear(); }
 
-  [[nodiscard]] bool Linked(const std::string& aLeft,
-                            const std::string& aRight) const
+  [[nodiscard]] bool IsConnected(const std::string& aLeft,
+                                 const std::string& aRight) const
   {
     return !mCuts.contains(std::minmax(aLeft, aRight));
   }
 
-  /// Every replica takes over the log of the primary that it follows.
+  /// Copies the log of the primary to every replica that follows it.
   void Replicate(clock::time_point aNow)
   {
     for (auto& [id, server] : mServers) {
-      if (!server.alive || !server.follows || !Linked(id, *server.follows)) {
+      if (!server.alive || !server.follows ||
+          !IsConnected(id, *server.follows)) {
         continue;
       }
       const auto& primary = mServers.at(*server.follows);
@@ -173,21 +175,22 @@
           primary.role != upstream::server_role::kPrimary) {
         continue;
       }
-      server.heardAt = aNow;
+      server.lastContactAt = aNow;
       if (!server.lagging && server.End() != primary.End()) {
         server.log = primary.log;
       }
     }
   }
 
-  /// Servers besides the given cut that are in the term and hold the record.
-  [[nodiscard]] std::size_t Holders(const std::string& aAsker,
-                                    const fake_record& aRecord) const
+  /// Number of servers reachable from the asker that are in the term and hold
+  /// the record.
+  [[nodiscard]] std::size_t CountHolders(const std::string& aAsker,
+                                         const fake_record& aRecord) const
   {
     const auto holders =
       std::count_if(mServers.begin(), mServers.end(), [&](const auto& aEntry) {
         const auto& server = aEntry.second;
-        return server.alive && Linked(aAsker, aEntry.first) &&
+        return server.alive && IsConnected(aAsker, aEntry.first) &&
                server.term == aRecord.term && server.Holds(aRecord);
       });
     return static_cast<std::size_t>(holders);
--- a/test/currantshed/failover/fake_store.hpp
+++ b/test/currantshed/failover/fake_store.hpp
@@ -7,7 +7,7 @@
 
 namespace currantshed::failover::test {
 
-/// One key of the platform's store with compare-and-swap.
+/// A single key of the platform's store with compare-and-swap.
 class fake_store
 {
 public:
@@ -24,7 +24,7 @@
 
   store::entry content;
   bool down = false;
-  /// Answers to swaps are lost after the change was made.
+  /// Responses to swaps are lost after the change was made.
   bool losesAnswers = false;
   unsigned swaps = 0;
 };
--- a/test/currantshed/failover/fault_schedules.cpp
+++ b/test/currantshed/failover/fault_schedules.cpp
@@ -19,63 +19,71 @@
 constexpr milliseconds kFaultsEnd{ 12000 };
 constexpr milliseconds kEnd{ 24000 };
 
-// Fault number aKind of a random schedule, at a random server and pooler.
+// Adds a random fault at a random server and pooler.
 void
-AddFault(cluster_simulation& aWorld,
-         std::mt19937_64& aChance,
+AddFault(cluster_simulation& aSimulation,
+         std::mt19937_64& aGenerator,
          milliseconds aTime)
 {
-  const auto server = "s" + std::to_string(aChance() % 3);
-  const auto pooler = static_cast<unsigned>(aChance() % 3);
+  const auto server = "s" + std::to_string(aGenerator() % 3);
+  const auto pooler = static_cast<unsigned>(aGenerator() % 3);
   const auto poolerName = "p" + std::to_string(pooler);
-  const milliseconds lasting{ 100 + aChance() % 3000 };
+  const milliseconds lasting{ 100 + aGenerator() % 3000 };
   const auto end = std::min(aTime + lasting, kFaultsEnd);
   constexpr unsigned kKinds = 8;
-  switch (aChance() % kKinds) {
+  switch (aGenerator() % kKinds) {
     case 0:
-      aWorld.At(aTime, [&aWorld, server] {
-        aWorld.Servers().At(server).alive = false;
+      aSimulation.At(aTime, [&aSimulation, server] {
+        aSimulation.Servers().At(server).alive = false;
+      });
+      aSimulation.At(end, [&aSimulation, server] {
+        aSimulation.Servers().At(server).alive = true;
       });
-      aWorld.At(
-        end, [&aWorld, server] { aWorld.Servers().At(server).alive = true; });
       break;
     case 1:
-      aWorld.At(aTime, [&aWorld, server] { aWorld.Isolate(server, true); });
-      aWorld.At(end, [&aWorld, server] { aWorld.Isolate(server, false); });
+      aSimulation.At(
+        aTime, [&aSimulation, server] { aSimulation.Isolate(server, true); });
+      aSimulation.At(
+        end, [&aSimulation, server] { aSimulation.Isolate(server, false); });
       break;
     case 2:
-      aWorld.At(aTime,
-                [&aWorld, poolerName] { aWorld.Isolate(poolerName, true); });
-      aWorld.At(end,
-                [&aWorld, poolerName] { aWorld.Isolate(poolerName, false); });
+      aSimulation.At(aTime, [&aSimulation, poolerName] {
+        aSimulation.Isolate(poolerName, true);
+      });
+      aSimulation.At(end, [&aSimulation, poolerName] {
+        aSimulation.Isolate(poolerName, false);
+      });
       break;
     case 3:
-      aWorld.At(aTime, [&aWorld, pooler, lasting] {
-        aWorld.PausePooler(pooler, lasting);
+      aSimulation.At(aTime, [&aSimulation, pooler, lasting] {
+        aSimulation.PausePooler(pooler, lasting);
       });
       break;
     case 4:
-      aWorld.At(aTime, [&aWorld] { aWorld.Store().down = true; });
-      aWorld.At(end, [&aWorld] { aWorld.Store().down = false; });
+      aSimulation.At(aTime,
+                     [&aSimulation] { aSimulation.Store().down = true; });
+      aSimulation.At(end, [&aSimulation] { aSimulation.Store().down = false; });
       break;
     case 5:
-      aWorld.At(aTime, [&aWorld] { aWorld.Store().losesAnswers = true; });
-      aWorld.At(end, [&aWorld] { aWorld.Store().losesAnswers = false; });
+      aSimulation.At(
+        aTime, [&aSimulation] { aSimulation.Store().losesAnswers = true; });
+      aSimulation.At(
+        end, [&aSimulation] { aSimulation.Store().losesAnswers = false; });
       break;
     case 6:
-      aWorld.At(aTime, [&aWorld, server] {
-        aWorld.Servers().At(server).lagging = true;
+      aSimulation.At(aTime, [&aSimulation, server] {
+        aSimulation.Servers().At(server).lagging = true;
       });
-      aWorld.At(end, [&aWorld, server] {
-        aWorld.Servers().At(server).lagging = false;
+      aSimulation.At(end, [&aSimulation, server] {
+        aSimulation.Servers().At(server).lagging = false;
       });
       break;
     default:
-      aWorld.At(aTime, [&aWorld, server, poolerName] {
-        aWorld.Servers().Cut(server, poolerName);
+      aSimulation.At(aTime, [&aSimulation, server, poolerName] {
+        aSimulation.Servers().Cut(server, poolerName);
       });
-      aWorld.At(end, [&aWorld, server, poolerName] {
-        aWorld.Servers().Heal(server, poolerName);
+      aSimulation.At(end, [&aSimulation, server, poolerName] {
+        aSimulation.Servers().Heal(server, poolerName);
       });
       break;
   }
@@ -85,8 +93,8 @@
 
 TEST_GROUP(fault_schedules){};
 
-// Many faults together and one after another, by seed. A longer run takes its
-// count from CURRANTSHED_TEST_RUNS.
+// Concurrent and consecutive faults, by seed. The environment variable
+// CURRANTSHED_TEST_RUNS sets the number of runs for a longer test.
 TEST(fault_schedules, end_well)
 {
   constexpr std::uint64_t kRuns = 60;
@@ -95,11 +103,11 @@
   const auto runs =
     asked == nullptr ? kRuns : std::strtoull(asked, nullptr, 10);
   for (std::uint64_t seed = 1; seed <= runs; ++seed) {
-    std::mt19937_64 chance(seed);
-    const auto loss = static_cast<unsigned>(chance() % 200);
+    std::mt19937_64 generator(seed);
+    const auto loss = static_cast<unsigned>(generator() % 200);
     cluster_simulation subject({ 3, 3, loss, loss, seed });
     for (int fault = 0; fault < kFaults; ++fault) {
-      AddFault(subject, chance, milliseconds{ 2000 + chance() % 9000 });
+      AddFault(subject, generator, milliseconds{ 2000 + generator() % 9000 });
     }
     subject.At(kFaultsEnd, [&] {
       subject.EndLosses();
--- a/test/currantshed/failover/follower_repair.cpp
+++ b/test/currantshed/failover/follower_repair.cpp
@@ -20,7 +20,7 @@
 {
   position::term_id term;
   server_role role;
-  // Milliseconds since it heard its primary.
+  // Milliseconds since it last heard from its primary.
   int since;
 };
 
@@ -77,7 +77,8 @@
   return status;
 }
 
-// Follows sent within the time, while both servers keep saying the same.
+// Follow requests sent within the time, while the status of both servers stays
+// the same.
 std::size_t
 CountFollows(const repair_row& aRow,
              unsigned aRank,
@@ -85,20 +86,20 @@
              milliseconds aTime)
 {
   const coordinator_settings settings;
-  server_monitor watch(settings);
-  follower_repair subject(settings, watch);
+  server_monitor monitor(settings);
+  follower_repair subject(settings, monitor);
   currantshed::group::description group;
   group.members.resize(2);
   group.members[0].id = "p";
   group.members[1].id = "r";
   const time_point start{ milliseconds{ 1000 } };
-  watch.Configure(group, start);
+  monitor.Configure(group, start);
   subject.SetRank(aRank);
   subject.SetPrimary({ 5, "p" }, aOwn);
   std::size_t follows = 0;
   for (auto now = start; now < start + aTime; now += milliseconds{ 10 }) {
-    watch.Answered("p", StatusOf(aRow.primary), now, now);
-    watch.Answered("r", StatusOf(aRow.other), now, now);
+    monitor.Answered("p", StatusOf(aRow.primary), now, now);
+    monitor.Answered("r", StatusOf(aRow.other), now, now);
     std::vector<action> actions;
     subject.Tick(now, actions);
     for (const auto& wanted : actions) {
--- a/test/currantshed/failover/promoter.cpp
+++ b/test/currantshed/failover/promoter.cpp
@@ -17,7 +17,8 @@
 constexpr position::term_id kTerm = 5;
 const time_point kStart{ milliseconds{ 1000 } };
 
-// A server that accepts the fence: the end of its log and what it applied.
+// A server that accepts the fence: the end of its log and the position that it
+// applied.
 struct fenced_row
 {
   position::log_position stored;
@@ -31,7 +32,7 @@
 {
   const char* name;
   std::vector<fenced_row> servers;
-  // s0 was the primary until now; whether it was lost.
+  // s0 was the primary until now; whether it is lost.
   bool lost;
   const char* expect;
 };
@@ -115,7 +116,7 @@
   return status;
 }
 
-// Reserves terms 5 and 6 from a store that is empty.
+// Reserves terms 5 and 6 in an empty store.
 void
 FillBook(term_reservations& aReservations)
 {
@@ -129,22 +130,22 @@
                               kStart);
 }
 
-// A watch, a book and a promoter, where each fence is answered at once.
+// A monitor, reservations and a promoter; every fence is answered at once.
 class bench
 {
 public:
   explicit bench(std::vector<fenced_row> aServers)
     : settings(MakeSettings())
     , servers(std::move(aServers))
-    , watch(settings)
+    , monitor(settings)
     , book(settings)
-    , subject(settings, watch, book)
+    , subject(settings, monitor, book)
   {
-    watch.Configure(Describe(servers), kStart);
+    monitor.Configure(Describe(servers), kStart);
     FillBook(book);
   }
 
-  // Lets time pass; answers fences, and notes promotions.
+  // Advances the time, answers fences and records promotions.
   void Run(milliseconds aTime)
   {
     const auto end = now + aTime;
@@ -168,14 +169,14 @@
     if (server.silent) {
       return;
     }
-    watch.Answered(aFence.server, Fenced(server), now, now);
+    monitor.Answered(aFence.server, Fenced(server), now, now);
     subject.FenceAnswered(
       aFence.server, aFence.term, true, Fenced(server), now);
   }
 
   coordinator_settings settings;
   std::vector<fenced_row> servers;
-  server_monitor watch;
+  server_monitor monitor;
   term_reservations book;
   promoter subject;
   time_point now = kStart;
@@ -232,7 +233,7 @@
   CHECK(given.subject.Step() == step::kIdle);
 }
 
-// The status shows what a lost answer hid.
+// The status shows the result whose response was lost.
 TEST(promoter, a_lost_answer_is_found_by_status)
 {
   bench given(kChoiceRows[0].servers);
@@ -240,7 +241,7 @@
   given.Run(milliseconds{ 300 });
   auto status = Fenced(given.servers[1]);
   status.role = server_role::kPrimary;
-  given.watch.Answered("s1", status, given.now, given.now);
+  given.monitor.Answered("s1", status, given.now, given.now);
   given.Run(milliseconds{ 20 });
   CHECK(given.subject.TakePromoted() == (primary_ref{ kTerm, "s1" }));
 }
--- a/test/currantshed/failover/term_reservations.cpp
+++ b/test/currantshed/failover/term_reservations.cpp
@@ -30,42 +30,42 @@
   return settings;
 }
 
-// How the store treats one call.
+// Behaviour of the store for one call.
 enum class call
 {
   kGood,
   kDown,
-  // Applied, but the answer is lost.
+  // Applied, but the response is lost.
   kAnswerLost,
-  // Not applied, and there is no answer.
+  // Not applied, and without a response.
   kRequestLost,
-  // Someone else writes before the swap.
+  // Another client writes before the swap.
   kRaced,
 };
 
-// A book and its store, driven call by call.
-class bench
+// The reservations of one pooler and their store, driven call by call.
+class store_driver
 {
 public:
-  explicit bench(const std::string& aVm)
-    : book(SettingsOf(aVm))
+  explicit store_driver(const std::string& aVm)
+    : reservations(SettingsOf(aVm))
   {
   }
 
-  // Lets time pass until the book wants something, at most a minute.
+  // Advances the time until a store call is due, by at most a minute.
   void Step(fake_store& aStore, call aCall)
   {
     std::vector<action> actions;
     const auto end = now + milliseconds{ 60000 };
     while (actions.empty() && now < end) {
-      book.Tick(now, actions);
+      reservations.Tick(now, actions);
       now += milliseconds{ 10 };
     }
     for (const auto& wanted : actions) {
       if (const auto* swap = std::get_if<swap_record>(&wanted)) {
         Swap(aStore, *swap, aCall);
       } else {
-        book.RecordRead(aCall != call::kDown, aStore.content, now);
+        reservations.RecordRead(aCall != call::kDown, aStore.content, now);
       }
     }
   }
@@ -82,15 +82,15 @@
     if (!reached || aCall == call::kAnswerLost) {
       outcome = swap_outcome::kUnknown;
     }
-    book.RecordSwapped(outcome, now);
+    reservations.RecordSwapped(outcome, now);
   }
 
-  term_reservations book;
+  term_reservations reservations;
   time_point now;
   unsigned swaps = 0;
 };
 
-struct book_row
+struct store_row
 {
   const char* name;
   std::vector<call> calls;
@@ -98,7 +98,7 @@
   unsigned expectSwaps;
 };
 
-const book_row kBookRows[] = {
+const store_row kStoreRows[] = {
   { "good", { call::kGood, call::kGood }, 1, 1 },
   { "store down at first",
     { call::kDown, call::kDown, call::kGood, call::kGood },
@@ -129,13 +129,13 @@
 
 TEST(term_reservations, store)
 {
-  for (const auto& row : kBookRows) {
+  for (const auto& row : kStoreRows) {
     fake_store store;
-    bench subject("a");
+    store_driver subject("a");
     for (const auto& given : row.calls) {
       subject.Step(store, given);
     }
-    const auto lowest = subject.book.LowestUsable().value_or(0);
+    const auto lowest = subject.reservations.LowestUsable().value_or(0);
     UNSIGNED_LONGS_EQUAL_TEXT(row.expectLowest, lowest, row.name);
     UNSIGNED_LONGS_EQUAL_TEXT(row.expectSwaps, subject.swaps, row.name);
   }
@@ -146,7 +146,7 @@
   const char* name;
   unsigned rank;
   std::vector<call> calls;
-  milliseconds longest;
+  milliseconds maxTime;
 };
 
 const pace_row kPaceRows[] = {
@@ -161,28 +161,28 @@
     450ms },
 };
 
-// How long an owner that has just started is without a number.
-TEST(term_reservations, first_numbers_come_soon)
+// Time until an owner that has just started has a term.
+TEST(term_reservations, first_terms_come_soon)
 {
   for (const auto& row : kPaceRows) {
     for (const auto* vm : { "a", "b", "c", "d", "e", "f" }) {
       fake_store store;
-      bench subject(vm);
-      subject.book.SetRank(row.rank);
+      store_driver subject(vm);
+      subject.reservations.SetRank(row.rank);
       for (const auto given : row.calls) {
         subject.Step(store, given);
       }
-      CHECK_TEXT(subject.book.LowestUsable().has_value(), row.name);
-      CHECK_TEXT(subject.now.time_since_epoch() <= row.longest, row.name);
+      CHECK_TEXT(subject.reservations.LowestUsable().has_value(), row.name);
+      CHECK_TEXT(subject.now.time_since_epoch() <= row.maxTime, row.name);
     }
   }
 }
 
-TEST(term_reservations, a_broken_record_is_never_written_over)
+TEST(term_reservations, a_broken_record_is_never_overwritten)
 {
   fake_store store;
   store.content = { "broken", 7 };
-  bench subject("a");
+  store_driver subject("a");
   for (int step = 0; step < 10; ++step) {
     subject.Step(store, call::kGood);
   }
@@ -190,63 +190,63 @@
   UNSIGNED_LONGS_EQUAL(0, subject.swaps);
 }
 
-TEST(term_reservations, numbers_are_above_all_seen_and_topped_up)
+TEST(term_reservations, terms_are_above_all_seen_and_replenished)
 {
   fake_store store;
-  bench subject("a");
-  subject.book.ObserveTerm(40);
+  store_driver subject("a");
+  subject.reservations.ObserveTerm(40);
   subject.Step(store, call::kGood);
   subject.Step(store, call::kGood);
-  UNSIGNED_LONGS_EQUAL(41, subject.book.LowestUsable().value_or(0));
-  subject.book.ObserveTerm(41);
-  UNSIGNED_LONGS_EQUAL(42, subject.book.LowestUsable().value_or(0));
-  subject.book.ObserveTerm(90);
-  CHECK_FALSE(subject.book.LowestUsable().has_value());
+  UNSIGNED_LONGS_EQUAL(41, subject.reservations.LowestUsable().value_or(0));
+  subject.reservations.ObserveTerm(41);
+  UNSIGNED_LONGS_EQUAL(42, subject.reservations.LowestUsable().value_or(0));
+  subject.reservations.ObserveTerm(90);
+  CHECK_FALSE(subject.reservations.LowestUsable().has_value());
   subject.Step(store, call::kGood);
   subject.Step(store, call::kGood);
-  UNSIGNED_LONGS_EQUAL(91, subject.book.LowestUsable().value_or(0));
+  UNSIGNED_LONGS_EQUAL(91, subject.reservations.LowestUsable().value_or(0));
 }
 
-// A pooler that owns a group again has a new book in the same incarnation: it
-// must not take an earlier change for its own.
-TEST(term_reservations, a_second_book_of_the_same_incarnation)
+// A pooler that becomes owner of a group again has a new object in the same
+// incarnation, which must not take an earlier change for its own.
+TEST(term_reservations, a_second_object_of_the_same_incarnation)
 {
   fake_store store;
-  bench first("a");
+  store_driver first("a");
   first.Step(store, call::kGood);
   first.Step(store, call::kGood);
-  bench second("a");
-  second.book.ObserveTerm(1);
+  store_driver second("a");
+  second.reservations.ObserveTerm(1);
   for (const auto given :
        { call::kGood, call::kRequestLost, call::kGood, call::kGood }) {
     second.Step(store, given);
     term_record record;
     CHECK_FALSE(ParseRecord(store.content.value, record));
-    CHECK(second.book.LowestUsable().value_or(0) <= record.highest);
+    CHECK(second.reservations.LowestUsable().value_or(0) <= record.highest);
   }
-  UNSIGNED_LONGS_EQUAL(3, second.book.LowestUsable().value_or(0));
+  UNSIGNED_LONGS_EQUAL(3, second.reservations.LowestUsable().value_or(0));
 }
 
-TEST(term_reservations, a_quiet_book_makes_no_calls)
+TEST(term_reservations, without_need_no_calls_are_made)
 {
   fake_store store;
-  bench subject("a");
+  store_driver subject("a");
   subject.Step(store, call::kGood);
   subject.Step(store, call::kGood);
   std::vector<action> actions;
   for (int second = 0; second < 3600; ++second) {
     subject.now += milliseconds{ 1000 };
-    subject.book.Tick(subject.now, actions);
+    subject.reservations.Tick(subject.now, actions);
   }
   CHECK(actions.empty());
-  CHECK(subject.book.NextTick() == time_point::max());
+  CHECK(subject.reservations.NextTick() == time_point::max());
 }
 
 TEST(term_reservations, a_primary_is_published_once_the_store_is_up)
 {
   fake_store store;
-  bench subject("a");
-  subject.book.Publish({ 5, "s2" }, subject.now);
+  store_driver subject("a");
+  subject.reservations.Publish({ 5, "s2" }, subject.now);
   subject.Step(store, call::kDown);
   subject.Step(store, call::kGood);
   subject.Step(store, call::kGood);
@@ -254,34 +254,34 @@
   CHECK_FALSE(ParseRecord(store.content.value, record));
   UNSIGNED_LONGS_EQUAL(5, record.term);
   STRCMP_EQUAL("s2", record.primary.c_str());
-  CHECK(subject.book.LowestUsable().value_or(0) > 5);
+  CHECK(subject.reservations.LowestUsable().value_or(0) > 5);
 }
 
-// Several books with one store that fails in every way: no number is held by
-// two of them, ever, and the record stays small.
-TEST(term_reservations, no_number_is_given_twice)
+// Several poolers share a store with all kinds of failures: no term is ever
+// held by two of them, and the record stays small.
+TEST(term_reservations, no_term_is_reserved_twice)
 {
   constexpr call kCalls[] = { call::kGood,        call::kGood,
                               call::kDown,        call::kAnswerLost,
                               call::kRequestLost, call::kRaced };
   for (const std::uint64_t seed : { 1, 2, 3, 5, 8, 13, 21, 34 }) {
-    std::mt19937_64 chance(seed);
+    std::mt19937_64 generator(seed);
     fake_store store;
-    std::vector<bench> books;
+    std::vector<store_driver> drivers;
     for (const auto* vm : { "a", "b", "c" }) {
-      books.emplace_back(vm);
+      drivers.emplace_back(vm);
     }
     std::map<position::term_id, std::size_t> given;
     for (int round = 0; round < 300; ++round) {
-      const auto turn = chance() % books.size();
-      auto& subject = books[turn];
-      subject.Step(store, kCalls[chance() % std::size(kCalls)]);
-      const auto term = subject.book.LowestUsable();
+      const auto index = generator() % drivers.size();
+      auto& subject = drivers[index];
+      subject.Step(store, kCalls[generator() % std::size(kCalls)]);
+      const auto term = subject.reservations.LowestUsable();
       if (!term) {
         continue;
       }
-      subject.book.MarkUsed(*term);
-      CHECK_TEXT(given.emplace(*term, turn).second,
+      subject.reservations.MarkUsed(*term);
+      CHECK_TEXT(given.emplace(*term, index).second,
                  absl::StrCat("seed ", seed).c_str());
     }
     CHECK(given.size() > 20);
--- a/test/currantshed/group/engine.cpp
+++ b/test/currantshed/group/engine.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// The kinds of request and what each is told while the pooler is leaving.
+// Each kind of request and its answer while the pooler is draining.
 struct drain_row
 {
   const char* name;
@@ -32,7 +32,7 @@
   { "resolve", operation::kResolve, verdict::kNotRun, reason::kLeaving },
 };
 
-// What became of a key, by what was done under it before.
+// Outcome of resolving a key, by what happened under it before.
 struct resolve_row
 {
   const char* name;
@@ -147,14 +147,14 @@
   for (int i = 0; i < 20; ++i) {
     CHECK(group.Call(group.Read(10s)).verdict == verdict::kDone);
   }
-  LONGS_EQUAL(0, group.Server("s2").ran.size());
+  LONGS_EQUAL(0, group.Server("s2").executed.size());
   group.Run(100ms);
   LONGS_EQUAL(0, group.Server("s2").connections);
 }
 
 TEST(engine, answers_come_at_the_deadline_at_the_latest)
 {
-  // More than one slot's worth of work against a frozen group.
+  // More requests than fit into the slots of a frozen group.
   fake_group group;
   group.Run(100ms);
   for (const auto* server : { "s1", "s2", "s3" }) {
@@ -189,7 +189,7 @@
     asked.push_back(group.Submit(write));
   }
   group.Run(101ms);
-  // One found a connection; a frozen server takes no further ones.
+  // One request got a connection; a frozen server accepts no further ones.
   const auto unknown =
     std::count_if(asked.begin(), asked.end(), [&group](request_id aId) {
       return group.Answer(aId)->verdict == verdict::kUnknown;
@@ -235,8 +235,8 @@
   }
   group.Run(2000ms);
   for (const auto* server : { "s1", "s2", "s3" }) {
-    CHECK(group.Server(server).mostConnections <= 4);
-    CHECK(group.Server(server).mostRunning <= 2);
+    CHECK(group.Server(server).maxConnections <= 4);
+    CHECK(group.Server(server).maxRunning <= 2);
   }
 }
 
@@ -257,7 +257,7 @@
       ++refused;
     }
   }
-  // One is under way and eight wait.
+  // One request is in progress and eight wait.
   LONGS_EQUAL(91, refused);
 }
 
@@ -271,7 +271,7 @@
   CHECK(told.verdict == verdict::kDone);
 }
 
-TEST(engine, the_first_request_waits_for_the_first_words)
+TEST(engine, the_first_request_waits_for_the_first_statuses)
 {
   fake_group group;
   const auto written = group.Call(group.Write("report"));
@@ -299,9 +299,9 @@
   group.batchTime = 1500ms;
   const auto told = group.Call(group.Read(10s));
   CHECK(told.verdict == verdict::kDone);
-  const auto runs = group.Server("s2").ran.size() +
-                    group.Server("s3").ran.size() +
-                    group.Server("s1").ran.size();
+  const auto runs = group.Server("s2").executed.size() +
+                    group.Server("s3").executed.size() +
+                    group.Server("s1").executed.size();
   LONGS_EQUAL(1, runs);
 }
 
--- a/test/currantshed/group/fake_group.cpp
+++ b/test/currantshed/group/fake_group.cpp
@@ -88,9 +88,9 @@
 }
 
 const group::answer*
-fake_group::Wait(group::request_id aRequest, std::chrono::milliseconds aMost)
+fake_group::Wait(group::request_id aRequest, std::chrono::milliseconds aTimeout)
 {
-  const auto end = mNow + aMost;
+  const auto end = mNow + aTimeout;
   while (Answer(aRequest) == nullptr && mNow < end) {
     Run(std::chrono::milliseconds{ 1 });
   }
@@ -146,7 +146,7 @@
 {
   auto& server = mServers.at(aServer);
   server.frozen = false;
-  for (auto& batch : std::exchange(server.held, {})) {
+  for (auto& batch : std::exchange(server.pendingBatches, {})) {
     batch();
   }
 }
@@ -348,7 +348,7 @@
   };
   auto& server = mServers.at(aAction.server);
   ++server.connections;
-  server.mostConnections = std::max(server.mostConnections, server.connections);
+  server.maxConnections = std::max(server.maxConnections, server.connections);
   At(mNow + kConnectTime, [this, id = aAction.connection] {
     const auto found = mConnections.find(id);
     if (found == mConnections.end()) {
@@ -389,11 +389,11 @@
       return;
     }
     ++server.running;
-    server.mostRunning = std::max(server.mostRunning, server.running);
+    server.maxRunning = std::max(server.maxRunning, server.running);
     At(mNow + batchTime, [this, aAction, copy] {
       auto& target = mServers.at(copy.server);
       if (target.frozen) {
-        target.held.push_back(
+        target.pendingBatches.push_back(
           [this, aAction, copy] { Execute(aAction, copy); });
         return;
       }
@@ -406,7 +406,7 @@
 fake_group::Execute(const group::run_batch& aAction,
                     const fake_connection& aConnection)
 {
-  // A batch that is in the server runs even if its connection was closed.
+  // A batch that has reached the server runs even if its connection was closed.
   const auto found = mConnections.find(aAction.connection);
   auto alone = aConnection;
   auto& link = found == mConnections.end() ? alone : found->second;
--- a/test/currantshed/group/fake_group.hpp
+++ b/test/currantshed/group/fake_group.hpp
@@ -17,10 +17,10 @@
 
 namespace currantshed::test {
 
-/// A group of servers in memory around one engine, in virtual time. Actions
-/// of the engine are done at once and their results come after one link
-/// delay each way. Callers' statements are `add VALUE`, which adds a value,
-/// `list`, which returns all values, and `fail`, which is refused.
+/// In-memory group of servers around one engine, in virtual time. Actions of
+/// the engine are executed at once; their results arrive after one link delay
+/// each way. Callers' statements are `add VALUE`, which adds a value, `list`,
+/// which returns all values, and `fail`, which is refused.
 class fake_group
 {
 public:
@@ -29,44 +29,44 @@
                       unsigned aSlots = 2,
                       unsigned aConnections = 16);
 
-  /// Lets the time pass, with all that happens in it.
+  /// Advances the time and processes all events in it.
   void Run(std::chrono::milliseconds aTime);
 
-  /// Submits a request with the next number, and gives the number.
+  /// Submits a request under the next identifier and returns it.
   group::request_id Submit(group::request aRequest);
 
-  /// The answer to a request; none while there is none.
+  /// Answer to a request; null while there is none.
   [[nodiscard]] const group::answer* Answer(group::request_id aRequest) const;
 
-  /// Runs until the request is answered, at most for the time given.
+  /// Runs until the request is answered or the timeout has passed.
   [[nodiscard]] const group::answer* Wait(group::request_id aRequest,
-                                          std::chrono::milliseconds aMost);
+                                          std::chrono::milliseconds aTimeout);
 
   /// Submits a request and waits for its answer.
   [[nodiscard]] group::answer Call(group::request aRequest);
 
-  /// Makes a server the primary of the next term, with the term accepted by
-  /// those listed, as a failover does.
+  /// Makes a server the primary of the next term, accepted by the listed
+  /// servers, as a failover does.
   void Promote(const upstream::server_id& aServer,
                const std::vector<upstream::server_id>& aFenced);
 
-  /// Does what a fence does at one server.
+  /// Fences one server at the term.
   void Fence(const upstream::server_id& aServer, position::term_id aTerm);
 
-  /// Ends a server's freeze: what waited in it runs.
+  /// Unfreezes a server; batches that waited in it run.
   void Thaw(const upstream::server_id& aServer);
 
   void SetLeaving(const upstream::server_id& aServer, bool aLeaving);
 
   void SetTransactionLimit(std::chrono::milliseconds aLimit);
 
-  /// Lists a server at another port, as after its move.
+  /// Lists a server at another port, as after a move.
   void Move(const upstream::server_id& aServer);
 
-  /// Takes a server out of the list that the engine gets.
+  /// Removes a server from the list that the engine gets.
   void Drop(const upstream::server_id& aServer);
 
-  /// Breaks all statement connections to a server, as its restart does.
+  /// Breaks all statement connections to a server, as a restart does.
   void LoseConnections(const upstream::server_id& aServer);
 
   [[nodiscard]] fake_server& Server(const upstream::server_id& aServer);
@@ -74,7 +74,7 @@
   [[nodiscard]] clock::time_point Now() const;
   [[nodiscard]] clock::wall_time WallNow() const;
 
-  /// Requests and keys of the usual kinds, with a deadline of 2 s.
+  /// Typical requests and keys, with a deadline of 2 s.
   [[nodiscard]] group::request Read(std::chrono::milliseconds aMaxStaleness);
   [[nodiscard]] group::request Write(const std::string& aValue,
                                      bool aRepeatable = false);
@@ -83,15 +83,14 @@
                                   const std::string& aSql = "");
   [[nodiscard]] outcome::idempotency_key NextKey();
 
-  /// Values that a majority's common history holds, in order: the primary's
-  /// of the highest term.
+  /// Values of the primary of the highest term, in order.
   [[nodiscard]] std::vector<std::string> Values();
 
-  /// Time that a message takes one way.
+  /// One-way latency of a message.
   std::chrono::microseconds linkDelay{ 500 };
-  /// Time that a batch takes at its server.
+  /// Processing time of a batch at its server.
   std::chrono::microseconds batchTime{ 200 };
-  /// Time that a record takes to a replica.
+  /// Time until a record reaches a replica.
   std::chrono::microseconds replicationDelay{ 300 };
 
 private:
--- a/test/currantshed/group/fake_server.cpp
+++ b/test/currantshed/group/fake_server.cpp
@@ -100,8 +100,8 @@
 {
   const auto& transaction = aConnection.transaction;
   auto count = aServer.applied;
-  if (transaction && transaction->sees) {
-    count = *transaction->sees;
+  if (transaction && transaction->visibleRecords) {
+    count = *transaction->visibleRecords;
   }
   result_set rows;
   rows.columns = { "value" };
@@ -135,8 +135,8 @@
     return std::nullopt;
   }
   if (sql == kStatusSql) {
-    if (transaction && transaction->readOnly && !transaction->sees) {
-      transaction->sees = aServer.applied;
+    if (transaction && transaction->readOnly && !transaction->visibleRecords) {
+      transaction->visibleRecords = aServer.applied;
     }
     return StatusRow(aServer);
   }
@@ -164,7 +164,7 @@
     return row;
   }
   if (sql == "list") {
-    aServer.ran.push_back(sql);
+    aServer.executed.push_back(sql);
     return List(aServer, aConnection);
   }
   const auto takesChange = aServer.role == server_role::kPrimary &&
@@ -187,7 +187,7 @@
     transaction->record.digest = *aStatement.parameters[2];
     return result_set{ {}, {}, 1 };
   }
-  aServer.ran.push_back(sql);
+  aServer.executed.push_back(sql);
   if (sql == "fail") {
     aSqlState = kFailState;
     return std::nullopt;
--- a/test/currantshed/group/fake_server.hpp
+++ b/test/currantshed/group/fake_server.hpp
@@ -14,20 +14,20 @@
 
 namespace currantshed::test {
 
-/// One record of a fake server's log: a committed transaction.
+/// Record of a fake server's log: a committed transaction.
 struct fake_record
 {
   position::term_id term = 0;
   /// Values that the transaction added, in the order of its statements.
   std::vector<std::string> values;
-  /// Key of the outcome that it recorded; empty for a record that opens a
-  /// term or that notes nothing.
+  /// Key of the recorded outcome; empty for a record that opens a term or
+  /// records no outcome.
   std::string key;
   std::string state;
   std::string digest;
 };
 
-/// An open transaction on one connection.
+/// Open transaction on a connection.
 struct fake_transaction
 {
   bool readOnly = false;
@@ -35,11 +35,11 @@
   bool changed = false;
   position::term_id term = 0;
   fake_record record;
-  /// For a read-only one, how much of the log it sees.
-  std::optional<std::size_t> sees;
+  /// For a read-only transaction, the number of log records that it sees.
+  std::optional<std::size_t> visibleRecords;
 };
 
-/// A server in memory: its log, its term and role, and faults to order.
+/// In-memory server: its log, term, role and injected faults.
 struct fake_server
 {
   position::term_id term = 1;
@@ -47,41 +47,41 @@
   std::vector<fake_record> log;
   /// The primary that it follows, if it is a replica.
   upstream::server_id following;
-  /// How many records of the log statements see.
+  /// Number of log records visible to statements.
   std::size_t applied = 0;
-  /// Whether messages to and from it are lost.
+  /// Whether all messages to and from it are lost.
   bool cut = false;
-  /// Whether records to and from it are lost, and nothing else.
+  /// Whether only replicated records to and from it are lost.
   bool isolated = false;
-  /// Whether it takes messages but does nothing until thawed.
+  /// Whether it accepts messages but processes none until thawed.
   bool frozen = false;
   /// Whether it refuses connections.
   bool refusing = false;
-  /// Whether it takes no records from its primary.
+  /// Whether it accepts no records from its primary.
   bool lagging = false;
-  /// Whether it stores records but doesn't show them.
+  /// Whether it stores records without applying them.
   bool applyPaused = false;
-  /// Tears the answer to the next batch of callers, after its effect.
+  /// Tears the answer to the next batch of a caller, after its effect.
   bool tearNextReply = false;
-  /// Drops the next batch of callers before its effect, and tears the answer.
+  /// Drops the next batch of a caller before its effect, and tears the answer.
   bool tearNextBatch = false;
-  /// A torn answer also says that it was too large.
+  /// A torn answer also reports that it was too large.
   bool oversize = false;
-  /// Statements that it was sent by callers, for checks of who ran what.
-  std::vector<std::string> ran;
-  /// Batches that waited while it was frozen.
-  std::vector<std::function<void()>> held;
+  /// Callers' statements that it received.
+  std::vector<std::string> executed;
+  /// Batches that wait while it is frozen.
+  std::vector<std::function<void()>> pendingBatches;
   unsigned connections = 0;
-  unsigned mostConnections = 0;
+  unsigned maxConnections = 0;
   unsigned running = 0;
-  unsigned mostRunning = 0;
+  unsigned maxRunning = 0;
 
   [[nodiscard]] position::log_position Stored() const;
   [[nodiscard]] position::log_position Applied() const;
   [[nodiscard]] upstream::server_status Status() const;
 };
 
-/// One connection to a fake server.
+/// Connection to a fake server.
 struct fake_connection
 {
   upstream::server_id server;
@@ -97,7 +97,7 @@
       fake_connection& aConnection,
       const std::vector<upstream::statement>& aStatements);
 
-/// Whether a batch does something for a caller, beside asking for a status.
+/// Whether a batch contains statements of a caller, besides status queries.
 [[nodiscard]] bool
 IsCallersBatch(const std::vector<upstream::statement>& aStatements);
 
--- a/test/currantshed/group/overload.cpp
+++ b/test/currantshed/group/overload.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-// A batch takes 10 ms at its server and 1 ms on the way, and each of three
+// A batch takes 10 ms at its server and 1 ms in transit, and each of three
 // servers has two slots.
 constexpr auto kBatchTime = 10ms;
 constexpr double kReadCapacity = 2 * 2 / 0.011;
@@ -28,13 +28,13 @@
 constexpr double kBrowsing = 100;
 constexpr double kReports = 60;
 constexpr double kQuotes = 60;
-constexpr double kKeptGoodput = 0.95;
-constexpr double kFew = 0.01;
+constexpr double kMinGoodputRatio = 0.95;
+constexpr double kMaxLateRatio = 0.01;
 constexpr auto kLoadTime = 3000ms;
 
 struct tally
 {
-  unsigned asked = 0;
+  unsigned submitted = 0;
   unsigned done = 0;
   unsigned late = 0;
   unsigned refused = 0;
@@ -44,10 +44,10 @@
 struct pending
 {
   std::string kind;
-  time_point asked;
+  time_point submitted;
 };
 
-// What one kind of request asks for.
+// Parameters of one kind of request.
 struct kind
 {
   const char* name;
@@ -62,7 +62,7 @@
 constexpr kind kQuoteKind{ "quotes", operation::kRead, true, 0.99, 500ms };
 constexpr kind kReportKind{ "reports", operation::kWrite, true, 0.999, 500ms };
 
-// Requests of the three kinds in a second.
+// Requests per second of the three kinds.
 struct rates
 {
   double browsing = 0;
@@ -89,10 +89,10 @@
       Arrive(mRates.quotes, kQuoteKind);
       Arrive(mRates.reports, kReportKind);
       mGroup.Run(1ms);
-      Judge();
+      CheckAnswers();
     }
     mGroup.Run(2000ms);
-    Judge();
+    CheckAnswers();
     return mTallies;
   }
 
@@ -101,18 +101,18 @@
   {
     std::poisson_distribution<int> arrivals(aRate / 1000);
     for (auto count = arrivals(mRandom); count > 0; --count) {
-      auto asked = aKind.asks == operation::kWrite
-                     ? mGroup.Write("report")
-                     : mGroup.Read(aKind.fresh ? 0ms : 10s);
-      asked.work.objective = aKind.objective;
-      asked.deadline = mGroup.Now() + aKind.time;
-      const auto id = mGroup.Submit(std::move(asked));
+      auto submitted = aKind.asks == operation::kWrite
+                         ? mGroup.Write("report")
+                         : mGroup.Read(aKind.fresh ? 0ms : 10s);
+      submitted.work.objective = aKind.objective;
+      submitted.deadline = mGroup.Now() + aKind.time;
+      const auto id = mGroup.Submit(std::move(submitted));
       mPending[id] = { aKind.name, mGroup.Now() };
-      ++mTallies[aKind.name].asked;
+      ++mTallies[aKind.name].submitted;
     }
   }
 
-  void Judge()
+  void CheckAnswers()
   {
     for (auto it = mPending.begin(); it != mPending.end();) {
       const auto* told = mGroup.Answer(it->first);
@@ -125,7 +125,7 @@
         ++tally.done;
       } else if (told->why == reason::kOverloaded) {
         ++tally.refused;
-        tally.refusedLate += mGroup.Now() - it->second.asked > 5ms ? 1 : 0;
+        tally.refusedLate += mGroup.Now() - it->second.submitted > 5ms ? 1 : 0;
       } else {
         ++tally.late;
       }
@@ -140,13 +140,15 @@
   std::map<std::string, tally> mTallies;
 };
 
-// Hardly anything that was admitted ends late, or is refused late.
+// Almost no admitted request ends late, and almost no request is refused late.
 void
-CheckPrompt(const std::map<std::string, tally>& aTold, const std::string& aName)
+CheckLatency(const std::map<std::string, tally>& aTold,
+             const std::string& aName)
 {
   for (const auto& [kind, tally] : aTold) {
-    CHECK_TEXT(tally.late <= tally.done * kFew, aName.c_str());
-    CHECK_TEXT(tally.refusedLate <= tally.refused * kFew, aName.c_str());
+    CHECK_TEXT(tally.late <= tally.done * kMaxLateRatio, aName.c_str());
+    CHECK_TEXT(tally.refusedLate <= tally.refused * kMaxLateRatio,
+               aName.c_str());
   }
 }
 
@@ -160,9 +162,11 @@
   for (const double times : { 2.0, 4.0 }) {
     auto told = load({ times * kReadCapacity, kQuotes, kReports }).Go();
     const auto name = std::to_string(times) + " times the capacity";
-    CheckPrompt(told, name);
-    LONGS_EQUAL_TEXT(told["reports"].asked, told["reports"].done, name.c_str());
-    CHECK_TEXT(told["browsing"].done >= best["browsing"].done * kKeptGoodput,
+    CheckLatency(told, name);
+    LONGS_EQUAL_TEXT(
+      told["reports"].submitted, told["reports"].done, name.c_str());
+    CHECK_TEXT(told["browsing"].done >=
+                 best["browsing"].done * kMinGoodputRatio,
                name.c_str());
   }
 }
@@ -173,8 +177,8 @@
   for (const double times : { 2.0, 4.0 }) {
     auto told = load({ kBrowsing, 0, times * kWriteCapacity }).Go();
     const auto name = std::to_string(times) + " times the capacity";
-    CheckPrompt(told, name);
-    CHECK_TEXT(told["reports"].done >= best["reports"].done * kKeptGoodput,
+    CheckLatency(told, name);
+    CHECK_TEXT(told["reports"].done >= best["reports"].done * kMinGoodputRatio,
                name.c_str());
   }
 }
--- a/test/currantshed/group/pinned_transactions.cpp
+++ b/test/currantshed/group/pinned_transactions.cpp
@@ -18,7 +18,7 @@
   const char* sql;
 };
 
-// All that may end a transaction, or bring it nearer to its end.
+// Requests that end an open transaction or bring it closer to its end.
 const full_row kFullRows[] = {
   { "statement", operation::kStatement, "add line" },
   { "commit", operation::kCommit, "" },
@@ -29,7 +29,8 @@
 
 TEST_GROUP(pinned_transactions){};
 
-// Whoever holds the slots may wait in the server for this very transaction.
+// The batches that occupy the slots may wait in the server for this
+// transaction.
 TEST(pinned_transactions, go_on_while_all_slots_are_taken)
 {
   for (const auto& row : kFullRows) {
@@ -41,7 +42,7 @@
     CHECK_TEXT(begun.verdict == verdict::kDone, row.name);
     auto next = group.In(row.kind, begun.transaction, row.sql);
     next.key = begin.key;
-    // So that there are connections enough before it matters.
+    // Opens enough connections beforehand.
     for (const char* const value : { "a", "b", "c", "d" }) {
       group.Submit(group.Write(value));
     }
--- a/test/currantshed/group/random_faults.cpp
+++ b/test/currantshed/group/random_faults.cpp
@@ -27,29 +27,29 @@
 constexpr auto kBound = 400ms;
 const char* const kServers[] = { "s1", "s2", "s3" };
 
-// What a read must see: all that was acknowledged before it, what its session
-// knows of, or what was acknowledged longer ago than its bound.
-enum class sight
+// What a read must see: everything acknowledged before it, everything its
+// session knows of, or everything acknowledged longer ago than its bound.
+enum class visibility
 {
   kFresh,
   kSession,
   kBounded,
 };
 
-// What one caller asked, and what it must see.
-struct asked
+// A submitted request and what it must see.
+struct submitted_request
 {
   request_id id;
   operation kind;
   std::string value;
   // Values acknowledged to this session, or for fresh reads to anyone, before
-  // it was asked.
+  // the request.
   std::set<std::string> mustSee;
-  bool judged = false;
+  bool checked = false;
 };
 
-// Drives a group with random requests and faults, and judges the answers by
-// what the last primary holds in the end.
+// Runs a group under random requests and faults, and checks the answers against
+// the final state of the last primary.
 class random_run
 {
 public:
@@ -64,14 +64,14 @@
     for (int i = 0; i < kSteps; ++i) {
       Step();
       mGroup.Run(std::chrono::milliseconds(Below(6)));
-      Judge();
+      CheckAnswers();
     }
     Heal();
     for (int i = 0; i < 2; ++i) {
       mGroup.Run(3000ms);
-      Judge();
+      CheckAnswers();
     }
-    JudgeValues();
+    CheckValues();
     return mViolation;
   }
 
@@ -94,7 +94,7 @@
       case 5:
       case 6:
       case 7:
-        Read(static_cast<sight>(Below(3)));
+        Read(static_cast<visibility>(Below(3)));
         break;
       case 8:
         Transaction();
@@ -115,34 +115,35 @@
     const auto value = "v" + std::to_string(++mLast);
     auto write = mGroup.Write(value, Below(2) == 0);
     write.deadline = mGroup.Now() + std::chrono::milliseconds(50 + Below(800));
-    mAsked.push_back({ mGroup.Submit(write), operation::kWrite, value, {} });
+    mRequests.push_back({ mGroup.Submit(write), operation::kWrite, value, {} });
   }
 
-  void Read(sight aSight)
+  void Read(visibility aVisibility)
   {
-    const auto isFresh = aSight == sight::kFresh;
+    const auto isFresh = aVisibility == visibility::kFresh;
     auto read = mGroup.Read(isFresh ? 0ms : kBound);
-    if (aSight == sight::kSession) {
+    if (aVisibility == visibility::kSession) {
       read.floor = mFloor;
     }
     std::set<std::string> mustSee;
     for (const auto& [value, when] : mAcknowledged) {
-      if (aSight != sight::kBounded || when + kBound <= mGroup.Now()) {
+      if (aVisibility != visibility::kBounded ||
+          when + kBound <= mGroup.Now()) {
         mustSee.insert(value);
       }
     }
-    mAsked.push_back({ mGroup.Submit(read), operation::kRead, "", mustSee });
+    mRequests.push_back({ mGroup.Submit(read), operation::kRead, "", mustSee });
   }
 
-  // Takes back the newest request that has no answer.
+  // Cancels the newest request if it has no answer.
   void Cancel()
   {
-    if (mAsked.empty() || mAsked.back().judged ||
-        mGroup.Answer(mAsked.back().id) != nullptr) {
+    if (mRequests.empty() || mRequests.back().checked ||
+        mGroup.Answer(mRequests.back().id) != nullptr) {
       return;
     }
-    mGroup.Engine().Cancel(mAsked.back().id, mGroup.Now());
-    mAsked.pop_back();
+    mGroup.Engine().Cancel(mRequests.back().id, mGroup.Now());
+    mRequests.pop_back();
   }
 
   void Transaction()
@@ -198,8 +199,8 @@
     }
   }
 
-  // Fences two servers that can be reached and promotes the newer one, after
-  // the validity has passed.
+  // Fences two servers and, after the validity has passed, promotes the one
+  // with the newer log.
   void Failover()
   {
     const auto out = Below(3);
@@ -215,7 +216,7 @@
     mGroup.Fence(fenced[0], term);
     mGroup.Fence(fenced[1], term);
     mGroup.Run(200ms);
-    Judge();
+    CheckAnswers();
     const auto& newest =
       first.Stored() >= second.Stored() ? fenced[0] : fenced[1];
     mGroup.Promote(newest, fenced);
@@ -237,7 +238,7 @@
     JoinLastTerm();
   }
 
-  // Servers that are out of the last term join it.
+  // Makes servers that are not in the last term join it.
   void JoinLastTerm()
   {
     std::string primary;
@@ -267,18 +268,18 @@
     }
   }
 
-  void Judge()
+  void CheckAnswers()
   {
-    for (auto& one : mAsked) {
+    for (auto& one : mRequests) {
       const auto* told = mGroup.Answer(one.id);
-      if (one.judged || told == nullptr) {
+      if (one.checked || told == nullptr) {
         continue;
       }
-      one.judged = true;
+      one.checked = true;
       if (one.kind == operation::kRead) {
-        JudgeRead(one, *told);
+        CheckRead(one, *told);
       } else {
-        JudgeChange(one, *told);
+        CheckChange(one, *told);
       }
     }
     for (auto it = mBegun.begin(); it != mBegun.end();) {
@@ -289,7 +290,7 @@
       }
       if (told->verdict == verdict::kDone) {
         const auto commit = mGroup.In(operation::kCommit, told->transaction);
-        mAsked.push_back(
+        mRequests.push_back(
           { mGroup.Submit(commit), operation::kCommit, it->second, {} });
       } else {
         mNotRun.insert(it->second);
@@ -298,19 +299,19 @@
     }
   }
 
-  void JudgeChange(const asked& aAsked, const answer& aTold)
+  void CheckChange(const submitted_request& aRequest, const answer& aTold)
   {
     if (aTold.verdict == verdict::kDone) {
-      mAcknowledged.emplace(aAsked.value, mGroup.Now());
+      mAcknowledged.emplace(aRequest.value, mGroup.Now());
       CheckNotReplaced(aTold);
       mFloor = std::max(mFloor, aTold.position);
     } else if (aTold.verdict == verdict::kNotRun) {
-      mNotRun.insert(aAsked.value);
+      mNotRun.insert(aRequest.value);
     }
   }
 
-  // A failover promotes only after the validity, so nothing may be told as
-  // done for an earlier term from then on.
+  // A failover promotes only after the validity, so nothing may be acknowledged
+  // for an earlier term from then on.
   void CheckNotReplaced(const answer& aTold)
   {
     for (const auto* name : kServers) {
@@ -322,7 +323,7 @@
     }
   }
 
-  void JudgeRead(const asked& aAsked, const answer& aTold)
+  void CheckRead(const submitted_request& aRequest, const answer& aTold)
   {
     if (aTold.verdict != verdict::kDone) {
       return;
@@ -333,14 +334,14 @@
       seen.insert(*cell);
       mShown.insert(*cell);
     }
-    for (const auto& value : aAsked.mustSee) {
+    for (const auto& value : aRequest.mustSee) {
       if (!seen.contains(value)) {
         Violation("read misses " + value);
       }
     }
   }
 
-  void JudgeValues()
+  void CheckValues()
   {
     std::map<std::string, int> count;
     for (const auto& value : mGroup.Values()) {
@@ -364,8 +365,8 @@
         Violation("showed what was not kept " + value);
       }
     }
-    for (const auto& one : mAsked) {
-      if (!one.judged) {
+    for (const auto& one : mRequests) {
+      if (!one.checked) {
         Violation("no answer");
       }
     }
@@ -376,16 +377,16 @@
 
   std::mt19937 mRandom;
   fake_group mGroup;
-  std::vector<asked> mAsked;
+  std::vector<submitted_request> mRequests;
   std::map<request_id, std::string> mBegun;
-  // When each value was seen to be acknowledged.
+  // When each value was acknowledged.
   std::map<std::string, time_point> mAcknowledged;
   std::set<std::string> mNotRun;
   std::set<std::string> mShown;
   log_position mFloor;
   int mLast = 0;
   std::uint64_t mTerm = 1;
-  // The first breach found; empty while there is none.
+  // First violation found; empty if there is none.
   std::string mViolation;
 };
 
@@ -393,7 +394,7 @@
 
 TEST_GROUP(random_faults){};
 
-TEST(random_faults, promises_hold)
+TEST(random_faults, guarantees_hold)
 {
   for (unsigned seed = 1; seed <= kSeeds; ++seed) {
     const auto violation = random_run(seed).Go();
--- a/test/currantshed/group/read_verification.cpp
+++ b/test/currantshed/group/read_verification.cpp
@@ -24,10 +24,10 @@
 constexpr auto kFenced = server_role::kFenced;
 
 server_status
-Word(server_role aRole,
-     std::uint64_t aTerm,
-     log_position aStored,
-     log_position aApplied)
+MakeStatus(server_role aRole,
+           std::uint64_t aTerm,
+           log_position aStored,
+           log_position aApplied)
 {
   server_status status;
   status.term = aTerm;
@@ -38,13 +38,13 @@
 }
 
 server_status
-Word(server_role aRole, std::uint64_t aTerm, log_position aAt)
+MakeStatus(server_role aRole, std::uint64_t aTerm, log_position aAt)
 {
-  return Word(aRole, aTerm, aAt, aAt);
+  return MakeStatus(aRole, aTerm, aAt, aAt);
 }
 
-// Term 2 was confirmed up to 50, last asked about at the start; before that,
-// up to 40 at 100 ms before.
+// Term 2 was confirmed up to index 50 by status requests at the start, and up
+// to 40 by those 100 ms earlier.
 status_tracker
 MakeTracker()
 {
@@ -52,13 +52,13 @@
   tracker.SetMembers({ "s1", "s2", "s3" });
   for (const auto& [index, date] :
        { std::pair{ 40U, kStart - 100ms }, std::pair{ 50U, kStart } }) {
-    tracker.Record("s1", Word(kPrimary, 2, { 2, index }), date);
-    tracker.Record("s2", Word(kReplica, 2, { 2, index }), date);
+    tracker.Record("s1", MakeStatus(kPrimary, 2, { 2, index }), date);
+    tracker.Record("s2", MakeStatus(kReplica, 2, { 2, index }), date);
   }
   return tracker;
 }
 
-// A read sent at a time after the start and judged 10 ms later.
+// A read sent at the given time after the start and verified 10 ms later.
 struct judge_row
 {
   const char* name;
@@ -74,106 +74,106 @@
   { "a replica within bound and floor",
     200ms,
     { 2, 45 },
-    Word(kReplica, 2, { 2, 45 }),
-    Word(kReplica, 2, { 2, 50 }),
+    MakeStatus(kReplica, 2, { 2, 45 }),
+    MakeStatus(kReplica, 2, { 2, 50 }),
     0ms,
     read_verdict::kGood },
   { "behind the floor before, though not after",
     200ms,
     { 2, 45 },
-    Word(kReplica, 2, { 2, 44 }),
-    Word(kReplica, 2, { 2, 50 }),
+    MakeStatus(kReplica, 2, { 2, 44 }),
+    MakeStatus(kReplica, 2, { 2, 50 }),
     0ms,
     read_verdict::kBad },
   { "older than the bound before, though not after",
     100ms,
     {},
-    Word(kReplica, 2, { 2, 49 }),
-    Word(kReplica, 2, { 2, 50 }),
+    MakeStatus(kReplica, 2, { 2, 49 }),
+    MakeStatus(kReplica, 2, { 2, 50 }),
     0ms,
     read_verdict::kBad },
   { "shows more than was confirmed",
     200ms,
     {},
-    Word(kReplica, 2, { 2, 50 }),
-    Word(kReplica, 2, { 2, 51 }),
+    MakeStatus(kReplica, 2, { 2, 50 }),
+    MakeStatus(kReplica, 2, { 2, 51 }),
     0ms,
     read_verdict::kUnconfirmed },
   { "its term changed in between",
     200ms,
     {},
-    Word(kReplica, 2, { 2, 50 }),
-    Word(kFenced, 3, { 2, 50 }),
+    MakeStatus(kReplica, 2, { 2, 50 }),
+    MakeStatus(kFenced, 3, { 2, 50 }),
     0ms,
     read_verdict::kBad },
   { "fenced for the next term: what was confirmed may be shown",
     200ms,
     {},
-    Word(kFenced, 3, { 2, 50 }),
-    Word(kFenced, 3, { 2, 50 }),
+    MakeStatus(kFenced, 3, { 2, 50 }),
+    MakeStatus(kFenced, 3, { 2, 50 }),
     0ms,
     read_verdict::kGood },
   { "it dropped records that were applied",
     200ms,
     {},
-    Word(kReplica, 3, { 2, 52 }),
-    Word(kReplica, 3, { 2, 50 }),
+    MakeStatus(kReplica, 3, { 2, 52 }),
+    MakeStatus(kReplica, 3, { 2, 50 }),
     0ms,
     read_verdict::kBad },
   { "it dropped records that may have been applied in between",
     200ms,
     {},
-    Word(kFenced, 3, { 2, 52 }, { 2, 50 }),
-    Word(kReplica, 3, { 2, 50 }),
+    MakeStatus(kFenced, 3, { 2, 52 }, { 2, 50 }),
+    MakeStatus(kReplica, 3, { 2, 50 }),
     0ms,
     read_verdict::kBad },
   { "its log went on in a later term, from an unconfirmed end",
     200ms,
     {},
-    Word(kFenced, 3, { 2, 52 }, { 2, 50 }),
-    Word(kReplica, 3, { 3, 51 }, { 2, 50 }),
+    MakeStatus(kFenced, 3, { 2, 52 }, { 2, 50 }),
+    MakeStatus(kReplica, 3, { 3, 51 }, { 2, 50 }),
     0ms,
     read_verdict::kBad },
   { "its log went on in a later term, from a confirmed end",
     200ms,
     {},
-    Word(kFenced, 3, { 2, 50 }),
-    Word(kReplica, 3, { 3, 51 }, { 2, 50 }),
+    MakeStatus(kFenced, 3, { 2, 50 }),
+    MakeStatus(kReplica, 3, { 3, 51 }, { 2, 50 }),
     0ms,
     read_verdict::kGood },
   { "fresh: the primary, and a majority asked since",
     0ms,
     {},
-    Word(kPrimary, 2, { 2, 50 }),
-    Word(kPrimary, 2, { 2, 50 }),
+    MakeStatus(kPrimary, 2, { 2, 50 }),
+    MakeStatus(kPrimary, 2, { 2, 50 }),
     0ms,
     read_verdict::kGood },
   { "fresh: the primary, but the majority was asked before",
     0ms,
     {},
-    Word(kPrimary, 2, { 2, 50 }),
-    Word(kPrimary, 2, { 2, 50 }),
+    MakeStatus(kPrimary, 2, { 2, 50 }),
+    MakeStatus(kPrimary, 2, { 2, 50 }),
     1ms,
     read_verdict::kUnconfirmed },
   { "fresh: the majority's word is too old by now",
     0ms,
     {},
-    Word(kPrimary, 2, { 2, 50 }),
-    Word(kPrimary, 2, { 2, 50 }),
+    MakeStatus(kPrimary, 2, { 2, 50 }),
+    MakeStatus(kPrimary, 2, { 2, 50 }),
     195ms,
     read_verdict::kUnconfirmed },
   { "fresh: a replica won't do",
     0ms,
     {},
-    Word(kReplica, 2, { 2, 50 }),
-    Word(kReplica, 2, { 2, 50 }),
+    MakeStatus(kReplica, 2, { 2, 50 }),
+    MakeStatus(kReplica, 2, { 2, 50 }),
     0ms,
     read_verdict::kBad },
   { "fresh: a primary of a term that is over",
     0ms,
     {},
-    Word(kPrimary, 1, { 1, 90 }),
-    Word(kPrimary, 1, { 1, 90 }),
+    MakeStatus(kPrimary, 1, { 1, 90 }),
+    MakeStatus(kPrimary, 1, { 1, 90 }),
     0ms,
     read_verdict::kBad },
 };
--- a/test/currantshed/group/reads.cpp
+++ b/test/currantshed/group/reads.cpp
@@ -14,7 +14,7 @@
 
 using act = void (*)(fake_group&);
 
-// One write is done before each read; servers' faults come between.
+// One write is made before each read, and faults are injected in between.
 struct read_row
 {
   const char* name;
@@ -168,7 +168,7 @@
     true },
 };
 
-// Reads that are wrong, or whose places are limited.
+// Reads that are invalid, or that may run in certain failure domains only.
 struct place_row
 {
   const char* name;
@@ -278,7 +278,7 @@
 
 TEST(reads, unconfirmed_changes_are_not_shown)
 {
-  // The primary commits alone; neither it nor anyone may show the change.
+  // The primary commits without its replicas; no server may show the change.
   fake_group group;
   group.Run(100ms);
   group.Server("s1").isolated = true;
@@ -313,7 +313,7 @@
   CHECK(told.why == reason::kAnswerTooLarge);
   std::size_t runs = 0;
   for (const auto* server : { "s1", "s2", "s3" }) {
-    runs += group.Server(server).ran.size();
+    runs += group.Server(server).executed.size();
   }
   LONGS_EQUAL(1, runs);
 }
--- a/test/currantshed/group/status_poller.cpp
+++ b/test/currantshed/group/status_poller.cpp
@@ -21,7 +21,8 @@
   kFailed,
 };
 
-// A question is asked at the start and ends at 5 ms; when is the next one?
+// A status request is sent at the start and ends at 5 ms; the time of the next
+// one depends on the load.
 struct due_row
 {
   const char* name;
@@ -56,24 +57,24 @@
 
 TEST_GROUP(status_poller){};
 
-TEST(status_poller, next_question)
+TEST(status_poller, next_status_request)
 {
   for (const auto& row : kDueRows) {
-    status_poller questions{ engine_settings{} };
-    questions.SetMembers({ "s1" });
-    LONGS_EQUAL_TEXT(1, questions.TakeDue(kNobody, kStart).size(), row.name);
+    status_poller poller{ engine_settings{} };
+    poller.SetMembers({ "s1" });
+    LONGS_EQUAL_TEXT(1, poller.TakeDue(kNobody, kStart).size(), row.name);
     if (row.wanted) {
-      questions.RequireStatusSince(kStart + 2ms);
+      poller.RequireStatusSince(kStart + 2ms);
     }
     if (row.ended == end::kAnswered) {
-      questions.Answered("s1");
+      poller.Answered("s1");
     } else if (row.ended == end::kFailed) {
-      questions.Failed("s1");
+      poller.Failed("s1");
     }
-    CHECK_TEXT(questions.NextDue(row.asked) == kStart + row.due, row.name);
+    CHECK_TEXT(poller.NextDue(row.asked) == kStart + row.due, row.name);
     const auto before = kStart + row.due - 1us;
-    LONGS_EQUAL_TEXT(0, questions.TakeDue(row.asked, before).size(), row.name);
+    LONGS_EQUAL_TEXT(0, poller.TakeDue(row.asked, before).size(), row.name);
     LONGS_EQUAL_TEXT(
-      1, questions.TakeDue(row.asked, kStart + row.due).size(), row.name);
+      1, poller.TakeDue(row.asked, kStart + row.due).size(), row.name);
   }
 }
--- a/test/currantshed/group/transactions.cpp
+++ b/test/currantshed/group/transactions.cpp
@@ -43,8 +43,8 @@
     std::count(values.begin(), values.end(), aValue));
 }
 
-// A transaction with two values, and faults after its beginning, before its
-// commit, and while the commit is under way.
+// A transaction with two values, and faults after its begin, before its commit
+// and while the commit is in progress.
 struct commit_row
 {
   const char* name;
@@ -160,7 +160,7 @@
 
 TEST_GROUP(transactions){};
 
-TEST(transactions, faults_on_the_way)
+TEST(transactions, faults_in_progress)
 {
   for (const auto& row : kCommitRows) {
     fake_group group;
@@ -169,9 +169,9 @@
     CHECK_TEXT(begun.verdict == verdict::kDone, row.name);
     CHECK_TEXT(begun.transaction != 0, row.name);
     row.afterBegin(group);
-    const auto ran = group.Call(
+    const auto executed = group.Call(
       group.In(operation::kStatement, begun.transaction, "add fixture"));
-    CHECK_TEXT(ran.verdict == row.statementTold, row.name);
+    CHECK_TEXT(executed.verdict == row.statementTold, row.name);
     row.beforeCommit(group);
     const auto id =
       group.Submit(group.In(operation::kCommit, begun.transaction));
@@ -188,11 +188,10 @@
   }
 }
 
-// A pooler that left kept the rows of a transaction locked that no caller could
-// reach any more, until its 10 s of idle time were over: every write of the
-// group waited out its deadline of 2 s meanwhile (beside load, the acknowledged
-// count stood still from second 3 to 13 of a run, until the pooler logged
-// group_released and drained).
+// Guards against a draining pooler that keeps the rows of an unreachable
+// transaction locked until its 10 s idle timeout: meanwhile every write that
+// needs these rows waits until its deadline of 2 s. Under load, no write of the
+// group was acknowledged for 10 s.
 TEST(transactions,
      one_that_nobody_uses_is_given_up_soon_while_the_pooler_leaves)
 {
@@ -352,7 +351,7 @@
 
 TEST(transactions, open_ones_leave_connections_to_others)
 {
-  // Four connections are this pooler's share of sixteen.
+  // Four of the sixteen connections are available to this pooler.
   fake_group group;
   group.Run(100ms);
   for (int i = 0; i < 4; ++i) {
@@ -361,5 +360,5 @@
   group.Run(200ms);
   const auto told = group.Call(group.Write("report"));
   CHECK(told.verdict == verdict::kDone);
-  CHECK(group.Server("s1").mostConnections <= 4);
+  CHECK(group.Server("s1").maxConnections <= 4);
 }
--- a/test/currantshed/group/writes.cpp
+++ b/test/currantshed/group/writes.cpp
@@ -26,8 +26,8 @@
     std::count(values.begin(), values.end(), aValue));
 }
 
-// A write with faults ordered before it is sent and while it is under way;
-// what the caller is told and what the group holds a while after.
+// A write with faults injected before it is sent and while it is in progress;
+// the expected answer, and what the group holds some time later.
 struct write_row
 {
   const char* name;
@@ -183,7 +183,7 @@
     0 },
 };
 
-// A write whose request is wrong, or whose key was used before.
+// A write that is invalid, or whose key was used before.
 struct refusal_row
 {
   const char* name;
@@ -287,7 +287,7 @@
 
 TEST_GROUP(writes){};
 
-TEST(writes, faults_on_the_way)
+TEST(writes, faults_in_progress)
 {
   for (const auto& row : kWriteRows) {
     fake_group group;
@@ -323,10 +323,10 @@
   }
 }
 
-TEST(writes, a_late_first_try_cannot_run_after_its_void)
+TEST(writes, a_late_first_attempt_cannot_run_after_its_void)
 {
-  // The first try waits inside the frozen primary, whose answer counts as
-  // lost; once it thaws, the key decides.
+  // The first attempt waits inside the frozen primary, whose answer counts as
+  // lost; once it is thawed, the key decides.
   fake_group group;
   group.Run(100ms);
   group.Server("s1").frozen = true;
@@ -340,9 +340,11 @@
   LONGS_EQUAL(0, CopiesOf(group, "report"));
 }
 
-TEST(writes, a_refused_statement_after_a_doubt_is_decided_by_the_void)
+TEST(writes,
+     a_refused_statement_after_an_unknown_outcome_is_decided_by_the_void)
 {
-  // The first try may still run, so a refusal of the second proves nothing.
+  // The first attempt may still run, so the refusal of the second one is no
+  // evidence.
   fake_group group;
   group.Run(100ms);
   group.Server("s1").tearNextBatch = true;
