--- a/test/currantshed/failover/cluster_simulation.cpp
+++ b/test/currantshed/failover/cluster_simulation.cpp
@@ -346,7 +346,7 @@
   for (const auto& change : mConfirmed) {
     if (change.record.term < aWhat.term && mNow - change.at < kValidity) {
       mViolations.push_back("term " + std::to_string(aWhat.term) +
-                            " began while an older acknowledgement holds");
+                            " began while an older acknowledgement is valid");
       return;
     }
   }
--- a/test/currantshed/failover/term_record.cpp
+++ b/test/currantshed/failover/term_record.cpp
@@ -66,7 +66,10 @@
 }
 
 const prune_row kPruneRows[] = {
-  { "keeps what counts", { 4, "s", 5, { { 5, "a", "a-2" } }, { "c" } }, 1, 1 },
+  { "keeps the usable terms",
+    { 4, "s", 5, { { 5, "a", "a-2" } }, { "c" } },
+    1,
+    1 },
   { "drops past terms", { 5, "s", 5, { { 5, "a", "a-2" } }, {} }, 0, 0 },
   { "drops an earlier incarnation",
     { 4, "s", 6, { { 5, "a", "a-1" }, { 6, "a", "a-2" } }, {} },
--- a/test/currantshed/group/engine.cpp
+++ b/test/currantshed/group/engine.cpp
@@ -21,7 +21,7 @@
 {
   const char* name;
   operation kind;
-  verdict told;
+  verdict expectedVerdict;
   reason why;
 };
 
@@ -38,12 +38,12 @@
   const char* name;
   void (*before)(fake_group&, const request&);
   void (*during)(fake_group&);
-  verdict told;
+  verdict expectedVerdict;
   reason why;
 };
 
 const resolve_row kResolveRows[] = {
-  { "never seen: void",
+  { "never seen: voided",
     [](fake_group&, const request&) {},
     [](fake_group&) {},
     verdict::kNotRun,
@@ -93,10 +93,10 @@
     const auto id = group.Submit(resolve);
     group.Run(10ms);
     row.during(group);
-    const auto* told = group.Wait(id, 2001ms);
-    CHECK_TEXT(told != nullptr, row.name);
-    CHECK_TEXT(told->verdict == row.told, row.name);
-    CHECK_TEXT(told->why == row.why, row.name);
+    const auto* result = group.Wait(id, 2001ms);
+    CHECK_TEXT(result != nullptr, row.name);
+    CHECK_TEXT(result->verdict == row.expectedVerdict, row.name);
+    CHECK_TEXT(result->why == row.why, row.name);
   }
 }
 
@@ -122,10 +122,10 @@
     group.Engine().Drain(group.Now());
     auto asked = group.Write("report");
     asked.kind = row.kind;
-    const auto told = group.Call(asked);
-    CHECK_TEXT(told.verdict == row.told, row.name);
-    CHECK_TEXT(told.why == row.why, row.name);
-    CHECK_TEXT(told.retryAfter > 0ms, row.name);
+    const auto result = group.Call(asked);
+    CHECK_TEXT(result.verdict == row.expectedVerdict, row.name);
+    CHECK_TEXT(result.why == row.why, row.name);
+    CHECK_TEXT(result.retryAfter > 0ms, row.name);
   }
 }
 
@@ -250,10 +250,10 @@
   std::size_t refused = 0;
   for (int i = 0; i < 100; ++i) {
     const auto id = group.Submit(group.Write("report"));
-    const auto* told = group.Answer(id);
-    if (told != nullptr) {
-      CHECK(told->why == reason::kOverloaded);
-      CHECK(told->retryAfter > 0ms);
+    const auto* result = group.Answer(id);
+    if (result != nullptr) {
+      CHECK(result->why == reason::kOverloaded);
+      CHECK(result->retryAfter > 0ms);
       ++refused;
     }
   }
@@ -267,8 +267,8 @@
   group.Run(100ms);
   group.Server("s2").tearNextBatch = true;
   group.Server("s3").tearNextBatch = true;
-  const auto told = group.Call(group.Read(10s));
-  CHECK(told.verdict == verdict::kDone);
+  const auto result = group.Call(group.Read(10s));
+  CHECK(result.verdict == verdict::kDone);
 }
 
 TEST(engine, the_first_request_waits_for_the_first_statuses)
@@ -285,9 +285,9 @@
   const auto id = group.Submit(group.Write("report", true));
   group.Run(1ms);
   group.LoseConnections("s1");
-  const auto* told = group.Wait(id, 500ms);
-  CHECK(told != nullptr);
-  CHECK(told->verdict == verdict::kDone);
+  const auto* result = group.Wait(id, 500ms);
+  CHECK(result != nullptr);
+  CHECK(result->verdict == verdict::kDone);
   const auto values = group.Values();
   LONGS_EQUAL(1, std::count(values.begin(), values.end(), "report"));
 }
@@ -297,8 +297,8 @@
   fake_group group;
   group.Run(100ms);
   group.batchTime = 1500ms;
-  const auto told = group.Call(group.Read(10s));
-  CHECK(told.verdict == verdict::kDone);
+  const auto result = group.Call(group.Read(10s));
+  CHECK(result.verdict == verdict::kDone);
   const auto runs = group.Server("s2").executed.size() +
                     group.Server("s3").executed.size() +
                     group.Server("s1").executed.size();
@@ -315,9 +315,9 @@
   const auto begun = group.Call(begin);
   CHECK(begun.verdict == verdict::kDone);
   group.Drop("s3");
-  const auto told =
+  const auto result =
     group.Call(group.In(operation::kStatement, begun.transaction, "list"));
-  CHECK(told.why == reason::kTransactionLost);
+  CHECK(result.why == reason::kTransactionLost);
   LONGS_EQUAL(0, group.Engine().Pending());
   LONGS_EQUAL(0, group.Server("s3").connections);
   CHECK(group.Call(group.Write("report")).verdict == verdict::kDone);
--- a/test/currantshed/group/overload.cpp
+++ b/test/currantshed/group/overload.cpp
@@ -115,15 +115,15 @@
   void CheckAnswers()
   {
     for (auto it = mPending.begin(); it != mPending.end();) {
-      const auto* told = mGroup.Answer(it->first);
-      if (told == nullptr) {
+      const auto* result = mGroup.Answer(it->first);
+      if (result == nullptr) {
         ++it;
         continue;
       }
       auto& tally = mTallies[it->second.kind];
-      if (told->verdict == verdict::kDone) {
+      if (result->verdict == verdict::kDone) {
         ++tally.done;
-      } else if (told->why == reason::kOverloaded) {
+      } else if (result->why == reason::kOverloaded) {
         ++tally.refused;
         tally.refusedLate += mGroup.Now() - it->second.submitted > 5ms ? 1 : 0;
       } else {
@@ -142,10 +142,10 @@
 
 // Almost no admitted request ends late, and almost no request is refused late.
 void
-CheckLatency(const std::map<std::string, tally>& aTold,
+CheckLatency(const std::map<std::string, tally>& aTallies,
              const std::string& aName)
 {
-  for (const auto& [kind, tally] : aTold) {
+  for (const auto& [kind, tally] : aTallies) {
     CHECK_TEXT(tally.late <= tally.done * kMaxLateRatio, aName.c_str());
     CHECK_TEXT(tally.refusedLate <= tally.refused * kMaxLateRatio,
                aName.c_str());
@@ -160,12 +160,12 @@
 {
   auto best = load({ 1.5 * kReadCapacity, kQuotes, kReports }).Go();
   for (const double times : { 2.0, 4.0 }) {
-    auto told = load({ times * kReadCapacity, kQuotes, kReports }).Go();
+    auto tallies = load({ times * kReadCapacity, kQuotes, kReports }).Go();
     const auto name = std::to_string(times) + " times the capacity";
-    CheckLatency(told, name);
+    CheckLatency(tallies, name);
     LONGS_EQUAL_TEXT(
-      told["reports"].submitted, told["reports"].done, name.c_str());
-    CHECK_TEXT(told["browsing"].done >=
+      tallies["reports"].submitted, tallies["reports"].done, name.c_str());
+    CHECK_TEXT(tallies["browsing"].done >=
                  best["browsing"].done * kMinGoodputRatio,
                name.c_str());
   }
@@ -175,10 +175,11 @@
 {
   auto best = load({ kBrowsing, 0, 1.5 * kWriteCapacity }).Go();
   for (const double times : { 2.0, 4.0 }) {
-    auto told = load({ kBrowsing, 0, times * kWriteCapacity }).Go();
+    auto tallies = load({ kBrowsing, 0, times * kWriteCapacity }).Go();
     const auto name = std::to_string(times) + " times the capacity";
-    CheckLatency(told, name);
-    CHECK_TEXT(told["reports"].done >= best["reports"].done * kMinGoodputRatio,
+    CheckLatency(tallies, name);
+    CHECK_TEXT(tallies["reports"].done >=
+                 best["reports"].done * kMinGoodputRatio,
                name.c_str());
   }
 }
--- a/test/currantshed/group/random_faults.cpp
+++ b/test/currantshed/group/random_faults.cpp
@@ -271,25 +271,25 @@
   void CheckAnswers()
   {
     for (auto& one : mRequests) {
-      const auto* told = mGroup.Answer(one.id);
-      if (one.checked || told == nullptr) {
+      const auto* result = mGroup.Answer(one.id);
+      if (one.checked || result == nullptr) {
         continue;
       }
       one.checked = true;
       if (one.kind == operation::kRead) {
-        CheckRead(one, *told);
+        CheckRead(one, *result);
       } else {
-        CheckChange(one, *told);
+        CheckChange(one, *result);
       }
     }
     for (auto it = mBegun.begin(); it != mBegun.end();) {
-      const auto* told = mGroup.Answer(it->first);
-      if (told == nullptr) {
+      const auto* result = mGroup.Answer(it->first);
+      if (result == nullptr) {
         ++it;
         continue;
       }
-      if (told->verdict == verdict::kDone) {
-        const auto commit = mGroup.In(operation::kCommit, told->transaction);
+      if (result->verdict == verdict::kDone) {
+        const auto commit = mGroup.In(operation::kCommit, result->transaction);
         mRequests.push_back(
           { mGroup.Submit(commit), operation::kCommit, it->second, {} });
       } else {
@@ -299,44 +299,44 @@
     }
   }
 
-  void CheckChange(const submitted_request& aRequest, const answer& aTold)
+  void CheckChange(const submitted_request& aRequest, const answer& aAnswer)
   {
-    if (aTold.verdict == verdict::kDone) {
+    if (aAnswer.verdict == verdict::kDone) {
       mAcknowledged.emplace(aRequest.value, mGroup.Now());
-      CheckNotReplaced(aTold);
-      mFloor = std::max(mFloor, aTold.position);
-    } else if (aTold.verdict == verdict::kNotRun) {
+      CheckNotReplaced(aAnswer);
+      mFloor = std::max(mFloor, aAnswer.position);
+    } else if (aAnswer.verdict == verdict::kNotRun) {
       mNotRun.insert(aRequest.value);
     }
   }
 
   // A failover promotes only after the validity, so nothing may be acknowledged
   // for an earlier term from then on.
-  void CheckNotReplaced(const answer& aTold)
+  void CheckNotReplaced(const answer& aAnswer)
   {
     for (const auto* name : kServers) {
       const auto& server = mGroup.Server(name);
       if (server.role == server_role::kPrimary &&
-          server.term > aTold.position.term) {
+          server.term > aAnswer.position.term) {
         Violation("acknowledged by a replaced primary");
       }
     }
   }
 
-  void CheckRead(const submitted_request& aRequest, const answer& aTold)
+  void CheckRead(const submitted_request& aRequest, const answer& aAnswer)
   {
-    if (aTold.verdict != verdict::kDone) {
+    if (aAnswer.verdict != verdict::kDone) {
       return;
     }
-    mFloor = std::max(mFloor, aTold.position);
+    mFloor = std::max(mFloor, aAnswer.position);
     std::set<std::string> seen;
-    for (const auto& cell : aTold.results[0].cells) {
+    for (const auto& cell : aAnswer.results[0].cells) {
       seen.insert(*cell);
       mShown.insert(*cell);
     }
     for (const auto& value : aRequest.mustSee) {
       if (!seen.contains(value)) {
-        Violation("read misses " + value);
+        Violation("read lacks " + value);
       }
     }
   }
@@ -349,10 +349,10 @@
     }
     for (const auto& [value, times] : count) {
       if (times > 1) {
-        Violation("doubled " + value);
+        Violation("applied twice: " + value);
       }
       if (mNotRun.contains(value)) {
-        Violation("told not run, but ran " + value);
+        Violation("reported as not run, but ran: " + value);
       }
     }
     for (const auto& [value, when] : mAcknowledged) {
@@ -362,7 +362,7 @@
     }
     for (const auto& value : mShown) {
       if (!count.contains(value)) {
-        Violation("showed what was not kept " + value);
+        Violation("showed a value that was not kept: " + value);
       }
     }
     for (const auto& one : mRequests) {
--- a/test/currantshed/group/reads.cpp
+++ b/test/currantshed/group/reads.cpp
@@ -21,7 +21,7 @@
   std::chrono::milliseconds maxStaleness;
   bool withFloor;
   act before;
-  verdict told;
+  verdict expectedVerdict;
   reason why;
   bool byReplica;
   /// Whether the rows must show the write.
@@ -36,7 +36,7 @@
 }
 
 const read_row kReadRows[] = {
-  { "replicas are current",
+  { "replicas are up to date",
     10s,
     true,
     [](fake_group&) {},
@@ -52,7 +52,7 @@
     reason::kNone,
     false,
     true },
-  { "a token doesn't stand for freshness",
+  { "a token does not imply freshness",
     0ms,
     true,
     [](fake_group&) {},
@@ -155,7 +155,7 @@
     reason::kNone,
     true,
     true },
-  { "replicas are leaving: the primary",
+  { "replicas are marked as leaving: the primary",
     10s,
     true,
     [](fake_group& aGroup) {
@@ -173,7 +173,7 @@
 {
   const char* name;
   void (*change)(fake_group&, request&);
-  verdict told;
+  verdict expectedVerdict;
   reason why;
   const char* servedBy;
 };
@@ -194,7 +194,7 @@
     verdict::kNotRun,
     reason::kNoEligibleServer,
     "" },
-  { "only where a leaving server is",
+  { "only where a server marked as leaving is",
     [](fake_group& aGroup, request& aRequest) {
       aRequest.work.servedIn = { "d3" };
       aGroup.SetLeaving("s3", true);
@@ -251,13 +251,13 @@
     if (row.withFloor) {
       read.floor = written.position;
     }
-    const auto told = group.Call(read);
-    CHECK_TEXT(told.verdict == row.told, row.name);
-    CHECK_TEXT(told.why == row.why, row.name);
-    CHECK_TEXT(told.byReplica == row.byReplica, row.name);
-    if (told.verdict == verdict::kDone) {
+    const auto result = group.Call(read);
+    CHECK_TEXT(result.verdict == row.expectedVerdict, row.name);
+    CHECK_TEXT(result.why == row.why, row.name);
+    CHECK_TEXT(result.byReplica == row.byReplica, row.name);
+    if (result.verdict == verdict::kDone) {
       LONGS_EQUAL_TEXT(
-        row.showsWrite ? 2 : 1, told.results[0].cells.size(), row.name);
+        row.showsWrite ? 2 : 1, result.results[0].cells.size(), row.name);
     }
   }
 }
@@ -269,10 +269,10 @@
     group.Run(100ms);
     auto read = group.Read(10s);
     row.change(group, read);
-    const auto told = group.Call(read);
-    CHECK_TEXT(told.verdict == row.told, row.name);
-    CHECK_TEXT(told.why == row.why, row.name);
-    CHECK_TEXT(told.servedBy == row.servedBy, row.name);
+    const auto result = group.Call(read);
+    CHECK_TEXT(result.verdict == row.expectedVerdict, row.name);
+    CHECK_TEXT(result.why == row.why, row.name);
+    CHECK_TEXT(result.servedBy == row.servedBy, row.name);
   }
 }
 
@@ -284,9 +284,9 @@
   group.Server("s1").isolated = true;
   static_cast<void>(group.Submit(group.Write("unseen")));
   group.Run(20ms);
-  const auto told = group.Call(group.Read(0ms));
-  CHECK(told.verdict == verdict::kNotRun);
-  CHECK(told.results.empty());
+  const auto result = group.Call(group.Read(0ms));
+  CHECK(result.verdict == verdict::kNotRun);
+  CHECK(result.results.empty());
 }
 
 TEST(reads, a_replaced_primary_serves_no_fresh_read)
@@ -295,9 +295,9 @@
   group.Run(100ms);
   group.Server("s1").isolated = true;
   group.Promote("s2", { "s2", "s3" });
-  const auto told = group.Call(group.Read(0ms));
-  CHECK(told.verdict == verdict::kDone);
-  CHECK(told.servedBy == "s2");
+  const auto result = group.Call(group.Read(0ms));
+  CHECK(result.verdict == verdict::kDone);
+  CHECK(result.servedBy == "s2");
 }
 
 TEST(reads, an_answer_over_the_limit_is_refused_and_not_repeated)
@@ -308,9 +308,9 @@
     group.Server(server).tearNextReply = true;
     group.Server(server).oversize = true;
   }
-  const auto told = group.Call(group.Read(10s));
-  CHECK(told.verdict == verdict::kRefused);
-  CHECK(told.why == reason::kAnswerTooLarge);
+  const auto result = group.Call(group.Read(10s));
+  CHECK(result.verdict == verdict::kRefused);
+  CHECK(result.why == reason::kAnswerTooLarge);
   std::size_t runs = 0;
   for (const auto* server : { "s1", "s2", "s3" }) {
     runs += group.Server(server).executed.size();
--- a/test/currantshed/group/refusals.cpp
+++ b/test/currantshed/group/refusals.cpp
@@ -25,7 +25,7 @@
   { "too many connections", "53300", refusal::kTransient, false },
   { "lock not available", "55P03", refusal::kTransient, false },
   { "administrator's shutdown", "57P01", refusal::kTransient, false },
-  { "statement's time ran out", "57014", refusal::kStatement, false },
+  { "statement timeout", "57014", refusal::kStatement, false },
   { "read only", "25006", refusal::kNotPrimary, true },
   { "stale term", "CS001", refusal::kNotPrimary, true },
   { "none", "", refusal::kStatement, false },
--- a/test/currantshed/group/status_poller.cpp
+++ b/test/currantshed/group/status_poller.cpp
@@ -36,21 +36,29 @@
 constexpr poll_demand kOneAlone{ true, 1 };
 
 constexpr due_row kDueRows[] = {
-  { "answered, nobody waits", end::kAnswered, kNobody, false, 50ms },
-  { "answered, one waits alone", end::kAnswered, kOneAlone, false, 100us },
-  { "answered, one of ten waits", end::kAnswered, { true, 10 }, false, 250us },
-  { "answered, one of many waits",
+  { "answered, no request waits", end::kAnswered, kNobody, false, 50ms },
+  { "answered, a single request waits",
+    end::kAnswered,
+    kOneAlone,
+    false,
+    100us },
+  { "answered, one of ten requests waits",
+    end::kAnswered,
+    { true, 10 },
+    false,
+    250us },
+  { "answered, one of many requests waits",
     end::kAnswered,
     { true, 100000 },
     false,
     1ms },
-  { "answered, but asked too early for a batch",
+  { "answered, but sent too early for a batch",
     end::kAnswered,
     kNobody,
     true,
     100us },
-  { "under way, someone waits", end::kNone, kOneAlone, true, 150ms },
-  { "failed, someone waits", end::kFailed, kOneAlone, true, 50ms },
+  { "in flight, a request waits", end::kNone, kOneAlone, true, 150ms },
+  { "failed, a request waits", end::kFailed, kOneAlone, true, 50ms },
 };
 
 } // namespace
--- a/test/currantshed/group/transactions.cpp
+++ b/test/currantshed/group/transactions.cpp
@@ -51,14 +51,14 @@
   act afterBegin;
   act beforeCommit;
   act duringCommit;
-  verdict statementTold;
-  verdict told;
+  verdict expectedStatementVerdict;
+  verdict expectedVerdict;
   reason why;
   std::size_t copies;
 };
 
 const commit_row kCommitRows[] = {
-  { "in peace",
+  { "no fault",
     kNothing,
     kNothing,
     kNothing,
@@ -85,7 +85,7 @@
     verdict::kNotRun,
     reason::kTransactionLost,
     0 },
-  { "the transaction idles for too long",
+  { "the transaction is idle for too long",
     kNothing,
     [](fake_group& aGroup) { aGroup.Run(10100ms); },
     kNothing,
@@ -104,7 +104,7 @@
     verdict::kNotRun,
     reason::kTransactionLost,
     0 },
-  { "the reply to the commit is torn: found done",
+  { "the reply to the commit is torn: resolved as done",
     kNothing,
     [](fake_group& aGroup) { aGroup.Server("s1").tearNextReply = true; },
     kNothing,
@@ -112,7 +112,7 @@
     verdict::kDone,
     reason::kNone,
     1 },
-  { "the commit is lost: void, never sent again",
+  { "the commit is lost: voided, never sent again",
     kNothing,
     [](fake_group& aGroup) { aGroup.Server("s1").tearNextBatch = true; },
     kNothing,
@@ -120,7 +120,7 @@
     verdict::kNotRun,
     reason::kKeyVoid,
     0 },
-  { "the commit stays with the old primary: void at the next",
+  { "the commit stays with the old primary: voided at the next one",
     kNothing,
     [](fake_group& aGroup) { aGroup.Server("s1").isolated = true; },
     [](fake_group& aGroup) {
@@ -138,7 +138,7 @@
     verdict::kUnknown,
     reason::kDeadline,
     1 },
-  { "the server is leaving: the transaction may end",
+  { "the server is marked as leaving: the transaction may end",
     [](fake_group& aGroup) { aGroup.SetLeaving("s1", true); },
     kNothing,
     kNothing,
@@ -146,7 +146,7 @@
     verdict::kDone,
     reason::kNone,
     1 },
-  { "the pooler is leaving: the transaction may end",
+  { "the pooler is draining: the transaction may end",
     [](fake_group& aGroup) { aGroup.Engine().Drain(aGroup.Now()); },
     kNothing,
     kNothing,
@@ -171,16 +171,16 @@
     row.afterBegin(group);
     const auto executed = group.Call(
       group.In(operation::kStatement, begun.transaction, "add fixture"));
-    CHECK_TEXT(executed.verdict == row.statementTold, row.name);
+    CHECK_TEXT(executed.verdict == row.expectedStatementVerdict, row.name);
     row.beforeCommit(group);
     const auto id =
       group.Submit(group.In(operation::kCommit, begun.transaction));
     group.Run(10ms);
     row.duringCommit(group);
-    const auto* told = group.Wait(id, 2001ms);
-    CHECK_TEXT(told != nullptr, row.name);
-    CHECK_TEXT(told->verdict == row.told, row.name);
-    CHECK_TEXT(told->why == row.why, row.name);
+    const auto* result = group.Wait(id, 2001ms);
+    CHECK_TEXT(result != nullptr, row.name);
+    CHECK_TEXT(result->verdict == row.expectedVerdict, row.name);
+    CHECK_TEXT(result->why == row.why, row.name);
     group.Run(500ms);
     LONGS_EQUAL_TEXT(row.copies, CopiesOf(group, "layout"), row.name);
     LONGS_EQUAL_TEXT(row.copies, CopiesOf(group, "fixture"), row.name);
@@ -188,10 +188,10 @@
   }
 }
 
-// Guards against a draining pooler that keeps the rows of an unreachable
-// transaction locked until its 10 s idle timeout: meanwhile every write that
-// needs these rows waits until its deadline of 2 s. Under load, no write of the
-// group was acknowledged for 10 s.
+// Guards against a draining pooler that keeps the rows of a transaction locked,
+// which no caller can reach any more, until its idle timeout of 10 s. Meanwhile
+// every write of the group waits until its deadline of 2 s: under load, no
+// write was acknowledged for 10 s.
 TEST(transactions,
      one_that_nobody_uses_is_given_up_soon_while_the_pooler_leaves)
 {
@@ -203,7 +203,7 @@
   };
   const row rows[] = {
     { "the pooler stays", false, 1 },
-    { "the pooler leaves", true, 0 },
+    { "the pooler is draining", true, 0 },
   };
   for (const auto& row : rows) {
     fake_group group;
@@ -268,9 +268,9 @@
   fake_group group;
   group.Run(100ms);
   const auto begun = group.Call(Begin(group));
-  const auto told =
+  const auto result =
     group.Call(group.In(operation::kRollback, begun.transaction));
-  CHECK(told.verdict == verdict::kDone);
+  CHECK(result.verdict == verdict::kDone);
   LONGS_EQUAL(0, CopiesOf(group, "layout"));
   LONGS_EQUAL(0, group.Engine().Pending());
 }
@@ -290,9 +290,9 @@
   CHECK(seen.results[0].cells[0] == "quote");
   static_cast<void>(
     group.Call(group.In(operation::kRollback, first.transaction)));
-  const auto told =
+  const auto result =
     group.Call(group.In(operation::kCommit, second.transaction));
-  CHECK(told.verdict == verdict::kDone);
+  CHECK(result.verdict == verdict::kDone);
   LONGS_EQUAL(1, CopiesOf(group, "quote"));
   LONGS_EQUAL(0, CopiesOf(group, "layout"));
 }
@@ -306,9 +306,9 @@
   CHECK(group.Call(commit).verdict == verdict::kDone);
   const auto second = group.Call(Begin(group));
   commit.transaction = second.transaction;
-  const auto told = group.Call(commit);
-  CHECK(told.verdict == verdict::kDone);
-  CHECK(told.repeated);
+  const auto result = group.Call(commit);
+  CHECK(result.verdict == verdict::kDone);
+  CHECK(result.repeated);
   LONGS_EQUAL(1, CopiesOf(group, "layout"));
 }
 
@@ -358,7 +358,7 @@
     static_cast<void>(group.Submit(Begin(group)));
   }
   group.Run(200ms);
-  const auto told = group.Call(group.Write("report"));
-  CHECK(told.verdict == verdict::kDone);
+  const auto result = group.Call(group.Write("report"));
+  CHECK(result.verdict == verdict::kDone);
   CHECK(group.Server("s1").maxConnections <= 4);
 }
--- a/test/currantshed/group/writes.cpp
+++ b/test/currantshed/group/writes.cpp
@@ -34,7 +34,7 @@
   bool repeatable;
   act before;
   act during;
-  verdict told;
+  verdict expectedVerdict;
   reason why;
   bool repeated;
   std::size_t copies;
@@ -51,7 +51,7 @@
 };
 
 const write_row kWriteRows[] = {
-  { "in peace",
+  { "no fault",
     false,
     kNothing,
     kNothing,
@@ -67,7 +67,7 @@
     reason::kNone,
     false,
     1 },
-  { "reply torn after the commit, not repeatable: found done",
+  { "reply torn after the commit, not repeatable: resolved as done",
     false,
     kTearReply,
     kNothing,
@@ -83,7 +83,7 @@
     reason::kNone,
     true,
     1 },
-  { "batch lost, not repeatable: made void",
+  { "batch lost, not repeatable: voided",
     false,
     kTearBatch,
     kNothing,
@@ -99,7 +99,7 @@
     reason::kNone,
     false,
     1 },
-  { "no majority heard lately",
+  { "no recent status of a majority",
     false,
     [](fake_group& aGroup) {
       aGroup.Server("s2").cut = true;
@@ -111,7 +111,7 @@
     reason::kNoPrimary,
     false,
     0 },
-  { "primary silent",
+  { "primary does not answer",
     false,
     [](fake_group& aGroup) {
       aGroup.Server("s1").cut = true;
@@ -122,7 +122,7 @@
     reason::kNoPrimary,
     false,
     0 },
-  { "committed but stored by no other server: not told as done",
+  { "committed but stored by no other server: not reported as done",
     false,
     [](fake_group& aGroup) { aGroup.Server("s1").isolated = true; },
     kNothing,
@@ -130,7 +130,7 @@
     reason::kDeadline,
     false,
     1 },
-  { "committed by a primary that was replaced meanwhile: void at the next",
+  { "committed by a primary that is then replaced: voided at the next one",
     false,
     [](fake_group& aGroup) { aGroup.Server("s1").isolated = true; },
     kFailover,
@@ -146,7 +146,7 @@
     reason::kNone,
     false,
     1 },
-  { "primary frozen while it runs, then replaced: void at the next",
+  { "primary frozen while it runs, then replaced: voided at the next one",
     false,
     [](fake_group& aGroup) { aGroup.Server("s1").frozen = true; },
     kFailover,
@@ -162,7 +162,7 @@
     reason::kDeadline,
     false,
     0 },
-  { "answer too large: known as done all the same",
+  { "answer too large: still resolved as done",
     false,
     [](fake_group& aGroup) {
       aGroup.Server("s1").tearNextReply = true;
@@ -173,7 +173,7 @@
     reason::kNone,
     true,
     1 },
-  { "primary leaving",
+  { "primary marked as leaving",
     false,
     [](fake_group& aGroup) { aGroup.SetLeaving("s1", true); },
     kNothing,
@@ -188,7 +188,7 @@
 {
   const char* name;
   void (*change)(fake_group&, request&);
-  verdict told;
+  verdict expectedVerdict;
   reason why;
   bool repeated;
 };
@@ -211,7 +211,7 @@
     verdict::kRefused,
     reason::kMalformed,
     false },
-  { "a class that only reads",
+  { "a read-only class of work",
     [](fake_group&, request& aRequest) {
       aRequest.work.kind = currantshed::policy::access::kRead;
     },
@@ -225,7 +225,7 @@
     verdict::kRefused,
     reason::kMalformed,
     false },
-  { "a key older than outcomes are kept",
+  { "a key older than the retention of outcomes",
     [](fake_group& aGroup, request& aRequest) {
       aRequest.key = currantshed::outcome::idempotency_key::Make(
         aGroup.WallNow() - 25h, 1, 1);
@@ -233,7 +233,7 @@
     verdict::kRefused,
     reason::kKeyExpired,
     false },
-  { "a key of the future",
+  { "a key from the future",
     [](fake_group& aGroup, request& aRequest) {
       aRequest.key = currantshed::outcome::idempotency_key::Make(
         aGroup.WallNow() + 2min, 1, 1);
@@ -250,7 +250,7 @@
     verdict::kRefused,
     reason::kKeyReused,
     false },
-  { "a key that was made void",
+  { "a key that was voided",
     [](fake_group& aGroup, request& aRequest) {
       auto resolve = aGroup.Write("other");
       resolve.kind = currantshed::group::operation::kResolve;
@@ -296,13 +296,13 @@
     const auto id = group.Submit(group.Write("report", row.repeatable));
     group.Run(10ms);
     row.during(group);
-    const auto* told = group.Wait(id, 2001ms);
-    CHECK_TEXT(told != nullptr, row.name);
-    CHECK_TEXT(told->verdict == row.told, row.name);
-    CHECK_TEXT(told->why == row.why, row.name);
-    CHECK_TEXT(told->repeated == row.repeated, row.name);
-    const auto isRetriable = told->verdict == verdict::kNotRun;
-    CHECK_TEXT(isRetriable == (told->retryAfter > 0ms), row.name);
+    const auto* result = group.Wait(id, 2001ms);
+    CHECK_TEXT(result != nullptr, row.name);
+    CHECK_TEXT(result->verdict == row.expectedVerdict, row.name);
+    CHECK_TEXT(result->why == row.why, row.name);
+    CHECK_TEXT(result->repeated == row.repeated, row.name);
+    const auto isRetriable = result->verdict == verdict::kNotRun;
+    CHECK_TEXT(isRetriable == (result->retryAfter > 0ms), row.name);
     group.Run(500ms);
     LONGS_EQUAL_TEXT(row.copies, CopiesOf(group, "report"), row.name);
   }
@@ -315,10 +315,10 @@
     group.Run(100ms);
     auto write = group.Write("report");
     row.change(group, write);
-    const auto told = group.Call(write);
-    CHECK_TEXT(told.verdict == row.told, row.name);
-    CHECK_TEXT(told.why == row.why, row.name);
-    CHECK_TEXT(told.repeated == row.repeated, row.name);
+    const auto result = group.Call(write);
+    CHECK_TEXT(result.verdict == row.expectedVerdict, row.name);
+    CHECK_TEXT(result.why == row.why, row.name);
+    CHECK_TEXT(result.repeated == row.repeated, row.name);
     LONGS_EQUAL_TEXT(row.repeated ? 1 : 0, CopiesOf(group, "report"), row.name);
   }
 }
@@ -333,8 +333,8 @@
   const auto id = group.Submit(group.Write("report"));
   group.Run(10ms);
   group.Promote("s2", { "s2", "s3" });
-  const auto* told = group.Wait(id, 2001ms);
-  CHECK(told->verdict == verdict::kNotRun);
+  const auto* result = group.Wait(id, 2001ms);
+  CHECK(result->verdict == verdict::kNotRun);
   group.Thaw("s1");
   group.Run(500ms);
   LONGS_EQUAL(0, CopiesOf(group, "report"));
@@ -350,9 +350,9 @@
   group.Server("s1").tearNextBatch = true;
   auto write = group.Write("report", true);
   write.statements.push_back({ "fail", {} });
-  const auto told = group.Call(write);
-  CHECK(told.verdict == verdict::kRefused);
-  CHECK(told.why == reason::kStatement);
+  const auto result = group.Call(write);
+  CHECK(result.verdict == verdict::kRefused);
+  CHECK(result.why == reason::kStatement);
   auto again = group.Write("report", true);
   again.key = write.key;
   CHECK(group.Call(again).why == reason::kKeyVoid);
@@ -368,9 +368,9 @@
   group.Run(600ms);
   CHECK(group.Answer(id) == nullptr);
   group.Promote("s2", { "s2", "s3" });
-  const auto* told = group.Wait(id, 100ms);
-  CHECK(told != nullptr);
-  CHECK(told->verdict == verdict::kDone);
+  const auto* result = group.Wait(id, 100ms);
+  CHECK(result != nullptr);
+  CHECK(result->verdict == verdict::kDone);
 }
 
 TEST(writes, a_long_outage_is_not_waited_for)
@@ -380,8 +380,8 @@
   group.Server("s1").cut = true;
   group.Run(3000ms);
   const auto id = group.Submit(group.Write("report"));
-  const auto* told = group.Wait(id, 220ms);
-  CHECK(told != nullptr);
-  CHECK(told->verdict == verdict::kNotRun);
-  CHECK(told->why == reason::kNoPrimary);
+  const auto* result = group.Wait(id, 220ms);
+  CHECK(result != nullptr);
+  CHECK(result->verdict == verdict::kNotRun);
+  CHECK(result->why == reason::kNoPrimary);
 }
