--- a/src/currantshed/failover/coordinator.cpp
+++ b/src/currantshed/failover/coordinator.cpp
@@ -226,10 +226,10 @@
   void DeferToHigherTerm()
   {
     const auto highest = mMonitor.HighestTerm();
-    if (highest <= mHighest) {
+    if (highest <= mHighestTerm) {
       return;
     }
-    mHighest = highest;
+    mHighestTerm = highest;
     if (highest <= mPromoter.Term()) {
       return;
     }
@@ -251,16 +251,18 @@
     }
   }
 
-  void Adopt(const primary_ref& aPrimary, bool aOwn, clock::time_point aNow)
+  void Adopt(const primary_ref& aPrimary,
+             bool aIsPromotedHere,
+             clock::time_point aNow)
   {
     mPrimary = aPrimary;
     mDeferUntil = {};
     if (mPromoter.Term() < aPrimary.term) {
       mPromoter.Stop();
     }
-    mRepair.SetPrimary(aPrimary, aOwn);
+    mRepair.SetPrimary(aPrimary, aIsPromotedHere);
     const auto delay = kPublishDelay * (mSettings.rank + 1);
-    mReservations.Publish(aPrimary, aOwn ? aNow : aNow + delay);
+    mReservations.Publish(aPrimary, aIsPromotedHere ? aNow : aNow + delay);
     mActions.emplace_back(announce{ aPrimary.term, aPrimary.server });
   }
 
@@ -313,7 +315,7 @@
   follower_repair mRepair;
   primary_ref mPrimary;
   primary_ref mSuspected;
-  position::term_id mHighest = 0;
+  position::term_id mHighestTerm = 0;
   clock::time_point mNow;
   clock::time_point mDeferUntil;
   clock::time_point mPlannedFrom;
--- a/src/currantshed/failover/detector.cpp
+++ b/src/currantshed/failover/detector.cpp
@@ -109,8 +109,8 @@
   });
   // A new primary, which may be known from a peer's announcement only, gets the
   // full time before it is suspected.
-  if (aPrimary != mJudged) {
-    mJudged = aPrimary;
+  if (aPrimary != mAssessedPrimary) {
+    mAssessedPrimary = aPrimary;
     mLost = {};
     mNoPrimary = {};
     mLeaving = {};
--- a/src/currantshed/failover/detector.hpp
+++ b/src/currantshed/failover/detector.hpp
@@ -83,7 +83,7 @@
   clock::duration mLostAfter;
   clock::duration mNoPrimaryAfter;
   unsigned mOwners;
-  primary_ref mJudged;
+  primary_ref mAssessedPrimary;
   absl::btree_map<std::string, peer_suspicion> mPeerSuspicions;
   sustained_condition mLost;
   sustained_condition mNoPrimary;
--- a/src/currantshed/failover/follower_repair.cpp
+++ b/src/currantshed/failover/follower_repair.cpp
@@ -23,14 +23,14 @@
 }
 
 void
-follower_repair::SetPrimary(const primary_ref& aPrimary, bool aOwn)
+follower_repair::SetPrimary(const primary_ref& aPrimary, bool aIsPromotedHere)
 {
   if (aPrimary == mPrimary) {
-    mOwn = mOwn || aOwn;
+    mIsPromotedHere = mIsPromotedHere || aIsPromotedHere;
     return;
   }
   mPrimary = aPrimary;
-  mOwn = aOwn;
+  mIsPromotedHere = aIsPromotedHere;
   mPending.clear();
 }
 
@@ -55,8 +55,8 @@
     mPending.clear();
     return;
   }
-  const auto delay =
-    mOwn ? clock::duration{} : kRankIntervals * mProbeInterval * mRank;
+  const auto delay = mIsPromotedHere ? clock::duration{}
+                                     : kRankIntervals * mProbeInterval * mRank;
   for (const auto& [id, server] : mMonitor.Servers()) {
     if (id == mPrimary.server || !mMonitor.IsFresh(server, aNow) ||
         !NeedsFollow(server)) {
--- a/src/currantshed/failover/follower_repair.hpp
+++ b/src/currantshed/failover/follower_repair.hpp
@@ -23,9 +23,9 @@
   /// Higher ranks let lower ones act first for a while.
   void SetRank(unsigned aRank) { mRank = aRank; }
 
-  /// Sets the primary to follow. aOwn is true if it was promoted by this
-  /// pooler, which then acts first.
-  void SetPrimary(const primary_ref& aPrimary, bool aOwn);
+  /// Sets the primary to follow. aIsPromotedHere is true if it was promoted by
+  /// this pooler, which then acts first.
+  void SetPrimary(const primary_ref& aPrimary, bool aIsPromotedHere);
 
   void FollowAnswered(const upstream::server_id& aServer);
 
@@ -46,7 +46,7 @@
   std::chrono::milliseconds mTimeout;
   unsigned mRank;
   primary_ref mPrimary;
-  bool mOwn = false;
+  bool mIsPromotedHere = false;
   absl::btree_map<upstream::server_id, pending_follow> mPending;
 };
 
--- a/src/currantshed/failover/promoter.cpp
+++ b/src/currantshed/failover/promoter.cpp
@@ -9,11 +9,11 @@
 
 // Number of times that fences are sent before an attempt ends without a
 // majority.
-constexpr int kFenceRounds = 3;
+constexpr int kFenceAttempts = 3;
 // Time for a promotion, in multiples of the validity: the server first applies
 // all records that it has stored.
 constexpr int kPromoteValidities = 5;
-constexpr unsigned kDoublings = 3;
+constexpr unsigned kMaxDoublings = 3;
 
 } // namespace
 
@@ -41,7 +41,7 @@
   mPrevious = aPrevious;
   mLost = aLost;
   mStep = step::kRankDelay;
-  mDue = std::max(aNow + RankDelay() + aExtraDelay, mNotBefore);
+  mStepDue = std::max(aNow + RankDelay() + aExtraDelay, mNotBefore);
 }
 
 void
@@ -64,7 +64,7 @@
 promoter::Abandon()
 {
   Stop();
-  mUsed = true;
+  mTermUsed = true;
 }
 
 void
@@ -75,7 +75,7 @@
                         clock::time_point aNow)
 {
   if (aTerm == mTerm && aAccepted) {
-    NoteFenced(aServer, aStatus, aNow);
+    RecordFenced(aServer, aStatus, aNow);
   }
 }
 
@@ -90,7 +90,7 @@
     return;
   }
   if (aAccepted) {
-    Succeed(aServer);
+    CompletePromotion(aServer);
     return;
   }
   // Without a response the promotion may have taken effect; the server's status
@@ -104,24 +104,26 @@
 promoter::Tick(clock::time_point aNow, std::vector<action>& aOut)
 {
   ReadMonitor(aNow);
-  if ((mStep == step::kRankDelay || mStep == step::kBackOff) && aNow >= mDue) {
+  if ((mStep == step::kRankDelay || mStep == step::kBackOff) &&
+      aNow >= mStepDue) {
     mStep = step::kPickTerm;
   }
   if (mStep == step::kPickTerm) {
     PickTerm(aNow);
   }
   if (mStep == step::kFence) {
-    if (aNow >= mGiveUp) {
+    if (aNow >= mFenceDeadline) {
       GiveUpFence(aNow);
     } else {
       SendFences(aNow, aOut);
     }
   }
   // A promoter that was paused first processes what arrived in the meantime.
-  if (mStep == step::kWaitOut && aNow >= mDue && mMonitor.HasMajority(aNow)) {
+  if (mStep == step::kWaitOut && aNow >= mStepDue &&
+      mMonitor.HasMajority(aNow)) {
     Promote(aNow, aOut);
   }
-  if (mStep == step::kPromote && (aNow >= mDue || IsPromotionLost(aNow))) {
+  if (mStep == step::kPromote && (aNow >= mStepDue || IsPromotionLost(aNow))) {
     BackOff(aNow);
   }
 }
@@ -134,12 +136,12 @@
     case step::kPickTerm:
       return clock::time_point::max();
     case step::kFence:
-      return std::min(mNextFence, mGiveUp);
+      return std::min(mNextFence, mFenceDeadline);
     case step::kRankDelay:
     case step::kWaitOut:
     case step::kPromote:
     case step::kBackOff:
-      return mDue;
+      return mStepDue;
   }
   return clock::time_point::max();
 }
@@ -155,7 +157,7 @@
 void
 promoter::PickTerm(clock::time_point aNow)
 {
-  const bool reuse = !mUsed && mTerm >= mMonitor.HighestTerm();
+  const bool reuse = !mTermUsed && mTerm >= mMonitor.HighestTerm();
   if (!reuse) {
     const auto term = mReservations.LowestUsable();
     mReservations.SetUrgent(!term);
@@ -164,31 +166,31 @@
     }
     mReservations.MarkUsed(*term);
     mTerm = *term;
-    mUsed = false;
+    mTermUsed = false;
     mFenced.clear();
   }
   mStep = step::kFence;
   mNextFence = aNow;
-  mGiveUp = aNow + kFenceRounds * mRetry;
+  mFenceDeadline = aNow + kFenceAttempts * mRetry;
   // Responses that arrived after an earlier attempt ended count as well.
   if (mFenced.size() >= mMonitor.Majority()) {
     mStep = step::kWaitOut;
-    mDue = aNow + mValidity;
+    mStepDue = aNow + mValidity;
   }
 }
 
 void
-promoter::NoteFenced(const upstream::server_id& aServer,
-                     const upstream::server_status& aStatus,
-                     clock::time_point aNow)
+promoter::RecordFenced(const upstream::server_id& aServer,
+                       const upstream::server_status& aStatus,
+                       clock::time_point aNow)
 {
-  if (mUsed || aStatus.term != mTerm || mMonitor.Find(aServer) == nullptr) {
+  if (mTermUsed || aStatus.term != mTerm || mMonitor.Find(aServer) == nullptr) {
     return;
   }
   mFenced[aServer] = aStatus;
   if (mStep == step::kFence && mFenced.size() >= mMonitor.Majority()) {
     mStep = step::kWaitOut;
-    mDue = aNow + mValidity;
+    mStepDue = aNow + mValidity;
   }
 }
 
@@ -207,10 +209,10 @@
       continue;
     }
     if (server.status->role == upstream::server_role::kFenced) {
-      NoteFenced(id, *server.status, aNow);
+      RecordFenced(id, *server.status, aNow);
     }
     if (sent && server.status->role == upstream::server_role::kPrimary) {
-      Succeed(id);
+      CompletePromotion(id);
       return;
     }
   }
@@ -234,10 +236,10 @@
 promoter::Promote(clock::time_point aNow, std::vector<action>& aOut)
 {
   mChosen = Choose();
-  mUsed = true;
+  mTermUsed = true;
   mStep = step::kPromote;
   mPromotedAt = aNow;
-  mDue = aNow + kPromoteValidities * mValidity;
+  mStepDue = aNow + kPromoteValidities * mValidity;
   aOut.emplace_back(promote{ mChosen, mTerm });
 }
 
@@ -257,11 +259,11 @@
 }
 
 void
-promoter::Succeed(const upstream::server_id& aServer)
+promoter::CompletePromotion(const upstream::server_id& aServer)
 {
   mPromoted = { mTerm, aServer };
-  mUsed = true;
-  mTries = 0;
+  mTermUsed = true;
+  mAttempts = 0;
   mNotBefore = {};
   Stop();
 }
@@ -270,7 +272,7 @@
 promoter::BackOff(clock::time_point aNow)
 {
   mStep = step::kBackOff;
-  mDue = aNow + NextPause();
+  mStepDue = aNow + NextPause();
 }
 
 // The reason for the failover must be evaluated again: a pooler that was cut
@@ -285,8 +287,8 @@
 clock::duration
 promoter::NextPause()
 {
-  const auto doublings = std::min(mTries, kDoublings);
-  ++mTries;
+  const auto doublings = std::min(mAttempts, kMaxDoublings);
+  ++mAttempts;
   return (RankDelay() + mProbeInterval) * (1U << doublings);
 }
 
--- a/src/currantshed/failover/promoter.hpp
+++ b/src/currantshed/failover/promoter.hpp
@@ -87,14 +87,14 @@
 
 private:
   void PickTerm(clock::time_point aNow);
-  void NoteFenced(const upstream::server_id& aServer,
-                  const upstream::server_status& aStatus,
-                  clock::time_point aNow);
+  void RecordFenced(const upstream::server_id& aServer,
+                    const upstream::server_status& aStatus,
+                    clock::time_point aNow);
   void ReadMonitor(clock::time_point aNow);
   void SendFences(clock::time_point aNow, std::vector<action>& aOut);
   void Promote(clock::time_point aNow, std::vector<action>& aOut);
   [[nodiscard]] bool IsPromotionLost(clock::time_point aNow) const;
-  void Succeed(const upstream::server_id& aServer);
+  void CompletePromotion(const upstream::server_id& aServer);
   void BackOff(clock::time_point aNow);
   void GiveUpFence(clock::time_point aNow);
   [[nodiscard]] clock::duration NextPause();
@@ -111,15 +111,15 @@
   std::chrono::milliseconds mValidity;
   unsigned mRank;
   step mStep = step::kIdle;
-  clock::time_point mDue;
+  clock::time_point mStepDue;
   clock::time_point mNextFence;
-  clock::time_point mGiveUp;
+  clock::time_point mFenceDeadline;
   clock::time_point mPromotedAt;
   position::term_id mTerm = 0;
   // Whether the term must not be used any more: its one promotion was sent, or
   // it was given up.
-  bool mUsed = true;
-  unsigned mTries = 0;
+  bool mTermUsed = true;
+  unsigned mAttempts = 0;
   clock::time_point mNotBefore;
   primary_ref mPrevious;
   bool mLost = false;
--- a/src/currantshed/failover/term_reservations.cpp
+++ b/src/currantshed/failover/term_reservations.cpp
@@ -29,7 +29,7 @@
 // Reserved terms are replenished at a time within this span, so that many
 // groups that fail over together do not access the store at once.
 constexpr milliseconds kTopUpSpan{ 2000 };
-constexpr unsigned kDoublings = 6;
+constexpr unsigned kMaxDoublings = 6;
 // Number of consecutive conflicts that are retried at once.
 constexpr unsigned kQuickRetries = 4;
 
@@ -75,7 +75,7 @@
 term_reservations::LowestUsable() const
 {
   std::optional<position::term_id> lowest;
-  for (const auto term : mHeld) {
+  for (const auto term : mReserved) {
     if (term > mHighestSeen && (!lowest || term < *lowest)) {
       lowest = term;
     }
@@ -86,7 +86,8 @@
 void
 term_reservations::MarkUsed(position::term_id aTerm)
 {
-  mHeld.erase(std::remove(mHeld.begin(), mHeld.end(), aTerm), mHeld.end());
+  mReserved.erase(std::remove(mReserved.begin(), mReserved.end(), aTerm),
+                  mReserved.end());
 }
 
 void
@@ -210,7 +211,7 @@
 term_reservations::Usable() const
 {
   const auto count =
-    std::count_if(mHeld.begin(), mHeld.end(), [this](auto aTerm) {
+    std::count_if(mReserved.begin(), mReserved.end(), [this](auto aTerm) {
       return aTerm > mHighestSeen;
     });
   return static_cast<std::size_t>(count);
@@ -257,7 +258,7 @@
   if (mPending) {
     std::copy(mPending->terms.begin(),
               mPending->terms.end(),
-              std::back_inserter(mHeld));
+              std::back_inserter(mReserved));
     term_record written;
     if (!ParseRecord(mPending->value, written)) {
       ApplyRecord(written);
@@ -275,11 +276,11 @@
   if (mUnpublished && mUnpublished->term <= aRecord.term) {
     mUnpublished.reset();
   }
-  mHeld.erase(
-    std::remove_if(mHeld.begin(),
-                   mHeld.end(),
+  mReserved.erase(
+    std::remove_if(mReserved.begin(),
+                   mReserved.end(),
                    [this](auto aTerm) { return aTerm <= mHighestSeen; }),
-    mHeld.end());
+    mReserved.end());
 }
 
 void
@@ -312,7 +313,7 @@
 void
 term_reservations::Retry(clock::time_point aNow)
 {
-  const auto doublings = std::min(mFailures, kDoublings);
+  const auto doublings = std::min(mFailures, kMaxDoublings);
   ++mFailures;
   const auto longest = mUrgent ? kMaxUrgentBackoff : kMaxBackoff;
   const clock::duration pause =
@@ -343,9 +344,9 @@
 {
   const auto salt = mIncarnation + '/' + mGroup;
   const auto draw = XXH3_64bits_withSeed(salt.data(), salt.size(), mFailures);
-  constexpr std::uint64_t kParts = 1024;
-  return aSpan * static_cast<clock::duration::rep>(draw % kParts) /
-         static_cast<clock::duration::rep>(kParts);
+  constexpr std::uint64_t kJitterSteps = 1024;
+  return aSpan * static_cast<clock::duration::rep>(draw % kJitterSteps) /
+         static_cast<clock::duration::rep>(kJitterSteps);
 }
 
 } // namespace currantshed::failover
--- a/src/currantshed/failover/term_reservations.hpp
+++ b/src/currantshed/failover/term_reservations.hpp
@@ -87,7 +87,7 @@
   std::size_t mReserve;
   unsigned mRank;
   position::term_id mHighestSeen = 0;
-  std::vector<position::term_id> mHeld;
+  std::vector<position::term_id> mReserved;
   bool mUrgent = false;
   std::optional<primary_ref> mUnpublished;
   clock::time_point mPublishFrom;
--- a/src/currantshed/group/changes.cpp
+++ b/src/currantshed/group/changes.cpp
@@ -17,7 +17,7 @@
 using upstream::server_role;
 
 // Statements after those of the caller: status, commit, status.
-constexpr std::size_t kClosing = 3;
+constexpr std::size_t kClosingStatements = 3;
 
 } // namespace
 
@@ -133,11 +133,11 @@
   }
   const auto first = RecordIndex() + 1;
   const auto size = aReply.results.size();
-  if (aReply.end == batch_end::kTorn || size < first + kClosing) {
+  if (aReply.end == batch_end::kTorn || size < first + kClosingStatements) {
     return { ResolveOutcome(), connection_fate::kClose };
   }
   const auto after = size - 1;
-  const auto before = size - kClosing;
+  const auto before = size - kClosingStatements;
   const auto position = PositionOf(aReply, before, after);
   if (!position) {
     return { ResolveOutcome(), connection_fate::kClose };
--- a/src/currantshed/group/context.cpp
+++ b/src/currantshed/group/context.cpp
@@ -14,16 +14,16 @@
 constexpr std::chrono::milliseconds kAfterFailover{ 200 };
 constexpr std::chrono::milliseconds kAfterCatchUp{ 50 };
 constexpr std::chrono::milliseconds kAfterMove{ 100 };
-constexpr std::chrono::milliseconds kAfterRegroup{ 1000 };
+constexpr std::chrono::milliseconds kAfterGroupChange{ 1000 };
 
 std::chrono::milliseconds
-TimeToComeBack(reason aWhy)
+RetryDelayFor(reason aWhy)
 {
   switch (aWhy) {
     case reason::kNoPrimary:
       return kAfterFailover;
     case reason::kNoEligibleServer:
-      return kAfterRegroup;
+      return kAfterGroupChange;
     case reason::kLeaving:
     case reason::kUnreachable:
       return kAfterMove;
@@ -71,7 +71,7 @@
 NotRun(const request& aRequest, reason aWhy)
 {
   auto result = Make(aRequest, verdict::kNotRun, aWhy);
-  result.retryAfter = admit::AddJitter(TimeToComeBack(aWhy), aRequest.id);
+  result.retryAfter = admit::AddJitter(RetryDelayFor(aWhy), aRequest.id);
   return result;
 }
 
--- a/src/currantshed/group/group_engine.cpp
+++ b/src/currantshed/group/group_engine.cpp
@@ -9,10 +9,10 @@
 
 // Interval at which waiting requests are examined for conditions that no event
 // reports.
-constexpr std::chrono::milliseconds kLookInterval{ 10 };
+constexpr std::chrono::milliseconds kExamineInterval{ 10 };
 // How long a transaction may be idle once the pooler is draining: half of the 2
 // s deadline of the writes that wait for the rows it has locked.
-constexpr std::chrono::milliseconds kLeavingIdle{ 1000 };
+constexpr std::chrono::milliseconds kDrainingIdleTimeout{ 1000 };
 
 } // namespace
 
@@ -139,7 +139,7 @@
 group_engine::TransactionIdle() const noexcept
 {
   const auto usual = mContext.settings.transactionIdle;
-  return mDraining ? std::min(usual, kLeavingIdle) : usual;
+  return mDraining ? std::min(usual, kDrainingIdleTimeout) : usual;
 }
 
 void
@@ -171,7 +171,7 @@
                           !mFreshReads.Entries().empty() ||
                           !mWrites.Entries().empty();
   if (someQueued) {
-    next = std::min(next, mLastFullDispatch + kLookInterval);
+    next = std::min(next, mLastFullDispatch + kExamineInterval);
   }
   return next;
 }
--- a/src/currantshed/group/read_verification.cpp
+++ b/src/currantshed/group/read_verification.cpp
@@ -35,9 +35,9 @@
 }
 
 read_verdict
-JudgeFresh(const read_evidence& aEvidence,
-           const status_tracker& aTracker,
-           clock::time_point aNow)
+VerifyFreshRead(const read_evidence& aEvidence,
+                const status_tracker& aTracker,
+                clock::time_point aNow)
 {
   if (aEvidence.before.role != server_role::kPrimary ||
       aEvidence.after.role != server_role::kPrimary) {
@@ -74,7 +74,7 @@
     return read_verdict::kBad;
   }
   if (IsFresh(aRequest)) {
-    return JudgeFresh(aEvidence, aTracker, aNow);
+    return VerifyFreshRead(aEvidence, aTracker, aNow);
   }
   if (!IsFreshEnough(aRequest, before, aTracker, aNow)) {
     return read_verdict::kBad;
--- a/src/currantshed/group/statement_rules.cpp
+++ b/src/currantshed/group/statement_rules.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr std::string_view kOwnNames = "currantshed_";
+constexpr std::string_view kReservedPrefix = "currantshed_";
 
-constexpr std::array<std::string_view, 26> kRefusedFirstWords{
+constexpr std::array<std::string_view, 26> kRefusedKeywords{
   "abort",   "begin",      "call",    "checkpoint", "close",     "commit",
   "copy",    "deallocate", "declare", "discard",    "do",        "end",
   "execute", "fetch",      "listen",  "load",       "move",      "notify",
@@ -46,7 +46,7 @@
 
 // Removes what may precede the first keyword.
 std::string_view
-FromFirstWord(std::string_view aSql)
+SkipToFirstKeyword(std::string_view aSql)
 {
   while (!aSql.empty()) {
     if (aSql.starts_with("--")) {
@@ -65,9 +65,9 @@
 }
 
 std::string
-FirstWord(std::string_view aSql)
+FirstKeyword(std::string_view aSql)
 {
-  const auto text = FromFirstWord(aSql);
+  const auto text = SkipToFirstKeyword(aSql);
   const auto* const end =
     std::find_if_not(text.begin(), text.end(), [](unsigned char aLetter) {
       return absl::ascii_isalpha(aLetter);
@@ -76,11 +76,11 @@
 }
 
 bool
-IsRefused(const std::string& aWord)
+IsRefused(const std::string& aKeyword)
 {
-  return std::find(kRefusedFirstWords.begin(),
-                   kRefusedFirstWords.end(),
-                   aWord) != kRefusedFirstWords.end();
+  return std::find(kRefusedKeywords.begin(),
+                   kRefusedKeywords.end(),
+                   aKeyword) != kRefusedKeywords.end();
 }
 
 } // namespace
@@ -88,9 +88,9 @@
 bool
 MayCallerRun(const std::string& aSql)
 {
-  const auto word = FirstWord(aSql);
-  return !word.empty() && !IsRefused(word) &&
-         absl::AsciiStrToLower(aSql).find(kOwnNames) == std::string::npos;
+  const auto keyword = FirstKeyword(aSql);
+  return !keyword.empty() && !IsRefused(keyword) &&
+         absl::AsciiStrToLower(aSql).find(kReservedPrefix) == std::string::npos;
 }
 
 } // namespace currantshed::group
--- a/src/currantshed/group/transaction_flows.cpp
+++ b/src/currantshed/group/transaction_flows.cpp
@@ -21,7 +21,7 @@
 }
 
 route::choice
-NoPlace()
+NoServer()
 {
   return { route::availability::kNone, 0, reason::kTransactionLost };
 }
@@ -44,7 +44,7 @@
 statement_flow::ChooseServer(const std::vector<route::candidate>&,
                              clock::time_point) const
 {
-  return NoPlace();
+  return NoServer();
 }
 
 std::vector<upstream::statement>
@@ -177,7 +177,7 @@
 end_flow::ChooseServer(const std::vector<route::candidate>&,
                        clock::time_point) const
 {
-  return NoPlace();
+  return NoServer();
 }
 
 std::vector<upstream::statement>
--- a/src/currantshed/group/transaction_table.cpp
+++ b/src/currantshed/group/transaction_table.cpp
@@ -10,12 +10,12 @@
 {
   const auto byClock =
     static_cast<transaction_id>(aNow.time_since_epoch().count());
-  mLast = std::max(mLast + 1, byClock);
-  aTransaction.id = mLast;
+  mLastId = std::max(mLastId + 1, byClock);
+  aTransaction.id = mLastId;
   aTransaction.begunAt = aNow;
   aTransaction.lastUsed = aNow;
-  mTransactions.emplace(mLast, std::move(aTransaction));
-  return mLast;
+  mTransactions.emplace(mLastId, std::move(aTransaction));
+  return mLastId;
 }
 
 transaction*
--- a/src/currantshed/group/transaction_table.hpp
+++ b/src/currantshed/group/transaction_table.hpp
@@ -88,7 +88,7 @@
 private:
   absl::flat_hash_map<transaction_id, transaction> mTransactions;
   std::vector<connection_id> mAbandoned;
-  transaction_id mLast = 0;
+  transaction_id mLastId = 0;
 };
 
 } // namespace currantshed::group
--- a/test/currantshed/failover/cluster_simulation.cpp
+++ b/test/currantshed/failover/cluster_simulation.cpp
@@ -302,11 +302,11 @@
                            const server_call& aCall)
 {
   constexpr unsigned kMille = 1000;
-  constexpr unsigned kLatest = 3000;
+  constexpr unsigned kMaxRepeatDelay = 3000;
   if (mGenerator() % kMille >= mSettings.repeatPerMille) {
     return;
   }
-  const milliseconds later{ mGenerator() % kLatest };
+  const milliseconds later{ mGenerator() % kMaxRepeatDelay };
   Push(mNow + later, [this, aServer, aCall] {
     if (mServers.At(aServer).alive) {
       static_cast<void>(aCall(mServers.At(aServer)));
@@ -469,8 +469,8 @@
 clock::duration
 cluster_simulation::Delay()
 {
-  constexpr unsigned kSpread = 2500;
-  return microseconds{ 500 + static_cast<int>(mGenerator() % kSpread) };
+  constexpr unsigned kDelaySpread = 2500;
+  return microseconds{ 500 + static_cast<int>(mGenerator() % kDelaySpread) };
 }
 
 coordinator_settings
--- a/test/currantshed/failover/coordinator.cpp
+++ b/test/currantshed/failover/coordinator.cpp
@@ -158,14 +158,14 @@
 }
 
 void
-LeavePrimary(cluster_simulation& aSimulation)
+MarkPrimaryLeaving(cluster_simulation& aSimulation)
 {
   aSimulation.At(kFault, [&] { aSimulation.SetLeaving("s0"); });
 }
 
 // A fence at one server only, whose promoter has stopped.
 void
-StrayFence(cluster_simulation& aSimulation)
+FenceWithoutPromoter(cluster_simulation& aSimulation)
 {
   aSimulation.At(kFault, [&] { aSimulation.Servers().At("s2").Fence(50); });
 }
@@ -219,8 +219,13 @@
     1,
     milliseconds{ 900 } },
   { "a lagging replica is not chosen", {}, LagThenKill, 1, 1, {} },
-  { "primary is marked as leaving", {}, LeavePrimary, 1, 1, {} },
-  { "a fence without a promoter is repaired", {}, StrayFence, 1, 1, {} },
+  { "primary is marked as leaving", {}, MarkPrimaryLeaving, 1, 1, {} },
+  { "a fence without a promoter is repaired",
+    {},
+    FenceWithoutPromoter,
+    1,
+    1,
+    {} },
   { "everything is fenced", {}, FenceEverywhere, 1, 1, {} },
   { "replicas lose the primary to follow", {}, ReplicasForget, 0, 0, {} },
   { "two concurrent promoters",
@@ -390,7 +395,7 @@
       simulation_settings settings;
       settings.seed = seed;
       cluster_simulation subject(settings);
-      LeavePrimary(subject);
+      MarkPrimaryLeaving(subject);
       subject.At(kFault + row.between, [&] { subject.SetLeaving("s1"); });
       subject.Run(kFault + row.between + milliseconds{ 3000 });
       const auto role = subject.Servers().At("s2").role;
--- a/test/currantshed/failover/detector.cpp
+++ b/test/currantshed/failover/detector.cpp
@@ -29,7 +29,7 @@
   position::log_index stored = 100;
 };
 
-struct judge_row
+struct assess_row
 {
   const char* name;
   std::vector<server_row> servers;
@@ -46,7 +46,7 @@
 const server_row kLeads{ 4, kPrimary, kNobody };
 const server_row kHears{ 4, kReplica, 10 };
 const server_row kLost{ 4, kReplica, 250 };
-const server_row kForgot{ 4, kReplica, kNobody };
+const server_row kFollowsNone{ 4, kReplica, kNobody };
 const server_row kHigher{ 9, kFenced, kNobody };
 const server_row kLeaves{ 4, kPrimary, kNobody, true };
 const server_row kBehind{ 4, kReplica, 10, false, 10 };
@@ -54,7 +54,7 @@
 constexpr milliseconds kLong{ 1200 };
 constexpr milliseconds kVeryLong{ 7000 };
 
-const judge_row kJudgeRows[] = {
+const assess_row kAssessRows[] = {
   { "no fault", { kLeads, kHears, kHears }, {}, kVeryLong, cause::kNone },
   { "no answer at all",
     { kSilent, kSilent, kSilent },
@@ -102,7 +102,7 @@
     kLong,
     cause::kNone },
   { "a peer in another domain suspects too",
-    { kSilent, kLost, kForgot },
+    { kSilent, kLost, kFollowsNone },
     { "d1" },
     kShort,
     cause::kLost },
@@ -152,12 +152,12 @@
     kVeryLong,
     cause::kHigherTerm },
   { "replicas that follow no primary, primary answers",
-    { kLeads, kForgot, kForgot },
+    { kLeads, kFollowsNone, kFollowsNone },
     {},
     kVeryLong,
     cause::kNone },
   { "no server leads or follows",
-    { kForgot, kForgot, kForgot },
+    { kFollowsNone, kFollowsNone, kFollowsNone },
     {},
     kLong,
     cause::kNoPrimary },
@@ -184,7 +184,7 @@
 };
 
 currantshed::group::description
-Describe(const judge_row& aRow)
+Describe(const assess_row& aRow)
 {
   currantshed::group::description group;
   group.name = "g";
@@ -214,7 +214,7 @@
 // Probe answers and suspicions arrive every 50 ms for the time of the row;
 // returns the last result.
 cause
-Assess(const judge_row& aRow)
+Assess(const assess_row& aRow)
 {
   coordinator_settings settings;
   settings.failureDomain = "d0";
@@ -250,9 +250,9 @@
 
 TEST_GROUP(detector){};
 
-TEST(detector, judge)
+TEST(detector, assess)
 {
-  for (const auto& row : kJudgeRows) {
+  for (const auto& row : kAssessRows) {
     CHECK_TEXT(Assess(row) == row.expect, row.name);
   }
 }
@@ -265,7 +265,7 @@
   settings.owners = 3;
   server_monitor monitor(settings);
   detector subject(settings);
-  const auto group = Describe(kJudgeRows[0]);
+  const auto group = Describe(kAssessRows[0]);
   const time_point asked{ milliseconds{ 1000 } };
   const auto woken = asked + milliseconds{ 5000 };
   monitor.Configure(group, asked);
--- a/test/currantshed/failover/fault_schedules.cpp
+++ b/test/currantshed/failover/fault_schedules.cpp
@@ -95,7 +95,7 @@
 
 // Concurrent and consecutive faults, by seed. The environment variable
 // CURRANTSHED_TEST_RUNS sets the number of runs for a longer test.
-TEST(fault_schedules, end_well)
+TEST(fault_schedules, end_in_a_consistent_state)
 {
   constexpr std::uint64_t kRuns = 60;
   constexpr int kFaults = 12;
--- a/test/currantshed/failover/follower_repair.cpp
+++ b/test/currantshed/failover/follower_repair.cpp
@@ -121,7 +121,7 @@
 
 TEST_GROUP(follower_repair){};
 
-TEST(follower_repair, who_is_told_to_follow)
+TEST(follower_repair, which_servers_are_made_to_follow)
 {
   for (const auto& row : kRepairRows) {
     const auto follows = CountFollows(row, 0, false, milliseconds{ 100 });
@@ -129,7 +129,7 @@
   }
 }
 
-TEST(follower_repair, tries_are_paced)
+TEST(follower_repair, attempts_are_spaced)
 {
   const auto follows =
     CountFollows(kRepairRows[2], 0, false, milliseconds{ 1000 });
--- a/test/currantshed/failover/promoter.cpp
+++ b/test/currantshed/failover/promoter.cpp
@@ -118,7 +118,7 @@
 
 // Reserves terms 5 and 6 in an empty store.
 void
-FillBook(term_reservations& aReservations)
+ReserveTerms(term_reservations& aReservations)
 {
   std::vector<action> actions;
   aReservations.ObserveTerm(kTerm - 1);
@@ -138,11 +138,11 @@
     : settings(MakeSettings())
     , servers(std::move(aServers))
     , monitor(settings)
-    , book(settings)
-    , subject(settings, monitor, book)
+    , reservations(settings)
+    , subject(settings, monitor, reservations)
   {
     monitor.Configure(Describe(servers), kStart);
-    FillBook(book);
+    ReserveTerms(reservations);
   }
 
   // Advances the time, answers fences and records promotions.
@@ -177,7 +177,7 @@
   coordinator_settings settings;
   std::vector<fenced_row> servers;
   server_monitor monitor;
-  term_reservations book;
+  term_reservations reservations;
   promoter subject;
   time_point now = kStart;
   time_point promotedAt;
@@ -220,7 +220,7 @@
   UNSIGNED_LONGS_EQUAL(1, given.promoted.size());
 }
 
-TEST(promoter, success_is_told_once)
+TEST(promoter, success_is_reported_once)
 {
   bench given(kChoiceRows[0].servers);
   given.subject.Begin({ 4, "s0" }, true, {}, given.now);
--- a/test/currantshed/failover/term_reservations.cpp
+++ b/test/currantshed/failover/term_reservations.cpp
@@ -141,7 +141,7 @@
   }
 }
 
-struct pace_row
+struct delay_row
 {
   const char* name;
   unsigned rank;
@@ -149,7 +149,7 @@
   milliseconds maxTime;
 };
 
-const pace_row kPaceRows[] = {
+const delay_row kDelayRows[] = {
   { "the first owner accesses the store at once",
     0,
     { call::kGood, call::kGood },
@@ -164,7 +164,7 @@
 // Time until an owner that has just started has a term.
 TEST(term_reservations, first_terms_come_soon)
 {
-  for (const auto& row : kPaceRows) {
+  for (const auto& row : kDelayRows) {
     for (const auto* vm : { "a", "b", "c", "d", "e", "f" }) {
       fake_store store;
       store_driver subject(vm);
--- a/test/currantshed/group/engine.cpp
+++ b/test/currantshed/group/engine.cpp
@@ -114,7 +114,7 @@
   CHECK(group.Call(question).verdict == verdict::kUnknown);
 }
 
-TEST(engine, a_leaving_pooler_takes_no_new_work)
+TEST(engine, a_draining_pooler_takes_no_new_work)
 {
   for (const auto& row : kDrainRows) {
     fake_group group;
@@ -129,7 +129,7 @@
   }
 }
 
-TEST(engine, a_leaving_pooler_ends_what_is_under_way)
+TEST(engine, a_draining_pooler_ends_what_is_in_progress)
 {
   fake_group group;
   group.Run(100ms);
@@ -305,7 +305,7 @@
   LONGS_EQUAL(1, runs);
 }
 
-TEST(engine, a_server_that_is_gone_from_the_list_is_left)
+TEST(engine, a_server_removed_from_the_list_is_not_used)
 {
   fake_group group;
   group.Run(100ms);
--- a/test/currantshed/group/fake_group.cpp
+++ b/test/currantshed/group/fake_group.cpp
@@ -14,11 +14,11 @@
 using upstream::server_role;
 
 constexpr std::chrono::hours kStart{ 1000 };
-constexpr std::chrono::microseconds kLeastStep{ 100 };
+constexpr std::chrono::microseconds kMinStep{ 100 };
 constexpr std::chrono::milliseconds kReplicationInterval{ 2 };
 constexpr std::chrono::milliseconds kConnectTime{ 12 };
-constexpr std::chrono::milliseconds kUsualDeadline{ 2000 };
-constexpr std::chrono::seconds kLongestCall{ 30 };
+constexpr std::chrono::milliseconds kDefaultDeadline{ 2000 };
+constexpr std::chrono::seconds kMaxCallTime{ 30 };
 
 } // namespace
 
@@ -65,7 +65,7 @@
       due();
     } else if (tick <= mNow) {
       mEngine->Tick(mNow);
-      earliestTick = mNow + kLeastStep;
+      earliestTick = mNow + kMinStep;
     }
     Perform();
   }
@@ -100,8 +100,8 @@
 group::answer
 fake_group::Call(group::request aRequest)
 {
-  const auto* made = Wait(Submit(std::move(aRequest)), kLongestCall);
-  return made == nullptr ? group::answer{} : *made;
+  const auto* result = Wait(Submit(std::move(aRequest)), kMaxCallTime);
+  return result == nullptr ? group::answer{} : *result;
 }
 
 void
@@ -237,29 +237,29 @@
 group::request
 fake_group::Read(std::chrono::milliseconds aMaxStaleness)
 {
-  group::request made;
-  made.kind = operation::kRead;
-  made.work.name = "lookup";
-  made.work.maxStaleness = aMaxStaleness;
-  made.statements = { { "list", {} } };
-  made.deadline = mNow + kUsualDeadline;
+  group::request result;
+  result.kind = operation::kRead;
+  result.work.name = "lookup";
+  result.work.maxStaleness = aMaxStaleness;
+  result.statements = { { "list", {} } };
+  result.deadline = mNow + kDefaultDeadline;
   for (const auto& member : mDescription.members) {
-    made.work.servedIn.push_back(member.failureDomain);
+    result.work.servedIn.push_back(member.failureDomain);
   }
-  return made;
+  return result;
 }
 
 group::request
 fake_group::Write(const std::string& aValue, bool aRepeatable)
 {
-  auto made = Read(std::chrono::milliseconds{ 0 });
-  made.kind = operation::kWrite;
-  made.work.name = "report";
-  made.work.kind = policy::access::kWrite;
-  made.work.repeatable = aRepeatable;
-  made.statements = { { "add " + aValue, {} } };
-  made.key = NextKey();
-  return made;
+  auto result = Read(std::chrono::milliseconds{ 0 });
+  result.kind = operation::kWrite;
+  result.work.name = "report";
+  result.work.kind = policy::access::kWrite;
+  result.work.repeatable = aRepeatable;
+  result.statements = { { "add " + aValue, {} } };
+  result.key = NextKey();
+  return result;
 }
 
 group::request
@@ -267,18 +267,18 @@
                group::transaction_id aTransaction,
                const std::string& aSql)
 {
-  group::request made;
-  made.kind = aKind;
-  made.transaction = aTransaction;
-  made.deadline = mNow + kUsualDeadline;
-  made.work.kind = policy::access::kWrite;
+  group::request result;
+  result.kind = aKind;
+  result.transaction = aTransaction;
+  result.deadline = mNow + kDefaultDeadline;
+  result.work.kind = policy::access::kWrite;
   if (!aSql.empty()) {
-    made.statements = { { aSql, {} } };
+    result.statements = { { aSql, {} } };
   }
   if (aKind == operation::kCommit) {
-    made.key = NextKey();
+    result.key = NextKey();
   }
-  return made;
+  return result;
 }
 
 outcome::idempotency_key
--- a/test/currantshed/group/overload.cpp
+++ b/test/currantshed/group/overload.cpp
@@ -156,7 +156,7 @@
 
 TEST_GROUP(overload){};
 
-TEST(overload, browsing_gives_way_and_goodput_stays)
+TEST(overload, browsing_is_shed_and_goodput_stays)
 {
   auto best = load({ 1.5 * kReadCapacity, kQuotes, kReports }).Go();
   for (const double times : { 2.0, 4.0 }) {
--- a/test/currantshed/group/random_faults.cpp
+++ b/test/currantshed/group/random_faults.cpp
@@ -123,7 +123,7 @@
     const auto isFresh = aVisibility == visibility::kFresh;
     auto read = mGroup.Read(isFresh ? 0ms : kBound);
     if (aVisibility == visibility::kSession) {
-      read.floor = mFloor;
+      read.floor = mSessionPosition;
     }
     std::set<std::string> mustSee;
     for (const auto& [value, when] : mAcknowledged) {
@@ -304,7 +304,7 @@
     if (aAnswer.verdict == verdict::kDone) {
       mAcknowledged.emplace(aRequest.value, mGroup.Now());
       CheckNotReplaced(aAnswer);
-      mFloor = std::max(mFloor, aAnswer.position);
+      mSessionPosition = std::max(mSessionPosition, aAnswer.position);
     } else if (aAnswer.verdict == verdict::kNotRun) {
       mNotRun.insert(aRequest.value);
     }
@@ -328,7 +328,7 @@
     if (aAnswer.verdict != verdict::kDone) {
       return;
     }
-    mFloor = std::max(mFloor, aAnswer.position);
+    mSessionPosition = std::max(mSessionPosition, aAnswer.position);
     std::set<std::string> seen;
     for (const auto& cell : aAnswer.results[0].cells) {
       seen.insert(*cell);
@@ -383,7 +383,7 @@
   std::map<std::string, time_point> mAcknowledged;
   std::set<std::string> mNotRun;
   std::set<std::string> mShown;
-  log_position mFloor;
+  log_position mSessionPosition;
   int mLast = 0;
   std::uint64_t mTerm = 1;
   // First violation found; empty if there is none.
--- a/test/currantshed/group/read_verification.cpp
+++ b/test/currantshed/group/read_verification.cpp
@@ -67,7 +67,7 @@
   server_status before;
   server_status after;
   std::chrono::milliseconds sent;
-  read_verdict judgement;
+  read_verdict verdict;
 };
 
 const judge_row kJudgeRows[] = {
@@ -182,7 +182,7 @@
 
 TEST_GROUP(read_verification){};
 
-TEST(read_verification, judgement)
+TEST(read_verification, verdict)
 {
   const auto tracker = MakeTracker();
   for (const auto& row : kJudgeRows) {
@@ -190,8 +190,8 @@
     asked.work.maxStaleness = row.maxStaleness;
     asked.floor = row.floor;
     const read_evidence evidence{ row.before, row.after, kStart + row.sent };
-    const auto made =
+    const auto result =
       VerifyRead(asked, evidence, tracker, kStart + row.sent + 10ms);
-    CHECK_TEXT(made == row.judgement, row.name);
+    CHECK_TEXT(result == row.verdict, row.name);
   }
 }
--- a/test/currantshed/group/reads.cpp
+++ b/test/currantshed/group/reads.cpp
@@ -169,7 +169,7 @@
 };
 
 // Reads that are invalid, or that may run in certain failure domains only.
-struct place_row
+struct served_in_row
 {
   const char* name;
   void (*change)(fake_group&, request&);
@@ -178,7 +178,7 @@
   const char* servedBy;
 };
 
-const place_row kPlaceRows[] = {
+const served_in_row kServedInRows[] = {
   { "only where s3 is",
     [](fake_group&, request& aRequest) { aRequest.work.servedIn = { "d3" }; },
     verdict::kDone,
@@ -262,9 +262,9 @@
   }
 }
 
-TEST(reads, places_are_a_hard_limit)
+TEST(reads, served_in_is_a_hard_limit)
 {
-  for (const auto& row : kPlaceRows) {
+  for (const auto& row : kServedInRows) {
     fake_group group;
     group.Run(100ms);
     auto read = group.Read(10s);
--- a/test/currantshed/group/transactions.cpp
+++ b/test/currantshed/group/transactions.cpp
@@ -22,17 +22,17 @@
 request
 Begin(fake_group& aGroup)
 {
-  auto made = aGroup.Write("layout");
-  made.kind = operation::kBegin;
-  return made;
+  auto result = aGroup.Write("layout");
+  result.kind = operation::kBegin;
+  return result;
 }
 
 request
 BeginRead(fake_group& aGroup)
 {
-  auto made = aGroup.Read(10s);
-  made.kind = operation::kBegin;
-  return made;
+  auto result = aGroup.Read(10s);
+  result.kind = operation::kBegin;
+  return result;
 }
 
 std::size_t
@@ -192,13 +192,12 @@
 // which no caller can reach any more, until its idle timeout of 10 s. Meanwhile
 // every write of the group waits until its deadline of 2 s: under load, no
 // write was acknowledged for 10 s.
-TEST(transactions,
-     one_that_nobody_uses_is_given_up_soon_while_the_pooler_leaves)
+TEST(transactions, an_unused_one_is_abandoned_soon_while_the_pooler_drains)
 {
   struct row
   {
     const char* name;
-    bool leaves;
+    bool drains;
     std::size_t pending;
   };
   const row rows[] = {
@@ -210,7 +209,7 @@
     group.Run(100ms);
     const auto begun = group.Call(Begin(group));
     CHECK_TEXT(begun.verdict == verdict::kDone, row.name);
-    if (row.leaves) {
+    if (row.drains) {
       group.Engine().Drain(group.Now());
     }
     group.Run(500ms);
