--- a/test/currantshed/group/engine.cpp
+++ b/test/currantshed/group/engine.cpp
@@ -105,13 +105,13 @@
   fake_group group;
   group.Run(100ms);
   const auto written = group.Call(group.Write("report"));
-  auto question = group.In(operation::kReconfirm, 0);
-  question.position = written.position;
-  CHECK(group.Call(question).verdict == verdict::kDone);
+  auto reconfirm = group.In(operation::kReconfirm, 0);
+  reconfirm.position = written.position;
+  CHECK(group.Call(reconfirm).verdict == verdict::kDone);
   group.Server("s1").cut = true;
   group.Promote("s2", { "s2", "s3" });
-  question.deadline = group.Now() + 500ms;
-  CHECK(group.Call(question).verdict == verdict::kUnknown);
+  reconfirm.deadline = group.Now() + 500ms;
+  CHECK(group.Call(reconfirm).verdict == verdict::kUnknown);
 }
 
 TEST(engine, a_draining_pooler_takes_no_new_work)
--- a/test/currantshed/group/fake_group.cpp
+++ b/test/currantshed/group/fake_group.cpp
@@ -333,8 +333,9 @@
     Close(close->connection);
   } else if (const auto* batch = std::get_if<group::run_batch>(&aAction)) {
     RunBatch(*batch);
-  } else if (const auto* ask = std::get_if<group::request_status>(&aAction)) {
-    Ask(ask->server);
+  } else if (const auto* statusRequest =
+               std::get_if<group::request_status>(&aAction)) {
+    RequestStatus(statusRequest->server);
   } else if (const auto* given = std::get_if<group::give_answer>(&aAction)) {
     mAnswers[given->reply.request] = given->reply;
   }
@@ -439,7 +440,7 @@
 }
 
 void
-fake_group::Ask(const upstream::server_id& aServer)
+fake_group::RequestStatus(const upstream::server_id& aServer)
 {
   const auto askedAt = mNow;
   At(mNow + linkDelay, [this, aServer, askedAt] {
--- a/test/currantshed/group/fake_group.hpp
+++ b/test/currantshed/group/fake_group.hpp
@@ -104,7 +104,7 @@
   void RunBatch(const group::run_batch& aAction);
   void Execute(const group::run_batch& aAction,
                const fake_connection& aConnection);
-  void Ask(const upstream::server_id& aServer);
+  void RequestStatus(const upstream::server_id& aServer);
   void Replicate();
   void Replicate(const upstream::server_id& aPrimary);
   std::unique_ptr<group::engine> mEngine;
--- a/test/currantshed/group/overload.cpp
+++ b/test/currantshed/group/overload.cpp
@@ -51,7 +51,7 @@
 struct kind
 {
   const char* name;
-  operation asks;
+  operation requestKind;
   bool fresh;
   double objective;
   std::chrono::milliseconds time;
@@ -101,7 +101,7 @@
   {
     std::poisson_distribution<int> arrivals(aRate / 1000);
     for (auto count = arrivals(mRandom); count > 0; --count) {
-      auto submitted = aKind.asks == operation::kWrite
+      auto submitted = aKind.requestKind == operation::kWrite
                          ? mGroup.Write("report")
                          : mGroup.Read(aKind.fresh ? 0ms : 10s);
       submitted.work.objective = aKind.objective;
