--- a/src/currantshed/failover/error.cpp
+++ b/src/currantshed/failover/error.cpp
@@ -18,7 +18,7 @@
   {
     switch (static_cast<record_error>(aValue)) {
       case record_error::kNotJson:
-        return "term record is no JSON object";
+        return "term record is not a JSON object";
       case record_error::kWrongField:
         return "field of the term record is missing or of another type";
       case record_error::kTooLarge:
--- a/test/matrix/servers.cpp
+++ b/test/matrix/servers.cpp
@@ -68,8 +68,8 @@
 List(const server& aServer, const server_session& aSession)
 {
   const auto& transaction = aSession.transaction;
-  const bool fixed = transaction && transaction->sees;
-  const auto count = fixed ? *transaction->sees : aServer.applied;
+  const bool fixed = transaction && transaction->visibleRecords;
+  const auto count = fixed ? *transaction->visibleRecords : aServer.applied;
   result_set rows;
   rows.columns = { "value" };
   for (std::size_t at = 0; at < count; ++at) {
@@ -279,8 +279,8 @@
     return std::nullopt;
   }
   if (sql == mDialect->Status().sql) {
-    if (transaction && transaction->readOnly && !transaction->sees) {
-      transaction->sees = target.applied;
+    if (transaction && transaction->readOnly && !transaction->visibleRecords) {
+      transaction->visibleRecords = target.applied;
     }
     return StatusRow(Status(aSession.server));
   }
