--- a/src/currantshed/failover/follower_repair.cpp
+++ b/src/currantshed/failover/follower_repair.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-// Probe intervals that each rank leaves to the one before it.
+// Number of probe intervals that each rank leaves to the one before it.
 constexpr int kRankIntervals = 6;
-// Probe intervals between two tries.
+// Number of probe intervals between two attempts.
 constexpr int kRetryIntervals = 4;
 
 } // namespace
@@ -23,14 +23,14 @@
 }
 
 void
-follower_repair::SetPrimary(const primary_ref& aPrimary, bool aOwn)
+follower_repair::SetPrimary(const primary_ref& aPrimary, bool aIsPromotedHere)
 {
   if (aPrimary == mPrimary) {
-    mOwn = mOwn || aOwn;
+    mIsPromotedHere = mIsPromotedHere || aIsPromotedHere;
     return;
   }
   mPrimary = aPrimary;
-  mOwn = aOwn;
+  mIsPromotedHere = aIsPromotedHere;
   mPending.clear();
 }
 
@@ -47,7 +47,7 @@
 follower_repair::Tick(clock::time_point aNow, std::vector<action>& aOut)
 {
   const auto* primary = mMonitor.Find(mPrimary.server);
-  // Only a primary that speaks for itself in this term is followed.
+  // Servers follow only a primary that itself reports this role in this term.
   if (mPrimary.term == 0 || primary == nullptr ||
       !mMonitor.IsFresh(*primary, aNow) ||
       primary->status->term != mPrimary.term ||
@@ -55,8 +55,8 @@
     mPending.clear();
     return;
   }
-  const auto delay =
-    mOwn ? clock::duration{} : kRankIntervals * mProbeInterval * mRank;
+  const auto delay = mIsPromotedHere ? clock::duration{}
+                                     : kRankIntervals * mProbeInterval * mRank;
   for (const auto& [id, server] : mMonitor.Servers()) {
     if (id == mPrimary.server || !mMonitor.IsFresh(server, aNow) ||
         !NeedsFollow(server)) {
--- a/src/currantshed/failover/promoter.cpp
+++ b/src/currantshed/failover/promoter.cpp
@@ -7,12 +7,13 @@
 
 namespace {
 
-// Fences are repeated this often before a try ends without a majority.
-constexpr int kFenceRounds = 3;
-// Validities that a server has for its promotion: it first applies all that
-// it has stored.
+// Number of times that fences are sent before an attempt ends without a
+// majority.
+constexpr int kFenceAttempts = 3;
+// Time for a promotion, in multiples of the validity: the server first applies
+// all records that it has stored.
 constexpr int kPromoteValidities = 5;
-constexpr unsigned kDoublings = 3;
+constexpr unsigned kMaxDoublings = 3;
 
 } // namespace
 
@@ -40,7 +41,7 @@
   mPrevious = aPrevious;
   mLost = aLost;
   mStep = step::kRankDelay;
-  mDue = std::max(aNow + RankDelay() + aExtraDelay, mNotBefore);
+  mStepDue = std::max(aNow + RankDelay() + aExtraDelay, mNotBefore);
 }
 
 void
@@ -63,7 +64,7 @@
 promoter::Abandon()
 {
   Stop();
-  mUsed = true;
+  mTermUsed = true;
 }
 
 void
@@ -74,7 +75,7 @@
                         clock::time_point aNow)
 {
   if (aTerm == mTerm && aAccepted) {
-    NoteFenced(aServer, aStatus, aNow);
+    RecordFenced(aServer, aStatus, aNow);
   }
 }
 
@@ -89,11 +90,11 @@
     return;
   }
   if (aAccepted) {
-    Succeed(aServer);
+    CompletePromotion(aServer);
     return;
   }
-  // Without any answer the promotion may have taken effect: the server's
-  // status tells.
+  // Without a response the promotion may have taken effect; the server's status
+  // will show it.
   if (aStatus.term != 0) {
     BackOff(aNow);
   }
@@ -103,24 +104,26 @@
 promoter::Tick(clock::time_point aNow, std::vector<action>& aOut)
 {
   ReadMonitor(aNow);
-  if ((mStep == step::kRankDelay || mStep == step::kBackOff) && aNow >= mDue) {
+  if ((mStep == step::kRankDelay || mStep == step::kBackOff) &&
+      aNow >= mStepDue) {
     mStep = step::kPickTerm;
   }
   if (mStep == step::kPickTerm) {
     PickTerm(aNow);
   }
   if (mStep == step::kFence) {
-    if (aNow >= mGiveUp) {
+    if (aNow >= mFenceDeadline) {
       GiveUpFence(aNow);
     } else {
       SendFences(aNow, aOut);
     }
   }
-  // A promoter that was paused first hears what happened meanwhile.
-  if (mStep == step::kWaitOut && aNow >= mDue && mMonitor.HasMajority(aNow)) {
+  // A promoter that was paused first processes what arrived in the meantime.
+  if (mStep == step::kWaitOut && aNow >= mStepDue &&
+      mMonitor.HasMajority(aNow)) {
     Promote(aNow, aOut);
   }
-  if (mStep == step::kPromote && (aNow >= mDue || IsPromotionLost(aNow))) {
+  if (mStep == step::kPromote && (aNow >= mStepDue || IsPromotionLost(aNow))) {
     BackOff(aNow);
   }
 }
@@ -133,12 +136,12 @@
     case step::kPickTerm:
       return clock::time_point::max();
     case step::kFence:
-      return std::min(mNextFence, mGiveUp);
+      return std::min(mNextFence, mFenceDeadline);
     case step::kRankDelay:
     case step::kWaitOut:
     case step::kPromote:
     case step::kBackOff:
-      return mDue;
+      return mStepDue;
   }
   return clock::time_point::max();
 }
@@ -149,12 +152,12 @@
   return std::exchange(mPromoted, {});
 }
 
-// A term that was fenced in vain is still good while nothing above it has
-// been seen.
+// A term that was fenced without a majority remains usable while no higher one
+// has been seen.
 void
 promoter::PickTerm(clock::time_point aNow)
 {
-  const bool reuse = !mUsed && mTerm >= mMonitor.HighestTerm();
+  const bool reuse = !mTermUsed && mTerm >= mMonitor.HighestTerm();
   if (!reuse) {
     const auto term = mReservations.LowestUsable();
     mReservations.SetUrgent(!term);
@@ -163,53 +166,53 @@
     }
     mReservations.MarkUsed(*term);
     mTerm = *term;
-    mUsed = false;
+    mTermUsed = false;
     mFenced.clear();
   }
   mStep = step::kFence;
   mNextFence = aNow;
-  mGiveUp = aNow + kFenceRounds * mRetry;
-  // Answers that came after an earlier try had ended count as well.
+  mFenceDeadline = aNow + kFenceAttempts * mRetry;
+  // Responses that arrived after an earlier attempt ended count as well.
   if (mFenced.size() >= mMonitor.Majority()) {
     mStep = step::kWaitOut;
-    mDue = aNow + mValidity;
+    mStepDue = aNow + mValidity;
   }
 }
 
 void
-promoter::NoteFenced(const upstream::server_id& aServer,
-                     const upstream::server_status& aStatus,
-                     clock::time_point aNow)
+promoter::RecordFenced(const upstream::server_id& aServer,
+                       const upstream::server_status& aStatus,
+                       clock::time_point aNow)
 {
-  if (mUsed || aStatus.term != mTerm || mMonitor.Find(aServer) == nullptr) {
+  if (mTermUsed || aStatus.term != mTerm || mMonitor.Find(aServer) == nullptr) {
     return;
   }
   mFenced[aServer] = aStatus;
   if (mStep == step::kFence && mFenced.size() >= mMonitor.Majority()) {
     mStep = step::kWaitOut;
-    mDue = aNow + mValidity;
+    mStepDue = aNow + mValidity;
   }
 }
 
-// A number belongs to one process alone, so a server that holds this one and
-// is fenced has accepted it from here, even if its answer was lost.
+// A term belongs to one process only, so a server that holds this one and is
+// fenced accepted it from this pooler, even if its response was lost.
 void
 promoter::ReadMonitor(clock::time_point aNow)
 {
   if (mStep == step::kIdle || mTerm == 0) {
     return;
   }
-  // Before a new term is picked this one may be an earlier failover's.
+  // Until a new term is picked, this one may be that of an earlier failover.
   const bool sent = mStep == step::kPromote || mStep == step::kBackOff;
   for (const auto& [id, server] : mMonitor.Servers()) {
     if (!server.status || server.status->term != mTerm) {
       continue;
     }
     if (server.status->role == upstream::server_role::kFenced) {
-      NoteFenced(id, *server.status, aNow);
+      RecordFenced(id, *server.status, aNow);
     }
     if (sent && server.status->role == upstream::server_role::kPrimary) {
-      Succeed(id);
+      CompletePromotion(id);
       return;
     }
   }
@@ -233,15 +236,15 @@
 promoter::Promote(clock::time_point aNow, std::vector<action>& aOut)
 {
   mChosen = Choose();
-  mUsed = true;
+  mTermUsed = true;
   mStep = step::kPromote;
   mPromotedAt = aNow;
-  mDue = aNow + kPromoteValidities * mValidity;
+  mStepDue = aNow + kPromoteValidities * mValidity;
   aOut.emplace_back(promote{ mChosen, mTerm });
 }
 
-// Asked well after the promotion was sent, the server still waits for one, and
-// has nothing left to apply that could hold it up.
+// The promotion is lost if a server that was probed well after it was sent
+// still waits for one and has no more records to apply that could delay it.
 bool
 promoter::IsPromotionLost(clock::time_point aNow) const
 {
@@ -256,11 +259,11 @@
 }
 
 void
-promoter::Succeed(const upstream::server_id& aServer)
+promoter::CompletePromotion(const upstream::server_id& aServer)
 {
   mPromoted = { mTerm, aServer };
-  mUsed = true;
-  mTries = 0;
+  mTermUsed = true;
+  mAttempts = 0;
   mNotBefore = {};
   Stop();
 }
@@ -269,11 +272,11 @@
 promoter::BackOff(clock::time_point aNow)
 {
   mStep = step::kBackOff;
-  mDue = aNow + NextPause();
+  mStepDue = aNow + NextPause();
 }
 
-// Whether there is still a reason must be judged anew: a pooler that was cut
-// off must not go on with an old one when it is back.
+// The reason for the failover must be evaluated again: a pooler that was cut
+// off must not act on an old one once it is connected again.
 void
 promoter::GiveUpFence(clock::time_point aNow)
 {
@@ -284,14 +287,15 @@
 clock::duration
 promoter::NextPause()
 {
-  const auto doublings = std::min(mTries, kDoublings);
-  ++mTries;
+  const auto doublings = std::min(mAttempts, kMaxDoublings);
+  ++mAttempts;
   return (RankDelay() + mProbeInterval) * (1U << doublings);
 }
 
-// The newest history of a majority holds all that was ever confirmed. Servers
-// that are better avoided are passed over if the others are a majority without
-// them: one that its replicas lost may hold more, but none of it confirmed.
+// The newest history in a majority contains everything that was ever confirmed.
+// Servers to be avoided are skipped if the others are a majority without them:
+// a primary that its replicas lost may hold more records, but none of those are
+// confirmed.
 upstream::server_id
 promoter::Choose() const
 {
@@ -334,7 +338,7 @@
   if (leftLeaves != rightLeaves) {
     return rightLeaves;
   }
-  // What is not applied yet would hold up the promotion.
+  // Records that are not applied yet would delay the promotion.
   if (left.applied != right.applied) {
     return left.applied > right.applied;
   }
--- a/src/currantshed/failover/term_reservations.cpp
+++ b/src/currantshed/failover/term_reservations.cpp
@@ -13,26 +13,29 @@
 
 using std::chrono::milliseconds;
 
-// The store's answer counts as lost after this; the change is read back.
+// Time after which a response of the store counts as lost; the change is then
+// read back.
 constexpr milliseconds kStoreTimeout{ 3000 };
 constexpr milliseconds kInitialBackoff{ 100 };
 constexpr milliseconds kMaxBackoff{ 5000 };
-// The same while a promoter waits for a term.
+// Maximum backoff while a promoter waits for a term.
 constexpr milliseconds kMaxUrgentBackoff{ 400 };
-// An owner without any term asks within this span, after those of lower ranks.
+// An owner without any term accesses the store within kFirstSpan, after the
+// owners of lower ranks.
 constexpr milliseconds kFirstSpan{ 300 };
 constexpr milliseconds kRankSpan{ 400 };
-// After a conflict, which shows that the store is up.
+// Delay after a conflict, which shows that the store is up.
 constexpr milliseconds kConflictPause{ 40 };
-// Terms are topped up at a moment within this span, so that many groups that
-// fail over together do not ask the store at once.
+// Reserved terms are replenished at a time within this span, so that many
+// groups that fail over together do not access the store at once.
 constexpr milliseconds kTopUpSpan{ 2000 };
-constexpr unsigned kDoublings = 6;
-// Conflicts in a row that are tried again at once.
+constexpr unsigned kMaxDoublings = 6;
+// Number of consecutive conflicts that are retried at once.
 constexpr unsigned kQuickRetries = 4;
 
-// Names a change by its author, what it was made from and what it makes: a
-// later book of the same incarnation never takes another change for its own.
+// Identifies a change by its author, the version that it is based on and its
+// content: a later object of the same incarnation never takes another change
+// for its own.
 std::string
 ChangeId(const incarnation_id& aIncarnation,
          const term_record& aChanged,
@@ -72,7 +75,7 @@
 term_reservations::LowestUsable() const
 {
   std::optional<position::term_id> lowest;
-  for (const auto term : mHeld) {
+  for (const auto term : mReserved) {
     if (term > mHighestSeen && (!lowest || term < *lowest)) {
       lowest = term;
     }
@@ -83,7 +86,8 @@
 void
 term_reservations::MarkUsed(position::term_id aTerm)
 {
-  mHeld.erase(std::remove(mHeld.begin(), mHeld.end(), aTerm), mHeld.end());
+  mReserved.erase(std::remove(mReserved.begin(), mReserved.end(), aTerm),
+                  mReserved.end());
 }
 
 void
@@ -121,7 +125,7 @@
   }
   mState = state::kIdle;
   term_record record;
-  // A record that can't be read is never written over.
+  // A record that cannot be parsed is never overwritten.
   if (!aReached || ParseRecord(aEntry.value, record)) {
     Retry(aNow);
     return;
@@ -151,8 +155,8 @@
     return;
   }
   Retry(aNow);
-  // A conflict too may hide an earlier try that was applied: reading back
-  // tells.
+  // A conflict may also hide an earlier attempt that was applied; reading back
+  // shows it.
   const bool first = mFailures <= kQuickRetries;
   if (aOutcome == store::swap_outcome::kConflict && first) {
     mNotBefore = aNow + kConflictPause / 2 + Jitter(kConflictPause);
@@ -207,7 +211,7 @@
 term_reservations::Usable() const
 {
   const auto count =
-    std::count_if(mHeld.begin(), mHeld.end(), [this](auto aTerm) {
+    std::count_if(mReserved.begin(), mReserved.end(), [this](auto aTerm) {
       return aTerm > mHighestSeen;
     });
   return static_cast<std::size_t>(count);
@@ -225,9 +229,9 @@
   return mUnpublished && aNow >= mPublishFrom;
 }
 
-// Takes over what the store says; true if a change of ours is in the way and
-// is sent again as it was. A change whose expected version has passed can
-// never be applied any more.
+// Compares the pending change with the store; true if it must be sent again
+// unchanged. A change whose expected version has passed can never be applied
+// any more.
 bool
 term_reservations::ResolvePending(const store::entry& aEntry,
                                   const term_record& aRecord)
@@ -254,7 +258,7 @@
   if (mPending) {
     std::copy(mPending->terms.begin(),
               mPending->terms.end(),
-              std::back_inserter(mHeld));
+              std::back_inserter(mReserved));
     term_record written;
     if (!ParseRecord(mPending->value, written)) {
       ApplyRecord(written);
@@ -272,11 +276,11 @@
   if (mUnpublished && mUnpublished->term <= aRecord.term) {
     mUnpublished.reset();
   }
-  mHeld.erase(
-    std::remove_if(mHeld.begin(),
-                   mHeld.end(),
+  mReserved.erase(
+    std::remove_if(mReserved.begin(),
+                   mReserved.end(),
                    [this](auto aTerm) { return aTerm <= mHighestSeen; }),
-    mHeld.end());
+    mReserved.end());
 }
 
 void
@@ -309,7 +313,7 @@
 void
 term_reservations::Retry(clock::time_point aNow)
 {
-  const auto doublings = std::min(mFailures, kDoublings);
+  const auto doublings = std::min(mFailures, kMaxDoublings);
   ++mFailures;
   const auto longest = mUrgent ? kMaxUrgentBackoff : kMaxBackoff;
   const clock::duration pause =
@@ -318,7 +322,7 @@
   mNotBefore = aNow + pause / 2 + Jitter(pause / 2);
 }
 
-// Fixes once, for each need, when the store is asked.
+// Determines, once for each need, when the store is accessed.
 void
 term_reservations::ScheduleCall(clock::time_point aNow)
 {
@@ -340,9 +344,9 @@
 {
   const auto salt = mIncarnation + '/' + mGroup;
   const auto draw = XXH3_64bits_withSeed(salt.data(), salt.size(), mFailures);
-  constexpr std::uint64_t kParts = 1024;
-  return aSpan * static_cast<clock::duration::rep>(draw % kParts) /
-         static_cast<clock::duration::rep>(kParts);
+  constexpr std::uint64_t kJitterSteps = 1024;
+  return aSpan * static_cast<clock::duration::rep>(draw % kJitterSteps) /
+         static_cast<clock::duration::rep>(kJitterSteps);
 }
 
 } // namespace currantshed::failover
--- a/src/currantshed/group/changes.cpp
+++ b/src/currantshed/group/changes.cpp
@@ -17,7 +17,7 @@
 using upstream::server_role;
 
 // Statements after those of the caller: status, commit, status.
-constexpr std::size_t kClosing = 3;
+constexpr std::size_t kClosingStatements = 3;
 
 } // namespace
 
@@ -77,13 +77,13 @@
 {
   switch (mPhase) {
     case phase::kLookUp:
-      return LookedUp(aReply, aNow);
+      return OnLookUpReply(aReply, aNow);
     case phase::kVoid:
-      return Voided(aReply, aNow);
+      return OnVoidReply(aReply, aNow);
     case phase::kApply:
       break;
   }
-  return ChangeReplied(std::move(aReply), aNow);
+  return OnChangeReply(std::move(aReply), aNow);
 }
 
 std::optional<step>
@@ -126,34 +126,35 @@
 }
 
 reply_outcome
-change_flow::ChangeReplied(upstream::reply aReply, clock::time_point aNow)
+change_flow::OnChangeReply(upstream::reply aReply, clock::time_point aNow)
 {
   if (aReply.end == batch_end::kServerError) {
-    return ChangeRefused(aReply);
+    return OnChangeRefused(aReply);
   }
   const auto first = RecordIndex() + 1;
   const auto size = aReply.results.size();
-  if (aReply.end == batch_end::kIndeterminate || size < first + kClosing) {
+  if (aReply.end == batch_end::kIndeterminate ||
+      size < first + kClosingStatements) {
     return { ResolveOutcome(), connection_fate::kClose };
   }
   const auto after = size - 1;
-  const auto before = size - kClosing;
+  const auto before = size - kClosingStatements;
   const auto position = PositionOf(aReply, before, after);
   if (!position) {
     return { ResolveOutcome(), connection_fate::kClose };
   }
-  auto made = ServedBy(Request(), mDispatch, server_role::kPrimary);
+  auto result = ServedBy(Request(), mDispatch, server_role::kPrimary);
   const auto begin = aReply.results.begin();
   const auto offset = static_cast<std::ptrdiff_t>(first);
-  made.results.assign(
+  result.results.assign(
     std::make_move_iterator(begin + offset),
     std::make_move_iterator(begin + static_cast<std::ptrdiff_t>(before)));
-  return { AnswerOnceConfirmed(std::move(made), *position, aNow),
+  return { AnswerOnceConfirmed(std::move(result), *position, aNow),
            connection_fate::kKeep };
 }
 
 reply_outcome
-change_flow::ChangeRefused(const upstream::reply& aReply)
+change_flow::OnChangeRefused(const upstream::reply& aReply)
 {
   const auto failed = aReply.results.size();
   const auto size = ComposeChange().size();
@@ -171,60 +172,62 @@
   }
   const auto kind = Classify(aReply.sqlState);
   if (kind == refusal::kNotPrimary || failed < RecordIndex()) {
-    return { TryAgain(reason::kNoPrimary), connection_fate::kClose };
+    return { Retry(reason::kNoPrimary), connection_fate::kClose };
   }
   if (kind == refusal::kTransient) {
-    return { TryAgain(reason::kOverloaded), connection_fate::kRollBack };
+    return { Retry(reason::kOverloaded), connection_fate::kRollBack };
   }
-  auto made = StatementRefused(Request(), aReply);
+  auto result = StatementRefused(Request(), aReply);
   if (!mOutcomeUnknown) {
-    return { finish{ std::move(made) }, connection_fate::kRollBack };
+    return { finish{ std::move(result) }, connection_fate::kRollBack };
   }
-  // An earlier attempt may still run: the void decides.
-  mAnswerIfVoid = std::move(made);
+  // An earlier attempt may still run, so the void decides the outcome.
+  mAnswerIfVoid = std::move(result);
   mPhase = phase::kVoid;
   return { requeue{}, connection_fate::kRollBack };
 }
 
 reply_outcome
-change_flow::LookedUp(const upstream::reply& aReply, clock::time_point aNow)
+change_flow::OnLookUpReply(const upstream::reply& aReply,
+                           clock::time_point aNow)
 {
   if (aReply.end != batch_end::kComplete) {
-    return { TryAgain(reason::kNoPrimary), connection_fate::kClose };
+    return { Retry(reason::kNoPrimary), connection_fate::kClose };
   }
   const auto position = PositionOf(aReply, kLookUpStatus, kLookUpStatus);
   if (!position) {
-    return { TryAgain(reason::kNoPrimary), connection_fate::kClose };
+    return { Retry(reason::kNoPrimary), connection_fate::kClose };
   }
   const auto record = outcome::ReadStoredOutcome(aReply.results[kLookUpRecord]);
   if (!record) {
-    // The record went with an unconfirmed history: the change hasn't run.
+    // The record was lost with an unconfirmed history, so the change has not
+    // run.
     mPhase = mOutcomeUnknown && !Request().work.repeatable ? phase::kVoid
                                                            : phase::kApply;
-    return { TryAgain(reason::kNoPrimary), connection_fate::kKeep };
+    return { Retry(reason::kNoPrimary), connection_fate::kKeep };
   }
   return { AnswerOnceConfirmed(FromRecord(*record), *position, aNow),
            connection_fate::kKeep };
 }
 
 reply_outcome
-change_flow::Voided(const upstream::reply& aReply, clock::time_point aNow)
+change_flow::OnVoidReply(const upstream::reply& aReply, clock::time_point aNow)
 {
   if (aReply.end != batch_end::kComplete) {
-    return { TryAgain(reason::kNoPrimary), connection_fate::kClose };
+    return { Retry(reason::kNoPrimary), connection_fate::kClose };
   }
   const auto position = PositionOf(aReply, kVoidBefore, kVoidAfter);
   if (!position) {
-    return { TryAgain(reason::kNoPrimary), connection_fate::kClose };
+    return { Retry(reason::kNoPrimary), connection_fate::kClose };
   }
   const auto record = outcome::ReadStoredOutcome(aReply.results[kVoidRecord]);
   if (!record) {
-    return { TryAgain(reason::kNoPrimary), connection_fate::kClose };
+    return { Retry(reason::kNoPrimary), connection_fate::kClose };
   }
-  auto made = record->isVoid && mAnswerIfVoid ? std::move(*mAnswerIfVoid)
-                                              : FromRecord(*record);
+  auto result = record->isVoid && mAnswerIfVoid ? std::move(*mAnswerIfVoid)
+                                                : FromRecord(*record);
   mAnswerIfVoid.reset();
-  return { AnswerOnceConfirmed(std::move(made), *position, aNow),
+  return { AnswerOnceConfirmed(std::move(result), *position, aNow),
            connection_fate::kKeep };
 }
 
@@ -270,7 +273,7 @@
 }
 
 step
-change_flow::TryAgain(reason aWhy)
+change_flow::Retry(reason aWhy)
 {
   if (mPhase == phase::kApply && !MayBeResent()) {
     return finish{ NotRun(Request(), reason::kTransactionLost) };
@@ -294,9 +297,9 @@
   if (digest && *digest != aRecord.digest) {
     return Refused(Request(), reason::kKeyReused);
   }
-  auto made = ServedBy(Request(), mDispatch, server_role::kPrimary);
-  made.repeated = true;
-  return made;
+  auto result = ServedBy(Request(), mDispatch, server_role::kPrimary);
+  result.repeated = true;
+  return result;
 }
 
 } // namespace currantshed::group
--- a/src/currantshed/group/connection_supply.cpp
+++ b/src/currantshed/group/connection_supply.cpp
@@ -7,15 +7,14 @@
 
 namespace {
 
-// Connections of a server that open transactions leave to other requests.
-constexpr unsigned kKeptFromTransactions = 2;
+// Connections of a server that open transactions must leave to other requests.
+constexpr unsigned kReservedForOthers = 2;
 
 unsigned
-MostTransactions(unsigned aConnections)
+MaxTransactions(unsigned aConnections)
 {
-  return aConnections > kKeptFromTransactions
-           ? aConnections - kKeptFromTransactions
-           : 1;
+  return aConnections > kReservedForOthers ? aConnections - kReservedForOthers
+                                           : 1;
 }
 
 } // namespace
@@ -29,9 +28,9 @@
   candidates.reserve(mServers.size());
   for (const auto& server : mServers) {
     const auto& pool = server.pool;
-    const auto hasPlace =
+    const auto hasRoom =
       !aForTransaction || mContext.transactions.CountOn(server.description.id) <
-                            MostTransactions(pool.Limits().connections);
+                            MaxTransactions(pool.Limits().connections);
     route::candidate candidate;
     candidate.server = server.description.id;
     candidate.failureDomain = server.description.failureDomain;
@@ -39,7 +38,7 @@
     candidate.inUse =
       pool.Running() + server.claimsReadOnly + server.claimsReadWrite;
     candidate.slots = pool.Limits().slots;
-    candidate.hasCapacity = hasPlace && candidate.inUse < candidate.slots &&
+    candidate.hasCapacity = hasRoom && candidate.inUse < candidate.slots &&
                             pool.CanProvide(aReadOnly, aNow);
     candidate.connected = pool.Idle(aReadOnly).has_value();
     candidates.push_back(std::move(candidate));
--- a/src/currantshed/group/dispatch.cpp
+++ b/src/currantshed/group/dispatch.cpp
@@ -10,13 +10,13 @@
 
 using outcome::reason;
 
-// Waiting requests that are looked at for each event.
-constexpr int kMostLookedAt = 32;
-// While all slots are taken, waiting requests are looked at this often.
-constexpr std::chrono::milliseconds kLookInterval{ 10 };
-// Requests sent for one reply: the one that waits for the place, and the one
-// that was answered itself if it goes on elsewhere.
-constexpr std::size_t kSentForOneFreed = 2;
+// Maximum number of waiting requests examined per event.
+constexpr int kMaxExamined = 32;
+// Interval at which waiting requests are examined while no slot is free.
+constexpr std::chrono::milliseconds kFullDispatchInterval{ 10 };
+// Requests sent per reply: the one that waits for the slot, and the one just
+// answered if it continues on another server.
+constexpr std::size_t kMaxSentPerFreed = 2;
 
 } // namespace
 
@@ -24,9 +24,10 @@
 group_engine::DispatchAll(clock::time_point aNow)
 {
   DispatchTransactions(aNow);
-  // While all slots are taken, the queues only need a look for requests that
-  // have waited for too long.
-  if (mConnections.HasSlot() || aNow >= mLastFullDispatch + kLookInterval) {
+  // While no slot is free, the queues only need to be examined for requests
+  // that have waited too long.
+  if (mConnections.HasSlot() ||
+      aNow >= mLastFullDispatch + kFullDispatchInterval) {
     mLastFullDispatch = aNow;
     DispatchQueues(std::numeric_limits<std::size_t>::max(), aNow);
   }
@@ -35,11 +36,11 @@
 void
 group_engine::DispatchTransactions(clock::time_point aNow)
 {
-  std::vector<request_id> waiting;
+  std::vector<request_id> queued_request;
   for (const auto& request : mTransactions.Entries()) {
-    waiting.push_back(request.request);
+    queued_request.push_back(request.request);
   }
-  for (const auto request : waiting) {
+  for (const auto request : queued_request) {
     static_cast<void>(TrySend(request, aNow));
   }
 }
@@ -48,21 +49,21 @@
 group_engine::DispatchQueues(std::size_t aMaxSent, clock::time_point aNow)
 {
   mConnections.BeginPass();
-  // All lanes in one order; the first ones only, since those behind them
-  // would wait for the same servers.
-  std::vector<admit::queued_request> waiting;
+  // All queues in one order of priority. Only the first requests are examined,
+  // since those behind them would wait for the same servers.
+  std::vector<admit::queued_request> queued_request;
   for (const auto* queue : { &mReads, &mFreshReads, &mWrites }) {
-    int looked = 0;
+    int examined = 0;
     for (const auto& request : queue->Entries()) {
-      if (++looked > kMostLookedAt) {
+      if (++examined > kMaxExamined) {
         break;
       }
-      waiting.push_back(request);
+      queued_request.push_back(request);
     }
   }
-  std::sort(waiting.begin(), waiting.end());
+  std::sort(queued_request.begin(), queued_request.end());
   std::size_t sent = 0;
-  for (const auto& request : waiting) {
+  for (const auto& request : queued_request) {
     sent += TrySend(request.request, aNow) ? 1 : 0;
     if (sent >= aMaxSent) {
       return;
@@ -73,19 +74,19 @@
 void
 group_engine::DispatchFreed(clock::time_point aNow)
 {
-  if (aNow >= mLastFullDispatch + kLookInterval) {
+  if (aNow >= mLastFullDispatch + kFullDispatchInterval) {
     DispatchAll(aNow);
     return;
   }
   DispatchTransactions(aNow);
-  DispatchQueues(kSentForOneFreed, aNow);
+  DispatchQueues(kMaxSentPerFreed, aNow);
 }
 
 bool
 group_engine::TrySend(request_id aRequest, clock::time_point aNow)
 {
   const auto found = mEntries.find(aRequest);
-  if (found == mEntries.end() || found->second.at != stage::kQueued) {
+  if (found == mEntries.end() || found->second.currentStage != stage::kQueued) {
     return false;
   }
   auto& requestFlow = *found->second.requestFlow;
@@ -105,8 +106,8 @@
   const auto chosen = requestFlow.ChooseServer(
     mConnections.Candidates(requestFlow.ReadOnly(), isBegin, aNow), aNow);
   if (chosen.state == route::availability::kNone) {
-    if (auto made = requestFlow.OnNoServer(chosen.why, aNow)) {
-      Finish(aRequest, std::move(*made));
+    if (auto result = requestFlow.OnNoServer(chosen.why, aNow)) {
+      Finish(aRequest, std::move(*result));
     }
     return false;
   }
@@ -114,9 +115,9 @@
     return false;
   }
   if (IsTooLate(found->second, aNow)) {
-    auto made = NotRun(requestFlow.Request(), reason::kOverloaded);
-    made.retryAfter = QueueOf(found->second.queue).RetryAfter(aRequest, aNow);
-    Finish(aRequest, std::move(made));
+    auto result = NotRun(requestFlow.Request(), reason::kOverloaded);
+    result.retryAfter = QueueOf(found->second.queue).RetryAfter(aRequest, aNow);
+    Finish(aRequest, std::move(result));
     return false;
   }
   const auto connection =
@@ -131,7 +132,8 @@
 bool
 group_engine::IsTooLate(const entry& aEntry, clock::time_point aNow)
 {
-  // What was sent before may have to be resolved, and goes on.
+  // A request that was sent before may have an unknown outcome to resolve, so
+  // it continues.
   const auto wasSent = aEntry.sentAt != clock::time_point{};
   return !wasSent &&
          !QueueOf(aEntry.queue)
@@ -148,7 +150,7 @@
   auto& queue = QueueOf(entry.queue);
   queue.Remove(WaitingOf(requestFlow.Request()));
   queue.Departed(aNow);
-  entry.at = stage::kRunning;
+  entry.currentStage = stage::kRunning;
   entry.connection = aConnection;
   entry.sentAt = aNow;
   const auto sent = mConnections.Dispatch(aConnection, aNow);
@@ -161,13 +163,13 @@
 
 void
 group_engine::ApplyReply(request_id aRequest,
-                         reply_outcome aTurn,
+                         reply_outcome aOutcome,
                          clock::time_point aNow)
 {
   auto& entry = mEntries.at(aRequest);
   mRunning.erase(aRequest);
-  mConnections.ApplyFate(entry.connection, aTurn.fate);
-  Apply(aRequest, std::move(aTurn.next), aNow);
+  mConnections.ApplyFate(entry.connection, aOutcome.fate);
+  Apply(aRequest, std::move(aOutcome.next), aNow);
 }
 
 void
@@ -184,15 +186,16 @@
   }
   auto& entry = mEntries.at(aRequest);
   if (std::holds_alternative<await_status>(aStep)) {
-    entry.at = stage::kAwaitingStatus;
+    entry.currentStage = stage::kAwaitingStatus;
     mAwaiting.insert(aRequest);
     return;
   }
   mAwaiting.erase(aRequest);
-  entry.at = stage::kQueued;
+  entry.currentStage = stage::kQueued;
   if (entry.queue == queue_kind::kTransactions &&
       !entry.requestFlow->Pinned()) {
-    // A commit in doubt is resolved wherever the primary is.
+    // A commit with an unknown outcome is resolved on whichever server is the
+    // primary.
     entry.queue = queue_kind::kWrites;
   }
   QueueOf(entry.queue).Requeue(WaitingOf(entry.requestFlow->Request()));
@@ -212,7 +215,8 @@
 group_engine::AbortBatch(request_id aRequest, clock::time_point aNow)
 {
   const auto found = mEntries.find(aRequest);
-  if (found == mEntries.end() || found->second.at != stage::kRunning) {
+  if (found == mEntries.end() ||
+      found->second.currentStage != stage::kRunning) {
     return;
   }
   upstream::reply torn;
@@ -231,10 +235,11 @@
   }
   auto& entry = found->second;
   const auto& request = entry.requestFlow->Request();
-  // A transaction whose request goes while it may have changed it is lost.
+  // A transaction is lost when its request ends while a batch of it may have
+  // run.
   if (auto* open = mContext.transactions.UsedBy(aRequest)) {
     open->user.reset();
-    if (entry.at != stage::kQueued) {
+    if (entry.currentStage != stage::kQueued) {
       mContext.transactions.Abandon(open->id);
     }
   }
--- a/src/currantshed/group/group_engine.cpp
+++ b/src/currantshed/group/group_engine.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-// While requests wait for what no event tells, they are looked at this often.
-constexpr std::chrono::milliseconds kLookInterval{ 10 };
-// How long a transaction may be without a request once the pooler leaves: half
-// the deadline of 2 s of the writes that wait for the rows which it holds.
-constexpr std::chrono::milliseconds kLeavingIdle{ 1000 };
+// Interval at which waiting requests are examined for conditions that no event
+// reports.
+constexpr std::chrono::milliseconds kExamineInterval{ 10 };
+// How long a transaction may be idle once the pooler is draining: half of the 2
+// s deadline of the writes that wait for the rows it has locked.
+constexpr std::chrono::milliseconds kDrainingIdleTimeout{ 1000 };
 
 } // namespace
 
@@ -49,7 +50,7 @@
   if (found == mEntries.end()) {
     return;
   }
-  if (found->second.at == stage::kRunning) {
+  if (found->second.currentStage == stage::kRunning) {
     mConnections.Orphan(found->second.connection);
     if (const auto* open = mContext.transactions.UsedBy(aRequest)) {
       mContext.transactions.Remove(open->id);
@@ -133,12 +134,12 @@
   AfterEvent(aNow);
 }
 
-// How long an open transaction may be without a request.
+// How long an open transaction may be idle.
 std::chrono::milliseconds
 group_engine::TransactionIdle() const noexcept
 {
   const auto usual = mContext.settings.transactionIdle;
-  return mDraining ? std::min(usual, kLeavingIdle) : usual;
+  return mDraining ? std::min(usual, kDrainingIdleTimeout) : usual;
 }
 
 void
@@ -170,7 +171,7 @@
                           !mFreshReads.Entries().empty() ||
                           !mWrites.Entries().empty();
   if (someQueued) {
-    next = std::min(next, mLastFullDispatch + kLookInterval);
+    next = std::min(next, mLastFullDispatch + kExamineInterval);
   }
   return next;
 }
--- a/src/currantshed/group/read_verification.cpp
+++ b/src/currantshed/group/read_verification.cpp
@@ -8,9 +8,9 @@
 using upstream::server_role;
 using upstream::server_status;
 
-// Whether nothing that a statement saw between the two words can have been
-// dropped before the second one. A server drops records only when it begins
-// to follow a new primary; its log then ends lower, or in a later term.
+// Whether nothing that a statement saw between the two statuses can have been
+// dropped before the second one. A server drops records only when it begins to
+// follow a new primary; its log then ends lower, or in a later term.
 bool
 HasKeptHistory(const server_status& aBefore,
                const server_status& aAfter,
@@ -35,9 +35,9 @@
 }
 
 read_verdict
-JudgeFresh(const read_evidence& aEvidence,
-           const status_tracker& aTracker,
-           clock::time_point aNow)
+VerifyFreshRead(const read_evidence& aEvidence,
+                const status_tracker& aTracker,
+                clock::time_point aNow)
 {
   if (aEvidence.before.role != server_role::kPrimary ||
       aEvidence.after.role != server_role::kPrimary) {
@@ -74,7 +74,7 @@
     return read_verdict::kBad;
   }
   if (IsFresh(aRequest)) {
-    return JudgeFresh(aEvidence, aTracker, aNow);
+    return VerifyFreshRead(aEvidence, aTracker, aNow);
   }
   if (!IsFreshEnough(aRequest, before, aTracker, aNow)) {
     return read_verdict::kBad;
--- a/src/currantshed/group/reads.cpp
+++ b/src/currantshed/group/reads.cpp
@@ -13,12 +13,12 @@
 using outcome::reason;
 using upstream::batch_end;
 
-// Part of its time that a read waits for a replica which could take it,
-// before it goes to the primary.
-constexpr int kSpillPart = 4;
-// Status intervals without a word from a server, at least, before a read that
-// runs there is tried elsewhere.
-constexpr int kLeastSilentIntervals = 2;
+// Divisor of its total time: how long a read waits for a replica that could
+// serve it before it may go to the primary.
+constexpr int kPrimaryFallbackDivisor = 4;
+// Minimum number of status intervals without an answer from a server before a
+// read that runs there is retried on another server.
+constexpr int kMinSilentIntervals = 2;
 
 } // namespace
 
@@ -40,7 +40,7 @@
     request.work.maxStaleness,
     IsFresh(request),
     mTriedServers,
-    aNow >= Submitted() + time / kSpillPart
+    aNow >= Submitted() + time / kPrimaryFallbackDivisor
   };
   return route::ChooseForRead(aCandidates, need, Context().tracker, aNow);
 }
@@ -48,7 +48,7 @@
 std::optional<answer>
 read_flow::OnNoServer(reason aWhy, clock::time_point aNow)
 {
-  // Servers that were behind may have caught up when it comes to them again.
+  // Servers that were behind may have caught up by the next attempt.
   mTriedServers.clear();
   if (aWhy == reason::kNoEligibleServer || HasWaitedTooLong(aNow)) {
     return NotRun(Request(), aWhy);
@@ -74,34 +74,34 @@
 bool
 read_flow::ShouldAbort(clock::time_point aNow) const
 {
-  // A server that runs a long statement still tells its status; one that is
-  // silent is cut off or stuck.
+  // A server that runs a long statement still answers status requests; one that
+  // does not answer is cut off or frozen.
   const auto& settings = Context().settings;
   const auto time = Request().deadline - mDispatch.sentAt;
-  const auto least = settings.statusInterval * kLeastSilentIntervals;
+  const auto minSilence = settings.statusInterval * kMinSilentIntervals;
   const auto silence = std::clamp<clock::duration>(
-    time / 2, least, settings.statusTimeout + least);
-  const auto* word = Context().tracker.Find(mDispatch.server);
-  const auto heardAt = word == nullptr
-                         ? mDispatch.sentAt
-                         : std::max(mDispatch.sentAt, word->askedAt);
-  return aNow >= heardAt + silence;
+    time / 2, minSilence, settings.statusTimeout + minSilence);
+  const auto* status = Context().tracker.Find(mDispatch.server);
+  const auto lastStatusAt = status == nullptr
+                              ? mDispatch.sentAt
+                              : std::max(mDispatch.sentAt, status->askedAt);
+  return aNow >= lastStatusAt + silence;
 }
 
 reply_outcome
 read_flow::Replied(upstream::reply aReply, clock::time_point aNow)
 {
   if (aReply.end == batch_end::kServerError) {
-    return ServerRefused(aReply);
+    return OnServerError(aReply);
   }
   if (aReply.end == batch_end::kIndeterminate) {
-    return Torn(aReply);
+    return OnTorn(aReply);
   }
-  const auto opening = Preamble().size();
-  const auto end = opening + Request().statements.size();
+  const auto preamble = Preamble().size();
+  const auto end = preamble + Request().statements.size();
   const auto before = TakeStatus(Context(), mDispatch, aReply, 0);
   const auto after = TakeStatus(
-    Context(), mDispatch, aReply, NeedsStatusAfter() ? end : opening - 1);
+    Context(), mDispatch, aReply, NeedsStatusAfter() ? end : preamble - 1);
   if (!before || !after || aReply.results.size() < end) {
     return { RetryElsewhere(reason::kUnreachable), connection_fate::kClose };
   }
@@ -111,7 +111,7 @@
   mAnswer.position = after->applied;
   const auto begin = aReply.results.begin();
   mAnswer.results.assign(
-    std::make_move_iterator(begin + static_cast<std::ptrdiff_t>(opening)),
+    std::make_move_iterator(begin + static_cast<std::ptrdiff_t>(preamble)),
     std::make_move_iterator(begin + static_cast<std::ptrdiff_t>(end)));
   auto next = Decide(aNow);
   return { next ? std::move(*next) : step{ await_status{} },
@@ -133,7 +133,7 @@
 answer
 read_flow::Expired(stage) const
 {
-  // What a read did is gone with its rows.
+  // A read has no effects beyond its rows.
   return NotRun(Request(), reason::kDeadline);
 }
 
@@ -186,7 +186,7 @@
 }
 
 reply_outcome
-read_flow::ServerRefused(const upstream::reply& aReply)
+read_flow::OnServerError(const upstream::reply& aReply)
 {
   if (Classify(aReply.sqlState) == refusal::kTransient ||
       aReply.sqlState == upstream::kStaleTermSqlState) {
@@ -197,7 +197,7 @@
 }
 
 reply_outcome
-read_flow::Torn(const upstream::reply& aReply)
+read_flow::OnTorn(const upstream::reply& aReply)
 {
   if (aReply.sqlState == upstream::kAnswerLimitSqlState) {
     return { finish{ Refused(Request(), reason::kAnswerTooLarge) },
--- a/src/currantshed/group/statement_connections.cpp
+++ b/src/currantshed/group/statement_connections.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-// Whether a server goes by the same name at the same address.
+// Whether both have the same identifier and address.
 bool
-IsSamePlace(const member& aLeft, const member& aRight)
+IsSameEndpoint(const member& aLeft, const member& aRight)
 {
   return aLeft.id == aRight.id && aLeft.address == aRight.address &&
          aLeft.port == aRight.port;
@@ -48,21 +48,21 @@
 {
   std::vector<request_id> torn;
   std::vector<connection_id> closed;
-  for (const auto& [id, connection_state] : mStates) {
-    const auto* known = Find(connection_state.server);
+  for (const auto& [id, state] : mStates) {
+    const auto* known = Find(state.server);
     const auto stays =
       known != nullptr &&
       std::any_of(aGroup.members.begin(),
                   aGroup.members.end(),
                   [known](const member& aMember) {
-                    return IsSamePlace(aMember, known->description);
+                    return IsSameEndpoint(aMember, known->description);
                   });
     if (stays) {
       continue;
     }
     closed.push_back(id);
-    if (connection_state.running && connection_state.request) {
-      torn.push_back(*connection_state.request);
+    if (state.running && state.request) {
+      torn.push_back(*state.request);
     }
   }
   for (const auto id : closed) {
@@ -74,8 +74,8 @@
 bool
 statement_connections::CanRun(connection_id aConnection) const
 {
-  // Whatever holds the slots may wait in the server for a lock of this very
-  // transaction, so its own statements never wait for them.
+  // Batches that occupy the slots may wait in the server for a lock of this
+  // transaction, so its own statements never wait for a slot.
   const auto found = mStates.find(aConnection);
   return found != mStates.end() && !found->second.running;
 }
@@ -144,19 +144,19 @@
       found->second.batch != aBatch) {
     return std::nullopt;
   }
-  auto& connection_state = found->second;
-  connection_state.running = false;
-  if (auto* server = Find(connection_state.server)) {
+  auto& state = found->second;
+  state.running = false;
+  if (auto* server = Find(state.server)) {
     server->pool.BatchEnded(aConnection);
   }
-  const auto request = std::exchange(connection_state.request, std::nullopt);
-  if (std::exchange(connection_state.cleaning, false)) {
+  const auto request = std::exchange(state.request, std::nullopt);
+  if (std::exchange(state.cleaning, false)) {
     ApplyFate(aConnection,
               aEnd == upstream::batch_end::kComplete ? connection_fate::kKeep
                                                      : connection_fate::kClose);
     return ended_batch{};
   }
-  if (connection_state.orphaned) {
+  if (state.orphaned) {
     Close(aConnection);
     return ended_batch{};
   }
--- a/src/currantshed/group/status_poller.cpp
+++ b/src/currantshed/group/status_poller.cpp
@@ -7,18 +7,18 @@
 
 namespace {
 
-// Least time between two questions to a server while somebody waits: it
-// grows by a step with each request in the engine, between the two bounds.
-constexpr std::chrono::microseconds kShortestGap{ 100 };
-constexpr std::chrono::microseconds kLongestGap{ 1000 };
-constexpr std::chrono::microseconds kGapForRequest{ 25 };
+// Minimum time between two status requests to a server while a request waits.
+// It grows by a step with each request in the engine, between the two bounds.
+constexpr std::chrono::microseconds kMinGap{ 100 };
+constexpr std::chrono::microseconds kMaxGap{ 1000 };
+constexpr std::chrono::microseconds kGapPerRequest{ 25 };
 
 std::chrono::microseconds
-LeastGap(std::size_t aRequests)
+GapFor(std::size_t aRequests)
 {
-  constexpr std::size_t kMost = kLongestGap / kGapForRequest;
-  const auto steps = static_cast<int>(std::min(aRequests, kMost));
-  return std::max(kShortestGap, kGapForRequest * steps);
+  constexpr std::size_t kMaxSteps = kMaxGap / kGapPerRequest;
+  const auto steps = static_cast<int>(std::min(aRequests, kMaxSteps));
+  return std::max(kMinGap, kGapPerRequest * steps);
 }
 
 } // namespace
@@ -32,29 +32,29 @@
 void
 status_poller::SetMembers(const std::vector<upstream::server_id>& aServers)
 {
-  std::vector<request_state> questions;
+  std::vector<request_state> requests;
   for (const auto& server : aServers) {
     const auto* known = Find(server);
-    questions.push_back(known == nullptr ? request_state{ server } : *known);
+    requests.push_back(known == nullptr ? request_state{ server } : *known);
   }
-  mRequests = std::move(questions);
+  mRequests = std::move(requests);
 }
 
 void
 status_poller::Answered(const upstream::server_id& aServer)
 {
-  if (auto* request_state = Find(aServer)) {
-    request_state->inFlight = false;
-    request_state->failed = false;
+  if (auto* entry = Find(aServer)) {
+    entry->inFlight = false;
+    entry->failed = false;
   }
 }
 
 void
 status_poller::Failed(const upstream::server_id& aServer)
 {
-  if (auto* request_state = Find(aServer)) {
-    request_state->inFlight = false;
-    request_state->failed = true;
+  if (auto* entry = Find(aServer)) {
+    entry->inFlight = false;
+    entry->failed = true;
   }
 }
 
@@ -68,12 +68,12 @@
 status_poller::TakeDue(const poll_demand& aDemand, clock::time_point aNow)
 {
   std::vector<upstream::server_id> due;
-  for (auto& request_state : mRequests) {
-    if (DueAt(request_state, aDemand) <= aNow) {
-      request_state.wasSent = true;
-      request_state.inFlight = true;
-      request_state.sentAt = aNow;
-      due.push_back(request_state.server);
+  for (auto& entry : mRequests) {
+    if (DueAt(entry, aDemand) <= aNow) {
+      entry.wasSent = true;
+      entry.inFlight = true;
+      entry.sentAt = aNow;
+      due.push_back(entry.server);
     }
   }
   return due;
@@ -83,8 +83,8 @@
 status_poller::NextDue(const poll_demand& aDemand) const
 {
   auto next = clock::time_point::max();
-  for (const auto& request_state : mRequests) {
-    next = std::min(next, DueAt(request_state, aDemand));
+  for (const auto& entry : mRequests) {
+    next = std::min(next, DueAt(entry, aDemand));
   }
   return next;
 }
@@ -97,12 +97,12 @@
     return clock::time_point::min();
   }
   if (aRequest.inFlight) {
-    // Without an answer for so long, the question counts as failed.
+    // Without an answer for this long, the status request counts as failed.
     return aRequest.sentAt + mTimeout;
   }
   const auto isWanted = aDemand.hasWaiters || aRequest.sentAt < mRequiredSince;
   if (isWanted && !aRequest.failed) {
-    return aRequest.sentAt + LeastGap(aDemand.requests);
+    return aRequest.sentAt + GapFor(aDemand.requests);
   }
   return aRequest.sentAt + mInterval;
 }
--- a/test/currantshed/failover/detector.cpp
+++ b/test/currantshed/failover/detector.cpp
@@ -18,8 +18,8 @@
 constexpr int kNoAnswer = -1;
 constexpr int kNobody = -2;
 
-// What one server answers all the time: its term, role, and since when it
-// lost its primary, in milliseconds.
+// Constant status of one server: its term, role, and time since it lost its
+// primary, in milliseconds.
 struct server_row
 {
   position::term_id term;
@@ -29,7 +29,7 @@
   position::log_index stored = 100;
 };
 
-struct judge_row
+struct assess_row
 {
   const char* name;
   std::vector<server_row> servers;
@@ -46,7 +46,7 @@
 const server_row kLeads{ 4, kPrimary, kNobody };
 const server_row kHears{ 4, kReplica, 10 };
 const server_row kLost{ 4, kReplica, 250 };
-const server_row kForgot{ 4, kReplica, kNobody };
+const server_row kFollowsNone{ 4, kReplica, kNobody };
 const server_row kHigher{ 9, kFenced, kNobody };
 const server_row kLeaves{ 4, kPrimary, kNobody, true };
 const server_row kBehind{ 4, kReplica, 10, false, 10 };
@@ -54,40 +54,44 @@
 constexpr milliseconds kLong{ 1200 };
 constexpr milliseconds kVeryLong{ 7000 };
 
-const judge_row kJudgeRows[] = {
-  { "all is well", { kLeads, kHears, kHears }, {}, kVeryLong, cause::kNone },
+const assess_row kAssessRows[] = {
+  { "no fault", { kLeads, kHears, kHears }, {}, kVeryLong, cause::kNone },
   { "no answer at all",
     { kSilent, kSilent, kSilent },
     {},
     kVeryLong,
     cause::kNone },
-  { "cut off with all peers' words gone",
+  { "cut off, without suspicions of peers",
     { kSilent, kHears, kHears },
     {},
     kVeryLong,
     cause::kNone },
-  { "both replicas lost it",
+  { "both replicas lost the primary",
     { kSilent, kLost, kLost },
     {},
     kShort,
     cause::kLost },
-  { "both lost it though it answers here",
+  { "both lost the primary, though it answers here",
     { kLeads, kLost, kLost },
     {},
     kShort,
     cause::kLost },
-  { "one replica lost it, the other is silent",
+  { "one replica lost the primary, the other does not answer",
     { kSilent, kLost, kSilent },
     {},
     kVeryLong,
     cause::kNone },
-  { "one of two lost it", { kLeads, kLost, kHears }, {}, kLong, cause::kNone },
-  { "two of four others lost it",
+  { "one of two lost the primary",
+    { kLeads, kLost, kHears },
+    {},
+    kLong,
+    cause::kNone },
+  { "two of four others lost the primary",
     { kSilent, kLost, kLost, kHears, kHears },
     {},
     kLong,
     cause::kNone },
-  { "three of four others lost it",
+  { "three of four others lost the primary",
     { kSilent, kLost, kLost, kLost, kHears },
     {},
     kShort,
@@ -98,7 +102,7 @@
     kLong,
     cause::kNone },
   { "a peer in another domain suspects too",
-    { kSilent, kLost, kForgot },
+    { kSilent, kLost, kFollowsNone },
     { "d1" },
     kShort,
     cause::kLost },
@@ -112,63 +116,67 @@
     { "d0" },
     kVeryLong,
     cause::kNone },
-  { "two poolers suspect, but the replicas hear it",
+  { "two poolers suspect, but the replicas hear from the primary",
     { kSilent, kHears, kHears },
     { "d1" },
     kShort,
     cause::kNone },
-  { "two poolers suspect for long, though the replicas hear it",
+  { "two poolers suspect for long, though the replicas hear from the primary",
     { kSilent, kHears, kHears },
     { "d1" },
     kLong,
     cause::kLost },
-  { "fenced a moment ago",
+  { "recently fenced",
     { kSilent, kHigher, kHigher },
     {},
     kShort,
     cause::kNone },
-  { "fenced and left so",
+  { "fenced for long",
     { kSilent, kHigher, kHigher },
     {},
     kLong,
     cause::kNoPrimary },
-  { "one fenced, one lost it",
+  { "one fenced, one lost the primary",
     { kSilent, kHigher, kLost },
     {},
     kLong,
     cause::kNoPrimary },
-  { "one fenced, the rest is well",
+  { "one fenced, no other fault",
     { kLeads, kHears, kHigher },
     {},
     kLong,
     cause::kNone },
-  { "one fenced for long, the rest is well",
+  { "one fenced for long, no other fault",
     { kLeads, kHears, kHigher },
     {},
     kVeryLong,
     cause::kHigherTerm },
-  { "replicas that follow nobody, primary well",
-    { kLeads, kForgot, kForgot },
+  { "replicas that follow no primary, primary answers",
+    { kLeads, kFollowsNone, kFollowsNone },
     {},
     kVeryLong,
     cause::kNone },
-  { "nobody leads or follows",
-    { kForgot, kForgot, kForgot },
+  { "no server leads or follows",
+    { kFollowsNone, kFollowsNone, kFollowsNone },
     {},
     kLong,
     cause::kNoPrimary },
-  { "primary leaves", { kLeaves, kHears, kHears }, {}, kLong, cause::kLeaving },
-  { "primary leaves, nobody caught up",
+  { "primary is leaving",
+    { kLeaves, kHears, kHears },
+    {},
+    kLong,
+    cause::kLeaving },
+  { "primary is leaving, no replica caught up",
     { kLeaves, kBehind, kBehind },
     {},
     kVeryLong,
     cause::kNone },
-  { "primary leaves, one stays and hears",
+  { "primary is leaving, one replica stays and hears from it",
     { kLeaves, kHears, kSilent },
     {},
     kVeryLong,
     cause::kLeaving },
-  { "primary leaves, nobody else answers",
+  { "primary is leaving, no other server answers",
     { kLeaves, kSilent, kSilent },
     {},
     kVeryLong,
@@ -176,7 +184,7 @@
 };
 
 currantshed::group::description
-Describe(const judge_row& aRow)
+Describe(const assess_row& aRow)
 {
   currantshed::group::description group;
   group.name = "g";
@@ -203,37 +211,37 @@
   return status;
 }
 
-// Probes and words arrive every 50 ms for the row's time; gives the last
-// judgement.
+// Probe answers and suspicions arrive every 50 ms for the time of the row;
+// returns the last result.
 cause
-Assess(const judge_row& aRow)
+Assess(const assess_row& aRow)
 {
   coordinator_settings settings;
   settings.failureDomain = "d0";
   settings.owners = 3;
-  server_monitor watch(settings);
+  server_monitor monitor(settings);
   detector subject(settings);
   const auto group = Describe(aRow);
   time_point now{ milliseconds{ 1000 } };
   const auto end = now + aRow.lasting;
-  watch.Configure(group, now);
+  monitor.Configure(group, now);
   cause found = cause::kNone;
   for (; now <= end; now += milliseconds{ 50 }) {
     std::vector<action> probes;
-    watch.Tick(now, probes);
+    monitor.Tick(now, probes);
     for (std::size_t index = 0; index < aRow.servers.size(); ++index) {
       const auto& server = aRow.servers[index];
       const auto& id = group.members[index].id;
       if (server.since != kNoAnswer) {
-        watch.Answered(id, StatusOf(server), now, now);
+        monitor.Answered(id, StatusOf(server), now, now);
       } else {
-        watch.Failed(id, now);
+        monitor.Failed(id, now);
       }
     }
     for (const auto& domain : aRow.suspecting) {
       subject.PeerSuspects("vm-" + domain, domain, { "g", 4, "s0" }, now);
     }
-    found = subject.Assess(watch, { 4, "s0" }, now);
+    found = subject.Assess(monitor, { 4, "s0" }, now);
   }
   return found;
 }
@@ -242,30 +250,30 @@
 
 TEST_GROUP(detector){};
 
-TEST(detector, judge)
+TEST(detector, assess)
 {
-  for (const auto& row : kJudgeRows) {
+  for (const auto& row : kAssessRows) {
     CHECK_TEXT(Assess(row) == row.expect, row.name);
   }
 }
 
-// Answers to old questions, as a pooler finds them when it wakes up, are no
-// evidence.
-TEST(detector, late_answers_tell_nothing)
+// Answers to old probes, as received by a pooler that resumes after a pause,
+// are no evidence.
+TEST(detector, late_answers_are_no_evidence)
 {
   coordinator_settings settings;
   settings.owners = 3;
-  server_monitor watch(settings);
+  server_monitor monitor(settings);
   detector subject(settings);
-  const auto group = Describe(kJudgeRows[0]);
+  const auto group = Describe(kAssessRows[0]);
   const time_point asked{ milliseconds{ 1000 } };
   const auto woken = asked + milliseconds{ 5000 };
-  watch.Configure(group, asked);
+  monitor.Configure(group, asked);
   std::vector<action> probes;
-  watch.Tick(asked, probes);
-  watch.Answered("s1", StatusOf(kLost), asked, woken);
-  watch.Answered("s2", StatusOf(kLost), asked, woken);
-  CHECK(subject.Assess(watch, { 4, "s0" }, woken) == cause::kNone);
+  monitor.Tick(asked, probes);
+  monitor.Answered("s1", StatusOf(kLost), asked, woken);
+  monitor.Answered("s2", StatusOf(kLost), asked, woken);
+  CHECK(subject.Assess(monitor, { 4, "s0" }, woken) == cause::kNone);
   const auto later = woken + milliseconds{ 100 };
-  CHECK(subject.Assess(watch, { 4, "s0" }, later) == cause::kNone);
+  CHECK(subject.Assess(monitor, { 4, "s0" }, later) == cause::kNone);
 }
--- a/test/currantshed/failover/follower_repair.cpp
+++ b/test/currantshed/failover/follower_repair.cpp
@@ -20,7 +20,7 @@
 {
   position::term_id term;
   server_role role;
-  // Milliseconds since it heard its primary.
+  // Milliseconds since it last heard from its primary.
   int since;
 };
 
@@ -36,7 +36,7 @@
 
 const repair_row kRepairRows[] = {
   { "follows already", kLeads, { 5, server_role::kReplica, 10 }, false },
-  { "follows, though it lost the link",
+  { "follows, but lost contact",
     kLeads,
     { 5, server_role::kReplica, 4000 },
     false },
@@ -44,12 +44,15 @@
     kLeads,
     { 5, server_role::kFenced, kNobody },
     true },
-  { "follows nobody", kLeads, { 5, server_role::kReplica, kNobody }, true },
+  { "follows no primary", kLeads, { 5, server_role::kReplica, kNobody }, true },
   { "replica of an older term",
     kLeads,
     { 4, server_role::kReplica, 10 },
     true },
-  { "healed old primary", kLeads, { 4, server_role::kPrimary, kNobody }, true },
+  { "former primary, reachable again",
+    kLeads,
+    { 4, server_role::kPrimary, kNobody },
+    true },
   { "fenced above", kLeads, { 6, server_role::kFenced, kNobody }, false },
   { "replica of a newer term",
     kLeads,
@@ -77,7 +80,8 @@
   return status;
 }
 
-// Follows sent within the time, while both servers keep saying the same.
+// Follow requests sent within the time, while the status of both servers stays
+// the same.
 std::size_t
 CountFollows(const repair_row& aRow,
              unsigned aRank,
@@ -85,20 +89,20 @@
              milliseconds aTime)
 {
   const coordinator_settings settings;
-  server_monitor watch(settings);
-  follower_repair subject(settings, watch);
+  server_monitor monitor(settings);
+  follower_repair subject(settings, monitor);
   currantshed::group::description group;
   group.members.resize(2);
   group.members[0].id = "p";
   group.members[1].id = "r";
   const time_point start{ milliseconds{ 1000 } };
-  watch.Configure(group, start);
+  monitor.Configure(group, start);
   subject.SetRank(aRank);
   subject.SetPrimary({ 5, "p" }, aOwn);
   std::size_t follows = 0;
   for (auto now = start; now < start + aTime; now += milliseconds{ 10 }) {
-    watch.Answered("p", StatusOf(aRow.primary), now, now);
-    watch.Answered("r", StatusOf(aRow.other), now, now);
+    monitor.Answered("p", StatusOf(aRow.primary), now, now);
+    monitor.Answered("r", StatusOf(aRow.other), now, now);
     std::vector<action> actions;
     subject.Tick(now, actions);
     for (const auto& wanted : actions) {
@@ -117,7 +121,7 @@
 
 TEST_GROUP(follower_repair){};
 
-TEST(follower_repair, who_is_told_to_follow)
+TEST(follower_repair, which_servers_are_made_to_follow)
 {
   for (const auto& row : kRepairRows) {
     const auto follows = CountFollows(row, 0, false, milliseconds{ 100 });
@@ -125,7 +129,7 @@
   }
 }
 
-TEST(follower_repair, tries_are_paced)
+TEST(follower_repair, attempts_are_spaced)
 {
   const auto follows =
     CountFollows(kRepairRows[2], 0, false, milliseconds{ 1000 });
--- a/test/currantshed/failover/promoter.cpp
+++ b/test/currantshed/failover/promoter.cpp
@@ -17,7 +17,8 @@
 constexpr position::term_id kTerm = 5;
 const time_point kStart{ milliseconds{ 1000 } };
 
-// A server that accepts the fence: the end of its log and what it applied.
+// A server that accepts the fence: the end of its log and the position that it
+// applied.
 struct fenced_row
 {
   position::log_position stored;
@@ -31,7 +32,7 @@
 {
   const char* name;
   std::vector<fenced_row> servers;
-  // s0 was the primary until now; whether it was lost.
+  // s0 was the primary until now; whether it is lost.
   bool lost;
   const char* expect;
 };
@@ -41,23 +42,23 @@
     { { { 4, 10 }, 10 }, { { 4, 12 }, 12 }, { { 4, 11 }, 11 } },
     true,
     "s1" },
-  { "term goes before length",
+  { "a higher term beats a longer log",
     { { { 3, 90 }, 90 }, { { 3, 80 }, 80 }, { { 4, 12 }, 12 } },
     true,
     "s2" },
-  { "of equal logs the one applied furthest",
+  { "among equal logs the one applied furthest",
     { { { 4, 9 }, 9 }, { { 4, 10 }, 2 }, { { 4, 10 }, 8 } },
     true,
     "s2" },
-  { "of equal ones the primary until now",
+  { "among equal servers the primary until now",
     { { { 4, 10 }, 10 }, { { 4, 10 }, 10 }, { { 4, 10 }, 10 } },
     false,
     "s0" },
-  { "else the first by name",
+  { "otherwise the first by name",
     { { { 4, 9 }, 9 }, { { 4, 10 }, 10 }, { { 4, 10 }, 10 } },
     false,
     "s1" },
-  { "a lost primary is passed over",
+  { "a lost primary is skipped",
     { { { 4, 99 }, 99 }, { { 4, 10 }, 10 }, { { 4, 11 }, 11 } },
     true,
     "s2" },
@@ -65,7 +66,7 @@
     { { { 4, 99 }, 99 }, { { 4, 10 }, 10 }, { { 4, 11 }, 11, false, true } },
     true,
     "s0" },
-  { "a leaving primary is passed over",
+  { "a leaving primary is skipped",
     { { { 4, 99 }, 99, true }, { { 4, 10 }, 10 }, { { 4, 11 }, 11 } },
     false,
     "s2" },
@@ -115,9 +116,9 @@
   return status;
 }
 
-// Reserves terms 5 and 6 from a store that is empty.
+// Reserves terms 5 and 6 in an empty store.
 void
-FillBook(term_reservations& aReservations)
+ReserveTerms(term_reservations& aReservations)
 {
   std::vector<action> actions;
   aReservations.ObserveTerm(kTerm - 1);
@@ -129,22 +130,22 @@
                               kStart);
 }
 
-// A watch, a book and a promoter, where each fence is answered at once.
+// A monitor, reservations and a promoter; every fence is answered at once.
 class bench
 {
 public:
   explicit bench(std::vector<fenced_row> aServers)
     : settings(MakeSettings())
     , servers(std::move(aServers))
-    , watch(settings)
-    , book(settings)
-    , subject(settings, watch, book)
+    , monitor(settings)
+    , reservations(settings)
+    , subject(settings, monitor, reservations)
   {
-    watch.Configure(Describe(servers), kStart);
-    FillBook(book);
+    monitor.Configure(Describe(servers), kStart);
+    ReserveTerms(reservations);
   }
 
-  // Lets time pass; answers fences, and notes promotions.
+  // Advances the time, answers fences and records promotions.
   void Run(milliseconds aTime)
   {
     const auto end = now + aTime;
@@ -168,15 +169,15 @@
     if (server.silent) {
       return;
     }
-    watch.Answered(aFence.server, Fenced(server), now, now);
+    monitor.Answered(aFence.server, Fenced(server), now, now);
     subject.FenceAnswered(
       aFence.server, aFence.term, true, Fenced(server), now);
   }
 
   coordinator_settings settings;
   std::vector<fenced_row> servers;
-  server_monitor watch;
-  term_reservations book;
+  server_monitor monitor;
+  term_reservations reservations;
   promoter subject;
   time_point now = kStart;
   time_point promotedAt;
@@ -219,7 +220,7 @@
   UNSIGNED_LONGS_EQUAL(1, given.promoted.size());
 }
 
-TEST(promoter, success_is_told_once)
+TEST(promoter, success_is_reported_once)
 {
   bench given(kChoiceRows[0].servers);
   given.subject.Begin({ 4, "s0" }, true, {}, given.now);
@@ -232,7 +233,7 @@
   CHECK(given.subject.Step() == step::kIdle);
 }
 
-// The status shows what a lost answer hid.
+// The status shows the result whose response was lost.
 TEST(promoter, a_lost_answer_is_found_by_status)
 {
   bench given(kChoiceRows[0].servers);
@@ -240,7 +241,7 @@
   given.Run(milliseconds{ 300 });
   auto status = Fenced(given.servers[1]);
   status.role = server_role::kPrimary;
-  given.watch.Answered("s1", status, given.now, given.now);
+  given.monitor.Answered("s1", status, given.now, given.now);
   given.Run(milliseconds{ 20 });
   CHECK(given.subject.TakePromoted() == (primary_ref{ kTerm, "s1" }));
 }
--- a/test/currantshed/group/engine.cpp
+++ b/test/currantshed/group/engine.cpp
@@ -16,12 +16,12 @@
 
 namespace {
 
-// The kinds of request and what each is told while the pooler is leaving.
+// Each kind of request and its answer while the pooler is draining.
 struct drain_row
 {
   const char* name;
   operation kind;
-  verdict told;
+  verdict expectedVerdict;
   reason why;
 };
 
@@ -32,18 +32,18 @@
   { "resolve", operation::kResolve, verdict::kNotRun, reason::kLeaving },
 };
 
-// What became of a key, by what was done under it before.
+// Outcome of resolving a key, by what happened under it before.
 struct resolve_row
 {
   const char* name;
   void (*before)(fake_group&, const request&);
   void (*during)(fake_group&);
-  verdict told;
+  verdict expectedVerdict;
   reason why;
 };
 
 const resolve_row kResolveRows[] = {
-  { "never seen: void",
+  { "never seen: voided",
     [](fake_group&, const request&) {},
     [](fake_group&) {},
     verdict::kNotRun,
@@ -93,10 +93,10 @@
     const auto id = group.Submit(resolve);
     group.Run(10ms);
     row.during(group);
-    const auto* told = group.Wait(id, 2001ms);
-    CHECK_TEXT(told != nullptr, row.name);
-    CHECK_TEXT(told->verdict == row.told, row.name);
-    CHECK_TEXT(told->why == row.why, row.name);
+    const auto* result = group.Wait(id, 2001ms);
+    CHECK_TEXT(result != nullptr, row.name);
+    CHECK_TEXT(result->verdict == row.expectedVerdict, row.name);
+    CHECK_TEXT(result->why == row.why, row.name);
   }
 }
 
@@ -105,16 +105,16 @@
   fake_group group;
   group.Run(100ms);
   const auto written = group.Call(group.Write("report"));
-  auto question = group.In(operation::kReconfirm, 0);
-  question.position = written.position;
-  CHECK(group.Call(question).verdict == verdict::kDone);
+  auto reconfirm = group.In(operation::kReconfirm, 0);
+  reconfirm.position = written.position;
+  CHECK(group.Call(reconfirm).verdict == verdict::kDone);
   group.Server("s1").cut = true;
   group.Promote("s2", { "s2", "s3" });
-  question.deadline = group.Now() + 500ms;
-  CHECK(group.Call(question).verdict == verdict::kUnknown);
+  reconfirm.deadline = group.Now() + 500ms;
+  CHECK(group.Call(reconfirm).verdict == verdict::kUnknown);
 }
 
-TEST(engine, a_leaving_pooler_takes_no_new_work)
+TEST(engine, a_draining_pooler_takes_no_new_work)
 {
   for (const auto& row : kDrainRows) {
     fake_group group;
@@ -122,14 +122,14 @@
     group.Engine().Drain(group.Now());
     auto asked = group.Write("report");
     asked.kind = row.kind;
-    const auto told = group.Call(asked);
-    CHECK_TEXT(told.verdict == row.told, row.name);
-    CHECK_TEXT(told.why == row.why, row.name);
-    CHECK_TEXT(told.retryAfter > 0ms, row.name);
+    const auto result = group.Call(asked);
+    CHECK_TEXT(result.verdict == row.expectedVerdict, row.name);
+    CHECK_TEXT(result.why == row.why, row.name);
+    CHECK_TEXT(result.retryAfter > 0ms, row.name);
   }
 }
 
-TEST(engine, a_leaving_pooler_ends_what_is_under_way)
+TEST(engine, a_draining_pooler_ends_what_is_in_progress)
 {
   fake_group group;
   group.Run(100ms);
@@ -147,14 +147,14 @@
   for (int i = 0; i < 20; ++i) {
     CHECK(group.Call(group.Read(10s)).verdict == verdict::kDone);
   }
-  LONGS_EQUAL(0, group.Server("s2").ran.size());
+  LONGS_EQUAL(0, group.Server("s2").executed.size());
   group.Run(100ms);
   LONGS_EQUAL(0, group.Server("s2").connections);
 }
 
 TEST(engine, answers_come_at_the_deadline_at_the_latest)
 {
-  // More than one slot's worth of work against a frozen group.
+  // More requests than fit into the slots of a frozen group.
   fake_group group;
   group.Run(100ms);
   for (const auto* server : { "s1", "s2", "s3" }) {
@@ -189,7 +189,7 @@
     asked.push_back(group.Submit(write));
   }
   group.Run(101ms);
-  // One found a connection; a frozen server takes no further ones.
+  // One request got a connection; a frozen server accepts no further ones.
   const auto unknown =
     std::count_if(asked.begin(), asked.end(), [&group](request_id aId) {
       return group.Answer(aId)->verdict == verdict::kUnknown;
@@ -235,8 +235,8 @@
   }
   group.Run(2000ms);
   for (const auto* server : { "s1", "s2", "s3" }) {
-    CHECK(group.Server(server).mostConnections <= 4);
-    CHECK(group.Server(server).mostRunning <= 2);
+    CHECK(group.Server(server).maxConnections <= 4);
+    CHECK(group.Server(server).maxRunning <= 2);
   }
 }
 
@@ -250,14 +250,14 @@
   std::size_t refused = 0;
   for (int i = 0; i < 100; ++i) {
     const auto id = group.Submit(group.Write("report"));
-    const auto* told = group.Answer(id);
-    if (told != nullptr) {
-      CHECK(told->why == reason::kOverloaded);
-      CHECK(told->retryAfter > 0ms);
+    const auto* result = group.Answer(id);
+    if (result != nullptr) {
+      CHECK(result->why == reason::kOverloaded);
+      CHECK(result->retryAfter > 0ms);
       ++refused;
     }
   }
-  // One is under way and eight wait.
+  // One request is in progress and eight wait.
   LONGS_EQUAL(91, refused);
 }
 
@@ -267,11 +267,11 @@
   group.Run(100ms);
   group.Server("s2").tearNextBatch = true;
   group.Server("s3").tearNextBatch = true;
-  const auto told = group.Call(group.Read(10s));
-  CHECK(told.verdict == verdict::kDone);
+  const auto result = group.Call(group.Read(10s));
+  CHECK(result.verdict == verdict::kDone);
 }
 
-TEST(engine, the_first_request_waits_for_the_first_words)
+TEST(engine, the_first_request_waits_for_the_first_statuses)
 {
   fake_group group;
   const auto written = group.Call(group.Write("report"));
@@ -285,9 +285,9 @@
   const auto id = group.Submit(group.Write("report", true));
   group.Run(1ms);
   group.LoseConnections("s1");
-  const auto* told = group.Wait(id, 500ms);
-  CHECK(told != nullptr);
-  CHECK(told->verdict == verdict::kDone);
+  const auto* result = group.Wait(id, 500ms);
+  CHECK(result != nullptr);
+  CHECK(result->verdict == verdict::kDone);
   const auto values = group.Values();
   LONGS_EQUAL(1, std::count(values.begin(), values.end(), "report"));
 }
@@ -297,15 +297,15 @@
   fake_group group;
   group.Run(100ms);
   group.batchTime = 1500ms;
-  const auto told = group.Call(group.Read(10s));
-  CHECK(told.verdict == verdict::kDone);
-  const auto runs = group.Server("s2").ran.size() +
-                    group.Server("s3").ran.size() +
-                    group.Server("s1").ran.size();
+  const auto result = group.Call(group.Read(10s));
+  CHECK(result.verdict == verdict::kDone);
+  const auto runs = group.Server("s2").executed.size() +
+                    group.Server("s3").executed.size() +
+                    group.Server("s1").executed.size();
   LONGS_EQUAL(1, runs);
 }
 
-TEST(engine, a_server_that_is_gone_from_the_list_is_left)
+TEST(engine, a_server_removed_from_the_list_is_not_used)
 {
   fake_group group;
   group.Run(100ms);
@@ -315,9 +315,9 @@
   const auto begun = group.Call(begin);
   CHECK(begun.verdict == verdict::kDone);
   group.Drop("s3");
-  const auto told =
+  const auto result =
     group.Call(group.In(operation::kStatement, begun.transaction, "list"));
-  CHECK(told.why == reason::kTransactionLost);
+  CHECK(result.why == reason::kTransactionLost);
   LONGS_EQUAL(0, group.Engine().Pending());
   LONGS_EQUAL(0, group.Server("s3").connections);
   CHECK(group.Call(group.Write("report")).verdict == verdict::kDone);
--- a/test/currantshed/group/fake_group.cpp
+++ b/test/currantshed/group/fake_group.cpp
@@ -14,11 +14,11 @@
 using upstream::server_role;
 
 constexpr std::chrono::hours kStart{ 1000 };
-constexpr std::chrono::microseconds kLeastStep{ 100 };
+constexpr std::chrono::microseconds kMinStep{ 100 };
 constexpr std::chrono::milliseconds kReplicationInterval{ 2 };
 constexpr std::chrono::milliseconds kConnectTime{ 12 };
-constexpr std::chrono::milliseconds kUsualDeadline{ 2000 };
-constexpr std::chrono::seconds kLongestCall{ 30 };
+constexpr std::chrono::milliseconds kDefaultDeadline{ 2000 };
+constexpr std::chrono::seconds kMaxCallTime{ 30 };
 
 } // namespace
 
@@ -65,7 +65,7 @@
       due();
     } else if (tick <= mNow) {
       mEngine->Tick(mNow);
-      earliestTick = mNow + kLeastStep;
+      earliestTick = mNow + kMinStep;
     }
     Perform();
   }
@@ -88,9 +88,9 @@
 }
 
 const group::answer*
-fake_group::Wait(group::request_id aRequest, std::chrono::milliseconds aMost)
+fake_group::Wait(group::request_id aRequest, std::chrono::milliseconds aTimeout)
 {
-  const auto end = mNow + aMost;
+  const auto end = mNow + aTimeout;
   while (Answer(aRequest) == nullptr && mNow < end) {
     Run(std::chrono::milliseconds{ 1 });
   }
@@ -100,8 +100,8 @@
 group::answer
 fake_group::Call(group::request aRequest)
 {
-  const auto* made = Wait(Submit(std::move(aRequest)), kLongestCall);
-  return made == nullptr ? group::answer{} : *made;
+  const auto* result = Wait(Submit(std::move(aRequest)), kMaxCallTime);
+  return result == nullptr ? group::answer{} : *result;
 }
 
 void
@@ -146,7 +146,7 @@
 {
   auto& server = mServers.at(aServer);
   server.frozen = false;
-  for (auto& batch : std::exchange(server.held, {})) {
+  for (auto& batch : std::exchange(server.pendingBatches, {})) {
     batch();
   }
 }
@@ -237,29 +237,29 @@
 group::request
 fake_group::Read(std::chrono::milliseconds aMaxStaleness)
 {
-  group::request made;
-  made.kind = operation::kRead;
-  made.work.name = "lookup";
-  made.work.maxStaleness = aMaxStaleness;
-  made.statements = { { "list", {} } };
-  made.deadline = mNow + kUsualDeadline;
+  group::request result;
+  result.kind = operation::kRead;
+  result.work.name = "lookup";
+  result.work.maxStaleness = aMaxStaleness;
+  result.statements = { { "list", {} } };
+  result.deadline = mNow + kDefaultDeadline;
   for (const auto& member : mDescription.members) {
-    made.work.servedIn.push_back(member.failureDomain);
+    result.work.servedIn.push_back(member.failureDomain);
   }
-  return made;
+  return result;
 }
 
 group::request
 fake_group::Write(const std::string& aValue, bool aRepeatable)
 {
-  auto made = Read(std::chrono::milliseconds{ 0 });
-  made.kind = operation::kWrite;
-  made.work.name = "report";
-  made.work.kind = policy::access::kWrite;
-  made.work.repeatable = aRepeatable;
-  made.statements = { { "add " + aValue, {} } };
-  made.key = NextKey();
-  return made;
+  auto result = Read(std::chrono::milliseconds{ 0 });
+  result.kind = operation::kWrite;
+  result.work.name = "report";
+  result.work.kind = policy::access::kWrite;
+  result.work.repeatable = aRepeatable;
+  result.statements = { { "add " + aValue, {} } };
+  result.key = NextKey();
+  return result;
 }
 
 group::request
@@ -267,18 +267,18 @@
                group::transaction_id aTransaction,
                const std::string& aSql)
 {
-  group::request made;
-  made.kind = aKind;
-  made.transaction = aTransaction;
-  made.deadline = mNow + kUsualDeadline;
-  made.work.kind = policy::access::kWrite;
+  group::request result;
+  result.kind = aKind;
+  result.transaction = aTransaction;
+  result.deadline = mNow + kDefaultDeadline;
+  result.work.kind = policy::access::kWrite;
   if (!aSql.empty()) {
-    made.statements = { { aSql, {} } };
+    result.statements = { { aSql, {} } };
   }
   if (aKind == operation::kCommit) {
-    made.key = NextKey();
+    result.key = NextKey();
   }
-  return made;
+  return result;
 }
 
 outcome::idempotency_key
@@ -333,8 +333,9 @@
     Close(close->connection);
   } else if (const auto* batch = std::get_if<group::run_batch>(&aAction)) {
     RunBatch(*batch);
-  } else if (const auto* ask = std::get_if<group::request_status>(&aAction)) {
-    Ask(ask->server);
+  } else if (const auto* statusRequest =
+               std::get_if<group::request_status>(&aAction)) {
+    RequestStatus(statusRequest->server);
   } else if (const auto* given = std::get_if<group::give_answer>(&aAction)) {
     mAnswers[given->reply.request] = given->reply;
   }
@@ -348,7 +349,7 @@
   };
   auto& server = mServers.at(aAction.server);
   ++server.connections;
-  server.mostConnections = std::max(server.mostConnections, server.connections);
+  server.maxConnections = std::max(server.maxConnections, server.connections);
   At(mNow + kConnectTime, [this, id = aAction.connection] {
     const auto found = mConnections.find(id);
     if (found == mConnections.end()) {
@@ -389,11 +390,11 @@
       return;
     }
     ++server.running;
-    server.mostRunning = std::max(server.mostRunning, server.running);
+    server.maxRunning = std::max(server.maxRunning, server.running);
     At(mNow + batchTime, [this, aAction, copy] {
       auto& target = mServers.at(copy.server);
       if (target.frozen) {
-        target.held.push_back(
+        target.pendingBatches.push_back(
           [this, aAction, copy] { Execute(aAction, copy); });
         return;
       }
@@ -406,7 +407,7 @@
 fake_group::Execute(const group::run_batch& aAction,
                     const fake_connection& aConnection)
 {
-  // A batch that is in the server runs even if its connection was closed.
+  // A batch that has reached the server runs even if its connection was closed.
   const auto found = mConnections.find(aAction.connection);
   auto alone = aConnection;
   auto& link = found == mConnections.end() ? alone : found->second;
@@ -439,7 +440,7 @@
 }
 
 void
-fake_group::Ask(const upstream::server_id& aServer)
+fake_group::RequestStatus(const upstream::server_id& aServer)
 {
   const auto askedAt = mNow;
   At(mNow + linkDelay, [this, aServer, askedAt] {
--- a/test/currantshed/group/transactions.cpp
+++ b/test/currantshed/group/transactions.cpp
@@ -22,17 +22,17 @@
 request
 Begin(fake_group& aGroup)
 {
-  auto made = aGroup.Write("layout");
-  made.kind = operation::kBegin;
-  return made;
+  auto result = aGroup.Write("layout");
+  result.kind = operation::kBegin;
+  return result;
 }
 
 request
 BeginRead(fake_group& aGroup)
 {
-  auto made = aGroup.Read(10s);
-  made.kind = operation::kBegin;
-  return made;
+  auto result = aGroup.Read(10s);
+  result.kind = operation::kBegin;
+  return result;
 }
 
 std::size_t
@@ -43,22 +43,22 @@
     std::count(values.begin(), values.end(), aValue));
 }
 
-// A transaction with two values, and faults after its beginning, before its
-// commit, and while the commit is under way.
+// A transaction with two values, and faults after its begin, before its commit
+// and while the commit is in progress.
 struct commit_row
 {
   const char* name;
   act afterBegin;
   act beforeCommit;
   act duringCommit;
-  verdict statementTold;
-  verdict told;
+  verdict expectedStatementVerdict;
+  verdict expectedVerdict;
   reason why;
   std::size_t copies;
 };
 
 const commit_row kCommitRows[] = {
-  { "in peace",
+  { "no fault",
     kNothing,
     kNothing,
     kNothing,
@@ -85,7 +85,7 @@
     verdict::kNotRun,
     reason::kTransactionLost,
     0 },
-  { "the transaction idles for too long",
+  { "the transaction is idle for too long",
     kNothing,
     [](fake_group& aGroup) { aGroup.Run(10100ms); },
     kNothing,
@@ -104,7 +104,7 @@
     verdict::kNotRun,
     reason::kTransactionLost,
     0 },
-  { "the reply to the commit is torn: found done",
+  { "the reply to the commit is torn: resolved as done",
     kNothing,
     [](fake_group& aGroup) { aGroup.Server("s1").tearNextReply = true; },
     kNothing,
@@ -112,7 +112,7 @@
     verdict::kDone,
     reason::kNone,
     1 },
-  { "the commit is lost: void, never sent again",
+  { "the commit is lost: voided, never sent again",
     kNothing,
     [](fake_group& aGroup) { aGroup.Server("s1").tearNextBatch = true; },
     kNothing,
@@ -120,7 +120,7 @@
     verdict::kNotRun,
     reason::kKeyVoid,
     0 },
-  { "the commit stays with the old primary: void at the next",
+  { "the commit stays with the old primary: voided at the next one",
     kNothing,
     [](fake_group& aGroup) { aGroup.Server("s1").isolated = true; },
     [](fake_group& aGroup) {
@@ -138,7 +138,7 @@
     verdict::kUnknown,
     reason::kDeadline,
     1 },
-  { "the server is leaving: the transaction may end",
+  { "the server is marked as leaving: the transaction may end",
     [](fake_group& aGroup) { aGroup.SetLeaving("s1", true); },
     kNothing,
     kNothing,
@@ -146,7 +146,7 @@
     verdict::kDone,
     reason::kNone,
     1 },
-  { "the pooler is leaving: the transaction may end",
+  { "the pooler is draining: the transaction may end",
     [](fake_group& aGroup) { aGroup.Engine().Drain(aGroup.Now()); },
     kNothing,
     kNothing,
@@ -160,7 +160,7 @@
 
 TEST_GROUP(transactions){};
 
-TEST(transactions, faults_on_the_way)
+TEST(transactions, faults_in_progress)
 {
   for (const auto& row : kCommitRows) {
     fake_group group;
@@ -169,18 +169,18 @@
     CHECK_TEXT(begun.verdict == verdict::kDone, row.name);
     CHECK_TEXT(begun.transaction != 0, row.name);
     row.afterBegin(group);
-    const auto ran = group.Call(
+    const auto executed = group.Call(
       group.In(operation::kStatement, begun.transaction, "add fixture"));
-    CHECK_TEXT(ran.verdict == row.statementTold, row.name);
+    CHECK_TEXT(executed.verdict == row.expectedStatementVerdict, row.name);
     row.beforeCommit(group);
     const auto id =
       group.Submit(group.In(operation::kCommit, begun.transaction));
     group.Run(10ms);
     row.duringCommit(group);
-    const auto* told = group.Wait(id, 2001ms);
-    CHECK_TEXT(told != nullptr, row.name);
-    CHECK_TEXT(told->verdict == row.told, row.name);
-    CHECK_TEXT(told->why == row.why, row.name);
+    const auto* result = group.Wait(id, 2001ms);
+    CHECK_TEXT(result != nullptr, row.name);
+    CHECK_TEXT(result->verdict == row.expectedVerdict, row.name);
+    CHECK_TEXT(result->why == row.why, row.name);
     group.Run(500ms);
     LONGS_EQUAL_TEXT(row.copies, CopiesOf(group, "layout"), row.name);
     LONGS_EQUAL_TEXT(row.copies, CopiesOf(group, "fixture"), row.name);
@@ -188,30 +188,28 @@
   }
 }
 
-// A pooler that left kept the rows of a transaction locked that no caller could
-// reach any more, until its 10 s of idle time were over: every write of the
-// group waited out its deadline of 2 s meanwhile (beside load, the acknowledged
-// count stood still from second 3 to 13 of a run, until the pooler logged
-// group_released and drained).
-TEST(transactions,
-     one_that_nobody_uses_is_given_up_soon_while_the_pooler_leaves)
+// Guards against a draining pooler that keeps the rows of a transaction locked,
+// which no caller can reach any more, until its idle timeout of 10 s. Meanwhile
+// every write of the group waits until its deadline of 2 s: under load, no
+// write was acknowledged for 10 s.
+TEST(transactions, an_unused_one_is_abandoned_soon_while_the_pooler_drains)
 {
   struct row
   {
     const char* name;
-    bool leaves;
+    bool drains;
     std::size_t pending;
   };
   const row rows[] = {
     { "the pooler stays", false, 1 },
-    { "the pooler leaves", true, 0 },
+    { "the pooler is draining", true, 0 },
   };
   for (const auto& row : rows) {
     fake_group group;
     group.Run(100ms);
     const auto begun = group.Call(Begin(group));
     CHECK_TEXT(begun.verdict == verdict::kDone, row.name);
-    if (row.leaves) {
+    if (row.drains) {
       group.Engine().Drain(group.Now());
     }
     group.Run(500ms);
@@ -269,9 +267,9 @@
   fake_group group;
   group.Run(100ms);
   const auto begun = group.Call(Begin(group));
-  const auto told =
+  const auto result =
     group.Call(group.In(operation::kRollback, begun.transaction));
-  CHECK(told.verdict == verdict::kDone);
+  CHECK(result.verdict == verdict::kDone);
   LONGS_EQUAL(0, CopiesOf(group, "layout"));
   LONGS_EQUAL(0, group.Engine().Pending());
 }
@@ -291,9 +289,9 @@
   CHECK(seen.results[0].cells[0] == "quote");
   static_cast<void>(
     group.Call(group.In(operation::kRollback, first.transaction)));
-  const auto told =
+  const auto result =
     group.Call(group.In(operation::kCommit, second.transaction));
-  CHECK(told.verdict == verdict::kDone);
+  CHECK(result.verdict == verdict::kDone);
   LONGS_EQUAL(1, CopiesOf(group, "quote"));
   LONGS_EQUAL(0, CopiesOf(group, "layout"));
 }
@@ -307,9 +305,9 @@
   CHECK(group.Call(commit).verdict == verdict::kDone);
   const auto second = group.Call(Begin(group));
   commit.transaction = second.transaction;
-  const auto told = group.Call(commit);
-  CHECK(told.verdict == verdict::kDone);
-  CHECK(told.repeated);
+  const auto result = group.Call(commit);
+  CHECK(result.verdict == verdict::kDone);
+  CHECK(result.repeated);
   LONGS_EQUAL(1, CopiesOf(group, "layout"));
 }
 
@@ -352,14 +350,14 @@
 
 TEST(transactions, open_ones_leave_connections_to_others)
 {
-  // Four connections are this pooler's share of sixteen.
+  // Four of the sixteen connections are available to this pooler.
   fake_group group;
   group.Run(100ms);
   for (int i = 0; i < 4; ++i) {
     static_cast<void>(group.Submit(Begin(group)));
   }
   group.Run(200ms);
-  const auto told = group.Call(group.Write("report"));
-  CHECK(told.verdict == verdict::kDone);
-  CHECK(group.Server("s1").mostConnections <= 4);
+  const auto result = group.Call(group.Write("report"));
+  CHECK(result.verdict == verdict::kDone);
+  CHECK(group.Server("s1").maxConnections <= 4);
 }
