--- a/bin/currantshed-gateway/main.cpp
+++ b/bin/currantshed-gateway/main.cpp
@@ -30,15 +30,15 @@
 /// How long requests are still served after the gateway has told that it
 /// isn't ready, so that whoever balances the load hears of it first; never
 /// more than a part of the time to drain.
-constexpr std::chrono::milliseconds kLeaveNotice{ 1000 };
-constexpr int kNoticeShare = 4;
+constexpr std::chrono::milliseconds kNotReadyPeriod{ 1000 };
+constexpr int kNotReadyDivisor = 4;
 
 /// The part of the time to drain after which new requests are refused, so that
 /// those before them are answered within it.
-constexpr int kServingShare = 2;
+constexpr int kServingDivisor = 2;
 
 /// Time for the last answers to be written after the time to drain is over.
-constexpr std::chrono::milliseconds kLastWrites{ 300 };
+constexpr std::chrono::milliseconds kFinalWritePeriod{ 300 };
 
 /// The main thread: signals, the status port, control, and the order of the
 /// end.
@@ -76,7 +76,7 @@
   }
 
 private:
-  static bool Failed(const std::string& aWhat, std::error_code aError)
+  static bool LogIfFailed(const std::string& aWhat, std::error_code aError)
   {
     if (!aError) {
       return false;
@@ -90,11 +90,11 @@
   bool Start()
   {
     for (const auto& worker : mWorkers) {
-      if (Failed("caller_port", worker->Start())) {
+      if (LogIfFailed("caller_port", worker->Start())) {
         return false;
       }
     }
-    if (Failed("status_port", mStatus.Start())) {
+    if (LogIfFailed("status_port", mStatus.Start())) {
       return false;
     }
     mControl.Start();
@@ -103,7 +103,7 @@
                { { "incarnation", mOptions.incarnation } });
     mSignals.async_wait([this](const error_code& aError, int aSignal) {
       if (!aError) {
-        Leave(aSignal);
+        BeginShutdown(aSignal);
       }
     });
     return true;
@@ -123,31 +123,31 @@
     }
   }
 
-  void Leave(int aSignal)
+  void BeginShutdown(int aSignal)
   {
     log::Write(log::level::kInfo,
                "signal",
                { { "number", static_cast<std::int64_t>(aSignal) } });
     const auto now = std::chrono::steady_clock::now();
-    mServeUntil = now + mOptions.settings.drainTimeout / kServingShare;
+    mServeUntil = now + mOptions.settings.drainTimeout / kServingDivisor;
     mDrainBy = now + mOptions.settings.drainTimeout;
-    mControl.Leave();
+    mControl.BeginShutdown();
     for (const auto& worker : mWorkers) {
-      worker->Leave();
+      worker->BeginShutdown();
     }
     const auto notice = std::min<std::chrono::milliseconds>(
-      kLeaveNotice, mOptions.settings.drainTimeout / kNoticeShare);
-    After(now + notice, &gateway_process::Drain);
+      kNotReadyPeriod, mOptions.settings.drainTimeout / kNotReadyDivisor);
+    ScheduleAt(now + notice, &gateway_process::Drain);
   }
 
   void Drain()
   {
-    mLeft = mWorkers.size();
+    mUndrainedWorkers = mWorkers.size();
     for (const auto& worker : mWorkers) {
       worker->Drain(
-        [this] { boost::asio::post(mContext, [this] { OneDrained(); }); });
+        [this] { boost::asio::post(mContext, [this] { OnWorkerDrained(); }); });
     }
-    After(mServeUntil, &gateway_process::RefuseNew);
+    ScheduleAt(mServeUntil, &gateway_process::RefuseNew);
   }
 
   void RefuseNew()
@@ -155,38 +155,39 @@
     for (const auto& worker : mWorkers) {
       worker->RefuseNew();
     }
-    After(mDrainBy, &gateway_process::GiveUp);
+    ScheduleAt(mDrainBy, &gateway_process::ExpireAll);
   }
 
-  void OneDrained()
+  void OnWorkerDrained()
   {
-    --mLeft;
-    if (mLeft == 0) {
+    --mUndrainedWorkers;
+    if (mUndrainedWorkers == 0) {
       log::Write(log::level::kInfo, "drained");
-      End();
+      StopLoop();
     }
   }
 
-  void GiveUp()
+  void ExpireAll()
   {
-    log::Write(log::level::kWarning,
-               "drain_timed_out",
-               { { "threads_left", static_cast<std::int64_t>(mLeft) } });
+    log::Write(
+      log::level::kWarning,
+      "drain_timed_out",
+      { { "threads_left", static_cast<std::int64_t>(mUndrainedWorkers) } });
     for (const auto& worker : mWorkers) {
-      worker->GiveUp();
+      worker->ExpireAll();
     }
-    After(std::chrono::steady_clock::now() + kLastWrites,
-          &gateway_process::End);
+    ScheduleAt(std::chrono::steady_clock::now() + kFinalWritePeriod,
+               &gateway_process::StopLoop);
   }
 
-  void End()
+  void StopLoop()
   {
     mTimer.cancel();
     mStatus.Stop();
     mContext.stop();
   }
 
-  void After(clock::time_point aTime, void (gateway_process::*aNext)())
+  void ScheduleAt(clock::time_point aTime, void (gateway_process::*aNext)())
   {
     mTimer.expires_at(aTime);
     mTimer.async_wait([this, aNext](const error_code& aError) {
@@ -207,7 +208,7 @@
   boost::asio::steady_timer mTimer;
   clock::time_point mServeUntil;
   clock::time_point mDrainBy;
-  std::size_t mLeft = 0;
+  std::size_t mUndrainedWorkers = 0;
 };
 
 } // namespace
--- a/src/currantshed/ctl/blocking_platform.cpp
+++ b/src/currantshed/ctl/blocking_platform.cpp
@@ -4,9 +4,10 @@
 
 namespace currantshed::ctl {
 
-blocking_platform::blocking_platform(store::client& aClient, turn aTurn)
+blocking_platform::blocking_platform(store::client& aClient,
+                                     poll_function aPoll)
   : mClient(aClient)
-  , mTurn(std::move(aTurn))
+  , mPoll(std::move(aPoll))
 {
 }
 
@@ -18,7 +19,7 @@
     result = { aError, std::move(aEntry) };
   });
   while (!result) {
-    mTurn();
+    mPoll();
   }
   return std::move(*result);
 }
@@ -34,7 +35,7 @@
                aExpected,
                [&result](store::swap_outcome aOutcome) { result = aOutcome; });
   while (!result) {
-    mTurn();
+    mPoll();
   }
   return *result;
 }
@@ -47,7 +48,7 @@
     result = { aError, std::move(aListing) };
   });
   while (!result) {
-    mTurn();
+    mPoll();
   }
   return std::move(*result);
 }
--- a/src/currantshed/ctl/blocking_platform.hpp
+++ b/src/currantshed/ctl/blocking_platform.hpp
@@ -25,9 +25,9 @@
 class blocking_platform
 {
 public:
-  using turn = std::function<void()>;
+  using poll_function = std::function<void()>;
 
-  blocking_platform(store::client& aClient, turn aTurn);
+  blocking_platform(store::client& aClient, poll_function aPoll);
 
   [[nodiscard]] platform_result<store::entry> Get(const std::string& aKey);
 
@@ -39,7 +39,7 @@
 
 private:
   store::client& mClient;
-  turn mTurn;
+  poll_function mPoll;
 };
 
 } // namespace currantshed::ctl
--- a/src/currantshed/ctl/exit_code.hpp
+++ b/src/currantshed/ctl/exit_code.hpp
@@ -15,7 +15,7 @@
   /// Another version is in force than the one that was expected.
   kLostRace = 4,
   /// The change may or may not have been made.
-  kNotKnown = 5,
+  kOutcomeUnknown = 5,
   kPlatformUnreachable = 6,
   kTimeout = 7,
 };
--- a/src/currantshed/ctl/fwd.hpp
+++ b/src/currantshed/ctl/fwd.hpp
@@ -11,7 +11,7 @@
 struct change;
 struct vm_report;
 class blocking_platform;
-class pacer;
+class sleep_clock;
 class verbs;
 
 } // namespace currantshed::ctl
--- a/src/currantshed/ctl/options.cpp
+++ b/src/currantshed/ctl/options.cpp
@@ -71,7 +71,7 @@
                 ctl_settings& aSettings)
 {
   aParser.Choice(
-    aSettings.outputForm, "output", "form of the result", { "text", "json" });
+    aSettings.outputFormat, "output", "form of the result", { "text", "json" });
   if (aVerb.id != verb_id::kValidate) {
     aParser.Text(aSettings.platformUrl,
                  "platform-url",
--- a/src/currantshed/ctl/options.hpp
+++ b/src/currantshed/ctl/options.hpp
@@ -41,7 +41,7 @@
   std::chrono::milliseconds platformTimeout{ 2000 };
   std::chrono::milliseconds vmTimeout{ 2000 };
   std::chrono::milliseconds timeout{ 30'000 };
-  std::string outputForm = "text";
+  std::string outputFormat = "text";
   std::string gatewayStatusPort;
   std::string expectVersion;
   std::string change;
--- a/src/currantshed/ctl/program.cpp
+++ b/src/currantshed/ctl/program.cpp
@@ -14,7 +14,7 @@
 
 #include "currantshed/clock/print_time.hpp"
 #include "currantshed/ctl/options.hpp"
-#include "currantshed/ctl/pacer.hpp"
+#include "currantshed/ctl/sleep_clock.hpp"
 #include "currantshed/ctl/verbs.hpp"
 #include "currantshed/settings/parser.hpp"
 #include "currantshed/store/http_client.hpp"
@@ -22,26 +22,26 @@
 namespace currantshed::ctl {
 namespace {
 
-class steady_pacer : public pacer
+class steady_pacer : public sleep_clock
 {
 public:
   clock::time_point Now() override { return std::chrono::steady_clock::now(); }
 
-  void Pause(std::chrono::milliseconds aTime) override
+  void Sleep(std::chrono::milliseconds aTime) override
   {
     std::this_thread::sleep_for(aTime);
   }
 };
 
 int
-Complain(const std::string& aWhat)
+ReportUsageError(const std::string& aWhat)
 {
   std::cerr << kProgram << ": " << aWhat << "; see --help\n";
   return settings::kUsageExitCode;
 }
 
 /// The file's text, up to a byte above what a declaration may have.
-std::optional<source_text>
+std::optional<source_file>
 ReadSource(const std::string& aName)
 {
   std::ifstream file;
@@ -58,12 +58,12 @@
     return std::nullopt;
   }
   text.resize(static_cast<std::size_t>(stream.gcount()));
-  return source_text{ aName == "-" ? "(standard input)" : aName, text };
+  return source_file{ aName == "-" ? "(standard input)" : aName, text };
 }
 
 /// A name for a change that nobody used before.
 std::string
-MakeChangeName()
+MakeChangeId()
 {
   absl::BitGen random;
   return absl::StrFormat("%016x%016x",
@@ -86,25 +86,25 @@
   return true;
 }
 
-apply_order
-MakeOrder(const ctl_settings& aSettings,
-          const std::optional<std::uint64_t>& aExpected)
+apply_options
+MakeApplyOptions(const ctl_settings& aSettings,
+                 const std::optional<std::uint64_t>& aExpected)
 {
-  const bool isAgain = !aSettings.change.empty();
-  apply_order order;
-  order.expected = aExpected;
-  order.change = isAgain ? aSettings.change : MakeChangeName();
-  order.askedBefore = isAgain;
-  order.appliedBy = aSettings.appliedBy;
-  order.appliedAt = clock::PrintTime(std::chrono::system_clock::now());
-  order.atMost = aSettings.timeout;
-  return order;
+  const bool isRetry = !aSettings.change.empty();
+  apply_options options;
+  options.expected = aExpected;
+  options.change = isRetry ? aSettings.change : MakeChangeId();
+  options.askedBefore = isRetry;
+  options.appliedBy = aSettings.appliedBy;
+  options.appliedAt = clock::PrintTime(std::chrono::system_clock::now());
+  options.timeout = aSettings.timeout;
+  return options;
 }
 
 exit_code
 Perform(const verb& aVerb,
         const ctl_settings& aSettings,
-        const source_text& aFile,
+        const source_file& aFile,
         const std::optional<std::uint64_t>& aExpected)
 {
   boost::asio::io_context loop;
@@ -116,12 +116,12 @@
   });
   const auto fetcher = http::MakeCurlFetcher();
   steady_pacer time;
-  const printer results{ aSettings.outputForm == "json" ? output::kJson
-                                                        : output::kText,
+  const printer results{ aSettings.outputFormat == "json" ? output::kJson
+                                                          : output::kText,
                          std::cout,
                          std::cerr };
   verbs work(blocking, *fetcher, time, results);
-  asking asked;
+  query_options asked;
   asked.vmTimeout = aSettings.vmTimeout;
   asked.gateways = ParseGatewayPort(aSettings.gatewayStatusPort);
   switch (aVerb.id) {
@@ -130,7 +130,7 @@
     case verb_id::kDiff:
       return work.Diff(aFile);
     case verb_id::kApply:
-      return work.Apply(aFile, MakeOrder(aSettings, aExpected));
+      return work.Apply(aFile, MakeApplyOptions(aSettings, aExpected));
     case verb_id::kShow:
       return work.Show();
     case verb_id::kStatus:
@@ -153,27 +153,27 @@
     return result.exitCode;
   }
   if (aVerb.takesFile && read.arguments.size() != 1) {
-    return Complain(absl::StrCat(aVerb.name, " needs one FILE"));
+    return ReportUsageError(absl::StrCat(aVerb.name, " needs one FILE"));
   }
   if (aVerb.id == verb_id::kWait && read.version == 0) {
-    return Complain("wait needs --version");
+    return ReportUsageError("wait needs --version");
   }
   if (!read.gatewayStatusPort.empty() &&
       !ParseGatewayPort(read.gatewayStatusPort)) {
-    return Complain("--gateway-status-port must be a port or +N");
+    return ReportUsageError("--gateway-status-port must be a port or +N");
   }
   std::optional<std::uint64_t> expected;
   if (!ReadExpected(read.expectVersion, expected)) {
-    return Complain("--expect-version must be a whole number");
+    return ReportUsageError("--expect-version must be a whole number");
   }
   if (!read.change.empty() && !expected) {
-    return Complain("--change needs the --expect-version of before");
+    return ReportUsageError("--change needs the --expect-version of before");
   }
-  source_text file;
+  source_file file;
   if (aVerb.takesFile) {
     const auto source = ReadSource(read.arguments.front());
     if (!source) {
-      return Complain(
+      return ReportUsageError(
         absl::StrCat("can't read the file ", read.arguments.front()));
     }
     file = *source;
@@ -201,7 +201,7 @@
   }
   const auto* const chosen = FindVerb(first);
   if (chosen == nullptr) {
-    return Complain(absl::StrCat("no such verb: ", first));
+    return ReportUsageError(absl::StrCat("no such verb: ", first));
   }
   return RunVerb(*chosen, aCount - 1, aValues + 1);
 }
--- a/src/currantshed/ctl/pacer.hpp
+++ b/src/currantshed/ctl/sleep_clock.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_CTL_PACER_HPP
-#define CURRANTSHED_CTL_PACER_HPP
+#ifndef CURRANTSHED_CTL_SLEEP_CLOCK_HPP
+#define CURRANTSHED_CTL_SLEEP_CLOCK_HPP
 
 #include <chrono>
 
@@ -9,14 +9,14 @@
 namespace currantshed::ctl {
 
 /// The time, and the wait between two tries.
-class pacer
+class sleep_clock
 {
 public:
-  virtual ~pacer() = default;
+  virtual ~sleep_clock() = default;
 
   [[nodiscard]] virtual clock::time_point Now() = 0;
 
-  virtual void Pause(std::chrono::milliseconds aTime) = 0;
+  virtual void Sleep(std::chrono::milliseconds aTime) = 0;
 };
 
 } // namespace currantshed::ctl
--- a/src/currantshed/ctl/verbs.cpp
+++ b/src/currantshed/ctl/verbs.cpp
@@ -7,7 +7,7 @@
 #include <boost/json/serialize.hpp>
 
 #include "currantshed/ctl/diff.hpp"
-#include "currantshed/ctl/pacer.hpp"
+#include "currantshed/ctl/sleep_clock.hpp"
 
 namespace currantshed::ctl {
 namespace {
@@ -25,7 +25,7 @@
       return "invalid_declaration";
     case exit_code::kLostRace:
       return "lost_race";
-    case exit_code::kNotKnown:
+    case exit_code::kOutcomeUnknown:
       return "not_known";
     case exit_code::kPlatformUnreachable:
       return "platform_unreachable";
@@ -96,11 +96,11 @@
 
 verbs::verbs(blocking_platform& aPlatform,
              http::fetcher& aFetcher,
-             pacer& aPacer,
+             sleep_clock& aClock,
              const printer& aPrinter)
   : mPlatform(aPlatform)
   , mFetcher(aFetcher)
-  , mPacer(aPacer)
+  , mClock(aClock)
   , mPrinter(aPrinter)
 {
 }
@@ -110,7 +110,7 @@
               boost::json::object aJson,
               const std::string& aText)
 {
-  if (mPrinter.form == output::kJson) {
+  if (mPrinter.format == output::kJson) {
     aJson["end"] = NameOf(aCode);
     mPrinter.out << boost::json::serialize(aJson) << '\n';
     return aCode;
@@ -120,7 +120,7 @@
 }
 
 std::optional<policy::declaration>
-verbs::Read(const source_text& aFile)
+verbs::Read(const source_file& aFile)
 {
   auto read = policy::ParseDeclaration(aFile.text);
   if (read.faults.empty()) {
@@ -160,7 +160,7 @@
 }
 
 exit_code
-verbs::Validate(const source_text& aFile)
+verbs::Validate(const source_file& aFile)
 {
   const auto declared = Read(aFile);
   if (!declared) {
@@ -175,7 +175,7 @@
 }
 
 exit_code
-verbs::Diff(const source_text& aFile)
+verbs::Diff(const source_file& aFile)
 {
   const auto declared = Read(aFile);
   if (!declared) {
@@ -222,21 +222,21 @@
 }
 
 std::optional<std::vector<vm_report>>
-verbs::AskAll(const asking& aAsking)
+verbs::QueryAll(const query_options& aOptions)
 {
   const auto listed = mPlatform.List();
   if (listed.error) {
     static_cast<void>(Unreachable(listed.error.message()));
     return std::nullopt;
   }
-  return AskVms(
-    listed.value.vms, aAsking.gateways, mFetcher, aAsking.vmTimeout);
+  return QueryVms(
+    listed.value.vms, aOptions.gateways, mFetcher, aOptions.vmTimeout);
 }
 
 exit_code
-verbs::Status(const asking& aAsking)
+verbs::Status(const query_options& aOptions)
 {
-  const auto reports = AskAll(aAsking);
+  const auto reports = QueryAll(aOptions);
   if (!reports) {
     return exit_code::kPlatformUnreachable;
   }
@@ -250,26 +250,26 @@
 
 exit_code
 verbs::Wait(std::uint64_t aVersion,
-            std::chrono::milliseconds aAtMost,
-            const asking& aAsking)
+            std::chrono::milliseconds aTimeout,
+            const query_options& aOptions)
 {
-  const auto until = mPacer.Now() + aAtMost;
+  const auto until = mClock.Now() + aTimeout;
   std::vector<vm_report> reports;
   std::string trouble;
   while (true) {
     const auto listed = mPlatform.List();
     trouble = listed.error ? listed.error.message() : "";
     if (!listed.error) {
-      reports =
-        AskVms(listed.value.vms, aAsking.gateways, mFetcher, aAsking.vmTimeout);
+      reports = QueryVms(
+        listed.value.vms, aOptions.gateways, mFetcher, aOptions.vmTimeout);
       if (AllHave(reports, aVersion)) {
         return ReportWait(aVersion, reports, true);
       }
     }
-    if (mPacer.Now() + aAsking.pause >= until) {
+    if (mClock.Now() + aOptions.roundDelay >= until) {
       break;
     }
-    mPacer.Pause(aAsking.pause);
+    mClock.Sleep(aOptions.roundDelay);
   }
   if (!trouble.empty()) {
     return Unreachable(trouble);
--- a/src/currantshed/ctl/verbs.hpp
+++ b/src/currantshed/ctl/verbs.hpp
@@ -30,31 +30,31 @@
 /// Where a verb writes, and how.
 struct printer
 {
-  output form = output::kText;
+  output format = output::kText;
   std::ostream& out;
   std::ostream& errors;
 };
 
 /// A file of the operators'.
-struct source_text
+struct source_file
 {
   std::string name;
   std::string text;
 };
 
 /// Times of the verbs that ask VMs.
-struct asking
+struct query_options
 {
   /// Time for one VM to answer.
   std::chrono::milliseconds vmTimeout{ 2000 };
   /// Where gateways are asked; none for poolers alone.
   std::optional<gateway_port> gateways;
   /// Pause between two rounds of wait.
-  std::chrono::milliseconds pause{ 200 };
+  std::chrono::milliseconds roundDelay{ 200 };
 };
 
 /// What an operator asked to apply.
-struct apply_order
+struct apply_options
 {
   /// The version that the operator saw; none for the one in force now.
   std::optional<std::uint64_t> expected;
@@ -66,7 +66,7 @@
   std::string appliedBy;
   std::string appliedAt;
   /// How long the platform may fail before there is an answer.
-  std::chrono::milliseconds atMost{ 15'000 };
+  std::chrono::milliseconds timeout{ 15'000 };
 };
 
 /// The work of currantshedctl's verbs. Each writes its result and returns how
@@ -76,38 +76,38 @@
 public:
   verbs(blocking_platform& aPlatform,
         http::fetcher& aFetcher,
-        pacer& aPacer,
+        sleep_clock& aClock,
         const printer& aPrinter);
 
   /// Checks a declaration; asks nobody.
-  [[nodiscard]] exit_code Validate(const source_text& aFile);
+  [[nodiscard]] exit_code Validate(const source_file& aFile);
 
   /// Tells what applying the file would change.
-  [[nodiscard]] exit_code Diff(const source_text& aFile);
+  [[nodiscard]] exit_code Diff(const source_file& aFile);
 
   /// Puts the file in force if the expected version still is.
-  [[nodiscard]] exit_code Apply(const source_text& aFile,
-                                const apply_order& aOrder);
+  [[nodiscard]] exit_code Apply(const source_file& aFile,
+                                const apply_options& aOptions);
 
   /// Prints the declaration in force.
   [[nodiscard]] exit_code Show();
 
   /// Asks every listed VM for its status.
-  [[nodiscard]] exit_code Status(const asking& aAsking);
+  [[nodiscard]] exit_code Status(const query_options& aOptions);
 
   /// Waits until every live VM reports the version or a higher one. Live is
   /// each listed VM that is not leaving.
   [[nodiscard]] exit_code Wait(std::uint64_t aVersion,
-                               std::chrono::milliseconds aAtMost,
-                               const asking& aAsking);
+                               std::chrono::milliseconds aTimeout,
+                               const query_options& aOptions);
 
 private:
   [[nodiscard]] std::optional<policy::declaration> Read(
-    const source_text& aFile);
+    const source_file& aFile);
   /// The record in force, of version zero where nothing was ever applied.
   [[nodiscard]] std::optional<policy::configuration_record> ReadInForce();
-  [[nodiscard]] std::optional<std::vector<vm_report>> AskAll(
-    const asking& aAsking);
+  [[nodiscard]] std::optional<std::vector<vm_report>> QueryAll(
+    const query_options& aOptions);
   [[nodiscard]] exit_code ReportApply(const store::apply_result& aResult,
                                       const store::apply_request& aRequest);
   [[nodiscard]] exit_code LostRace(std::uint64_t aExpected,
@@ -124,7 +124,7 @@
 
   blocking_platform& mPlatform;
   http::fetcher& mFetcher;
-  pacer& mPacer;
+  sleep_clock& mClock;
   printer mPrinter;
 };
 
--- a/src/currantshed/ctl/verbs_apply.cpp
+++ b/src/currantshed/ctl/verbs_apply.cpp
@@ -5,7 +5,7 @@
 
 #include <absl/strings/str_cat.h>
 
-#include "currantshed/ctl/pacer.hpp"
+#include "currantshed/ctl/sleep_clock.hpp"
 
 namespace currantshed::ctl {
 namespace {
@@ -15,35 +15,37 @@
 Perform(const store::apply_action& aAction,
         store::applier& aApplier,
         blocking_platform& aPlatform,
-        pacer& aPacer)
+        sleep_clock& aClock)
 {
   if (const auto* const swap =
         std::get_if<store::swap_configuration>(&aAction)) {
     const auto outcome = aPlatform.Swap(
       std::string(policy::kConfigurationKey), swap->value, swap->expected);
-    aApplier.ConfigurationSwapped(outcome, aPacer.Now());
+    aApplier.ConfigurationSwapped(outcome, aClock.Now());
     return;
   }
   const auto read = aPlatform.Get(std::string(policy::kConfigurationKey));
-  aApplier.ConfigurationRead(read.error, read.value, aPacer.Now());
+  aApplier.ConfigurationRead(read.error, read.value, aClock.Now());
 }
 
 /// Runs an attempt to its end.
 store::apply_result
-Drive(store::applier& aApplier, blocking_platform& aPlatform, pacer& aPacer)
+Drive(store::applier& aApplier,
+      blocking_platform& aPlatform,
+      sleep_clock& aClock)
 {
   while (!aApplier.Result()) {
     const auto actions = aApplier.TakeActions();
     for (const auto& action : actions) {
-      Perform(action, aApplier, aPlatform, aPacer);
+      Perform(action, aApplier, aPlatform, aClock);
     }
-    const auto now = aPacer.Now();
+    const auto now = aClock.Now();
     const bool mustWait = actions.empty() && aApplier.NextTick() > now;
     if (mustWait) {
-      aPacer.Pause(std::chrono::ceil<std::chrono::milliseconds>(
+      aClock.Sleep(std::chrono::ceil<std::chrono::milliseconds>(
         aApplier.NextTick() - now));
     }
-    aApplier.Tick(aPacer.Now());
+    aApplier.Tick(aClock.Now());
   }
   return *aApplier.Result();
 }
@@ -74,7 +76,7 @@
 }
 
 exit_code
-verbs::Apply(const source_text& aFile, const apply_order& aOrder)
+verbs::Apply(const source_file& aFile, const apply_options& aOptions)
 {
   const auto declared = Read(aFile);
   if (!declared) {
@@ -85,8 +87,8 @@
     return exit_code::kPlatformUnreachable;
   }
   const auto& record = *now;
-  if (!aOrder.askedBefore && record.declaration == aFile.text &&
-      aOrder.expected.value_or(record.version) == record.version) {
+  if (!aOptions.askedBefore && record.declaration == aFile.text &&
+      aOptions.expected.value_or(record.version) == record.version) {
     return Finish(
       exit_code::kOk,
       { { "version", record.version }, { "change", record.change } },
@@ -94,14 +96,14 @@
   }
   store::apply_request request;
   request.declaration = aFile.text;
-  request.change = aOrder.change;
-  request.askedBefore = aOrder.askedBefore;
-  request.expectedVersion = aOrder.expected.value_or(record.version);
-  request.appliedBy = aOrder.appliedBy;
-  request.appliedAt = aOrder.appliedAt;
-  request.giveUpAfter = aOrder.atMost;
-  store::applier attempt(request, mPacer.Now());
-  return ReportApply(Drive(attempt, mPlatform, mPacer), request);
+  request.change = aOptions.change;
+  request.askedBefore = aOptions.askedBefore;
+  request.expectedVersion = aOptions.expected.value_or(record.version);
+  request.appliedBy = aOptions.appliedBy;
+  request.appliedAt = aOptions.appliedAt;
+  request.giveUpAfter = aOptions.timeout;
+  store::applier attempt(request, mClock.Now());
+  return ReportApply(Drive(attempt, mPlatform, mClock), request);
 }
 
 exit_code
@@ -126,7 +128,7 @@
     case apply_outcome::kUnknown:
       break;
   }
-  return Finish(exit_code::kNotKnown,
+  return Finish(exit_code::kOutcomeUnknown,
                 { { "expected_version", aRequest.expectedVersion },
                   { "version", aResult.inForce },
                   { "change", aRequest.change } },
--- a/src/currantshed/ctl/vm_report.cpp
+++ b/src/currantshed/ctl/vm_report.cpp
@@ -178,10 +178,10 @@
 }
 
 std::vector<vm_report>
-AskVms(const std::vector<store::vm>& aVms,
-       const std::optional<gateway_port>& aGateways,
-       http::fetcher& aFetcher,
-       std::chrono::milliseconds aTimeout)
+QueryVms(const std::vector<store::vm>& aVms,
+         const std::optional<gateway_port>& aGateways,
+         http::fetcher& aFetcher,
+         std::chrono::milliseconds aTimeout)
 {
   const auto answers = aFetcher.Fetch(StatusUrls(aVms, aGateways), aTimeout);
   std::vector<vm_report> reports;
--- a/src/currantshed/ctl/vm_report.hpp
+++ b/src/currantshed/ctl/vm_report.hpp
@@ -53,10 +53,10 @@
 /// Asks every given VM at its pooler's status port and, where one is given,
 /// at its gateway's.
 [[nodiscard]] std::vector<vm_report>
-AskVms(const std::vector<store::vm>& aVms,
-       const std::optional<gateway_port>& aGateways,
-       http::fetcher& aFetcher,
-       std::chrono::milliseconds aTimeout);
+QueryVms(const std::vector<store::vm>& aVms,
+         const std::optional<gateway_port>& aGateways,
+         http::fetcher& aFetcher,
+         std::chrono::milliseconds aTimeout);
 
 /// A table with one line for each VM, and one for each group and VM that
 /// owns it.
--- a/src/currantshed/gateway/admit.cpp
+++ b/src/currantshed/gateway/admit.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr std::chrono::seconds kRateWindow{ 1 };
-constexpr std::chrono::milliseconds kSoonest{ 20 };
-constexpr std::chrono::milliseconds kLatest{ 2000 };
+constexpr std::chrono::milliseconds kMinRetryAfter{ 20 };
+constexpr std::chrono::milliseconds kMaxRetryAfter{ 2000 };
 
 /// Whether the call begins new work; what goes on with work already begun is
 /// never refused for lack of room.
@@ -49,7 +49,8 @@
     const std::size_t rate = std::max<std::size_t>({ mLastCount, mCount, 1 });
     const std::chrono::milliseconds window = kRateWindow;
     const auto wait = window * mInFlight / rate;
-    return std::clamp<std::chrono::milliseconds>(wait, kSoonest, kLatest);
+    return std::clamp<std::chrono::milliseconds>(
+      wait, kMinRetryAfter, kMaxRetryAfter);
   }
 
 private:
@@ -76,17 +77,17 @@
       return step::kForward;
     }
     if (mState.draining) {
-      return Turn(aExchange, outcome::reason::kLeaving, kSoonest);
+      return Reject(aExchange, outcome::reason::kLeaving, kMinRetryAfter);
     }
     class_load& load = mLoads[aExchange.work->name];
     const std::size_t room = mState.settings.inFlightLimit - mInFlight;
     if (load.InFlight() >= room) {
-      return Turn(aExchange, outcome::reason::kOverloaded, load.DrainTime());
+      return Reject(aExchange, outcome::reason::kOverloaded, load.DrainTime());
     }
     load.Enter();
     ++mInFlight;
     aExchange.admitted = true;
-    mState.retries.Earn();
+    mState.retries.Deposit();
     return step::kForward;
   }
 
@@ -101,12 +102,12 @@
   }
 
 private:
-  step Turn(exchange& aExchange,
-            outcome::reason aWhy,
-            std::chrono::milliseconds aWait)
+  step Reject(exchange& aExchange,
+              outcome::reason aWhy,
+              std::chrono::milliseconds aWait)
   {
     ++mState.counters.refusals;
-    aExchange.answer = NotRun(aWhy, mState.Spread(aWait));
+    aExchange.answer = NotRun(aWhy, mState.AddJitter(aWait));
     return step::kBack;
   }
 
--- a/src/currantshed/gateway/caller.cpp
+++ b/src/currantshed/gateway/caller.cpp
@@ -58,7 +58,7 @@
 }
 
 std::string
-AskPath(std::string_view aGroup, const outcome::idempotency_key& aKey)
+OutcomePath(std::string_view aGroup, const outcome::idempotency_key& aKey)
 {
   return absl::StrCat("/v1/outcomes/", EscapeSegment(aGroup), "/", aKey.Text());
 }
--- a/src/currantshed/gateway/caller.hpp
+++ b/src/currantshed/gateway/caller.hpp
@@ -48,7 +48,7 @@
   /// Id of an open transaction, or empty.
   std::string transaction;
   /// A key made for this request, used for a change that comes without one.
-  outcome::idempotency_key spareKey;
+  outcome::idempotency_key generatedKey;
 };
 
 /// The final answer to one caller's request.
@@ -76,7 +76,7 @@
   /// When to come back, for what was not run.
   std::chrono::milliseconds retryAfter{ 0 };
   /// Path that tells the outcome, for a change of unknown fate.
-  std::string ask;
+  std::string outcomePath;
   /// The session's new token.
   std::string session;
 };
@@ -91,7 +91,7 @@
 
 /// The path that tells what became of a change.
 [[nodiscard]] std::string
-AskPath(std::string_view aGroup, const outcome::idempotency_key& aKey);
+OutcomePath(std::string_view aGroup, const outcome::idempotency_key& aKey);
 
 } // namespace currantshed::gateway
 
--- a/src/currantshed/gateway/caller_connection.cpp
+++ b/src/currantshed/gateway/caller_connection.cpp
@@ -122,7 +122,7 @@
 }
 
 bool
-caller_connection::Idle() const noexcept
+caller_connection::IsIdle() const noexcept
 {
   return mPhase == phase::kIdle;
 }
@@ -135,39 +135,39 @@
 }
 
 request_number
-caller_connection::Waiting() const noexcept
+caller_connection::PendingRequest() const noexcept
 {
-  return mWaiting;
+  return mPendingRequest;
 }
 
 void
-caller_connection::SetWaiting(request_number aNumber) noexcept
+caller_connection::SetPendingRequest(request_number aNumber) noexcept
 {
-  mWaiting = aNumber;
+  mPendingRequest = aNumber;
 }
 
 void
-caller_connection::Enter(phase aPhase)
+caller_connection::EnterPhase(phase aPhase)
 {
   const caller_limits& limits = mOwner.Limits();
   const auto now = std::chrono::steady_clock::now();
   mPhase = aPhase;
   switch (aPhase) {
     case phase::kIdle:
-      mDue = now + limits.idleTime;
+      mTimeoutAt = now + limits.idleTimeout;
       return;
     case phase::kReading:
-      mDue = now + limits.requestTime;
+      mTimeoutAt = now + limits.requestTimeout;
       return;
     case phase::kWriting:
-      mDue = now + limits.writeTime;
+      mTimeoutAt = now + limits.writeTimeout;
       return;
     case phase::kLingering:
-      mDue = now + limits.lingerTime;
+      mTimeoutAt = now + limits.lingerTimeout;
       return;
     case phase::kServing:
     case phase::kClosed:
-      mDue = clock::time_point::max();
+      mTimeoutAt = clock::time_point::max();
       return;
   }
 }
@@ -175,7 +175,7 @@
 void
 caller_connection::AwaitRequest()
 {
-  Enter(phase::kIdle);
+  EnterPhase(phase::kIdle);
   mBuffers.reset();
   mSocket.async_wait(tcp::socket::wait_read,
                      [self = shared_from_this()](const error_code& aError) {
@@ -195,7 +195,7 @@
 void
 caller_connection::ReadHeader()
 {
-  Enter(phase::kReading);
+  EnterPhase(phase::kReading);
   mTimedOut = false;
   mBuffers->Renew(mOwner.Limits());
   http::async_read_header(
@@ -207,12 +207,12 @@
         return;
       }
       if (aError) {
-        self->ReadFailed(aError);
+        self->OnReadError(aError);
         return;
       }
       const auto& request = self->mBuffers->parser->get();
       if (request[http::field::expect] == "100-continue") {
-        self->Continue();
+        self->SendContinue();
         return;
       }
       self->ReadBody();
@@ -220,7 +220,7 @@
 }
 
 void
-caller_connection::Continue()
+caller_connection::SendContinue()
 {
   asio::async_write(
     mSocket,
@@ -249,7 +249,7 @@
         return;
       }
       if (aError) {
-        self->ReadFailed(aError);
+        self->OnReadError(aError);
         return;
       }
       self->Serve();
@@ -257,10 +257,10 @@
 }
 
 void
-caller_connection::ReadFailed(const error_code& aError)
+caller_connection::OnReadError(const error_code& aError)
 {
   if (mTimedOut) {
-    mOwner.Refused();
+    mOwner.CountRefused();
     Respond(Refuse(gateway_error::kRequestTimeout), false);
     return;
   }
@@ -268,7 +268,7 @@
     End();
     return;
   }
-  mOwner.Refused();
+  mOwner.CountRefused();
   Respond(Refuse(FromReadError(aError)), false);
 }
 
@@ -285,10 +285,10 @@
   call.deadline = Header(message, kDeadlineHeader);
   caller_request request;
   std::string detail;
-  Enter(phase::kServing);
-  ++mServed;
+  EnterPhase(phase::kServing);
+  ++mRequestCount;
   if (const auto error = ReadCall(call, request, detail)) {
-    mOwner.Refused();
+    mOwner.CountRefused();
     caller_answer refusal = Refuse(static_cast<gateway_error>(error.value()));
     if (!detail.empty()) {
       refusal.message += ": " + detail;
@@ -298,12 +298,12 @@
   }
   mOwner.Submit(*this, std::move(request));
   if (mPhase == phase::kServing) {
-    WatchHangUp();
+    WatchForDisconnect();
   }
 }
 
 void
-caller_connection::WatchHangUp()
+caller_connection::WatchForDisconnect()
 {
   if (mBuffers->input.size() > 0) {
     // The caller has sent ahead, so it is there.
@@ -311,8 +311,9 @@
   }
   mSocket.async_wait(
     tcp::socket::wait_read,
-    [self = shared_from_this(), served = mServed](const error_code& aError) {
-      if (self->mPhase != phase::kServing || self->mServed != served) {
+    [self = shared_from_this(),
+     served = mRequestCount](const error_code& aError) {
+      if (self->mPhase != phase::kServing || self->mRequestCount != served) {
         return;
       }
       char first = 0;
@@ -330,7 +331,7 @@
 void
 caller_connection::Answer(const caller_answer& aAnswer)
 {
-  mWaiting = 0;
+  mPendingRequest = 0;
   if (mPhase == phase::kServing) {
     Respond(aAnswer, true);
   }
@@ -341,7 +342,7 @@
 {
   const auto& request = mBuffers->parser->get();
   const bool keepAlive =
-    aKeepAlive && request.keep_alive() && !mOwner.Leaving();
+    aKeepAlive && request.keep_alive() && !mOwner.IsClosing();
   auto& response = mBuffers->response;
   response = {};
   response.version(request.version() == 0 ? 11 : request.version());
@@ -357,7 +358,7 @@
   }
   response.body() = WriteAnswer(aAnswer);
   response.prepare_payload();
-  Enter(phase::kWriting);
+  EnterPhase(phase::kWriting);
   http::async_write(mSocket,
                     response,
                     [self = shared_from_this(),
@@ -369,12 +370,12 @@
                         self->End();
                         return;
                       }
-                      self->Written(keepAlive);
+                      self->OnWritten(keepAlive);
                     });
 }
 
 void
-caller_connection::Written(bool aKeepAlive)
+caller_connection::OnWritten(bool aKeepAlive)
 {
   if (!aKeepAlive) {
     Linger();
@@ -396,7 +397,7 @@
   error_code ignored;
   mSocket.shutdown(tcp::socket::shutdown_send, ignored);
   if (mPhase != phase::kLingering) {
-    Enter(phase::kLingering);
+    EnterPhase(phase::kLingering);
     mBuffers.reset();
   }
   auto dropped = std::make_shared<std::array<char, kLingerBytes>>();
@@ -415,16 +416,16 @@
 }
 
 void
-caller_connection::CheckTime(clock::time_point aNow)
+caller_connection::CheckTimeout(clock::time_point aNow)
 {
   // A request that came in time is read, however late this thread is.
-  if (aNow < mDue || (mPhase == phase::kIdle && HasUnread())) {
+  if (aNow < mTimeoutAt || (mPhase == phase::kIdle && HasUnread())) {
     return;
   }
   if (mPhase == phase::kReading && !mTimedOut) {
     // The read ends with an error, and its handler answers.
     mTimedOut = true;
-    mDue = aNow + mOwner.Limits().lingerTime;
+    mTimeoutAt = aNow + mOwner.Limits().lingerTimeout;
     mSocket.cancel();
     return;
   }
@@ -432,10 +433,10 @@
 }
 
 void
-caller_connection::Note(closed_connections& aClosed) const
+caller_connection::AddTo(closed_connections& aClosed) const
 {
   if (mPhase == phase::kIdle) {
-    const bool isUsed = mServed > 0;
+    const bool isUsed = mRequestCount > 0;
     ++(HasUnread() ? aClosed.unread : isUsed ? aClosed.kept : aClosed.fresh);
   } else if (mPhase != phase::kLingering && mPhase != phase::kClosed) {
     ++aClosed.busy;
@@ -445,7 +446,7 @@
 void
 caller_connection::Close()
 {
-  Enter(phase::kClosed);
+  EnterPhase(phase::kClosed);
   error_code ignored;
   mSocket.close(ignored);
 }
@@ -457,10 +458,10 @@
     return;
   }
   Close();
-  if (mWaiting != 0) {
-    mOwner.Cancel(std::exchange(mWaiting, 0));
+  if (mPendingRequest != 0) {
+    mOwner.Cancel(std::exchange(mPendingRequest, 0));
   }
-  mOwner.Ended(*this);
+  mOwner.OnClosed(*this);
 }
 
 } // namespace currantshed::gateway
--- a/src/currantshed/gateway/caller_connection.hpp
+++ b/src/currantshed/gateway/caller_connection.hpp
@@ -24,7 +24,7 @@
   [[nodiscard]] virtual const caller_limits& Limits() const noexcept = 0;
 
   /// Whether connections end after their next answer.
-  [[nodiscard]] virtual bool Leaving() const noexcept = 0;
+  [[nodiscard]] virtual bool IsClosing() const noexcept = 0;
 
   /// Numbers a request and passes it on.
   virtual void Submit(caller_connection& aFrom, caller_request aRequest) = 0;
@@ -32,10 +32,10 @@
   virtual void Cancel(request_number aRequest) = 0;
 
   /// Counts a request that was refused on the HTTP side.
-  virtual void Refused() = 0;
+  virtual void CountRefused() = 0;
 
   /// The connection has closed itself and may be dropped.
-  virtual void Ended(caller_connection& aConnection) = 0;
+  virtual void OnClosed(caller_connection& aConnection) = 0;
 };
 
 /// One connection of a caller: reads a request, passes it on, waits for its
@@ -58,22 +58,22 @@
   void Answer(const caller_answer& aAnswer);
 
   /// Ends what has taken too long.
-  void CheckTime(clock::time_point aNow);
+  void CheckTimeout(clock::time_point aNow);
 
   /// Counts this connection as one that is about to be closed.
-  void Note(closed_connections& aClosed) const;
+  void AddTo(closed_connections& aClosed) const;
 
   /// Closes at once; the owner is not told.
   void Close();
 
-  [[nodiscard]] bool Idle() const noexcept;
+  [[nodiscard]] bool IsIdle() const noexcept;
 
   /// Whether bytes have come that were not read yet.
   [[nodiscard]] bool HasUnread() const;
 
   /// The request that waits for its answer, or zero.
-  [[nodiscard]] request_number Waiting() const noexcept;
-  void SetWaiting(request_number aNumber) noexcept;
+  [[nodiscard]] request_number PendingRequest() const noexcept;
+  void SetPendingRequest(request_number aNumber) noexcept;
 
 private:
   enum class phase : std::uint8_t
@@ -87,16 +87,16 @@
   };
   struct buffers;
 
-  void Enter(phase aPhase);
+  void EnterPhase(phase aPhase);
   void AwaitRequest();
   void ReadHeader();
   void ReadBody();
-  void Continue();
-  void ReadFailed(const boost::system::error_code& aError);
+  void SendContinue();
+  void OnReadError(const boost::system::error_code& aError);
   void Serve();
-  void WatchHangUp();
+  void WatchForDisconnect();
   void Respond(const caller_answer& aAnswer, bool aKeepAlive);
-  void Written(bool aKeepAlive);
+  void OnWritten(bool aKeepAlive);
   void Linger();
   void End();
 
@@ -104,11 +104,11 @@
   connection_owner& mOwner;
   /// Held only while a request is on its way.
   std::unique_ptr<buffers> mBuffers;
-  clock::time_point mDue;
-  request_number mWaiting = 0;
+  clock::time_point mTimeoutAt;
+  request_number mPendingRequest = 0;
   /// Goes up with each request, so that the watch for a hang-up of an
   /// earlier one is known.
-  std::uint32_t mServed = 0;
+  std::uint32_t mRequestCount = 0;
   phase mPhase = phase::kIdle;
   bool mTimedOut = false;
 };
--- a/src/currantshed/gateway/caller_server.cpp
+++ b/src/currantshed/gateway/caller_server.cpp
@@ -76,7 +76,7 @@
     connection->Answer(aAnswer);
   }
 
-  void Leave() { mLeaving = true; }
+  void BeginShutdown() { mClosing = true; }
 
   void StopListening()
   {
@@ -85,11 +85,11 @@
       mAcceptor, [this](tcp::socket aSocket) { Take(std::move(aSocket)); });
   }
 
-  void CheckTimes()
+  void CheckTimeouts()
   {
     const auto now = std::chrono::steady_clock::now();
     for (const auto& connection : Connections()) {
-      connection->CheckTime(now);
+      connection->CheckTimeout(now);
     }
   }
 
@@ -97,8 +97,8 @@
   {
     closed_connections closed;
     for (const auto& connection : Connections()) {
-      if (connection->Idle() && !connection->HasUnread()) {
-        connection->Note(closed);
+      if (connection->IsIdle() && !connection->HasUnread()) {
+        connection->AddTo(closed);
         connection->Close();
         mConnections.erase(connection.get());
       }
@@ -116,7 +116,7 @@
     mPause.cancel();
     mWaiting.clear();
     for (const auto& connection : Connections()) {
-      connection->Note(closed);
+      connection->AddTo(closed);
       connection->Close();
     }
     mConnections.clear();
@@ -129,7 +129,7 @@
   {
     std::size_t busy = 0;
     for (const auto& [key, connection] : mConnections) {
-      busy += connection->Idle() ? 0 : 1;
+      busy += connection->IsIdle() ? 0 : 1;
     }
     return busy;
   }
@@ -139,13 +139,13 @@
     return mLimits;
   }
 
-  [[nodiscard]] bool Leaving() const noexcept override { return mLeaving; }
+  [[nodiscard]] bool IsClosing() const noexcept override { return mClosing; }
 
   void Submit(caller_connection& aFrom, caller_request aRequest) override
   {
     aRequest.number = ++mLastNumber;
     mWaiting[aRequest.number] = &aFrom;
-    aFrom.SetWaiting(aRequest.number);
+    aFrom.SetPendingRequest(aRequest.number);
     mSink.Submit(std::move(aRequest));
   }
 
@@ -155,9 +155,9 @@
     mSink.Cancel(aRequest);
   }
 
-  void Refused() override { mSink.Refused(); }
+  void CountRefused() override { mSink.CountRefused(); }
 
-  void Ended(caller_connection& aConnection) override
+  void OnClosed(caller_connection& aConnection) override
   {
     mConnections.erase(&aConnection);
   }
@@ -225,7 +225,7 @@
       error_code ignored;
       aSocket.non_blocking(true, ignored);
       aSocket.write_some(boost::asio::buffer(kFull), ignored);
-      mSink.Refused();
+      mSink.CountRefused();
       return;
     }
     auto made = std::make_shared<caller_connection>(std::move(aSocket), *this);
@@ -242,7 +242,7 @@
       if (aError) {
         return;
       }
-      self->CheckTimes();
+      self->CheckTimeouts();
       self->Sweep();
     });
   }
@@ -267,7 +267,7 @@
     mConnections;
   absl::flat_hash_map<request_number, caller_connection*> mWaiting;
   request_number mLastNumber = 0;
-  bool mLeaving = false;
+  bool mClosing = false;
   bool mIsStopped = false;
 };
 
@@ -299,9 +299,9 @@
 }
 
 void
-caller_server::Leave()
+caller_server::BeginShutdown()
 {
-  mImplementation->Leave();
+  mImplementation->BeginShutdown();
 }
 
 void
@@ -311,9 +311,9 @@
 }
 
 void
-caller_server::CheckTimes()
+caller_server::CheckTimeouts()
 {
-  mImplementation->CheckTimes();
+  mImplementation->CheckTimeouts();
 }
 
 closed_connections
--- a/src/currantshed/gateway/caller_server.hpp
+++ b/src/currantshed/gateway/caller_server.hpp
@@ -28,7 +28,7 @@
   virtual void Cancel(request_number aRequest) = 0;
 
   /// A request was refused on the HTTP side, before it was one of the calls.
-  virtual void Refused() = 0;
+  virtual void CountRefused() = 0;
 };
 
 /// The connections that a server has closed at its end, by what they were at.
@@ -70,7 +70,7 @@
   void Answer(const caller_answer& aAnswer);
 
   /// Ends each connection after its next answer from now on.
-  void Leave();
+  void BeginShutdown();
 
   /// Takes no more connections. Those that the operating system has taken
   /// already are served, and all that are kept open bring one more request at
@@ -78,7 +78,7 @@
   void StopListening();
 
   /// Looks after the times of all connections; called at intervals.
-  void CheckTimes();
+  void CheckTimeouts();
 
   /// Ends the connections that are idle now, too, and have sent nothing.
   closed_connections CloseIdle();
--- a/src/currantshed/gateway/classify.cpp
+++ b/src/currantshed/gateway/classify.cpp
@@ -50,9 +50,9 @@
 
   step Forward(exchange& aExchange, clock::time_point aNow) override
   {
-    if (mState.configurationVersion == 0 || mState.present.live.empty()) {
+    if (mState.configurationVersion == 0 || mState.view.live.empty()) {
       aExchange.answer =
-        NotRun(outcome::reason::kUnreachable, mState.Spread(kStartPause));
+        NotRun(outcome::reason::kUnreachable, mState.AddJitter(kStartPause));
       return step::kBack;
     }
     fault found = CheckStatements(aExchange.request);
@@ -67,7 +67,7 @@
     SetDeadline(aExchange);
     if (aExchange.deadline - mState.settings.returnMargin <= aNow) {
       aExchange.answer =
-        NotRun(outcome::reason::kDeadline, mState.Spread(kComeBack));
+        NotRun(outcome::reason::kDeadline, mState.AddJitter(kComeBack));
       return step::kBack;
     }
     return step::kForward;
@@ -144,7 +144,7 @@
   {
     const caller_request& request = aExchange.request;
     if (request.key.empty()) {
-      aExchange.key = request.spareKey;
+      aExchange.key = request.generatedKey;
       return {};
     }
     const auto key = outcome::idempotency_key::Parse(request.key);
@@ -171,7 +171,7 @@
   [[nodiscard]] fault FindTransaction(exchange& aExchange) const
   {
     const caller_request& request = aExchange.request;
-    transaction_name& name = aExchange.transaction;
+    transaction_handle& name = aExchange.transaction;
     if (const auto error =
           ReadTransactionId(request.transaction, mState.keys, name)) {
       return FromTransactionError(error);
@@ -206,7 +206,7 @@
     made->name = aName;
     made->kind = policy::access::kWrite;
     made->deadline = mState.settings.defaultDeadline;
-    made->servedIn = mState.WritePlaces(aGroup);
+    made->servedIn = mState.WriteDomains(aGroup);
     return made;
   }
 
--- a/src/currantshed/gateway/confirm.cpp
+++ b/src/currantshed/gateway/confirm.cpp
@@ -31,7 +31,7 @@
 
   step Back(exchange& aExchange, clock::time_point aNow) override
   {
-    if (aExchange.back != arrival::kReply) {
+    if (aExchange.returnCause != return_cause::kReply) {
       return step::kBack;
     }
     const bool done = aExchange.reply.verdict == outcome::verdict::kDone;
@@ -41,10 +41,10 @@
     if (!done || !Acknowledges(aExchange.next) || InTime(aExchange, aNow)) {
       return step::kBack;
     }
-    aExchange.kept = std::move(aExchange.reply);
-    aExchange.keptFor = aExchange.next;
-    aExchange.asked = aExchange.kept.position;
-    return Ask(aExchange, operation::kReconfirm, aNow);
+    aExchange.changeReply = std::move(aExchange.reply);
+    aExchange.changeOperation = aExchange.next;
+    aExchange.positionToConfirm = aExchange.changeReply.position;
+    return Reconfirm(aExchange, operation::kReconfirm, aNow);
   }
 
 private:
@@ -61,22 +61,22 @@
       // whoever leads by then.
       ++mState.counters.resolutions;
       aExchange.next = operation::kResolve;
-      aExchange.notBefore = aNow + mState.settings.retryPause;
+      aExchange.notBefore = aNow + mState.settings.retryDelay;
       return step::kForward;
     }
     if (!InTime(aExchange, aNow)) {
-      return Ask(aExchange, operation::kReconfirm, aNow);
+      return Reconfirm(aExchange, operation::kReconfirm, aNow);
     }
-    aExchange.reply = std::move(aExchange.kept);
-    aExchange.next = aExchange.keptFor;
-    aExchange.doubt = false;
+    aExchange.reply = std::move(aExchange.changeReply);
+    aExchange.next = aExchange.changeOperation;
+    aExchange.outcomeUnknown = false;
     return step::kBack;
   }
 
-  step Ask(exchange& aExchange, operation aNext, clock::time_point aNow)
+  step Reconfirm(exchange& aExchange, operation aNext, clock::time_point aNow)
   {
     ++mState.counters.reconfirmations;
-    aExchange.doubt = true;
+    aExchange.outcomeUnknown = true;
     aExchange.next = aNext;
     aExchange.notBefore = aNow;
     return step::kForward;
--- a/src/currantshed/gateway/control.cpp
+++ b/src/currantshed/gateway/control.cpp
@@ -15,9 +15,9 @@
 
 /// Time between two questions to the own pooler; each is also the sign that
 /// it is there.
-constexpr std::chrono::milliseconds kAskInterval{ 500 };
+constexpr std::chrono::milliseconds kRequestInterval{ 500 };
 /// Silence of the own pooler after which the gateway isn't ready.
-constexpr std::chrono::milliseconds kSilence{ 2000 };
+constexpr std::chrono::milliseconds kPoolerTimeout{ 2000 };
 
 std::vector<store::vm>
 Staying(const std::vector<store::vm>& aVms)
@@ -76,22 +76,22 @@
                "pooler_connect_failed",
                { { "reason", error.message() } });
   }
-  Ask();
+  RequestUpdates();
 }
 
 void
-control::Leave()
+control::BeginShutdown()
 {
   const std::lock_guard lock(mMutex);
-  mLeaving = true;
+  mShuttingDown = true;
 }
 
 bool
 control::Ready() const
 {
   const std::lock_guard lock(mMutex);
-  return !mLeaving && mConfiguration != 0 && !mView.live.empty() &&
-         std::chrono::steady_clock::now() - mHeard < kSilence;
+  return !mShuttingDown && mConfiguration != 0 && !mView.live.empty() &&
+         std::chrono::steady_clock::now() - mLastReplyAt < kPoolerTimeout;
 }
 
 std::string
@@ -104,7 +104,7 @@
                          { "failure_domain", mSettings.failureDomain },
                          { "incarnation", mIncarnation },
                          { "ready", ready },
-                         { "leaving", mLeaving },
+                         { "leaving", mShuttingDown },
                          { "configuration_version", mConfiguration },
                          { "view_version", mView.version },
                          { "live_vms", mView.live.size() },
@@ -112,15 +112,15 @@
 }
 
 void
-control::Ask()
+control::RequestUpdates()
 {
-  const wire::subscribe_request question{ mView.version, mConfiguration };
+  const wire::subscribe_request request{ mView.version, mConfiguration };
   // A question that can't be sent is asked again at the next interval.
-  (void)mPooler.Send(wire::Encode(question, std::chrono::steady_clock::now()));
-  mTimer.expires_after(kAskInterval);
+  (void)mPooler.Send(wire::Encode(request, std::chrono::steady_clock::now()));
+  mTimer.expires_after(kRequestInterval);
   mTimer.async_wait([this](const boost::system::error_code& aError) {
     if (!aError) {
-      Ask();
+      RequestUpdates();
     }
   });
 }
@@ -136,20 +136,20 @@
                { { "reason", read.error.message() } });
     return;
   }
-  TakeView(*view);
+  ApplyView(*view);
 }
 
 void
-control::TakeView(const wire::view& aView)
+control::ApplyView(const wire::view& aView)
 {
   if (!aView.declaration.empty()) {
-    TakeDeclaration(aView.configurationVersion, aView.declaration);
+    ApplyDeclaration(aView.configurationVersion, aView.declaration);
   }
   fleet_view next{ aView.version, aView.live, aView.groups, aView.owners };
   bool changed = false;
   {
     const std::lock_guard lock(mMutex);
-    mHeard = std::chrono::steady_clock::now();
+    mLastReplyAt = std::chrono::steady_clock::now();
     changed = next.version != mView.version || next.live != mView.live ||
               next.groups != mView.groups || next.owners != mView.owners;
     mView = next;
@@ -164,7 +164,7 @@
 }
 
 void
-control::TakeDeclaration(std::uint64_t aVersion, const std::string& aText)
+control::ApplyDeclaration(std::uint64_t aVersion, const std::string& aText)
 {
   if (aVersion <= mConfiguration) {
     return;
--- a/src/currantshed/gateway/control.hpp
+++ b/src/currantshed/gateway/control.hpp
@@ -51,16 +51,16 @@
   void Start();
 
   /// Not ready from now on.
-  void Leave();
+  void BeginShutdown();
 
   [[nodiscard]] bool Ready() const override;
   [[nodiscard]] std::string StatusJson() const override;
 
 private:
-  void Ask();
+  void RequestUpdates();
   void Received(std::string_view aBytes);
-  void TakeView(const wire::view& aView);
-  void TakeDeclaration(std::uint64_t aVersion, const std::string& aText);
+  void ApplyView(const wire::view& aView);
+  void ApplyDeclaration(std::uint64_t aVersion, const std::string& aText);
 
   boost::asio::io_context& mContext;
   const gateway_settings& mSettings;
@@ -74,8 +74,8 @@
   mutable std::mutex mMutex;
   fleet_view mView;
   std::uint64_t mConfiguration = 0;
-  clock::time_point mHeard;
-  bool mLeaving = false;
+  clock::time_point mLastReplyAt;
+  bool mShuttingDown = false;
 };
 
 } // namespace currantshed::gateway
--- a/src/currantshed/gateway/engine.cpp
+++ b/src/currantshed/gateway/engine.cpp
@@ -44,7 +44,7 @@
     const auto found = mExchanges.find(aRequest);
     if (found != mExchanges.end()) {
       ++mState.counters.abandoned;
-      Return(*found->second, arrival::kGone, aNow);
+      Return(*found->second, return_cause::kCallerGone, aNow);
     }
   }
 
@@ -59,28 +59,28 @@
     }
     waiting->reply = std::move(aAnswer);
     waiting->incarnation = std::move(aIncarnation);
-    Return(*waiting, arrival::kReply, aNow);
+    Return(*waiting, return_cause::kReply, aNow);
   }
 
   void NotSent(group::request_id aRequest, clock::time_point aNow) override
   {
     if (exchange* waiting = FindSent(aRequest)) {
-      Return(*waiting, arrival::kNotSent, aNow);
+      Return(*waiting, return_cause::kNotSent, aNow);
     }
   }
 
   void PoolerLost(const std::string& aVm, clock::time_point aNow) override
   {
-    mState.health.Suspect(aVm, aNow + mState.settings.suspectFor);
+    mState.health.MarkSuspect(aVm, aNow + mState.settings.suspectDuration);
     for (const request_number number : SentTo(aVm)) {
-      Return(*mExchanges.at(number), arrival::kLost, aNow);
+      Return(*mExchanges.at(number), return_cause::kPoolerLost, aNow);
     }
   }
 
   void ViewChanged(fleet_view aView, clock::time_point aNow) override
   {
     std::vector<std::string> before;
-    for (const auto& vm : mState.present.live) {
+    for (const auto& vm : mState.view.live) {
       before.push_back(vm.id);
     }
     mState.SetView(std::move(aView));
@@ -102,10 +102,10 @@
 
   void Drain() override { mState.draining = true; }
 
-  void GiveUp(clock::time_point aNow) override
+  void ExpireAll(clock::time_point aNow) override
   {
     for (const request_number number : Numbers()) {
-      Return(*mExchanges.at(number), arrival::kDeadline, aNow);
+      Return(*mExchanges.at(number), return_cause::kDeadline, aNow);
     }
   }
 
@@ -142,11 +142,11 @@
   static constexpr std::size_t kFilters = 7;
 
   /// Sends an exchange back from the pooler's end of the pipe.
-  void Return(exchange& aExchange, arrival aBack, clock::time_point aNow)
+  void Return(exchange& aExchange, return_cause aCause, clock::time_point aNow)
   {
     mDue.erase({ aExchange.due, aExchange.request.number });
     mSent.erase(aExchange.sentAs);
-    aExchange.back = aBack;
+    aExchange.returnCause = aCause;
     Run(aExchange, kFilters, step::kBack, aNow);
   }
 
@@ -164,7 +164,7 @@
         if (aStep == step::kForward) {
           ++aAt;
         } else if (aStep == step::kBack) {
-          aExchange.back = arrival::kSettled;
+          aExchange.returnCause = return_cause::kSettled;
         }
         continue;
       }
@@ -187,18 +187,18 @@
   void Due(exchange& aExchange, clock::time_point aNow)
   {
     if (aNow >= aExchange.deadline) {
-      Return(aExchange, arrival::kDeadline, aNow);
+      Return(aExchange, return_cause::kDeadline, aNow);
       return;
     }
     if (aExchange.sentAs == 0) {
       Run(aExchange, kFilters - 1, step::kForward, aNow);
       return;
     }
-    const auto heard = mState.health.LastHeard(aExchange.vm);
+    const auto heard = mState.health.LastReplyAt(aExchange.vm);
     const auto silentAt =
-      std::max(heard, aExchange.sentAt) + aExchange.patience;
+      std::max(heard, aExchange.sentAt) + aExchange.replyTimeout;
     if (silentAt <= aNow) {
-      Return(aExchange, arrival::kLost, aNow);
+      Return(aExchange, return_cause::kPoolerLost, aNow);
       return;
     }
     aExchange.due = std::min(silentAt, aExchange.deadline);
@@ -208,7 +208,7 @@
   void Finish(exchange& aExchange, clock::time_point aNow)
   {
     const request_number number = aExchange.request.number;
-    if (aExchange.back != arrival::kGone) {
+    if (aExchange.returnCause != return_cause::kCallerGone) {
       mState.actions.emplace_back(Compose(aExchange, aNow));
     }
     mExchanges.erase(number);
--- a/src/currantshed/gateway/engine.hpp
+++ b/src/currantshed/gateway/engine.hpp
@@ -57,14 +57,14 @@
   std::chrono::milliseconds validity{ 200 };
   /// How long a pooler may say nothing before a read, or a change, under way
   /// there counts as lost; more where the deadline leaves more.
-  std::chrono::milliseconds readPatience{ 500 };
-  std::chrono::milliseconds changePatience{ 1000 };
+  std::chrono::milliseconds minReadReplyTimeout{ 500 };
+  std::chrono::milliseconds minChangeReplyTimeout{ 1000 };
   /// How long a lost pooler is passed over.
-  std::chrono::milliseconds suspectFor{ 2000 };
+  std::chrono::milliseconds suspectDuration{ 2000 };
   /// What is kept of the deadline for the answer's way back.
   std::chrono::milliseconds returnMargin{ 5 };
   /// Pause before a question is asked again of owners that all failed.
-  std::chrono::milliseconds retryPause{ 50 };
+  std::chrono::milliseconds retryDelay{ 50 };
   /// Deadline of calls that belong to no class.
   std::chrono::milliseconds defaultDeadline{ 2000 };
   /// Requests in flight at one engine.
@@ -75,8 +75,8 @@
   /// Longest answer, counted over its values.
   std::size_t answerBytes = std::size_t{ 8 } * 1024 * 1024;
   /// Retries that each request earns, and the most saved up.
-  double retryShare = 0.1;
-  double retryBurst = 20;
+  double retriesPerRequest = 0.1;
+  double retryCapacity = 20;
   /// Drives the spread of times to come back.
   std::uint64_t seed = 1;
 };
@@ -129,7 +129,7 @@
   virtual void Drain() = 0;
 
   /// Answers all that is under way now, as at its deadline.
-  virtual void GiveUp(clock::time_point aNow) = 0;
+  virtual void ExpireAll(clock::time_point aNow) = 0;
 
   /// Lets time pass.
   virtual void Tick(clock::time_point aNow) = 0;
--- a/src/currantshed/gateway/error.cpp
+++ b/src/currantshed/gateway/error.cpp
@@ -116,11 +116,11 @@
     "malformed_token",
     kBadRequest,
     "the session's token is malformed" },
-  { kForeignToken,
+  { kUntrustedToken,
     "foreign_token",
     kForbidden,
     "the session's token was not made by this system's present keys" },
-  { kForgedToken,
+  { kBadTokenSignature,
     "forged_token",
     kForbidden,
     "the session's token has been changed" },
@@ -128,7 +128,7 @@
     "malformed_transaction",
     kBadRequest,
     "the transaction's id is malformed" },
-  { kForgedTransaction,
+  { kUntrustedTransaction,
     "forged_transaction",
     kForbidden,
     "the transaction's id was not made by this system's present keys" },
@@ -186,9 +186,9 @@
 FromTokenError(std::error_code aError) noexcept
 {
   if (aError == session::session_error::kBadSignature) {
-    return kForgedToken;
+    return kBadTokenSignature;
   }
-  return aError == session::session_error::kUntrusted ? kForeignToken
+  return aError == session::session_error::kUntrusted ? kUntrustedToken
                                                       : kMalformedToken;
 }
 
@@ -197,7 +197,7 @@
 {
   const bool forged = aError == session::session_error::kBadSignature ||
                       aError == session::session_error::kUntrusted;
-  return forged ? kForgedTransaction : kMalformedTransaction;
+  return forged ? kUntrustedTransaction : kMalformedTransaction;
 }
 
 } // namespace currantshed::gateway
--- a/src/currantshed/gateway/error.hpp
+++ b/src/currantshed/gateway/error.hpp
@@ -34,10 +34,10 @@
   kMalformedKey,
   kKeyMismatch,
   kMalformedToken,
-  kForeignToken,
-  kForgedToken,
+  kUntrustedToken,
+  kBadTokenSignature,
   kMalformedTransaction,
-  kForgedTransaction,
+  kUntrustedTransaction,
 };
 
 /// The category of the gateway's errors; its messages are for callers.
--- a/src/currantshed/gateway/exchange.hpp
+++ b/src/currantshed/gateway/exchange.hpp
@@ -8,7 +8,7 @@
 #include "currantshed/clock/time.hpp"
 #include "currantshed/gateway/caller.hpp"
 #include "currantshed/gateway/fwd.hpp"
-#include "currantshed/gateway/transaction_name.hpp"
+#include "currantshed/gateway/transaction_handle.hpp"
 #include "currantshed/gateway/view.hpp"
 #include "currantshed/group/request.hpp"
 #include "currantshed/session/position_vector.hpp"
@@ -16,20 +16,20 @@
 namespace currantshed::gateway {
 
 /// What sends an exchange back towards its caller.
-enum class arrival
+enum class return_cause
 {
   /// A filter has settled the answer.
   kSettled,
   /// The pooler answered.
   kReply,
   /// The pooler was lost, or has been silent for too long.
-  kLost,
+  kPoolerLost,
   /// The request could not be sent to the pooler.
   kNotSent,
   /// The deadline has come.
   kDeadline,
   /// The caller has gone.
-  kGone,
+  kCallerGone,
 };
 
 /// One request on its way through the filters and back.
@@ -47,7 +47,7 @@
   std::shared_ptr<const policy::work_class> work;
   group::group_name group;
   outcome::idempotency_key key;
-  transaction_name transaction;
+  transaction_handle transaction;
 
   /// Whether it counts among the requests in flight.
   bool admitted = false;
@@ -55,7 +55,7 @@
   /// What to ask of the pooler next.
   group::operation next = group::operation::kRead;
   /// For a reconfirmation, the position asked about.
-  position::log_position asked;
+  position::log_position positionToConfirm;
   /// Nothing is sent before this time.
   clock::time_point notBefore;
 
@@ -65,20 +65,20 @@
   /// VM that it was last sent to.
   std::string vm;
   /// VMs that were lost on this exchange.
-  std::vector<std::string> lost;
+  std::vector<std::string> failedVms;
   /// How long the pooler's silence is borne.
-  clock::duration patience{ 0 };
+  clock::duration replyTimeout{ 0 };
   /// Whether something was sent whose fate is unknown.
-  bool doubt = false;
+  bool outcomeUnknown = false;
 
-  arrival back = arrival::kSettled;
+  return_cause returnCause = return_cause::kSettled;
   group::answer reply;
   /// Incarnation of the pooler that replied.
   std::string incarnation;
   /// A change's own answer, while its position is being reconfirmed.
-  group::answer kept;
+  group::answer changeReply;
   /// The operation that the kept answer belongs to.
-  group::operation keptFor = group::operation::kWrite;
+  group::operation changeOperation = group::operation::kWrite;
 
   caller_answer answer;
   /// When the engine must look at it again.
--- a/src/currantshed/gateway/fwd.hpp
+++ b/src/currantshed/gateway/fwd.hpp
@@ -15,7 +15,7 @@
 struct caller_request;
 struct exchange;
 struct shared_state;
-struct transaction_name;
+struct transaction_handle;
 struct fleet_view;
 class request_engine;
 class filter;
--- a/src/currantshed/gateway/json_codec.cpp
+++ b/src/currantshed/gateway/json_codec.cpp
@@ -272,7 +272,7 @@
     to.Field("retry_after_ms");
     to.Number(static_cast<std::uint64_t>(aAnswer.retryAfter.count()));
   }
-  to.OptionalField("ask", aAnswer.ask);
+  to.OptionalField("ask", aAnswer.outcomePath);
   to.OptionalField("session", aAnswer.session);
   to.Raw("}");
   return to.Take();
--- a/src/currantshed/gateway/metrics.cpp
+++ b/src/currantshed/gateway/metrics.cpp
@@ -126,7 +126,7 @@
 }
 
 void
-recorder::Refused()
+recorder::CountRefused()
 {
   constexpr auto kRefused =
     static_cast<std::size_t>(outcome::verdict::kRefused);
@@ -138,14 +138,14 @@
                  std::size_t aInFlight,
                  std::size_t aConnections)
 {
-  Raise(mMetrics.mRefusals, mTold.refusals, aCounters.refusals);
+  Raise(mMetrics.mRefusals, mReported.refusals, aCounters.refusals);
   Raise(mMetrics.mReconfirmations,
-        mTold.reconfirmations,
+        mReported.reconfirmations,
         aCounters.reconfirmations);
-  Raise(mMetrics.mResolutions, mTold.resolutions, aCounters.resolutions);
-  Raise(mMetrics.mRetries, mTold.retries, aCounters.retries);
-  Raise(mMetrics.mAbandoned, mTold.abandoned, aCounters.abandoned);
-  mTold = aCounters;
+  Raise(mMetrics.mResolutions, mReported.resolutions, aCounters.resolutions);
+  Raise(mMetrics.mRetries, mReported.retries, aCounters.retries);
+  Raise(mMetrics.mAbandoned, mReported.abandoned, aCounters.abandoned);
+  mReported = aCounters;
   Move(mMetrics.mInFlight, mInFlight, aInFlight);
   Move(mMetrics.mConnections, mConnections, aConnections);
 }
--- a/src/currantshed/gateway/metrics.hpp
+++ b/src/currantshed/gateway/metrics.hpp
@@ -55,7 +55,7 @@
   void Answered(const give_answer& aAnswer);
 
   /// Counts a request that was refused on the HTTP side.
-  void Refused();
+  void CountRefused();
 
   /// Takes over what the thread's engine has counted, and what it has now.
   void Update(const engine_counters& aCounters,
@@ -78,7 +78,7 @@
 
   metrics& mMetrics;
   absl::flat_hash_map<std::string, class_metrics> mClasses;
-  engine_counters mTold;
+  engine_counters mReported;
   std::size_t mInFlight = 0;
   std::size_t mConnections = 0;
 };
--- a/src/currantshed/gateway/outcome.cpp
+++ b/src/currantshed/gateway/outcome.cpp
@@ -13,7 +13,7 @@
 using outcome::reason;
 using outcome::verdict;
 
-constexpr std::chrono::milliseconds kComeBack{ 100 };
+constexpr std::chrono::milliseconds kRetryAfter{ 100 };
 /// Margins that must be left before the deadline for a doubt to be resolved.
 constexpr int kResolveMargins = 3;
 
@@ -63,20 +63,20 @@
 
   step Back(exchange& aExchange, clock::time_point aNow) override
   {
-    switch (aExchange.back) {
-      case arrival::kSettled:
+    switch (aExchange.returnCause) {
+      case return_cause::kSettled:
         return Settle(aExchange, std::move(aExchange.answer));
-      case arrival::kReply:
+      case return_cause::kReply:
         return Replied(aExchange, aNow);
-      case arrival::kLost:
+      case return_cause::kPoolerLost:
         return Lost(aExchange, aNow);
-      case arrival::kNotSent:
+      case return_cause::kNotSent:
         return NotSent(aExchange, aNow);
-      case arrival::kDeadline:
-      case arrival::kGone:
+      case return_cause::kDeadline:
+      case return_cause::kCallerGone:
         break;
     }
-    return Settle(aExchange, NotRun(reason::kDeadline, Pause()));
+    return Settle(aExchange, NotRun(reason::kDeadline, RetryAfter()));
   }
 
 private:
@@ -86,10 +86,11 @@
       return Resolved(aExchange, aNow);
     }
     if (CanTryNext(aExchange, aNow)) {
-      aExchange.lost.push_back(aExchange.vm);
-      return Again(aExchange);
+      aExchange.failedVms.push_back(aExchange.vm);
+      return Retry(aExchange);
     }
-    if (Changes(aExchange) && InDoubt(aExchange) && TimeLeft(aExchange, aNow)) {
+    if (Changes(aExchange) && IsOutcomeUnknown(aExchange) &&
+        TimeLeft(aExchange, aNow)) {
       return Resolve(aExchange, aNow);
     }
     return Settle(aExchange, Translate(aExchange));
@@ -105,22 +106,22 @@
     if (reply.verdict != verdict::kNotRun || IsBound(aExchange)) {
       return false;
     }
-    const auto until = aNow + mState.settings.suspectFor;
+    const auto until = aNow + mState.settings.suspectDuration;
     if (reply.why == reason::kLeaving) {
-      mState.health.Suspect(aExchange.vm, until);
+      mState.health.MarkSuspect(aExchange.vm, until);
     } else if (reply.why == reason::kNoPrimary) {
       // The pooler may be cut off from a primary that others reach.
-      mState.health.SuspectFor(aExchange.group, aExchange.vm, until);
+      mState.health.MarkSuspectForGroup(aExchange.group, aExchange.vm, until);
     } else {
       return false;
     }
     const std::size_t owners = mState.Owners(aExchange.group).size();
-    return aExchange.lost.size() + 1 < owners && TimeLeft(aExchange, aNow) &&
-           mState.retries.Spend();
+    return aExchange.failedVms.size() + 1 < owners &&
+           TimeLeft(aExchange, aNow) && mState.retries.TryWithdraw();
   }
 
   /// Whether the reply leaves open what became of the change.
-  [[nodiscard]] static bool InDoubt(const exchange& aExchange)
+  [[nodiscard]] static bool IsOutcomeUnknown(const exchange& aExchange)
   {
     const group::answer& reply = aExchange.reply;
     if (reply.verdict == verdict::kUnknown) {
@@ -133,7 +134,8 @@
     // before, by a call whose answer was lost.
     const bool lostCommit = aExchange.next == operation::kCommit &&
                             reply.why == reason::kTransactionLost;
-    return lostCommit || (aExchange.doubt && reply.why != reason::kKeyVoid);
+    return lostCommit ||
+           (aExchange.outcomeUnknown && reply.why != reason::kKeyVoid);
   }
 
   /// A key was asked about: the change is there, can never be, or nobody
@@ -143,28 +145,28 @@
     const group::answer& reply = aExchange.reply;
     const bool asked = aExchange.request.kind == call_kind::kOutcome;
     if (reply.verdict == verdict::kDone) {
-      aExchange.doubt = false;
+      aExchange.outcomeUnknown = false;
       caller_answer answer = Translate(aExchange);
       answer.results.clear();
       answer.repeated = !asked;
       return Settle(aExchange, std::move(answer));
     }
     if (reply.verdict == verdict::kNotRun && reply.why == reason::kKeyVoid) {
-      aExchange.doubt = false;
+      aExchange.outcomeUnknown = false;
       return Settle(aExchange, Translate(aExchange));
     }
     if (reply.verdict == verdict::kRefused) {
-      aExchange.doubt = aExchange.doubt || !asked;
+      aExchange.outcomeUnknown = aExchange.outcomeUnknown || !asked;
       return Settle(aExchange, Translate(aExchange));
     }
     if (!TimeLeft(aExchange, aNow)) {
-      aExchange.doubt = true;
+      aExchange.outcomeUnknown = true;
       return Settle(aExchange, Translate(aExchange));
     }
     if (reply.why == reason::kLeaving) {
-      aExchange.lost.push_back(aExchange.vm);
+      aExchange.failedVms.push_back(aExchange.vm);
     }
-    aExchange.notBefore = aNow + mState.settings.retryPause;
+    aExchange.notBefore = aNow + mState.settings.retryDelay;
     return step::kForward;
   }
 
@@ -177,17 +179,18 @@
       case operation::kReconfirm:
         return Resolve(aExchange, aNow);
       case operation::kWrite:
-        if (aExchange.work->repeatable && mState.retries.Spend()) {
-          return Again(aExchange);
+        if (aExchange.work->repeatable && mState.retries.TryWithdraw()) {
+          return Retry(aExchange);
         }
         return Resolve(aExchange, aNow);
       case operation::kRead:
-        if (mState.retries.Spend()) {
-          return Again(aExchange);
+        if (mState.retries.TryWithdraw()) {
+          return Retry(aExchange);
         }
-        return Settle(aExchange, NotRun(reason::kUnreachable, Pause()));
+        return Settle(aExchange, NotRun(reason::kUnreachable, RetryAfter()));
       default:
-        return Settle(aExchange, NotRun(reason::kTransactionLost, Pause()));
+        return Settle(aExchange,
+                      NotRun(reason::kTransactionLost, RetryAfter()));
     }
   }
 
@@ -199,13 +202,13 @@
         return Resolve(aExchange, aNow);
       case operation::kStatement:
       case operation::kRollback:
-        return Settle(aExchange, NotRun(reason::kUnreachable, Pause()));
+        return Settle(aExchange, NotRun(reason::kUnreachable, RetryAfter()));
       default:
         return step::kForward;
     }
   }
 
-  step Again(exchange& aExchange)
+  step Retry(exchange& aExchange)
   {
     ++mState.counters.retries;
     aExchange.notBefore = {};
@@ -215,7 +218,7 @@
   step Resolve(exchange& aExchange, clock::time_point aNow)
   {
     ++mState.counters.resolutions;
-    aExchange.doubt = true;
+    aExchange.outcomeUnknown = true;
     aExchange.next = operation::kResolve;
     aExchange.notBefore = aNow;
     return step::kForward;
@@ -228,9 +231,9 @@
            aExchange.deadline;
   }
 
-  [[nodiscard]] std::chrono::milliseconds Pause()
+  [[nodiscard]] std::chrono::milliseconds RetryAfter()
   {
-    return mState.Spread(kComeBack);
+    return mState.AddJitter(kRetryAfter);
   }
 
   [[nodiscard]] caller_answer Translate(exchange& aExchange)
@@ -248,15 +251,15 @@
     answer.sqlState = std::move(reply.sqlState);
     answer.retryAfter = reply.retryAfter;
     if (answer.verdict == verdict::kDone) {
-      Note(aExchange, answer);
-      Bound(aExchange, answer);
+      ApplySuccess(aExchange, answer);
+      LimitResultSize(aExchange, answer);
     }
     return answer;
   }
 
   /// Drops values past the limit. A change has been made all the same, and is
   /// told as done.
-  void Bound(const exchange& aExchange, caller_answer& aAnswer) const
+  void LimitResultSize(const exchange& aExchange, caller_answer& aAnswer) const
   {
     if (ValueBytes(aAnswer) <= mState.settings.answerBytes) {
       return;
@@ -270,18 +273,18 @@
 
   /// Notes what a reply of success adds: the session's position, or the
   /// transaction that was opened.
-  void Note(exchange& aExchange, caller_answer& aAnswer) const
+  void ApplySuccess(exchange& aExchange, caller_answer& aAnswer) const
   {
     if (ShowsPosition(aExchange)) {
       aExchange.seen.AdvanceTo(aExchange.group, aExchange.reply.position);
     }
     if (aExchange.request.kind == call_kind::kBegin) {
-      const transaction_name name{ aExchange.vm,
-                                   aExchange.incarnation,
-                                   aExchange.reply.transaction,
-                                   aExchange.work->name,
-                                   aExchange.group,
-                                   aExchange.key };
+      const transaction_handle name{ aExchange.vm,
+                                     aExchange.incarnation,
+                                     aExchange.reply.transaction,
+                                     aExchange.work->name,
+                                     aExchange.group,
+                                     aExchange.key };
       aAnswer.transaction = MakeTransactionId(name, mState.keys);
     }
   }
@@ -291,9 +294,9 @@
   step Settle(exchange& aExchange, caller_answer aAnswer)
   {
     const bool asked = aExchange.request.kind == call_kind::kOutcome;
-    const bool untold = aAnswer.verdict == verdict::kNotRun ||
-                        aAnswer.verdict == verdict::kRefused;
-    if (aExchange.doubt && untold) {
+    const bool notPerformed = aAnswer.verdict == verdict::kNotRun ||
+                              aAnswer.verdict == verdict::kRefused;
+    if (aExchange.outcomeUnknown && notPerformed) {
       aAnswer.verdict = verdict::kUnknown;
     }
     if (asked && aAnswer.verdict == verdict::kNotRun &&
@@ -303,12 +306,12 @@
     if (aAnswer.verdict == verdict::kUnknown) {
       aAnswer.retryAfter = {};
       if (HasOutcome(aExchange)) {
-        aAnswer.ask = AskPath(aExchange.group, aExchange.key);
+        aAnswer.outcomePath = OutcomePath(aExchange.group, aExchange.key);
       }
     }
     if (aAnswer.verdict == verdict::kNotRun &&
         aAnswer.retryAfter == std::chrono::milliseconds(0)) {
-      aAnswer.retryAfter = Pause();
+      aAnswer.retryAfter = RetryAfter();
     }
     aAnswer.group = aExchange.group;
     if (HasOutcome(aExchange) || aExchange.request.kind == call_kind::kBegin) {
--- a/src/currantshed/gateway/pooler_health.cpp
+++ b/src/currantshed/gateway/pooler_health.cpp
@@ -3,43 +3,44 @@
 namespace currantshed::gateway {
 
 void
-pooler_health::Heard(const std::string& aVm, clock::time_point aNow)
+pooler_health::RecordReply(const std::string& aVm, clock::time_point aNow)
 {
-  mWords[aVm] = { aNow, {} };
+  mPoolers[aVm] = { aNow, {} };
 }
 
 clock::time_point
-pooler_health::LastHeard(const std::string& aVm) const
+pooler_health::LastReplyAt(const std::string& aVm) const
 {
-  const auto found = mWords.find(aVm);
-  return found == mWords.end() ? clock::time_point{} : found->second.heard;
+  const auto found = mPoolers.find(aVm);
+  return found == mPoolers.end() ? clock::time_point{}
+                                 : found->second.lastReplyAt;
 }
 
 void
-pooler_health::Suspect(const std::string& aVm, clock::time_point aUntil)
+pooler_health::MarkSuspect(const std::string& aVm, clock::time_point aUntil)
 {
-  mWords[aVm].suspectUntil = aUntil;
+  mPoolers[aVm].suspectUntil = aUntil;
 }
 
 void
-pooler_health::SuspectFor(const group::group_name& aGroup,
-                          const std::string& aVm,
-                          clock::time_point aUntil)
+pooler_health::MarkSuspectForGroup(const group::group_name& aGroup,
+                                   const std::string& aVm,
+                                   clock::time_point aUntil)
 {
-  mCutOff[{ aGroup, aVm }] = aUntil;
+  mGroupSuspects[{ aGroup, aVm }] = aUntil;
 }
 
 bool
-pooler_health::Suspected(const group::group_name& aGroup,
+pooler_health::IsSuspect(const group::group_name& aGroup,
                          const std::string& aVm,
                          clock::time_point aNow) const
 {
-  const auto known = mWords.find(aVm);
-  if (known != mWords.end() && aNow < known->second.suspectUntil) {
+  const auto known = mPoolers.find(aVm);
+  if (known != mPoolers.end() && aNow < known->second.suspectUntil) {
     return true;
   }
-  const auto cutOff = mCutOff.find({ aGroup, aVm });
-  return cutOff != mCutOff.end() && aNow < cutOff->second;
+  const auto suspect = mGroupSuspects.find({ aGroup, aVm });
+  return suspect != mGroupSuspects.end() && aNow < suspect->second;
 }
 
 } // namespace currantshed::gateway
--- a/src/currantshed/gateway/pooler_health.hpp
+++ b/src/currantshed/gateway/pooler_health.hpp
@@ -18,36 +18,36 @@
 {
 public:
   /// An answer came from the VM's pooler, so it isn't suspect any more.
-  void Heard(const std::string& aVm, clock::time_point aNow);
+  void RecordReply(const std::string& aVm, clock::time_point aNow);
 
   /// When the VM's pooler last answered; the clock's epoch if never.
-  [[nodiscard]] clock::time_point LastHeard(const std::string& aVm) const;
+  [[nodiscard]] clock::time_point LastReplyAt(const std::string& aVm) const;
 
   /// Passes the VM's pooler over until the given time, where another owner
   /// is left.
-  void Suspect(const std::string& aVm, clock::time_point aUntil);
+  void MarkSuspect(const std::string& aVm, clock::time_point aUntil);
 
   /// The same for one group: its primary can't be reached from there.
-  void SuspectFor(const group::group_name& aGroup,
-                  const std::string& aVm,
-                  clock::time_point aUntil);
+  void MarkSuspectForGroup(const group::group_name& aGroup,
+                           const std::string& aVm,
+                           clock::time_point aUntil);
 
   /// Whether the VM's pooler is passed over for a group.
-  [[nodiscard]] bool Suspected(const group::group_name& aGroup,
+  [[nodiscard]] bool IsSuspect(const group::group_name& aGroup,
                                const std::string& aVm,
                                clock::time_point aNow) const;
 
 private:
-  struct word
+  struct pooler_record
   {
-    clock::time_point heard;
+    clock::time_point lastReplyAt;
     clock::time_point suspectUntil;
   };
 
-  using place = std::pair<group::group_name, std::string>;
+  using group_vm = std::pair<group::group_name, std::string>;
 
-  absl::flat_hash_map<std::string, word> mWords;
-  absl::flat_hash_map<place, clock::time_point> mCutOff;
+  absl::flat_hash_map<std::string, pooler_record> mPoolers;
+  absl::flat_hash_map<group_vm, clock::time_point> mGroupSuspects;
 };
 
 } // namespace currantshed::gateway
--- a/src/currantshed/gateway/pooler_links.cpp
+++ b/src/currantshed/gateway/pooler_links.cpp
@@ -58,7 +58,7 @@
   for (auto& [name, closed] : links) {
     if (closed != nullptr && closed->socket != nullptr) {
       closed->socket->Close();
-      for (const waiting& left : closed->queue) {
+      for (const queued_request& left : closed->queue) {
         Fail(left.message.request.id);
       }
     }
@@ -83,9 +83,9 @@
   if (to->socket == nullptr) {
     Open(*to);
   }
-  const auto giveUpAt = std::chrono::steady_clock::now() + kConnectPatience;
-  to->queue.push_back({ std::move(message), giveUpAt });
-  GiveUpLater();
+  const auto expiresAt = std::chrono::steady_clock::now() + kConnectPatience;
+  to->queue.push_back({ std::move(message), expiresAt });
+  ScheduleExpiry();
 }
 
 void
@@ -95,7 +95,7 @@
   if (to == nullptr || to->socket == nullptr) {
     return;
   }
-  std::erase_if(to->queue, [aRequest](const waiting& aWaiting) {
+  std::erase_if(to->queue, [aRequest](const queued_request& aWaiting) {
     return aWaiting.message.request.id == aRequest;
   });
   if (to->up) {
@@ -119,7 +119,7 @@
     std::make_unique<net::dealer>(mContext, mZmq, net::socket_settings{});
   aLink.socket->OnLink([this, alive = mAlive, vm = aLink.vm.id](bool aUp) {
     if (*alive) {
-      Changed(vm, aUp);
+      OnLinkChanged(vm, aUp);
     }
   });
   const auto error = aLink.socket->Connect(
@@ -134,7 +134,7 @@
 }
 
 void
-pooler_links::Changed(const std::string& aVm, bool aUp)
+pooler_links::OnLinkChanged(const std::string& aVm, bool aUp)
 {
   link* found = Find(aVm);
   if (found == nullptr) {
@@ -147,7 +147,7 @@
                { { "pooler", aVm } });
   }
   if (aUp) {
-    for (const waiting& next : std::exchange(found->queue, {})) {
+    for (const queued_request& next : std::exchange(found->queue, {})) {
       Transmit(*found, next.message);
     }
   } else if (wasUp) {
@@ -192,7 +192,7 @@
 }
 
 void
-pooler_links::GiveUpLater()
+pooler_links::ScheduleExpiry()
 {
   if (std::exchange(mTimerSet, true)) {
     return;
@@ -201,20 +201,20 @@
   mTimer.async_wait(
     [this, alive = mAlive](const boost::system::error_code& aError) {
       if (!aError && *alive) {
-        GiveUp();
+        FailExpired();
       }
     });
 }
 
 void
-pooler_links::GiveUp()
+pooler_links::FailExpired()
 {
   mTimerSet = false;
   const auto now = std::chrono::steady_clock::now();
   bool left = false;
   for (auto& [name, known] : mLinks) {
-    std::erase_if(known->queue, [this, now](const waiting& aWaiting) {
-      const bool late = aWaiting.giveUpAt <= now;
+    std::erase_if(known->queue, [this, now](const queued_request& aWaiting) {
+      const bool late = aWaiting.expiresAt <= now;
       if (late) {
         Fail(aWaiting.message.request.id);
       }
@@ -223,7 +223,7 @@
     left = left || !known->queue.empty();
   }
   if (left) {
-    GiveUpLater();
+    ScheduleExpiry();
   }
 }
 
--- a/src/currantshed/gateway/pooler_links.hpp
+++ b/src/currantshed/gateway/pooler_links.hpp
@@ -51,10 +51,10 @@
   void Cancel(const std::string& aVm, group::request_id aRequest);
 
 private:
-  struct waiting
+  struct queued_request
   {
     wire::group_request message;
-    clock::time_point giveUpAt;
+    clock::time_point expiresAt;
   };
 
   struct link
@@ -62,17 +62,17 @@
     store::vm vm;
     std::unique_ptr<net::dealer> socket;
     bool up = false;
-    std::vector<waiting> queue;
+    std::vector<queued_request> queue;
   };
 
   link* Find(const std::string& aVm);
   void Open(link& aLink);
-  void Changed(const std::string& aVm, bool aUp);
+  void OnLinkChanged(const std::string& aVm, bool aUp);
   void Received(std::string_view aBytes);
   void Transmit(link& aLink, const wire::group_request& aMessage);
   void Fail(group::request_id aRequest);
-  void GiveUpLater();
-  void GiveUp();
+  void ScheduleExpiry();
+  void FailExpired();
 
   boost::asio::io_context& mContext;
   zmq::context_t& mZmq;
--- a/src/currantshed/gateway/retry_budget.cpp
+++ b/src/currantshed/gateway/retry_budget.cpp
@@ -4,26 +4,26 @@
 
 namespace currantshed::gateway {
 
-retry_budget::retry_budget(double aShare, double aBurst) noexcept
-  : mShare(aShare)
-  , mBurst(aBurst)
-  , mLeft(aBurst)
+retry_budget::retry_budget(double aDepositPerRequest, double aCapacity) noexcept
+  : mDepositPerRequest(aDepositPerRequest)
+  , mCapacity(aCapacity)
+  , mBalance(aCapacity)
 {
 }
 
 void
-retry_budget::Earn() noexcept
+retry_budget::Deposit() noexcept
 {
-  mLeft = std::min(mBurst, mLeft + mShare);
+  mBalance = std::min(mCapacity, mBalance + mDepositPerRequest);
 }
 
 bool
-retry_budget::Spend() noexcept
+retry_budget::TryWithdraw() noexcept
 {
-  if (mLeft < 1) {
+  if (mBalance < 1) {
     return false;
   }
-  mLeft -= 1;
+  mBalance -= 1;
   return true;
 }
 
--- a/src/currantshed/gateway/retry_budget.hpp
+++ b/src/currantshed/gateway/retry_budget.hpp
@@ -10,20 +10,20 @@
 class retry_budget
 {
 public:
-  /// aShare is the retries that each request earns; aBurst is the most that
-  /// can be saved up, and what there is at the start.
-  retry_budget(double aShare, double aBurst) noexcept;
+  /// aDepositPerRequest is the retries that each request earns; aCapacity is
+  /// the most that can be saved up, and what there is at the start.
+  retry_budget(double aDepositPerRequest, double aCapacity) noexcept;
 
   /// Counts one request.
-  void Earn() noexcept;
+  void Deposit() noexcept;
 
   /// Takes one retry; false when there is none left.
-  [[nodiscard]] bool Spend() noexcept;
+  [[nodiscard]] bool TryWithdraw() noexcept;
 
 private:
-  double mShare;
-  double mBurst;
-  double mLeft;
+  double mDepositPerRequest;
+  double mCapacity;
+  double mBalance;
 };
 
 } // namespace currantshed::gateway
--- a/src/currantshed/gateway/route.cpp
+++ b/src/currantshed/gateway/route.cpp
@@ -13,7 +13,7 @@
 
 constexpr int kReadShare = 4;
 constexpr int kChangeShare = 2;
-constexpr std::chrono::milliseconds kComeBack{ 100 };
+constexpr std::chrono::milliseconds kRetryAfter{ 100 };
 
 /// Whether the operation belongs to an open transaction, which only the
 /// pooler that opened it knows.
@@ -51,12 +51,12 @@
     if (vm != nullptr) {
       return Send(aExchange, *vm, aNow);
     }
-    if (!aExchange.doubt) {
+    if (!aExchange.outcomeUnknown) {
       aExchange.answer =
-        NotRun(outcome::reason::kUnreachable, mState.Spread(kComeBack));
+        NotRun(outcome::reason::kUnreachable, mState.AddJitter(kRetryAfter));
       return step::kBack;
     }
-    aExchange.notBefore = aNow + mState.settings.retryPause;
+    aExchange.notBefore = aNow + mState.settings.retryDelay;
     aExchange.due = std::min(aExchange.notBefore, aExchange.deadline);
     return step::kWait;
   }
@@ -64,16 +64,16 @@
   step Back(exchange& aExchange, clock::time_point aNow) override
   {
     const bool underWay = aExchange.sentAs != 0;
-    if (aExchange.back == arrival::kReply) {
-      mState.health.Heard(aExchange.vm, aNow);
-    } else if (aExchange.back == arrival::kNotSent) {
-      PassOver(aExchange, aNow);
+    if (aExchange.returnCause == return_cause::kReply) {
+      mState.health.RecordReply(aExchange.vm, aNow);
+    } else if (aExchange.returnCause == return_cause::kNotSent) {
+      MarkFailed(aExchange, aNow);
     } else if (underWay) {
-      aExchange.doubt = true;
+      aExchange.outcomeUnknown = true;
       mState.actions.emplace_back(
         cancel_at_pooler{ aExchange.vm, aExchange.sentAs });
-      if (aExchange.back == arrival::kLost) {
-        PassOver(aExchange, aNow);
+      if (aExchange.returnCause == return_cause::kPoolerLost) {
+        MarkFailed(aExchange, aNow);
       }
     }
     aExchange.sentAs = 0;
@@ -83,7 +83,7 @@
 private:
   step ForwardBound(exchange& aExchange, clock::time_point aNow)
   {
-    const transaction_name& name = aExchange.transaction;
+    const transaction_handle& name = aExchange.transaction;
     if (mState.IsLive(name.vm)) {
       return Send(aExchange, name.vm, aNow);
     }
@@ -95,7 +95,7 @@
     // another one.
     ++mState.counters.resolutions;
     aExchange.next = operation::kResolve;
-    aExchange.doubt = true;
+    aExchange.outcomeUnknown = true;
     return Forward(aExchange, aNow);
   }
 
@@ -107,10 +107,10 @@
     const auto& owners = mState.Owners(aExchange.group);
     const std::string* second = nullptr;
     for (const std::string& vm : owners) {
-      if (Holds(aExchange.lost, vm)) {
+      if (Holds(aExchange.failedVms, vm)) {
         continue;
       }
-      if (!mState.health.Suspected(aExchange.group, vm, aNow)) {
+      if (!mState.health.IsSuspect(aExchange.group, vm, aNow)) {
         return &vm;
       }
       if (second == nullptr) {
@@ -119,7 +119,7 @@
     }
     if (second == nullptr) {
       // The next round begins with the leader again.
-      aExchange.lost.clear();
+      aExchange.failedVms.clear();
     }
     return second;
   }
@@ -129,23 +129,23 @@
     aExchange.vm = aVm;
     aExchange.sentAs = ++mState.lastSent;
     aExchange.sentAt = aNow;
-    aExchange.patience = Patience(aExchange, aNow);
-    aExchange.due = std::min(aExchange.deadline, aNow + aExchange.patience);
+    aExchange.replyTimeout = ReplyTimeout(aExchange, aNow);
+    aExchange.due = std::min(aExchange.deadline, aNow + aExchange.replyTimeout);
     mState.actions.emplace_back(Compose(aExchange));
     return step::kWait;
   }
 
   /// How long the pooler's silence is borne. The more time the deadline
   /// leaves, the longer a slow statement is waited for.
-  [[nodiscard]] clock::duration Patience(const exchange& aExchange,
-                                         clock::time_point aNow) const
+  [[nodiscard]] clock::duration ReplyTimeout(const exchange& aExchange,
+                                             clock::time_point aNow) const
   {
     const clock::duration left = aExchange.deadline - aNow;
     if (aExchange.next == operation::kRead) {
-      return std::max<clock::duration>(mState.settings.readPatience,
+      return std::max<clock::duration>(mState.settings.minReadReplyTimeout,
                                        left / kReadShare);
     }
-    return std::max<clock::duration>(mState.settings.changePatience,
+    return std::max<clock::duration>(mState.settings.minChangeReplyTimeout,
                                      left / kChangeShare);
   }
 
@@ -170,7 +170,7 @@
     request.floor = floor.position;
     request.fresh = floor.fresh;
     request.deadline = aExchange.deadline - mState.settings.returnMargin;
-    request.position = aExchange.asked;
+    request.position = aExchange.positionToConfirm;
     if (IsBound(aExchange.next)) {
       request.transaction = aExchange.transaction.number;
       message.incarnation = aExchange.transaction.incarnation;
@@ -178,10 +178,11 @@
     return message;
   }
 
-  void PassOver(exchange& aExchange, clock::time_point aNow)
+  void MarkFailed(exchange& aExchange, clock::time_point aNow)
   {
-    mState.health.Suspect(aExchange.vm, aNow + mState.settings.suspectFor);
-    aExchange.lost.push_back(aExchange.vm);
+    mState.health.MarkSuspect(aExchange.vm,
+                              aNow + mState.settings.suspectDuration);
+    aExchange.failedVms.push_back(aExchange.vm);
   }
 
   shared_state& mState;
--- a/src/currantshed/gateway/settings.hpp
+++ b/src/currantshed/gateway/settings.hpp
@@ -20,13 +20,13 @@
   /// Connections of one thread.
   std::size_t connections = 5000;
   /// From a request's first byte to its last one.
-  std::chrono::milliseconds requestTime{ 10000 };
+  std::chrono::milliseconds requestTimeout{ 10000 };
   /// From an answer's first byte to its last one.
-  std::chrono::milliseconds writeTime{ 15000 };
+  std::chrono::milliseconds writeTimeout{ 15000 };
   /// Between two requests.
-  std::chrono::milliseconds idleTime{ 300000 };
+  std::chrono::milliseconds idleTimeout{ 300000 };
   /// For a caller to hang up after a last answer.
-  std::chrono::milliseconds lingerTime{ 2000 };
+  std::chrono::milliseconds lingerTimeout{ 2000 };
 };
 
 /// All settings of one gateway.
--- a/src/currantshed/gateway/shared_state.cpp
+++ b/src/currantshed/gateway/shared_state.cpp
@@ -42,7 +42,7 @@
                            session::key_ring aKeys)
   : settings(aSettings)
   , keys(std::move(aKeys))
-  , retries(aSettings.retryShare, aSettings.retryBurst)
+  , retries(aSettings.retriesPerRequest, aSettings.retryCapacity)
   , mRandom(aSettings.seed)
 {
 }
@@ -55,29 +55,29 @@
 }
 
 std::vector<std::string>
-shared_state::WritePlaces(const group::group_name& aGroup) const
+shared_state::WriteDomains(const group::group_name& aGroup) const
 {
-  std::set<std::string> places;
+  std::set<std::string> domains;
   for (const auto& [name, rule] : rules) {
     if (rule->kind == policy::access::kWrite && MayUse(*rule, aGroup)) {
-      places.insert(rule->servedIn.begin(), rule->servedIn.end());
+      domains.insert(rule->servedIn.begin(), rule->servedIn.end());
     }
   }
-  return { places.begin(), places.end() };
+  return { domains.begin(), domains.end() };
 }
 
 bool
 shared_state::HasGroup(const group::group_name& aGroup) const
 {
-  const auto& groups = present.groups;
+  const auto& groups = view.groups;
   return std::find(groups.begin(), groups.end(), aGroup) != groups.end();
 }
 
 bool
 shared_state::IsLive(const std::string& aVm) const
 {
-  return std::any_of(present.live.begin(),
-                     present.live.end(),
+  return std::any_of(view.live.begin(),
+                     view.live.end(),
                      [&aVm](const auto& aLive) { return aLive.id == aVm; });
 }
 
@@ -87,12 +87,11 @@
   const auto [place, added] = mOwners.try_emplace(aGroup);
   if (added) {
     std::vector<store::vm> staying;
-    std::copy_if(present.live.begin(),
-                 present.live.end(),
+    std::copy_if(view.live.begin(),
+                 view.live.end(),
                  std::back_inserter(staying),
                  [](const auto& aVm) { return !aVm.leaving; });
-    for (const auto& vm :
-         member::ChooseOwners(aGroup, staying, present.owners)) {
+    for (const auto& vm : member::ChooseOwners(aGroup, staying, view.owners)) {
       place->second.push_back(vm.id);
     }
   }
@@ -100,7 +99,7 @@
 }
 
 std::chrono::milliseconds
-shared_state::Spread(std::chrono::milliseconds aTime)
+shared_state::AddJitter(std::chrono::milliseconds aTime)
 {
   const auto half = static_cast<std::uint64_t>(aTime.count()) / 2;
   const std::uint64_t added = NextRandom(mRandom) % (half + 1);
@@ -110,7 +109,7 @@
 void
 shared_state::SetView(fleet_view aView)
 {
-  present = std::move(aView);
+  view = std::move(aView);
   mOwners.clear();
 }
 
--- a/src/currantshed/gateway/shared_state.hpp
+++ b/src/currantshed/gateway/shared_state.hpp
@@ -31,7 +31,7 @@
     const std::string& aClass) const;
 
   /// Failure domains in which some class may write to the group, in order.
-  [[nodiscard]] std::vector<std::string> WritePlaces(
+  [[nodiscard]] std::vector<std::string> WriteDomains(
     const group::group_name& aGroup) const;
 
   /// Whether the platform lists the group.
@@ -45,7 +45,7 @@
     const group::group_name& aGroup);
 
   /// Adds up to a half, so that callers do not come back all at once.
-  [[nodiscard]] std::chrono::milliseconds Spread(
+  [[nodiscard]] std::chrono::milliseconds AddJitter(
     std::chrono::milliseconds aTime);
 
   void SetView(fleet_view aView);
@@ -53,7 +53,7 @@
 
   engine_settings settings;
   session::key_ring keys;
-  fleet_view present;
+  fleet_view view;
   std::uint64_t configurationVersion = 0;
   absl::flat_hash_map<std::string, std::shared_ptr<const policy::work_class>>
     rules;
--- a/src/currantshed/gateway/sign_token.cpp
+++ b/src/currantshed/gateway/sign_token.cpp
@@ -14,8 +14,8 @@
 TokenRefused(const caller_answer& aAnswer)
 {
   return aAnswer.fault == gateway_error::kMalformedToken ||
-         aAnswer.fault == gateway_error::kForeignToken ||
-         aAnswer.fault == gateway_error::kForgedToken;
+         aAnswer.fault == gateway_error::kUntrustedToken ||
+         aAnswer.fault == gateway_error::kBadTokenSignature;
 }
 
 class sign_token final : public filter
--- a/src/currantshed/gateway/transaction_name.cpp
+++ b/src/currantshed/gateway/transaction_handle.cpp
@@ -1,4 +1,4 @@
-#include "currantshed/gateway/transaction_name.hpp"
+#include "currantshed/gateway/transaction_handle.hpp"
 
 #include <charconv>
 #include <vector>
@@ -38,7 +38,8 @@
 } // namespace
 
 std::string
-MakeTransactionId(const transaction_name& aName, const session::key_ring& aKeys)
+MakeTransactionId(const transaction_handle& aName,
+                  const session::key_ring& aKeys)
 {
   const std::vector<std::string> fields{
     aName.vm,        aName.incarnation, std::to_string(aName.number),
@@ -52,7 +53,7 @@
 std::error_code
 ReadTransactionId(std::string_view aId,
                   const session::key_ring& aKeys,
-                  transaction_name& aName)
+                  transaction_handle& aName)
 {
   std::string content;
   if (const auto error =
@@ -60,7 +61,7 @@
     return error;
   }
   const std::vector<std::string> fields = absl::StrSplit(content, kSeparator);
-  transaction_name name;
+  transaction_handle name;
   if (fields.size() != kFields || !ReadNumber(fields[kNumber], name.number)) {
     return session::session_error::kMalformed;
   }
--- a/src/currantshed/gateway/transaction_name.hpp
+++ b/src/currantshed/gateway/transaction_handle.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_GATEWAY_TRANSACTION_NAME_HPP
-#define CURRANTSHED_GATEWAY_TRANSACTION_NAME_HPP
+#ifndef CURRANTSHED_GATEWAY_TRANSACTION_HANDLE_HPP
+#define CURRANTSHED_GATEWAY_TRANSACTION_HANDLE_HPP
 
 #include <string>
 #include <string_view>
@@ -14,7 +14,7 @@
 
 /// All that any gateway needs to go on with an open transaction. Callers
 /// carry it as an opaque, sealed id.
-struct transaction_name
+struct transaction_handle
 {
   /// VM of the pooler that holds the transaction's connection.
   std::string vm;
@@ -26,13 +26,13 @@
   /// The key under which the transaction commits.
   outcome::idempotency_key key;
 
-  [[nodiscard]] friend bool operator==(const transaction_name&,
-                                       const transaction_name&) = default;
+  [[nodiscard]] friend bool operator==(const transaction_handle&,
+                                       const transaction_handle&) = default;
 };
 
 /// The sealed id of a transaction, fit for a path.
 [[nodiscard]] std::string
-MakeTransactionId(const transaction_name& aName,
+MakeTransactionId(const transaction_handle& aName,
                   const session::key_ring& aKeys);
 
 /// Reads a sealed id; an error of session_error when these keys did not make
@@ -40,7 +40,7 @@
 [[nodiscard]] std::error_code
 ReadTransactionId(std::string_view aId,
                   const session::key_ring& aKeys,
-                  transaction_name& aName);
+                  transaction_handle& aName);
 
 } // namespace currantshed::gateway
 
--- a/src/currantshed/gateway/worker.cpp
+++ b/src/currantshed/gateway/worker.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// Time between updates of the metrics, and checks whether all is answered.
-constexpr std::chrono::milliseconds kWatchInterval{ 100 };
+constexpr std::chrono::milliseconds kMetricsInterval{ 100 };
 
 clock::time_point
 Now()
@@ -31,7 +31,7 @@
 // One line for each end of connections, so that a request that a caller lost
 // can be traced to the moment and the state in which it was.
 void
-NoteClosed(std::string_view aWhen, const closed_connections& aClosed)
+LogClosed(std::string_view aWhen, const closed_connections& aClosed)
 {
   const auto count = [](std::size_t aCount) {
     return static_cast<std::int64_t>(aCount);
@@ -60,9 +60,9 @@
   , mTick(mContext,
           [this] {
             mEngine->Tick(Now());
-            Act();
+            RunActions();
           })
-  , mWatch(mContext)
+  , mMetricsTimer(mContext)
 {
 }
 
@@ -75,7 +75,7 @@
         mServer.Start(mSettings.address, mSettings.callerPort)) {
     return error;
   }
-  Watch();
+  UpdateMetrics();
   mThread = std::thread([this] { mContext.run(); });
   return {};
 }
@@ -86,7 +86,7 @@
   boost::asio::post(mContext, [this, view = std::move(aView)]() mutable {
     mLinks.SetVms(view.live);
     mEngine->ViewChanged(std::move(view), Now());
-    Act();
+    RunActions();
   });
 }
 
@@ -99,9 +99,9 @@
 }
 
 void
-worker::Leave()
+worker::BeginShutdown()
 {
-  boost::asio::post(mContext, [this] { mServer.Leave(); });
+  boost::asio::post(mContext, [this] { mServer.BeginShutdown(); });
 }
 
 void
@@ -121,12 +121,12 @@
 }
 
 void
-worker::GiveUp()
+worker::ExpireAll()
 {
   boost::asio::post(mContext, [this] {
-    NoteClosed("drain_timed_out", mServer.CloseIdle());
-    mEngine->GiveUp(Now());
-    Act();
+    LogClosed("drain_timed_out", mServer.CloseIdle());
+    mEngine->ExpireAll(Now());
+    RunActions();
   });
 }
 
@@ -137,7 +137,7 @@
     return;
   }
   boost::asio::post(mContext, [this] {
-    NoteClosed("stop", mServer.Stop());
+    LogClosed("stop", mServer.Stop());
     mContext.stop();
   });
   mThread.join();
@@ -146,25 +146,25 @@
 void
 worker::Submit(caller_request aRequest)
 {
-  aRequest.spareKey =
+  aRequest.generatedKey =
     outcome::idempotency_key::Make(std::chrono::system_clock::now(),
                                    absl::Uniform<std::uint64_t>(mRandom),
                                    absl::Uniform<std::uint64_t>(mRandom));
   mEngine->Submit(std::move(aRequest), Now());
-  Act();
+  RunActions();
 }
 
 void
 worker::Cancel(request_number aRequest)
 {
   mEngine->Cancel(aRequest, Now());
-  Act();
+  RunActions();
 }
 
 void
-worker::Refused()
+worker::CountRefused()
 {
-  mRecorder.Refused();
+  mRecorder.CountRefused();
 }
 
 void
@@ -172,25 +172,25 @@
 {
   mEngine->PoolerAnswered(
     std::move(aAnswer.answer), std::move(aAnswer.incarnation), Now());
-  Act();
+  RunActions();
 }
 
 void
 worker::NotSent(group::request_id aRequest)
 {
   mEngine->NotSent(aRequest, Now());
-  Act();
+  RunActions();
 }
 
 void
 worker::PoolerLost(const std::string& aVm)
 {
   mEngine->PoolerLost(aVm, Now());
-  Act();
+  RunActions();
 }
 
 void
-worker::Act()
+worker::RunActions()
 {
   for (auto& next : mEngine->TakeActions()) {
     if (auto* message = std::get_if<send_to_pooler>(&next)) {
@@ -210,15 +210,15 @@
 }
 
 void
-worker::Watch()
+worker::UpdateMetrics()
 {
   mRecorder.Update(
     mEngine->Counters(), mEngine->Pending(), mServer.Connections());
   CheckDrained();
-  mWatch.expires_after(kWatchInterval);
-  mWatch.async_wait([this](const boost::system::error_code& aError) {
+  mMetricsTimer.expires_after(kMetricsInterval);
+  mMetricsTimer.async_wait([this](const boost::system::error_code& aError) {
     if (!aError) {
-      Watch();
+      UpdateMetrics();
     }
   });
 }
--- a/src/currantshed/gateway/worker.hpp
+++ b/src/currantshed/gateway/worker.hpp
@@ -48,7 +48,7 @@
   void SetRules(class_rules aRules);
 
   /// Ends each connection after its next answer.
-  void Leave();
+  void BeginShutdown();
 
   /// Takes no new connections, and calls back on this worker's thread once
   /// those that it has are gone. A caller may send on a connection that it has
@@ -60,7 +60,7 @@
   void RefuseNew();
 
   /// Answers all that waits, as at its deadline, and closes idle connections.
-  void GiveUp();
+  void ExpireAll();
 
   /// Ends the thread; to be called before the worker's own end.
   void Stop();
@@ -68,14 +68,14 @@
 private:
   void Submit(caller_request aRequest) override;
   void Cancel(request_number aRequest) override;
-  void Refused() override;
+  void CountRefused() override;
   void PoolerAnswered(wire::group_answer aAnswer) override;
   void NotSent(group::request_id aRequest) override;
   void PoolerLost(const std::string& aVm) override;
 
   /// Carries out what the engine wants done.
-  void Act();
-  void Watch();
+  void RunActions();
+  void UpdateMetrics();
   void CheckDrained();
 
   const gateway_settings& mSettings;
@@ -87,7 +87,7 @@
   caller_server mServer;
   recorder mRecorder;
   net::tick_timer mTick;
-  boost::asio::steady_timer mWatch;
+  boost::asio::steady_timer mMetricsTimer;
   absl::BitGen mRandom;
   std::function<void()> mDrained;
   std::thread mThread;
--- a/test/currantshed/ctl/verbs.cpp
+++ b/test/currantshed/ctl/verbs.cpp
@@ -6,7 +6,7 @@
 
 #include <absl/strings/str_cat.h>
 
-#include "currantshed/ctl/pacer.hpp"
+#include "currantshed/ctl/sleep_clock.hpp"
 #include "currantshed/store/fake_client.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -63,11 +63,11 @@
   }
 };
 
-struct fake_pacer : ctl::pacer
+struct fake_pacer : ctl::sleep_clock
 {
   clock::time_point now;
   clock::time_point Now() override { return now; }
-  void Pause(std::chrono::milliseconds aTime) override { now += aTime; }
+  void Sleep(std::chrono::milliseconds aTime) override { now += aTime; }
 };
 
 store::vm
@@ -118,11 +118,11 @@
       bool aAskedBefore = false)
 {
   return [=](ctl::verbs aVerbs) {
-    ctl::apply_order order;
+    ctl::apply_options order;
     order.expected = aExpected;
     order.change = "own";
     order.askedBefore = aAskedBefore;
-    order.atMost = std::chrono::seconds(2);
+    order.timeout = std::chrono::seconds(2);
     return aVerbs.Apply({ "f", aText }, order);
   };
 }
@@ -131,7 +131,7 @@
 WaitForGateways(std::uint64_t aVersion)
 {
   return [=](ctl::verbs aVerbs) {
-    ctl::asking asked;
+    ctl::query_options asked;
     asked.gateways = ctl::gateway_port{ 1, true };
     return aVerbs.Wait(aVersion, std::chrono::seconds(1), asked);
   };
@@ -295,7 +295,7 @@
       aBench.store.LoseBeforeEffect(1000);
     },
     Apply(kNew, 7),
-    exit_code::kNotKnown,
+    exit_code::kOutcomeUnknown,
     7,
     "",
     "not known whether it was applied. Ask again with: apply FILE "
--- a/test/currantshed/gateway/caller_server.cpp
+++ b/test/currantshed/gateway/caller_server.cpp
@@ -42,7 +42,7 @@
     cancelled.push_back(aRequest);
   }
 
-  void Refused() override { ++refused; }
+  void CountRefused() override { ++refused; }
 
   void Answer(request_number aNumber)
   {
@@ -300,7 +300,7 @@
 TEST(gateway_caller_server, request_that_does_not_arrive_in_time)
 {
   auto limits = Limits();
-  limits.requestTime = 1ms;
+  limits.requestTimeout = 1ms;
   served made(limits);
   auto caller = made.Connect();
   made.Send(caller, Good().substr(0, 40));
@@ -311,7 +311,7 @@
 TEST(gateway_caller_server, caller_that_stops_reading_is_cut_off)
 {
   auto limits = Limits();
-  limits.writeTime = 1ms;
+  limits.writeTimeout = 1ms;
   served made(limits);
   made.sink.holds = true;
   auto caller = made.Connect();
@@ -352,7 +352,7 @@
   CHECK(made.Until([&] {
     return made.sink.taken.size() == 1 && made.server.Connections() == 2;
   }));
-  made.server.Leave();
+  made.server.BeginShutdown();
   made.server.CloseIdle();
   LONGS_EQUAL(1, made.server.Connections());
   made.sink.Answer(made.sink.taken[0].number);
@@ -394,7 +394,7 @@
   };
   for (const auto& row : rows) {
     auto limits = Limits();
-    limits.lingerTime = 1ms;
+    limits.lingerTimeout = 1ms;
     served made(limits);
     auto caller = made.Connect();
     if (row.before == state::kKept) {
@@ -407,7 +407,7 @@
     if (row.isSentBefore) {
       caller.write_some(boost::asio::buffer(Good()));
     }
-    made.server.Leave();
+    made.server.BeginShutdown();
     made.server.StopListening();
     if (!row.isSentBefore) {
       made.Send(caller, Good());
@@ -440,7 +440,7 @@
   struct row
   {
     const char* name;
-    std::chrono::milliseconds idleTime;
+    std::chrono::milliseconds idleTimeout;
     bool closesIdle;
   };
   const row rows[] = {
@@ -449,7 +449,7 @@
   };
   for (const auto& row : rows) {
     auto limits = Limits();
-    limits.idleTime = row.idleTime;
+    limits.idleTimeout = row.idleTimeout;
     served made(limits);
     auto caller = made.Connect();
     CHECK_TEXT(made.Until([&] { return made.server.Connections() == 1; }),
@@ -458,7 +458,7 @@
     if (row.closesIdle) {
       LONGS_EQUAL_TEXT(0, made.server.CloseIdle().unread, row.name);
     } else {
-      made.server.CheckTimes();
+      made.server.CheckTimeouts();
     }
     const std::string answer = made.Read(caller, 1);
     CHECK_TEXT(answer.find("200 OK") != std::string::npos, row.name);
--- a/test/currantshed/gateway/engine.cpp
+++ b/test/currantshed/gateway/engine.cpp
@@ -7,10 +7,10 @@
 #include <vector>
 
 #include "currantshed/gateway/error.hpp"
-#include "currantshed/gateway/transaction_name.hpp"
+#include "currantshed/gateway/transaction_handle.hpp"
 #include "currantshed/member/membership.hpp"
 #include "currantshed/session/token.hpp"
-#include "test/currantshed/gateway/engine_bench.hpp"
+#include "test/currantshed/gateway/engine_fixture.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -68,10 +68,10 @@
     [](auto& aCall) {
       aCall.session = session::MakeToken({}, Ring(kOtherKeys));
     },
-    gateway_error::kForgedToken },
+    gateway_error::kBadTokenSignature },
   { "foreign token",
     [](auto& aCall) { aCall.session = TransactionId("vm-a"); },
-    gateway_error::kForeignToken },
+    gateway_error::kUntrustedToken },
   { "malformed key",
     [](auto& aCall) { aCall.key = "nonsense"; },
     gateway_error::kMalformedKey },
@@ -92,7 +92,7 @@
       aCall.kind = call_kind::kCommit;
       aCall.transaction = session::MakeToken({}, Ring());
     },
-    gateway_error::kForgedTransaction },
+    gateway_error::kUntrustedTransaction },
   { "another key than that of the transaction",
     [](auto& aCall) {
       aCall.kind = call_kind::kCommit;
@@ -161,12 +161,12 @@
 TEST(gateway_engine, refusals)
 {
   for (const auto& row : kRefusals) {
-    engine_bench bench;
+    engine_fixture fixture;
     auto call = Call("report");
     row.change(call);
-    bench.Submit(call);
-    STRCMP_EQUAL_TEXT("refused", bench.log.c_str(), row.name);
-    const auto& fault = bench.given.answer.fault;
+    fixture.Submit(call);
+    STRCMP_EQUAL_TEXT("refused", fixture.log.c_str(), row.name);
+    const auto& fault = fixture.given.answer.fault;
     STRCMP_EQUAL_TEXT(make_error_code(row.expect).message().c_str(),
                       fault.message().c_str(),
                       row.name);
@@ -176,27 +176,27 @@
 TEST(gateway_engine, floors)
 {
   for (const auto& row : kFloors) {
-    engine_bench bench;
+    engine_fixture fixture;
     auto call = Call("lookup");
     call.session = row.make();
-    bench.Submit(call);
-    CHECK_TEXT(row.floor == bench.sent.request.floor, row.name);
-    CHECK_EQUAL_TEXT(row.fresh, bench.sent.request.fresh, row.name);
+    fixture.Submit(call);
+    CHECK_TEXT(row.floor == fixture.sent.request.floor, row.name);
+    CHECK_EQUAL_TEXT(row.fresh, fixture.sent.request.fresh, row.name);
   }
 }
 
 TEST(gateway_engine, deadlines)
 {
   for (const auto& row : kDeadlines) {
-    engine_bench bench;
+    engine_fixture fixture;
     auto call = Call("report");
     call.deadline = row.own;
-    bench.Submit(call);
+    fixture.Submit(call);
     if (row.budget == 0ms) {
-      STRCMP_EQUAL_TEXT("not_run", bench.log.c_str(), row.name);
-      CHECK_TEXT(bench.given.answer.why == reason::kDeadline, row.name);
+      STRCMP_EQUAL_TEXT("not_run", fixture.log.c_str(), row.name);
+      CHECK_TEXT(fixture.given.answer.why == reason::kDeadline, row.name);
     } else {
-      CHECK_TEXT(bench.sent.request.deadline - bench.now == row.budget,
+      CHECK_TEXT(fixture.sent.request.deadline - fixture.now == row.budget,
                  row.name);
     }
   }
@@ -227,56 +227,57 @@
       reason::kAnswerTooLarge },
   };
   for (const auto& row : kRows) {
-    engine_bench bench;
-    bench.Submit(Call(row.workClass));
+    engine_fixture fixture;
+    fixture.Submit(Call(row.workClass));
     auto answer = Answer(verdict::kDone);
     answer.results = { { { "c" }, { std::string(row.bytes, 'x') }, 0 } };
-    bench.Reply(answer);
-    CHECK_TEXT(row.expect == bench.given.answer.verdict, row.name);
-    CHECK_TEXT(row.why == bench.given.answer.why, row.name);
-    CHECK_EQUAL_TEXT(
-      row.why == reason::kNone, !bench.given.answer.results.empty(), row.name);
+    fixture.Reply(answer);
+    CHECK_TEXT(row.expect == fixture.given.answer.verdict, row.name);
+    CHECK_TEXT(row.why == fixture.given.answer.why, row.name);
+    CHECK_EQUAL_TEXT(row.why == reason::kNone,
+                     !fixture.given.answer.results.empty(),
+                     row.name);
   }
 }
 
 TEST(gateway_engine, answer_raises_the_token)
 {
-  engine_bench bench;
+  engine_fixture fixture;
   auto call = Call("report");
   call.session = session::MakeToken(Seen("planner", { 2, 8 }), Ring());
-  bench.Submit(call);
-  bench.Reply(Answer(verdict::kDone));
+  fixture.Submit(call);
+  fixture.Reply(Answer(verdict::kDone));
   session::position_vector seen;
-  CHECK(!session::ReadToken(bench.given.answer.session, Ring(), seen));
+  CHECK(!session::ReadToken(fixture.given.answer.session, Ring(), seen));
   CHECK(seen.Floor(kGroup).position == (log_position{ 3, 50 }));
   CHECK(seen.Floor("planner").position == (log_position{ 2, 8 }));
 }
 
 TEST(gateway_engine, answer_to_a_session_without_token_assumes_more)
 {
-  engine_bench bench;
+  engine_fixture fixture;
   auto call = Call("report");
   call.session.reset();
-  bench.Submit(call);
-  bench.Reply(Answer(verdict::kDone));
+  fixture.Submit(call);
+  fixture.Reply(Answer(verdict::kDone));
   session::position_vector seen;
-  CHECK(!session::ReadToken(bench.given.answer.session, Ring(), seen));
+  CHECK(!session::ReadToken(fixture.given.answer.session, Ring(), seen));
   CHECK_FALSE(seen.Floor(kGroup).fresh);
   CHECK(seen.Floor("planner").fresh);
 }
 
 TEST(gateway_engine, transaction_id_names_pooler_and_key)
 {
-  engine_bench bench;
-  bench.Submit(Call("report", call_kind::kBegin));
+  engine_fixture fixture;
+  fixture.Submit(Call("report", call_kind::kBegin));
   auto opened = Answer(verdict::kDone);
   opened.transaction = 42;
-  bench.Reply(opened);
-  gateway::transaction_name name;
-  const auto& answer = bench.given.answer;
+  fixture.Reply(opened);
+  gateway::transaction_handle name;
+  const auto& answer = fixture.given.answer;
   CHECK(!gateway::ReadTransactionId(answer.transaction, Ring(), name));
-  const gateway::transaction_name expected{
-    bench.owners[0], "life-1", 42, "report", kGroup, SpareKey(1)
+  const gateway::transaction_handle expected{
+    fixture.owners[0], "life-1", 42, "report", kGroup, SpareKey(1)
   };
   CHECK(name == expected);
   CHECK(answer.key == SpareKey(1));
@@ -284,23 +285,23 @@
 
 TEST(gateway_engine, commit_uses_the_key_of_the_transaction)
 {
-  engine_bench bench;
+  engine_fixture fixture;
   auto call = Call("", call_kind::kCommit);
   call.transaction = TransactionId("vm-a");
-  bench.Submit(call);
-  CHECK(bench.sent.request.key == SpareKey(77));
-  LONGS_EQUAL(9, bench.sent.request.transaction);
-  STRCMP_EQUAL("life-1", bench.sent.incarnation.c_str());
+  fixture.Submit(call);
+  CHECK(fixture.sent.request.key == SpareKey(77));
+  LONGS_EQUAL(9, fixture.sent.request.transaction);
+  STRCMP_EQUAL("life-1", fixture.sent.incarnation.c_str());
 }
 
 TEST(gateway_engine, commit_at_a_vm_that_has_gone_is_resolved)
 {
-  engine_bench bench;
+  engine_fixture fixture;
   auto call = Call("", call_kind::kCommit);
   call.transaction = TransactionId("vm-gone");
-  bench.Submit(call);
-  bench.Reply(Answer(verdict::kNotRun, reason::kKeyVoid));
-  STRCMP_EQUAL("resolve@0 not_run", bench.log.c_str());
+  fixture.Submit(call);
+  fixture.Reply(Answer(verdict::kNotRun, reason::kKeyVoid));
+  STRCMP_EQUAL("resolve@0 not_run", fixture.log.c_str());
 }
 
 TEST(gateway_engine, unknown_class_of_a_change_is_served_where_any_may_write)
@@ -324,134 +325,134 @@
       { "depot" } },
   };
   for (const auto& row : kRows) {
-    engine_bench bench;
+    engine_fixture fixture;
     auto call = Call("", row.kind);
     call.key = SpareKey(77).Text();
     call.transaction = gateway::MakeTransactionId(
       { "vm-a", "life-1", 9, row.workClass, kGroup, SpareKey(77) }, Ring());
-    bench.Submit(call);
-    CHECK_TEXT(row.places == bench.sent.request.work.servedIn, row.name);
+    fixture.Submit(call);
+    CHECK_TEXT(row.places == fixture.sent.request.work.servedIn, row.name);
   }
 }
 
 TEST(gateway_engine, suspected_pooler_is_passed_over_for_a_while)
 {
-  engine_bench bench;
-  bench.Submit(Call("lookup"));
-  bench.Engine().PoolerLost(bench.owners[0], bench.now);
-  bench.Take();
-  bench.Reply(Answer(verdict::kDone));
-  bench.Submit(Call("lookup"));
-  bench.Reply(Answer(verdict::kDone));
-  bench.Advance(2000ms);
-  bench.Submit(Call("lookup"));
+  engine_fixture fixture;
+  fixture.Submit(Call("lookup"));
+  fixture.Engine().PoolerLost(fixture.owners[0], fixture.now);
+  fixture.Take();
+  fixture.Reply(Answer(verdict::kDone));
+  fixture.Submit(Call("lookup"));
+  fixture.Reply(Answer(verdict::kDone));
+  fixture.Advance(2000ms);
+  fixture.Submit(Call("lookup"));
   STRCMP_EQUAL("read@0 cancel@0 read@1 done read@1 done read@0",
-               bench.log.c_str());
+               fixture.log.c_str());
 }
 
 TEST(gateway_engine, pooler_cut_off_from_one_group_still_serves_others)
 {
-  engine_bench bench;
-  bench.Submit(Call("lookup"));
-  bench.Reply(Answer(verdict::kNotRun, reason::kNoPrimary));
-  bench.Reply(Answer(verdict::kDone));
-  bench.Submit(Call("lookup"));
-  bench.Reply(Answer(verdict::kDone));
-  STRCMP_EQUAL("read@0 read@1 done read@1 done", bench.log.c_str());
+  engine_fixture fixture;
+  fixture.Submit(Call("lookup"));
+  fixture.Reply(Answer(verdict::kNotRun, reason::kNoPrimary));
+  fixture.Reply(Answer(verdict::kDone));
+  fixture.Submit(Call("lookup"));
+  fixture.Reply(Answer(verdict::kDone));
+  STRCMP_EQUAL("read@0 read@1 done read@1 done", fixture.log.c_str());
   auto other = Call("planning");
   other.group = "planner";
   const auto owners =
     currantshed::member::ChooseOwners("planner", SampleView().live, 3);
-  bench.Submit(other);
-  STRCMP_EQUAL(owners[0].id.c_str(), bench.sent.vm.c_str());
+  fixture.Submit(other);
+  STRCMP_EQUAL(owners[0].id.c_str(), fixture.sent.vm.c_str());
 }
 
 TEST(gateway_engine, late_answer_of_a_lost_pooler_is_dropped)
 {
-  engine_bench bench;
-  bench.Submit(Call("lookup"));
+  engine_fixture fixture;
+  fixture.Submit(Call("lookup"));
   auto late = Answer(verdict::kDone);
-  late.request = bench.sent.request.id;
-  bench.Engine().PoolerLost(bench.owners[0], bench.now);
-  bench.Take();
-  bench.Engine().PoolerAnswered(late, "life-1", bench.now);
-  bench.Take();
-  STRCMP_EQUAL("read@0 cancel@0 read@1", bench.log.c_str());
+  late.request = fixture.sent.request.id;
+  fixture.Engine().PoolerLost(fixture.owners[0], fixture.now);
+  fixture.Take();
+  fixture.Engine().PoolerAnswered(late, "life-1", fixture.now);
+  fixture.Take();
+  STRCMP_EQUAL("read@0 cancel@0 read@1", fixture.log.c_str());
 }
 
 TEST(gateway_engine, caller_that_has_gone_gets_no_answer)
 {
-  engine_bench bench;
-  bench.Submit(Call("report"));
-  bench.Engine().Cancel(1, bench.now);
-  bench.Take();
-  STRCMP_EQUAL("write@0 cancel@0", bench.log.c_str());
-  LONGS_EQUAL(0, bench.Engine().Pending());
-  LONGS_EQUAL(1, bench.Engine().Counters().abandoned);
+  engine_fixture fixture;
+  fixture.Submit(Call("report"));
+  fixture.Engine().Cancel(1, fixture.now);
+  fixture.Take();
+  STRCMP_EQUAL("write@0 cancel@0", fixture.log.c_str());
+  LONGS_EQUAL(0, fixture.Engine().Pending());
+  LONGS_EQUAL(1, fixture.Engine().Counters().abandoned);
 }
 
 TEST(gateway_engine, configuration_never_goes_back)
 {
-  engine_bench bench;
-  CHECK_FALSE(bench.Engine().Configure(SampleConfiguration(kVersion - 1)));
-  CHECK(bench.Engine().Configure(SampleConfiguration(kVersion)));
-  CHECK(bench.Engine().Configure(SampleConfiguration(kVersion + 1)));
-  CHECK_FALSE(bench.Engine().Configure(SampleConfiguration(kVersion)));
+  engine_fixture fixture;
+  CHECK_FALSE(fixture.Engine().Configure(SampleConfiguration(kVersion - 1)));
+  CHECK(fixture.Engine().Configure(SampleConfiguration(kVersion)));
+  CHECK(fixture.Engine().Configure(SampleConfiguration(kVersion + 1)));
+  CHECK_FALSE(fixture.Engine().Configure(SampleConfiguration(kVersion)));
 }
 
 TEST(gateway_engine, one_class_leaves_room_for_others)
 {
-  engine_bench bench;
+  engine_fixture fixture;
   for (unsigned at = 0; at < 5000; ++at) {
-    bench.Submit(Call("lookup"));
+    fixture.Submit(Call("lookup"));
   }
   // The class that asks for everything gets half of the room and no more.
-  LONGS_EQUAL(2048, bench.Engine().Pending());
-  CHECK(bench.given.answer.why == reason::kOverloaded);
-  CHECK(bench.given.answer.retryAfter > 0ms);
-  bench.Submit(Call("report"));
-  LONGS_EQUAL(2049, bench.Engine().Pending());
+  LONGS_EQUAL(2048, fixture.Engine().Pending());
+  CHECK(fixture.given.answer.why == reason::kOverloaded);
+  CHECK(fixture.given.answer.retryAfter > 0ms);
+  fixture.Submit(Call("report"));
+  LONGS_EQUAL(2049, fixture.Engine().Pending());
   auto commit = Call("", call_kind::kCommit);
   commit.transaction = TransactionId("vm-a");
-  bench.Submit(commit);
-  LONGS_EQUAL(2050, bench.Engine().Pending());
+  fixture.Submit(commit);
+  LONGS_EQUAL(2050, fixture.Engine().Pending());
 }
 
 TEST(gateway_engine, draining_refuses_new_work_and_ends_what_is_under_way)
 {
-  engine_bench bench;
-  bench.Submit(Call("report"));
-  bench.Engine().Drain();
-  bench.Submit(Call("report"));
-  CHECK(bench.given.answer.why == reason::kLeaving);
-  bench.Reply(Answer(verdict::kDone));
-  STRCMP_EQUAL("write@0 not_run done", bench.log.c_str());
-  LONGS_EQUAL(0, bench.Engine().Pending());
+  engine_fixture fixture;
+  fixture.Submit(Call("report"));
+  fixture.Engine().Drain();
+  fixture.Submit(Call("report"));
+  CHECK(fixture.given.answer.why == reason::kLeaving);
+  fixture.Reply(Answer(verdict::kDone));
+  STRCMP_EQUAL("write@0 not_run done", fixture.log.c_str());
+  LONGS_EQUAL(0, fixture.Engine().Pending());
 }
 
 TEST(gateway_engine, giving_up_answers_all)
 {
-  engine_bench bench;
-  bench.Submit(Call("report"));
-  bench.Submit(Call("lookup"));
-  bench.Engine().GiveUp(bench.now);
-  bench.Take();
-  LONGS_EQUAL(2, bench.answers);
-  LONGS_EQUAL(0, bench.Engine().Pending());
+  engine_fixture fixture;
+  fixture.Submit(Call("report"));
+  fixture.Submit(Call("lookup"));
+  fixture.Engine().ExpireAll(fixture.now);
+  fixture.Take();
+  LONGS_EQUAL(2, fixture.answers);
+  LONGS_EQUAL(0, fixture.Engine().Pending());
 }
 
 TEST(gateway_engine, retries_keep_to_their_budget)
 {
-  engine_bench bench;
+  engine_fixture fixture;
   unsigned retried = 0;
   for (unsigned at = 0; at < 200; ++at) {
-    bench.Submit(Call("lookup"));
-    bench.log.clear();
-    bench.Engine().PoolerLost(bench.sent.vm, bench.now);
-    bench.Take();
-    if (bench.log.find("read@") != std::string::npos) {
+    fixture.Submit(Call("lookup"));
+    fixture.log.clear();
+    fixture.Engine().PoolerLost(fixture.sent.vm, fixture.now);
+    fixture.Take();
+    if (fixture.log.find("read@") != std::string::npos) {
       ++retried;
-      bench.Reply(Answer(verdict::kDone));
+      fixture.Reply(Answer(verdict::kDone));
     }
   }
   // Twenty saved up, and one for each ten requests.
--- a/test/currantshed/gateway/engine_fates.cpp
+++ b/test/currantshed/gateway/engine_failures.cpp
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-#include "test/currantshed/gateway/engine_bench.hpp"
+#include "test/currantshed/gateway/engine_fixture.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -53,30 +53,30 @@
 const event kVoid = Replies(verdict::kNotRun, reason::kKeyVoid);
 
 void
-Happen(engine_bench& aBench, const event& aEvent)
+Happen(engine_fixture& aFixture, const event& aEvent)
 {
-  const std::string vm = aBench.sent.vm;
+  const std::string vm = aFixture.sent.vm;
   switch (aEvent.kind) {
     case event_kind::kReply:
-      aBench.Reply(Answer(aEvent.given, aEvent.why));
+      aFixture.Reply(Answer(aEvent.given, aEvent.why));
       return;
     case event_kind::kAdvance:
-      aBench.Advance(aEvent.time);
+      aFixture.Advance(aEvent.time);
       return;
     case event_kind::kLost:
-      aBench.Engine().PoolerLost(vm, aBench.now);
+      aFixture.Engine().PoolerLost(vm, aFixture.now);
       break;
     case event_kind::kNotSent:
-      aBench.Engine().NotSent(aBench.sent.request.id, aBench.now);
+      aFixture.Engine().NotSent(aFixture.sent.request.id, aFixture.now);
       break;
     case event_kind::kGone: {
       auto seen = SampleView();
       std::erase_if(seen.live, [&vm](const auto& aVm) { return aVm.id == vm; });
-      aBench.Engine().ViewChanged(seen, aBench.now);
+      aFixture.Engine().ViewChanged(seen, aFixture.now);
       break;
     }
   }
-  aBench.Take();
+  aFixture.Take();
 }
 
 struct fate_row
@@ -328,57 +328,57 @@
 
 } // namespace
 
-TEST_GROUP(gateway_fates){};
+TEST_GROUP(gateway_failures){};
 
-TEST(gateway_fates, statements)
+TEST(gateway_failures, statements)
 {
   for (const auto& row : kFates) {
-    engine_bench bench;
-    bench.Submit(Call(row.workClass));
+    engine_fixture fixture;
+    fixture.Submit(Call(row.workClass));
     for (const auto& next : row.events) {
-      Happen(bench, next);
+      Happen(fixture, next);
     }
-    STRCMP_EQUAL_TEXT(row.log, bench.log.c_str(), row.name);
-    const auto& answer = bench.given.answer;
+    STRCMP_EQUAL_TEXT(row.log, fixture.log.c_str(), row.name);
+    const auto& answer = fixture.given.answer;
     CHECK_TEXT(row.why == answer.why, row.name);
-    LONGS_EQUAL_TEXT(1, bench.answers, row.name);
-    LONGS_EQUAL_TEXT(0, bench.Engine().Pending(), row.name);
-    CHECK_TEXT(bench.Engine().NextTick() == time_point::max(), row.name);
+    LONGS_EQUAL_TEXT(1, fixture.answers, row.name);
+    LONGS_EQUAL_TEXT(0, fixture.Engine().Pending(), row.name);
+    CHECK_TEXT(fixture.Engine().NextTick() == time_point::max(), row.name);
     const bool write = std::string(row.workClass) != "lookup";
     CHECK_EQUAL_TEXT(write && answer.verdict == verdict::kUnknown,
-                     !answer.ask.empty(),
+                     !answer.outcomePath.empty(),
                      row.name);
     CHECK_EQUAL_TEXT(
       answer.verdict == verdict::kNotRun, answer.retryAfter > 0ms, row.name);
   }
 }
 
-TEST(gateway_fates, calls_in_a_transaction)
+TEST(gateway_failures, calls_in_a_transaction)
 {
   for (const auto& row : kBoundFates) {
-    engine_bench bench;
+    engine_fixture fixture;
     auto call = Call("", row.kind);
-    call.transaction = TransactionId(bench.owners[1]);
-    bench.Submit(call);
+    call.transaction = TransactionId(fixture.owners[1]);
+    fixture.Submit(call);
     for (const auto& next : row.events) {
-      Happen(bench, next);
+      Happen(fixture, next);
     }
-    STRCMP_EQUAL_TEXT(row.log, bench.log.c_str(), row.name);
-    CHECK_TEXT(row.why == bench.given.answer.why, row.name);
-    LONGS_EQUAL_TEXT(1, bench.answers, row.name);
-    LONGS_EQUAL_TEXT(0, bench.Engine().Pending(), row.name);
+    STRCMP_EQUAL_TEXT(row.log, fixture.log.c_str(), row.name);
+    CHECK_TEXT(row.why == fixture.given.answer.why, row.name);
+    LONGS_EQUAL_TEXT(1, fixture.answers, row.name);
+    LONGS_EQUAL_TEXT(0, fixture.Engine().Pending(), row.name);
   }
 }
 
-TEST(gateway_fates, outcome_is_not_run_only_when_the_key_is_void)
+TEST(gateway_failures, outcome_is_not_run_only_when_the_key_is_void)
 {
   for (const auto& row : kOutcomes) {
-    engine_bench bench;
+    engine_fixture fixture;
     auto call = Call("", call_kind::kOutcome);
     call.key = SpareKey(5).Text();
     call.deadline = 10ms;
-    bench.Submit(call);
-    Happen(bench, row.reply);
-    STRCMP_EQUAL_TEXT(row.log, bench.log.c_str(), row.name);
+    fixture.Submit(call);
+    Happen(fixture, row.reply);
+    STRCMP_EQUAL_TEXT(row.log, fixture.log.c_str(), row.name);
   }
 }
--- a/test/currantshed/gateway/engine_bench.cpp
+++ b/test/currantshed/gateway/engine_fixture.cpp
@@ -1,9 +1,9 @@
-#include "test/currantshed/gateway/engine_bench.hpp"
+#include "test/currantshed/gateway/engine_fixture.hpp"
 
 #include <utility>
 #include <variant>
 
-#include "currantshed/gateway/transaction_name.hpp"
+#include "currantshed/gateway/transaction_handle.hpp"
 #include "currantshed/member/membership.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -131,7 +131,7 @@
   return seen;
 }
 
-engine_bench::engine_bench()
+engine_fixture::engine_fixture()
   : mEngine(MakeEngine({}, Ring()))
 {
   CHECK(mEngine->Configure(SampleConfiguration()));
@@ -142,16 +142,16 @@
 }
 
 void
-engine_bench::Submit(caller_request aRequest)
+engine_fixture::Submit(caller_request aRequest)
 {
   aRequest.number = ++mNumber;
-  aRequest.spareKey = SpareKey(mNumber);
+  aRequest.generatedKey = SpareKey(mNumber);
   mEngine->Submit(std::move(aRequest), now);
   Take();
 }
 
 void
-engine_bench::Reply(group::answer aAnswer)
+engine_fixture::Reply(group::answer aAnswer)
 {
   aAnswer.request = sent.request.id;
   mEngine->PoolerAnswered(std::move(aAnswer), "life-1", now);
@@ -159,7 +159,7 @@
 }
 
 void
-engine_bench::Advance(std::chrono::milliseconds aTime)
+engine_fixture::Advance(std::chrono::milliseconds aTime)
 {
   now += aTime;
   mEngine->Tick(now);
@@ -167,7 +167,7 @@
 }
 
 void
-engine_bench::Take()
+engine_fixture::Take()
 {
   for (auto& next : mEngine->TakeActions()) {
     if (auto* message = std::get_if<send_to_pooler>(&next)) {
@@ -184,13 +184,13 @@
 }
 
 void
-engine_bench::Log(const std::string& aText)
+engine_fixture::Log(const std::string& aText)
 {
   log += (log.empty() ? "" : " ") + aText;
 }
 
 std::string
-engine_bench::Rank(const std::string& aVm) const
+engine_fixture::Rank(const std::string& aVm) const
 {
   for (std::size_t at = 0; at < owners.size(); ++at) {
     if (owners[at] == aVm) {
--- a/test/currantshed/gateway/engine_bench.hpp
+++ b/test/currantshed/gateway/engine_fixture.hpp
@@ -1,5 +1,5 @@
-#ifndef CURRANTSHED_TEST_GATEWAY_ENGINE_BENCH_HPP
-#define CURRANTSHED_TEST_GATEWAY_ENGINE_BENCH_HPP
+#ifndef CURRANTSHED_TEST_GATEWAY_ENGINE_FIXTURE_HPP
+#define CURRANTSHED_TEST_GATEWAY_ENGINE_FIXTURE_HPP
 
 #include <chrono>
 #include <cstdint>
@@ -49,10 +49,10 @@
 
 /// An engine with a clock of its own, and a log of all that it does: what is
 /// sent as "operation@rank", cancels as "cancel@rank", answers as "verdict".
-class engine_bench
+class engine_fixture
 {
 public:
-  engine_bench();
+  engine_fixture();
 
   [[nodiscard]] request_engine& Engine() { return *mEngine; }
 
--- a/test/currantshed/gateway/json_codec.cpp
+++ b/test/currantshed/gateway/json_codec.cpp
@@ -213,14 +213,14 @@
   { "unknown",
     [](auto& aAnswer) {
       aAnswer.why = reason::kDeadline;
-      aAnswer.ask = "/v1/outcomes/g/k";
+      aAnswer.outcomePath = "/v1/outcomes/g/k";
     },
     504,
     R"({"outcome":"unknown","reason":"deadline",)"
     R"("message":"the deadline has passed, or can't be met",)"
     R"("ask":"/v1/outcomes/g/k"})" },
   { "refused by the gateway",
-    [](auto& aAnswer) { aAnswer = Refuse(gateway_error::kForgedToken); },
+    [](auto& aAnswer) { aAnswer = Refuse(gateway_error::kBadTokenSignature); },
     403,
     R"({"outcome":"refused","reason":"forged_token",)"
     R"("message":"the session's token has been changed"})" },
--- a/test/matrix/gateway_node.cpp
+++ b/test/matrix/gateway_node.cpp
@@ -87,7 +87,7 @@
   const auto number = ++mLastNumber;
   aRequest.number = number;
   constexpr unsigned kSpareKeys = 5;
-  aRequest.spareKey = outcome::idempotency_key::Make(
+  aRequest.generatedKey = outcome::idempotency_key::Make(
     mAround.time.WallNow(), kSpareKeys, mAround.chance());
   mAround.time.In(mAround.Transit(),
                   Bind([this,
--- a/test/matrix/rules.cpp
+++ b/test/matrix/rules.cpp
@@ -20,7 +20,7 @@
   }
   if (Broken(variant::kAnswersDatedLate)) {
     // Gateways come back soon to the pooler that woke up.
-    aSettings.suspectFor = kShortSuspicion;
+    aSettings.suspectDuration = kShortSuspicion;
   }
 }
 
