--- a/bin/currantshed-gateway/options.cpp
+++ b/bin/currantshed-gateway/options.cpp
@@ -22,7 +22,7 @@
 using settings::parser;
 
 /// Raw flag values, before conversion to settings.
-struct typed_values
+struct raw_values
 {
   std::string pooler;
   std::string keys;
@@ -34,22 +34,24 @@
 };
 
 void
-DeclareIdentity(parser& aParser, gateway_settings& aGiven, typed_values& aTyped)
+DeclareIdentity(parser& aParser, gateway_settings& aSettings, raw_values& aRaw)
 {
-  aParser.Text(aGiven.vm, "vm", "Name of this VM", true);
-  aParser.Text(
-    aGiven.failureDomain, "failure-domain", "Failure domain of this VM", true);
-  aParser.Text(aGiven.address, "address", "IP address to listen on", true);
-  aParser.Port(aGiven.callerPort, "caller-port", "Port for callers", true);
-  aParser.Port(aGiven.statusPort,
+  aParser.Text(aSettings.vm, "vm", "Name of this VM", true);
+  aParser.Text(aSettings.failureDomain,
+               "failure-domain",
+               "Failure domain of this VM",
+               true);
+  aParser.Text(aSettings.address, "address", "IP address to listen on", true);
+  aParser.Port(aSettings.callerPort, "caller-port", "Port for callers", true);
+  aParser.Port(aSettings.statusPort,
                "status-port",
                "Port for metrics, health and status",
                true);
-  aParser.Text(aTyped.pooler,
+  aParser.Text(aRaw.pooler,
                "pooler",
                "Request port of this VM's pooler, as address:port",
                true);
-  aParser.Secret(aTyped.keys,
+  aParser.Secret(aRaw.keys,
                  "token-keys",
                  "Keys that sign tokens, as id:hexadecimal,...; the first one "
                  "signs, all verify; must be equal at every gateway",
@@ -57,47 +59,47 @@
 }
 
 void
-DeclareLimits(parser& aParser, options& aOptions, typed_values& aTyped)
+DeclareLimits(parser& aParser, options& aOptions, raw_values& aRaw)
 {
-  constexpr unsigned kMostThreads = 64;
-  constexpr unsigned kLeastBytes = 1024;
-  constexpr unsigned kMostBytes = 12 * 1024 * 1024;
-  constexpr unsigned kMostConnections = 1000000;
+  constexpr unsigned kMaxThreads = 64;
+  constexpr unsigned kMinBytes = 1024;
+  constexpr unsigned kMaxBytes = 12 * 1024 * 1024;
+  constexpr unsigned kMaxConnections = 1000000;
   gateway_settings& given = aOptions.settings;
   aParser.Count(
-    given.threads, "threads", "Number of worker threads", 1, kMostThreads);
+    given.threads, "threads", "Number of worker threads", 1, kMaxThreads);
   aParser.Milliseconds(
     given.engine.validity,
     "validity-ms",
     "Validity of a majority confirmation; the same everywhere",
     10ms,
     10s);
-  aParser.Count(aTyped.bodyLimitBytes,
+  aParser.Count(aRaw.bodyLimitBytes,
                 "body-limit-bytes",
                 "Maximum size of a request body",
-                kLeastBytes,
-                kMostBytes);
-  aParser.Count(aTyped.answerLimitBytes,
+                kMinBytes,
+                kMaxBytes);
+  aParser.Count(aRaw.answerLimitBytes,
                 "answer-limit-bytes",
                 "Maximum size of a result, summed over its values",
-                kLeastBytes,
-                kMostBytes);
-  aParser.Count(aTyped.connectionLimit,
+                kMinBytes,
+                kMaxBytes);
+  aParser.Count(aRaw.connectionLimit,
                 "connection-limit",
                 "Maximum number of caller connections, divided among threads",
                 1,
-                kMostConnections);
-  aParser.Count(aTyped.inFlightLimit,
+                kMaxConnections);
+  aParser.Count(aRaw.inFlightLimit,
                 "in-flight-limit",
                 "Maximum requests in flight, divided among threads",
                 1,
-                kMostConnections);
+                kMaxConnections);
   aParser.Milliseconds(given.drainTimeout,
                        "drain-timeout-ms",
                        "Time limit for requests in flight on shutdown",
                        0ms,
                        1h);
-  aParser.Choice(aTyped.logLevel,
+  aParser.Choice(aRaw.logLevel,
                  "log-level",
                  "Minimum log level",
                  { "debug", "info", "warning", "error" });
@@ -117,34 +119,34 @@
 
 /// Parses `address:port`; returns false if the text is not of that form.
 bool
-ReadPooler(const std::string& aText, gateway_settings& aGiven)
+ReadPooler(const std::string& aText, gateway_settings& aSettings)
 {
   const std::size_t colon = aText.rfind(':');
   if (colon == std::string::npos) {
     return false;
   }
-  aGiven.poolerAddress = aText.substr(0, colon);
+  aSettings.poolerAddress = aText.substr(0, colon);
   unsigned port = 0;
   boost::system::error_code error;
-  boost::asio::ip::make_address(aGiven.poolerAddress, error);
+  boost::asio::ip::make_address(aSettings.poolerAddress, error);
   const bool good = absl::SimpleAtoi(aText.substr(colon + 1), &port) &&
                     port > 0 &&
                     port <= std::numeric_limits<std::uint16_t>::max();
-  aGiven.poolerPort = static_cast<std::uint16_t>(port);
+  aSettings.poolerPort = static_cast<std::uint16_t>(port);
   return good && !error;
 }
 
 /// Checks what the parser does not, and prints one line per error.
 bool
-CheckTyped(const typed_values& aTyped, gateway_settings& aGiven)
+CheckTyped(const raw_values& aRaw, gateway_settings& aSettings)
 {
   bool good = true;
-  if (!ReadPooler(aTyped.pooler, aGiven)) {
+  if (!ReadPooler(aRaw.pooler, aSettings)) {
     std::cerr << "currantshed-gateway: --pooler must be an IP address and a "
                  "port, as 10.0.0.1:7001\n";
     good = false;
   }
-  if (const auto error = aGiven.keys.Parse(aTyped.keys)) {
+  if (const auto error = aSettings.keys.Parse(aRaw.keys)) {
     std::cerr << "currantshed-gateway: --token-keys: " << error.message()
               << '\n';
     good = false;
@@ -153,16 +155,16 @@
 }
 
 void
-Apply(const typed_values& aTyped, gateway_settings& aGiven)
+Apply(const raw_values& aRaw, gateway_settings& aSettings)
 {
-  const std::size_t threads = aGiven.threads;
+  const std::size_t threads = aSettings.threads;
   const auto share = [threads](unsigned aWhole) {
     return std::max<std::size_t>(1, (aWhole + threads - 1) / threads);
   };
-  aGiven.callers.bodyBytes = aTyped.bodyLimitBytes;
-  aGiven.callers.connections = share(aTyped.connectionLimit);
-  aGiven.engine.answerBytes = aTyped.answerLimitBytes;
-  aGiven.engine.inFlightLimit = share(aTyped.inFlightLimit);
+  aSettings.callers.bodyBytes = aRaw.bodyLimitBytes;
+  aSettings.callers.connections = share(aRaw.connectionLimit);
+  aSettings.engine.answerBytes = aRaw.answerLimitBytes;
+  aSettings.engine.inFlightLimit = share(aRaw.inFlightLimit);
 }
 
 } // namespace
@@ -171,7 +173,7 @@
 ReadOptions(options& aOptions, int aCount, const char* const* aValues)
 {
   gateway_settings& given = aOptions.settings;
-  typed_values typed;
+  raw_values typed;
   typed.bodyLimitBytes = static_cast<unsigned>(given.callers.bodyBytes);
   typed.answerLimitBytes = static_cast<unsigned>(given.engine.answerBytes);
   parser parser("currantshed-gateway",
--- a/src/currantshed/ctl/options.cpp
+++ b/src/currantshed/ctl/options.cpp
@@ -8,9 +8,9 @@
 namespace currantshed::ctl {
 namespace {
 
-constexpr unsigned kHighestVersion = std::numeric_limits<unsigned>::max();
-constexpr std::chrono::milliseconds kShortest{ 1 };
-constexpr std::chrono::minutes kLongest{ 60 };
+constexpr unsigned kMaxVersion = std::numeric_limits<unsigned>::max();
+constexpr std::chrono::milliseconds kMinTimeout{ 1 };
+constexpr std::chrono::minutes kMaxTimeout{ 60 };
 
 constexpr const char* kExitCodes =
   "Exit codes:\n"
@@ -47,7 +47,7 @@
 };
 
 bool
-AsksVms(const verb& aVerb)
+QueriesVms(const verb& aVerb)
 {
   return aVerb.id == verb_id::kStatus || aVerb.id == verb_id::kWait;
 }
@@ -80,10 +80,10 @@
     aParser.Milliseconds(aSettings.platformTimeout,
                          "platform-timeout",
                          "time limit for one platform call",
-                         kShortest,
-                         kLongest);
+                         kMinTimeout,
+                         kMaxTimeout);
   }
-  if (AsksVms(aVerb)) {
+  if (QueriesVms(aVerb)) {
     aParser.Text(aSettings.gatewayStatusPort,
                  "gateway-status-port",
                  "status port of the gateway on each VM, or +N for the "
@@ -91,8 +91,8 @@
     aParser.Milliseconds(aSettings.vmTimeout,
                          "vm-timeout",
                          "time limit for the response of one VM",
-                         kShortest,
-                         kLongest);
+                         kMinTimeout,
+                         kMaxTimeout);
   }
   if (aVerb.id == verb_id::kApply) {
     aParser.Text(aSettings.expectVersion,
@@ -110,17 +110,20 @@
                          "timeout",
                          "how long to retry while the platform "
                          "fails",
-                         kShortest,
-                         kLongest);
+                         kMinTimeout,
+                         kMaxTimeout);
   }
   if (aVerb.id == verb_id::kWait) {
     aParser.Count(aSettings.version,
                   "version",
                   "minimum version to wait for",
                   1,
-                  kHighestVersion);
-    aParser.Milliseconds(
-      aSettings.timeout, "timeout", "how long to wait", kShortest, kLongest);
+                  kMaxVersion);
+    aParser.Milliseconds(aSettings.timeout,
+                         "timeout",
+                         "how long to wait",
+                         kMinTimeout,
+                         kMaxTimeout);
   }
   if (aVerb.takesFile) {
     aParser.Arguments(aSettings.arguments,
--- a/src/currantshed/ctl/program.cpp
+++ b/src/currantshed/ctl/program.cpp
@@ -22,7 +22,7 @@
 namespace currantshed::ctl {
 namespace {
 
-class steady_pacer : public sleep_clock
+class steady_sleep_clock : public sleep_clock
 {
 public:
   clock::time_point Now() override { return std::chrono::steady_clock::now(); }
@@ -104,10 +104,10 @@
 }
 
 exit_code
-Perform(const verb& aVerb,
-        const ctl_settings& aSettings,
-        const source_file& aFile,
-        const std::optional<std::uint64_t>& aExpected)
+RunCommand(const verb& aVerb,
+           const ctl_settings& aSettings,
+           const source_file& aFile,
+           const std::optional<std::uint64_t>& aExpected)
 {
   boost::asio::io_context loop;
   const auto client = store::MakeHttpClient(
@@ -117,15 +117,15 @@
     loop.run_one();
   });
   const auto fetcher = http::MakeCurlFetcher();
-  steady_pacer time;
+  steady_sleep_clock time;
   const printer results{ aSettings.outputFormat == "json" ? output::kJson
                                                           : output::kText,
                          std::cout,
                          std::cerr };
   verbs work(blocking, *fetcher, time, results);
-  query_options asked;
-  asked.vmTimeout = aSettings.vmTimeout;
-  asked.gateways = ParseGatewayPort(aSettings.gatewayStatusPort);
+  query_options queryOptions;
+  queryOptions.vmTimeout = aSettings.vmTimeout;
+  queryOptions.gateways = ParseGatewayPort(aSettings.gatewayStatusPort);
   switch (aVerb.id) {
     case verb_id::kValidate:
       return work.Validate(aFile);
@@ -136,9 +136,9 @@
     case verb_id::kShow:
       return work.Show();
     case verb_id::kStatus:
-      return work.Status(asked);
+      return work.Status(queryOptions);
     case verb_id::kWait:
-      return work.Wait(aSettings.version, aSettings.timeout, asked);
+      return work.Wait(aSettings.version, aSettings.timeout, queryOptions);
   }
   return exit_code::kUsage;
 }
@@ -169,7 +169,8 @@
     return ReportUsageError("--expect-version must be a whole number");
   }
   if (!read.change.empty() && !expected) {
-    return ReportUsageError("--change needs the --expect-version of before");
+    return ReportUsageError(
+      "--change needs the --expect-version of the first attempt");
   }
   source_file file;
   if (aVerb.takesFile) {
@@ -180,7 +181,7 @@
     }
     file = *source;
   }
-  return static_cast<int>(Perform(aVerb, read, file, expected));
+  return static_cast<int>(RunCommand(aVerb, read, file, expected));
 }
 
 } // namespace
--- a/src/currantshed/ctl/verbs.cpp
+++ b/src/currantshed/ctl/verbs.cpp
@@ -60,7 +60,7 @@
 
 /// Who applied a record and when, if known.
 std::string
-Credit(const policy::configuration_record& aRecord)
+DescribeAuthor(const policy::configuration_record& aRecord)
 {
   const std::string by =
     aRecord.appliedBy.empty() ? "" : absl::StrCat(", by ", aRecord.appliedBy);
@@ -70,7 +70,7 @@
 }
 
 bool
-Has(const vm_report& aReport, std::uint64_t aVersion)
+HasVersion(const vm_report& aReport, std::uint64_t aVersion)
 {
   return aReport.answered && aReport.version >= aVersion;
 }
@@ -78,14 +78,14 @@
 /// Whether every VM that is not leaving has the version; false if there is no
 /// such VM.
 bool
-AllHave(const std::vector<vm_report>& aReports, std::uint64_t aVersion)
+AllLiveHave(const std::vector<vm_report>& aReports, std::uint64_t aVersion)
 {
   bool isAnyLive = false;
   for (const auto& one : aReports) {
     if (one.vm.leaving) {
       continue;
     }
-    if (!Has(one, aVersion)) {
+    if (!HasVersion(one, aVersion)) {
       return false;
     }
     isAnyLive = true;
@@ -139,7 +139,7 @@
 {
   return Finish(exit_code::kPlatformUnreachable,
                 { { "error", aWhy } },
-                absl::StrCat("the platform can't be asked: ", aWhy, "\n"));
+                absl::StrCat("platform unavailable: ", aWhy, "\n"));
 }
 
 std::optional<policy::configuration_record>
@@ -172,7 +172,7 @@
                 { { "file", aFile.name },
                   { "classes", classes },
                   { "faults", boost::json::array{} } },
-                absl::StrCat(aFile.name, ": good, ", classes, " classes\n"));
+                absl::StrCat(aFile.name, ": valid, ", classes, " classes\n"));
 }
 
 exit_code
@@ -217,7 +217,7 @@
                                                    record.version,
                                                    ", change ",
                                                    record.change,
-                                                   Credit(record),
+                                                   DescribeAuthor(record),
                                                    "\n",
                                                    record.declaration));
 }
@@ -256,14 +256,14 @@
 {
   const auto until = mClock.Now() + aTimeout;
   std::vector<vm_report> reports;
-  std::string trouble;
+  std::string lastError;
   while (true) {
     const auto listed = mPlatform.List();
-    trouble = listed.error ? listed.error.message() : "";
+    lastError = listed.error ? listed.error.message() : "";
     if (!listed.error) {
       reports = QueryVms(
         listed.value.vms, aOptions.gateways, mFetcher, aOptions.vmTimeout);
-      if (AllHave(reports, aVersion)) {
+      if (AllLiveHave(reports, aVersion)) {
         return ReportWait(aVersion, reports, true);
       }
     }
@@ -272,8 +272,8 @@
     }
     mClock.Sleep(aOptions.roundDelay);
   }
-  if (!trouble.empty()) {
-    return Unreachable(trouble);
+  if (!lastError.empty()) {
+    return Unreachable(lastError);
   }
   return ReportWait(aVersion, reports, false);
 }
@@ -288,7 +288,7 @@
   std::size_t live = 0;
   for (const auto& one : aReports) {
     live += one.vm.leaving ? 0 : 1;
-    if (one.vm.leaving || Has(one, aVersion)) {
+    if (one.vm.leaving || HasVersion(one, aVersion)) {
       continue;
     }
     missing.push_back(boost::json::string(one.vm.id));
@@ -302,7 +302,7 @@
   const std::string text =
     aIsReached
       ? absl::StrCat("version ", aVersion, " is on all ", live, " VMs\n")
-      : absl::StrCat("no time left; version ",
+      : absl::StrCat("timed out; version ",
                      aVersion,
                      " is missing on ",
                      missing.size(),
--- a/src/currantshed/ctl/verbs_apply.cpp
+++ b/src/currantshed/ctl/verbs_apply.cpp
@@ -12,10 +12,10 @@
 
 /// Executes one step of an apply attempt and passes it the result.
 void
-Perform(const store::apply_action& aAction,
-        store::applier& aApplier,
-        blocking_platform& aPlatform,
-        sleep_clock& aClock)
+ExecuteAction(const store::apply_action& aAction,
+              store::applier& aApplier,
+              blocking_platform& aPlatform,
+              sleep_clock& aClock)
 {
   if (const auto* const swap =
         std::get_if<store::swap_configuration>(&aAction)) {
@@ -30,14 +30,14 @@
 
 /// Runs an apply attempt to completion.
 store::apply_result
-Drive(store::applier& aApplier,
-      blocking_platform& aPlatform,
-      sleep_clock& aClock)
+RunToCompletion(store::applier& aApplier,
+                blocking_platform& aPlatform,
+                sleep_clock& aClock)
 {
   while (!aApplier.Result()) {
     const auto actions = aApplier.TakeActions();
     for (const auto& action : actions) {
-      Perform(action, aApplier, aPlatform, aClock);
+      ExecuteAction(action, aApplier, aPlatform, aClock);
     }
     const auto now = aClock.Now();
     const bool mustWait = actions.empty() && aApplier.NextTick() > now;
@@ -55,15 +55,15 @@
 exit_code
 verbs::LostRace(std::uint64_t aExpected, std::uint64_t aFound)
 {
-  const std::string found = aFound == 0 ? "none or an unreadable one"
+  const std::string found = aFound == 0 ? "none, or an unreadable version"
                                         : absl::StrCat("version ", aFound);
   return Finish(exit_code::kLostRace,
                 { { "expected_version", aExpected }, { "version", aFound } },
-                absl::StrCat("not applied, lost the race: expected version ",
+                absl::StrCat("not applied, version conflict: expected version ",
                              aExpected,
                              ", in force is ",
                              found,
-                             ". Look at it with 'show' and 'diff'.\n"));
+                             ". Compare with 'show' and 'diff'.\n"));
 }
 
 exit_code
@@ -103,7 +103,7 @@
   request.appliedAt = aOptions.appliedAt;
   request.giveUpAfter = aOptions.timeout;
   store::applier attempt(request, mClock.Now());
-  return ReportApply(Drive(attempt, mPlatform, mClock), request);
+  return ReportApply(RunToCompletion(attempt, mPlatform, mClock), request);
 }
 
 exit_code
@@ -132,7 +132,7 @@
                 { { "expected_version", aRequest.expectedVersion },
                   { "version", aResult.inForce },
                   { "change", aRequest.change } },
-                absl::StrCat("not known whether it was applied. Ask again "
+                absl::StrCat("unknown whether it was applied. Retry "
                              "with: apply FILE --expect-version ",
                              aRequest.expectedVersion,
                              " --change ",
--- a/src/currantshed/ctl/vm_report.cpp
+++ b/src/currantshed/ctl/vm_report.cpp
@@ -143,13 +143,13 @@
   boost::system::error_code error;
   const auto value = boost::json::parse(aAnswer.body, error);
   if (error || !value.is_object()) {
-    report.error = "its status is no JSON object";
+    report.error = "its status is not a JSON object";
     return report;
   }
   const auto& status = value.get_object();
   const std::string named = TextAt(status, "vm");
   if (named != aVm.id) {
-    report.error = absl::StrCat("VM '", named, "' answers in its place");
+    report.error = absl::StrCat("VM '", named, "' answers at this address");
     return report;
   }
   report.answered = true;
--- a/src/currantshed/gateway/admit.cpp
+++ b/src/currantshed/gateway/admit.cpp
@@ -33,10 +33,10 @@
   void Leave(clock::time_point aNow)
   {
     --mInFlight;
-    if (aNow - mBegun >= kRateWindow) {
-      mLastCount = aNow - mBegun < 2 * kRateWindow ? mCount : 0;
+    if (aNow - mWindowStart >= kRateWindow) {
+      mLastCount = aNow - mWindowStart < 2 * kRateWindow ? mCount : 0;
       mCount = 0;
-      mBegun = aNow;
+      mWindowStart = aNow;
     }
     ++mCount;
   }
@@ -55,7 +55,7 @@
 
 private:
   std::size_t mInFlight = 0;
-  clock::time_point mBegun;
+  clock::time_point mWindowStart;
   std::size_t mCount = 0;
   std::size_t mLastCount = 0;
 };
--- a/src/currantshed/gateway/caller_connection.cpp
+++ b/src/currantshed/gateway/caller_connection.cpp
@@ -92,7 +92,7 @@
   {
   }
 
-  void Renew(const caller_limits& aLimits)
+  void ResetParser(const caller_limits& aLimits)
   {
     parser.emplace();
     parser->header_limit(aLimits.headerBytes);
@@ -183,7 +183,7 @@
                          return;
                        }
                        if (aError) {
-                         self->End();
+                         self->Terminate();
                          return;
                        }
                        self->mBuffers =
@@ -197,7 +197,7 @@
 {
   EnterPhase(phase::kReading);
   mTimedOut = false;
-  mBuffers->Renew(mOwner.Limits());
+  mBuffers->ResetParser(mOwner.Limits());
   http::async_read_header(
     mSocket,
     mBuffers->input,
@@ -230,7 +230,7 @@
         return;
       }
       if (aError) {
-        self->End();
+        self->Terminate();
         return;
       }
       self->ReadBody();
@@ -265,7 +265,7 @@
     return;
   }
   if (!IsMalformed(aError)) {
-    End();
+    Terminate();
     return;
   }
   mOwner.CountRefused();
@@ -310,23 +310,24 @@
     // connected.
     return;
   }
-  mSocket.async_wait(
-    tcp::socket::wait_read,
-    [self = shared_from_this(),
-     served = mRequestCount](const error_code& aError) {
-      if (self->mPhase != phase::kServing || self->mRequestCount != served) {
-        return;
-      }
-      char first = 0;
-      error_code error = aError;
-      if (!error) {
-        self->mSocket.receive(
-          asio::buffer(&first, 1), tcp::socket::message_peek, error);
-      }
-      if (error) {
-        self->End();
-      }
-    });
+  mSocket.async_wait(tcp::socket::wait_read,
+                     [self = shared_from_this(),
+                      requestCount = mRequestCount](const error_code& aError) {
+                       if (self->mPhase != phase::kServing ||
+                           self->mRequestCount != requestCount) {
+                         return;
+                       }
+                       char first = 0;
+                       error_code error = aError;
+                       if (!error) {
+                         self->mSocket.receive(asio::buffer(&first, 1),
+                                               tcp::socket::message_peek,
+                                               error);
+                       }
+                       if (error) {
+                         self->Terminate();
+                       }
+                     });
 }
 
 void
@@ -368,7 +369,7 @@
                         return;
                       }
                       if (aError) {
-                        self->End();
+                        self->Terminate();
                         return;
                       }
                       self->OnWritten(keepAlive);
@@ -409,7 +410,7 @@
                               return;
                             }
                             if (aError) {
-                              self->End();
+                              self->Terminate();
                               return;
                             }
                             self->Linger();
@@ -430,7 +431,7 @@
     mSocket.cancel();
     return;
   }
-  End();
+  Terminate();
 }
 
 void
@@ -453,7 +454,7 @@
 }
 
 void
-caller_connection::End()
+caller_connection::Terminate()
 {
   if (mPhase == phase::kClosed) {
     return;
--- a/src/currantshed/gateway/caller_connection.hpp
+++ b/src/currantshed/gateway/caller_connection.hpp
@@ -99,7 +99,7 @@
   void Respond(const caller_answer& aAnswer, bool aKeepAlive);
   void OnWritten(bool aKeepAlive);
   void Linger();
-  void End();
+  void Terminate();
 
   boost::asio::ip::tcp::socket mSocket;
   connection_owner& mOwner;
--- a/src/currantshed/gateway/caller_server.cpp
+++ b/src/currantshed/gateway/caller_server.cpp
@@ -20,11 +20,11 @@
 using reuse_port =
   boost::asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>;
 
-constexpr std::chrono::milliseconds kSweepInterval{ 250 };
+constexpr std::chrono::milliseconds kTimeoutCheckInterval{ 250 };
 /// Delay before accepting again after a failed accept, for example for lack of
 /// file descriptors.
-constexpr std::chrono::milliseconds kAcceptPause{ 100 };
-constexpr std::string_view kFull =
+constexpr std::chrono::milliseconds kAcceptRetryDelay{ 100 };
+constexpr std::string_view kOverloadedResponse =
   "HTTP/1.1 503 Service Unavailable\r\n"
   "Content-Type: application/json\r\nContent-Length: 65\r\n"
   "Retry-After: 1\r\nConnection: close\r\n\r\n"
@@ -41,8 +41,8 @@
                  const caller_limits& aLimits,
                  request_sink& aSink)
     : mAcceptor(aContext)
-    , mSweep(aContext)
-    , mPause(aContext)
+    , mTimeoutTimer(aContext)
+    , mAcceptRetryTimer(aContext)
     , mLimits(aLimits)
     , mSink(aSink)
   {
@@ -56,7 +56,7 @@
       return error;
     }
     Accept();
-    Sweep();
+    ScheduleTimeoutCheck();
     return {};
   }
 
@@ -67,12 +67,12 @@
 
   void Answer(const caller_answer& aAnswer)
   {
-    const auto found = mWaiting.find(aAnswer.number);
-    if (found == mWaiting.end()) {
+    const auto found = mPendingRequests.find(aAnswer.number);
+    if (found == mPendingRequests.end()) {
       return;
     }
     const auto connection = found->second->shared_from_this();
-    mWaiting.erase(found);
+    mPendingRequests.erase(found);
     connection->Answer(aAnswer);
   }
 
@@ -80,9 +80,10 @@
 
   void StopListening()
   {
-    mPause.cancel();
-    net::CloseListener(
-      mAcceptor, [this](tcp::socket aSocket) { Take(std::move(aSocket)); });
+    mAcceptRetryTimer.cancel();
+    net::CloseListener(mAcceptor, [this](tcp::socket aSocket) {
+      AddConnection(std::move(aSocket));
+    });
   }
 
   void CheckTimeouts()
@@ -112,9 +113,9 @@
     mIsStopped = true;
     error_code ignored;
     mAcceptor.close(ignored);
-    mSweep.cancel();
-    mPause.cancel();
-    mWaiting.clear();
+    mTimeoutTimer.cancel();
+    mAcceptRetryTimer.cancel();
+    mPendingRequests.clear();
     for (const auto& connection : Connections()) {
       connection->AddTo(closed);
       connection->Close();
@@ -144,14 +145,14 @@
   void Submit(caller_connection& aFrom, caller_request aRequest) override
   {
     aRequest.number = ++mLastNumber;
-    mWaiting[aRequest.number] = &aFrom;
+    mPendingRequests[aRequest.number] = &aFrom;
     aFrom.SetPendingRequest(aRequest.number);
     mSink.Submit(std::move(aRequest));
   }
 
   void Cancel(request_number aRequest) override
   {
-    mWaiting.erase(aRequest);
+    mPendingRequests.erase(aRequest);
     mSink.Cancel(aRequest);
   }
 
@@ -196,35 +197,36 @@
       }
       // A connection accepted just before listening ended is served as well.
       if (!aError) {
-        self->Take(std::move(aSocket));
+        self->AddConnection(std::move(aSocket));
       }
       if (!self->mAcceptor.is_open()) {
         return;
       }
       if (aError) {
-        self->AcceptLater();
+        self->ScheduleAccept();
         return;
       }
       self->Accept();
     });
   }
 
-  void AcceptLater()
+  void ScheduleAccept()
   {
-    mPause.expires_after(kAcceptPause);
-    mPause.async_wait([self = shared_from_this()](const error_code& aError) {
-      if (!aError) {
-        self->Accept();
-      }
-    });
+    mAcceptRetryTimer.expires_after(kAcceptRetryDelay);
+    mAcceptRetryTimer.async_wait(
+      [self = shared_from_this()](const error_code& aError) {
+        if (!aError) {
+          self->Accept();
+        }
+      });
   }
 
-  void Take(tcp::socket aSocket)
+  void AddConnection(tcp::socket aSocket)
   {
     if (mConnections.size() >= mLimits.connections) {
       error_code ignored;
       aSocket.non_blocking(true, ignored);
-      aSocket.write_some(boost::asio::buffer(kFull), ignored);
+      aSocket.write_some(boost::asio::buffer(kOverloadedResponse), ignored);
       mSink.CountRefused();
       return;
     }
@@ -235,16 +237,17 @@
 
   /// Checks the timeouts of all connections in one pass, which costs less than
   /// a timer per connection and is accurate enough.
-  void Sweep()
+  void ScheduleTimeoutCheck()
   {
-    mSweep.expires_after(kSweepInterval);
-    mSweep.async_wait([self = shared_from_this()](const error_code& aError) {
-      if (aError) {
-        return;
-      }
-      self->CheckTimeouts();
-      self->Sweep();
-    });
+    mTimeoutTimer.expires_after(kTimeoutCheckInterval);
+    mTimeoutTimer.async_wait(
+      [self = shared_from_this()](const error_code& aError) {
+        if (aError) {
+          return;
+        }
+        self->CheckTimeouts();
+        self->ScheduleTimeoutCheck();
+      });
   }
 
   [[nodiscard]] std::vector<std::shared_ptr<caller_connection>> Connections()
@@ -259,13 +262,13 @@
   }
 
   tcp::acceptor mAcceptor;
-  boost::asio::steady_timer mSweep;
-  boost::asio::steady_timer mPause;
+  boost::asio::steady_timer mTimeoutTimer;
+  boost::asio::steady_timer mAcceptRetryTimer;
   caller_limits mLimits;
   request_sink& mSink;
   absl::flat_hash_map<caller_connection*, std::shared_ptr<caller_connection>>
     mConnections;
-  absl::flat_hash_map<request_number, caller_connection*> mWaiting;
+  absl::flat_hash_map<request_number, caller_connection*> mPendingRequests;
   request_number mLastNumber = 0;
   bool mClosing = false;
   bool mIsStopped = false;
--- a/src/currantshed/gateway/classify.cpp
+++ b/src/currantshed/gateway/classify.cpp
@@ -13,10 +13,10 @@
 using fault = std::optional<gateway_error>;
 
 /// Retry delay while the gateway has no configuration or view yet.
-constexpr std::chrono::milliseconds kStartPause{ 500 };
+constexpr std::chrono::milliseconds kStartupRetryAfter{ 500 };
 
 /// Retry delay for a request whose deadline is too short.
-constexpr std::chrono::milliseconds kComeBack{ 100 };
+constexpr std::chrono::milliseconds kRetryAfter{ 100 };
 
 group::operation
 FirstOperation(const exchange& aExchange)
@@ -51,8 +51,8 @@
   step Forward(exchange& aExchange, clock::time_point aNow) override
   {
     if (mState.configurationVersion == 0 || mState.view.live.empty()) {
-      aExchange.answer =
-        NotRun(outcome::reason::kUnreachable, mState.AddJitter(kStartPause));
+      aExchange.answer = NotRun(outcome::reason::kUnreachable,
+                                mState.AddJitter(kStartupRetryAfter));
       return step::kBack;
     }
     fault found = CheckStatements(aExchange.request);
@@ -67,7 +67,7 @@
     SetDeadline(aExchange);
     if (aExchange.deadline - mState.settings.returnMargin <= aNow) {
       aExchange.answer =
-        NotRun(outcome::reason::kDeadline, mState.AddJitter(kComeBack));
+        NotRun(outcome::reason::kDeadline, mState.AddJitter(kRetryAfter));
       return step::kBack;
     }
     return step::kForward;
@@ -131,7 +131,7 @@
       return gateway_error::kGroupNotAllowed;
     }
     if (aExchange.work->kind == policy::access::kWrite) {
-      return TakeKey(aExchange);
+      return SetKey(aExchange);
     }
     if (request.kind == call_kind::kBegin) {
       return gateway_error::kReadOnlyClass;
@@ -140,7 +140,7 @@
   }
 
   /// Uses the caller's key, or the generated one if the caller sent none.
-  [[nodiscard]] static fault TakeKey(exchange& aExchange)
+  [[nodiscard]] static fault SetKey(exchange& aExchange)
   {
     const caller_request& request = aExchange.request;
     if (request.key.empty()) {
@@ -164,8 +164,8 @@
     if (aExchange.request.key.empty()) {
       return gateway_error::kMalformedKey;
     }
-    aExchange.work = AnyWrite({}, aExchange.group);
-    return TakeKey(aExchange);
+    aExchange.work = MakeWritePlaceholder({}, aExchange.group);
+    return SetKey(aExchange);
   }
 
   [[nodiscard]] fault FindTransaction(exchange& aExchange) const
@@ -191,14 +191,14 @@
     if (aExchange.work == nullptr) {
       // The operators have removed the class in the meantime; transactions that
       // it started may still end.
-      aExchange.work = AnyWrite(name.workClass, name.group);
+      aExchange.work = MakeWritePlaceholder(name.workClass, name.group);
     }
     return {};
   }
 
   /// Placeholder for the class of a change if that class is unknown: the
   /// outcome may be queried wherever some class may write to the group.
-  [[nodiscard]] std::shared_ptr<const policy::work_class> AnyWrite(
+  [[nodiscard]] std::shared_ptr<const policy::work_class> MakeWritePlaceholder(
     const std::string& aName,
     const group::group_name& aGroup) const
   {
--- a/src/currantshed/gateway/confirm.cpp
+++ b/src/currantshed/gateway/confirm.cpp
@@ -37,7 +37,7 @@
     }
     const bool done = aExchange.reply.verdict == outcome::verdict::kDone;
     if (aExchange.next == operation::kReconfirm) {
-      return Reconfirmed(aExchange, done, aNow);
+      return OnReconfirmed(aExchange, done, aNow);
     }
     if (!done || !Acknowledges(aExchange.next) || InTime(aExchange, aNow)) {
       return step::kBack;
@@ -55,7 +55,7 @@
     return aNow <= aExchange.sentAt + mState.settings.validity;
   }
 
-  step Reconfirmed(exchange& aExchange, bool aDone, clock::time_point aNow)
+  step OnReconfirmed(exchange& aExchange, bool aDone, clock::time_point aNow)
   {
     if (!aDone) {
       // The term has changed, or its state can't be determined now. The outcome
--- a/src/currantshed/gateway/control.cpp
+++ b/src/currantshed/gateway/control.cpp
@@ -21,7 +21,7 @@
 constexpr std::chrono::milliseconds kPoolerTimeout{ 2000 };
 
 std::vector<store::vm>
-Staying(const std::vector<store::vm>& aVms)
+WithoutLeaving(const std::vector<store::vm>& aVms)
 {
   std::vector<store::vm> staying;
   for (const auto& vm : aVms) {
@@ -36,7 +36,7 @@
 DescribeGroups(const fleet_view& aView)
 {
   boost::json::array groups;
-  const auto staying = Staying(aView.live);
+  const auto staying = WithoutLeaving(aView.live);
   for (const auto& name : aView.groups) {
     boost::json::array owners;
     for (const auto& vm : member::ChooseOwners(name, staying, aView.owners)) {
@@ -71,7 +71,7 @@
   const auto error =
     mPooler.Connect(mSettings.poolerAddress,
                     mSettings.poolerPort,
-                    [this](std::string_view aBytes) { Received(aBytes); });
+                    [this](std::string_view aBytes) { OnReceived(aBytes); });
   if (error) {
     log::Write(log::level::kError,
                "pooler_connect_failed",
@@ -127,7 +127,7 @@
 }
 
 void
-control::Received(std::string_view aBytes)
+control::OnReceived(std::string_view aBytes)
 {
   const auto read = wire::Decode(aBytes, std::chrono::steady_clock::now());
   const auto* view = std::get_if<wire::view>(&read.body);
--- a/src/currantshed/gateway/control.hpp
+++ b/src/currantshed/gateway/control.hpp
@@ -58,7 +58,7 @@
 
 private:
   void RequestUpdates();
-  void Received(std::string_view aBytes);
+  void OnReceived(std::string_view aBytes);
   void ApplyView(const wire::view& aView);
   void ApplyDeclaration(std::uint64_t aVersion, const std::string& aText);
 
--- a/src/currantshed/gateway/engine.cpp
+++ b/src/currantshed/gateway/engine.cpp
@@ -114,7 +114,7 @@
     while (!mDue.empty() && mDue.begin()->first <= aNow) {
       exchange& waiting = *mExchanges.at(mDue.begin()->second);
       mDue.erase(mDue.begin());
-      Due(waiting, aNow);
+      OnDue(waiting, aNow);
     }
   }
 
@@ -184,7 +184,7 @@
     }
   }
 
-  void Due(exchange& aExchange, clock::time_point aNow)
+  void OnDue(exchange& aExchange, clock::time_point aNow)
   {
     if (aNow >= aExchange.deadline) {
       Return(aExchange, return_cause::kDeadline, aNow);
@@ -194,14 +194,14 @@
       Run(aExchange, kFilters - 1, step::kForward, aNow);
       return;
     }
-    const auto heard = mState.health.LastReplyAt(aExchange.vm);
-    const auto silentAt =
-      std::max(heard, aExchange.sentAt) + aExchange.replyTimeout;
-    if (silentAt <= aNow) {
+    const auto lastReplyAt = mState.health.LastReplyAt(aExchange.vm);
+    const auto replyDueAt =
+      std::max(lastReplyAt, aExchange.sentAt) + aExchange.replyTimeout;
+    if (replyDueAt <= aNow) {
       Return(aExchange, return_cause::kPoolerLost, aNow);
       return;
     }
-    aExchange.due = std::min(silentAt, aExchange.deadline);
+    aExchange.due = std::min(replyDueAt, aExchange.deadline);
     mDue.insert({ aExchange.due, aExchange.request.number });
   }
 
--- a/src/currantshed/gateway/json_body.cpp
+++ b/src/currantshed/gateway/json_body.cpp
@@ -14,8 +14,8 @@
 
 namespace json = boost::json;
 
-constexpr std::size_t kDepth = 8;
-constexpr std::size_t kFirstBytes = 4096;
+constexpr std::size_t kMaxDepth = 8;
+constexpr std::size_t kInitialBufferBytes = 4096;
 
 /// An error, with a human-readable location.
 struct fault
@@ -150,16 +150,16 @@
 
 /// Whether the call's body contains class and group.
 bool
-NamesClass(const caller_request& aRequest)
+HasClassAndGroup(const caller_request& aRequest)
 {
   return aRequest.kind == call_kind::kStatements ||
          aRequest.kind == call_kind::kBegin;
 }
 
 bool
-TakesStatements(const caller_request& aRequest)
+AllowsStatements(const caller_request& aRequest)
 {
-  return NamesClass(aRequest) || aRequest.kind == call_kind::kStatement;
+  return HasClassAndGroup(aRequest) || aRequest.kind == call_kind::kStatement;
 }
 
 fault
@@ -168,13 +168,13 @@
           caller_request& aRequest,
           upstream::statement& aSingle)
 {
-  if (NamesClass(aRequest) && aName == "class") {
+  if (HasClassAndGroup(aRequest) && aName == "class") {
     return ReadText(aValue, "class", aRequest.workClass);
   }
-  if (NamesClass(aRequest) && aName == "group") {
+  if (HasClassAndGroup(aRequest) && aName == "group") {
     return ReadText(aValue, "group", aRequest.group);
   }
-  if (!TakesStatements(aRequest)) {
+  if (!AllowsStatements(aRequest)) {
     return Fault(gateway_error::kUnknownField, Text(aName));
   }
   if (aName == "statements") {
@@ -189,7 +189,7 @@
 CheckFields(const json::object& aFields, const caller_request& aRequest)
 {
   for (const char* name : { "class", "group" }) {
-    if (NamesClass(aRequest) && !aFields.contains(name)) {
+    if (HasClassAndGroup(aRequest) && !aFields.contains(name)) {
       return Fault(gateway_error::kMissingField, name);
     }
   }
@@ -227,7 +227,7 @@
       json::value& aValue)
 {
   json::parse_options options;
-  options.max_depth = kDepth;
+  options.max_depth = kMaxDepth;
   json::stream_parser parser(aMemory, options);
   json::error_code error;
   const std::size_t read = parser.write(aBody.data(), aBody.size(), error);
@@ -247,11 +247,11 @@
 std::error_code
 ReadBody(std::string_view aBody, caller_request& aRequest, std::string& aDetail)
 {
-  if (aBody.empty() && !TakesStatements(aRequest)) {
+  if (aBody.empty() && !AllowsStatements(aRequest)) {
     return {};
   }
-  std::array<unsigned char, kFirstBytes> first{};
-  json::monotonic_resource memory(first.data(), first.size());
+  std::array<unsigned char, kInitialBufferBytes> buffer{};
+  json::monotonic_resource memory(buffer.data(), buffer.size());
   json::value value(&memory);
   fault found = Parse(aBody, &memory, value);
   if (!found.error) {
--- a/src/currantshed/gateway/outcome.cpp
+++ b/src/currantshed/gateway/outcome.cpp
@@ -68,11 +68,11 @@
       case return_cause::kSettled:
         return Settle(aExchange, std::move(aExchange.answer));
       case return_cause::kReply:
-        return Replied(aExchange, aNow);
+        return OnReply(aExchange, aNow);
       case return_cause::kPoolerLost:
-        return Lost(aExchange, aNow);
+        return OnPoolerLost(aExchange, aNow);
       case return_cause::kNotSent:
-        return NotSent(aExchange, aNow);
+        return OnNotSent(aExchange, aNow);
       case return_cause::kDeadline:
       case return_cause::kCallerGone:
         break;
@@ -81,10 +81,10 @@
   }
 
 private:
-  step Replied(exchange& aExchange, clock::time_point aNow)
+  step OnReply(exchange& aExchange, clock::time_point aNow)
   {
     if (aExchange.next == operation::kResolve) {
-      return Resolved(aExchange, aNow);
+      return OnResolved(aExchange, aNow);
     }
     if (CanTryNext(aExchange, aNow)) {
       aExchange.failedVms.push_back(aExchange.vm);
@@ -141,15 +141,15 @@
 
   /// Handles the reply to a query by key: the change was applied, can never be
   /// applied, or its outcome could not be determined this time.
-  step Resolved(exchange& aExchange, clock::time_point aNow)
+  step OnResolved(exchange& aExchange, clock::time_point aNow)
   {
     const group::answer& reply = aExchange.reply;
-    const bool asked = aExchange.request.kind == call_kind::kOutcome;
+    const bool isOutcomeQuery = aExchange.request.kind == call_kind::kOutcome;
     if (reply.verdict == verdict::kDone) {
       aExchange.outcomeUnknown = false;
       caller_answer answer = Translate(aExchange);
       answer.results.clear();
-      answer.repeated = !asked;
+      answer.repeated = !isOutcomeQuery;
       return Settle(aExchange, std::move(answer));
     }
     if (reply.verdict == verdict::kNotRun && reply.why == reason::kKeyVoid) {
@@ -157,7 +157,7 @@
       return Settle(aExchange, Translate(aExchange));
     }
     if (reply.verdict == verdict::kRefused) {
-      aExchange.outcomeUnknown = aExchange.outcomeUnknown || !asked;
+      aExchange.outcomeUnknown = aExchange.outcomeUnknown || !isOutcomeQuery;
       return Settle(aExchange, Translate(aExchange));
     }
     if (!TimeLeft(aExchange, aNow)) {
@@ -171,7 +171,7 @@
     return step::kForward;
   }
 
-  step Lost(exchange& aExchange, clock::time_point aNow)
+  step OnPoolerLost(exchange& aExchange, clock::time_point aNow)
   {
     switch (aExchange.next) {
       case operation::kResolve:
@@ -195,7 +195,7 @@
     }
   }
 
-  step NotSent(exchange& aExchange, clock::time_point aNow)
+  step OnNotSent(exchange& aExchange, clock::time_point aNow)
   {
     switch (aExchange.next) {
       case operation::kCommit:
@@ -294,13 +294,13 @@
   /// known to have failed is never reported as not run.
   step Settle(exchange& aExchange, caller_answer aAnswer)
   {
-    const bool asked = aExchange.request.kind == call_kind::kOutcome;
+    const bool isOutcomeQuery = aExchange.request.kind == call_kind::kOutcome;
     const bool notPerformed = aAnswer.verdict == verdict::kNotRun ||
                               aAnswer.verdict == verdict::kRefused;
     if (aExchange.outcomeUnknown && notPerformed) {
       aAnswer.verdict = verdict::kUnknown;
     }
-    if (asked && aAnswer.verdict == verdict::kNotRun &&
+    if (isOutcomeQuery && aAnswer.verdict == verdict::kNotRun &&
         aAnswer.why != reason::kKeyVoid) {
       aAnswer.verdict = verdict::kUnknown;
     }
--- a/src/currantshed/gateway/pooler_links.cpp
+++ b/src/currantshed/gateway/pooler_links.cpp
@@ -12,11 +12,11 @@
 namespace {
 
 /// How long a request waits for its connection to be established.
-constexpr std::chrono::milliseconds kConnectPatience{ 300 };
-constexpr std::chrono::milliseconds kGiveUpInterval{ 50 };
+constexpr std::chrono::milliseconds kConnectTimeout{ 300 };
+constexpr std::chrono::milliseconds kExpiryInterval{ 50 };
 
 bool
-SamePlace(const store::vm& aLeft, const store::vm& aRight)
+HasSameEndpoint(const store::vm& aLeft, const store::vm& aRight)
 {
   return aLeft.address == aRight.address &&
          aLeft.poolerPort == aRight.poolerPort;
@@ -44,22 +44,22 @@
 {
   absl::flat_hash_map<std::string, std::unique_ptr<link>> links;
   for (auto& vm : aVms) {
-    auto& place = links[vm.id];
+    auto& entry = links[vm.id];
     const auto known = mLinks.find(vm.id);
-    if (known != mLinks.end() && SamePlace(known->second->vm, vm)) {
-      place = std::move(known->second);
+    if (known != mLinks.end() && HasSameEndpoint(known->second->vm, vm)) {
+      entry = std::move(known->second);
       mLinks.erase(known);
     } else {
-      place = std::make_unique<link>();
-      place->vm = std::move(vm);
+      entry = std::make_unique<link>();
+      entry->vm = std::move(vm);
     }
   }
   std::swap(mLinks, links);
   for (auto& [name, closed] : links) {
     if (closed != nullptr && closed->socket != nullptr) {
       closed->socket->Close();
-      for (const queued_request& left : closed->queue) {
-        Fail(left.message.request.id);
+      for (const queued_request& remaining : closed->queue) {
+        Fail(remaining.message.request.id);
       }
     }
   }
@@ -83,7 +83,7 @@
   if (to->socket == nullptr) {
     Open(*to);
   }
-  const auto expiresAt = std::chrono::steady_clock::now() + kConnectPatience;
+  const auto expiresAt = std::chrono::steady_clock::now() + kConnectTimeout;
   to->queue.push_back({ std::move(message), expiresAt });
   ScheduleExpiry();
 }
@@ -95,8 +95,8 @@
   if (to == nullptr || to->socket == nullptr) {
     return;
   }
-  std::erase_if(to->queue, [aRequest](const queued_request& aWaiting) {
-    return aWaiting.message.request.id == aRequest;
+  std::erase_if(to->queue, [aRequest](const queued_request& aQueued) {
+    return aQueued.message.request.id == aRequest;
   });
   if (to->up) {
     const auto now = std::chrono::steady_clock::now();
@@ -124,7 +124,7 @@
   });
   const auto error = aLink.socket->Connect(
     aLink.vm.address, aLink.vm.poolerPort, [this](std::string_view aBytes) {
-      Received(aBytes);
+      OnReceived(aBytes);
     });
   if (error) {
     log::Write(log::level::kWarning,
@@ -156,7 +156,7 @@
 }
 
 void
-pooler_links::Received(std::string_view aBytes)
+pooler_links::OnReceived(std::string_view aBytes)
 {
   auto read = wire::Decode(aBytes, std::chrono::steady_clock::now());
   auto* answer = std::get_if<wire::group_answer>(&read.body);
@@ -197,7 +197,7 @@
   if (std::exchange(mTimerSet, true)) {
     return;
   }
-  mTimer.expires_after(kGiveUpInterval);
+  mTimer.expires_after(kExpiryInterval);
   mTimer.async_wait(
     [this, alive = mAlive](const boost::system::error_code& aError) {
       if (!aError && *alive) {
@@ -211,18 +211,18 @@
 {
   mTimerSet = false;
   const auto now = std::chrono::steady_clock::now();
-  bool left = false;
+  bool remaining = false;
   for (auto& [name, known] : mLinks) {
-    std::erase_if(known->queue, [this, now](const queued_request& aWaiting) {
-      const bool late = aWaiting.expiresAt <= now;
+    std::erase_if(known->queue, [this, now](const queued_request& aQueued) {
+      const bool late = aQueued.expiresAt <= now;
       if (late) {
-        Fail(aWaiting.message.request.id);
+        Fail(aQueued.message.request.id);
       }
       return late;
     });
-    left = left || !known->queue.empty();
+    remaining = remaining || !known->queue.empty();
   }
-  if (left) {
+  if (remaining) {
     ScheduleExpiry();
   }
 }
--- a/src/currantshed/gateway/pooler_links.hpp
+++ b/src/currantshed/gateway/pooler_links.hpp
@@ -68,7 +68,7 @@
   link* Find(const std::string& aVm);
   void Open(link& aLink);
   void OnLinkChanged(const std::string& aVm, bool aUp);
-  void Received(std::string_view aBytes);
+  void OnReceived(std::string_view aBytes);
   void Transmit(link& aLink, const wire::group_request& aMessage);
   void Fail(group::request_id aRequest);
   void ScheduleExpiry();
--- a/src/currantshed/gateway/route.cpp
+++ b/src/currantshed/gateway/route.cpp
@@ -11,8 +11,8 @@
 
 using group::operation;
 
-constexpr int kReadShare = 4;
-constexpr int kChangeShare = 2;
+constexpr int kReadTimeoutDivisor = 4;
+constexpr int kChangeTimeoutDivisor = 2;
 constexpr std::chrono::milliseconds kRetryAfter{ 100 };
 
 /// Whether the operation belongs to an open transaction, which only the pooler
@@ -25,7 +25,7 @@
 }
 
 bool
-Holds(const std::vector<std::string>& aList, const std::string& aVm)
+Contains(const std::vector<std::string>& aList, const std::string& aVm)
 {
   return std::find(aList.begin(), aList.end(), aVm) != aList.end();
 }
@@ -47,7 +47,7 @@
     if (IsBound(aExchange.next)) {
       return ForwardBound(aExchange, aNow);
     }
-    const std::string* vm = Choose(aExchange, aNow);
+    const std::string* vm = SelectOwner(aExchange, aNow);
     if (vm != nullptr) {
       return Send(aExchange, *vm, aNow);
     }
@@ -63,12 +63,12 @@
 
   step Back(exchange& aExchange, clock::time_point aNow) override
   {
-    const bool underWay = aExchange.sentAs != 0;
+    const bool inFlight = aExchange.sentAs != 0;
     if (aExchange.returnCause == return_cause::kReply) {
       mState.health.RecordReply(aExchange.vm, aNow);
     } else if (aExchange.returnCause == return_cause::kNotSent) {
       MarkFailed(aExchange, aNow);
-    } else if (underWay) {
+    } else if (inFlight) {
       aExchange.outcomeUnknown = true;
       mState.actions.emplace_back(
         cancel_at_pooler{ aExchange.vm, aExchange.sentAs });
@@ -101,27 +101,27 @@
 
   /// Selects the first owner that is not suspect or, if all are, the first one
   /// that has not failed for this exchange; null if all of them have.
-  [[nodiscard]] const std::string* Choose(exchange& aExchange,
-                                          clock::time_point aNow)
+  [[nodiscard]] const std::string* SelectOwner(exchange& aExchange,
+                                               clock::time_point aNow)
   {
     const auto& owners = mState.Owners(aExchange.group);
-    const std::string* second = nullptr;
+    const std::string* fallback = nullptr;
     for (const std::string& vm : owners) {
-      if (Holds(aExchange.failedVms, vm)) {
+      if (Contains(aExchange.failedVms, vm)) {
         continue;
       }
       if (!mState.health.IsSuspect(aExchange.group, vm, aNow)) {
         return &vm;
       }
-      if (second == nullptr) {
-        second = &vm;
+      if (fallback == nullptr) {
+        fallback = &vm;
       }
     }
-    if (second == nullptr) {
+    if (fallback == nullptr) {
       // The next attempt starts again with the first owner.
       aExchange.failedVms.clear();
     }
-    return second;
+    return fallback;
   }
 
   step Send(exchange& aExchange, const std::string& aVm, clock::time_point aNow)
@@ -143,10 +143,10 @@
     const clock::duration left = aExchange.deadline - aNow;
     if (aExchange.next == operation::kRead) {
       return std::max<clock::duration>(mState.settings.minReadReplyTimeout,
-                                       left / kReadShare);
+                                       left / kReadTimeoutDivisor);
     }
     return std::max<clock::duration>(mState.settings.minChangeReplyTimeout,
-                                     left / kChangeShare);
+                                     left / kChangeTimeoutDivisor);
   }
 
   [[nodiscard]] send_to_pooler Compose(const exchange& aExchange) const
@@ -160,9 +160,9 @@
     if (aExchange.work != nullptr) {
       request.work = *aExchange.work;
     }
-    const bool asksOnly = aExchange.next == operation::kResolve ||
-                          aExchange.next == operation::kReconfirm;
-    if (!asksOnly) {
+    const bool isQuery = aExchange.next == operation::kResolve ||
+                         aExchange.next == operation::kReconfirm;
+    if (!isQuery) {
       request.statements = aExchange.request.statements;
     }
     request.key = aExchange.key;
--- a/test/currantshed/ctl/verbs.cpp
+++ b/test/currantshed/ctl/verbs.cpp
@@ -63,7 +63,7 @@
   }
 };
 
-struct fake_pacer : ctl::sleep_clock
+struct fake_clock : ctl::sleep_clock
 {
   clock::time_point now;
   clock::time_point Now() override { return now; }
@@ -77,29 +77,29 @@
 }
 
 /// The commands with a simulated platform, VMs and clock.
-struct bench
+struct fixture
 {
-  static constexpr std::chrono::milliseconds kTurn{ 10 };
+  static constexpr std::chrono::milliseconds kPollTime{ 10 };
 
   store::fake_client store;
   fake_fetcher vms;
-  fake_pacer time;
+  fake_clock time;
   std::ostringstream out;
   std::ostringstream errors;
   ctl::blocking_platform blocking{ store, [this] {
-                                    time.now += kTurn;
+                                    time.now += kPollTime;
                                     store.Run(time.now);
                                   } };
 
-  void Hold(std::uint64_t aVersion, const char* aChange, const char* aText)
+  void Store(std::uint64_t aVersion, const char* aChange, const char* aText)
   {
     store.Put(std::string(policy::kConfigurationKey),
               Record(aVersion, aChange, aText));
   }
 
-  ctl::verbs Verbs(ctl::output aForm = ctl::output::kText)
+  ctl::verbs Verbs(ctl::output aFormat = ctl::output::kText)
   {
-    return { blocking, vms, time, { aForm, out, errors } };
+    return { blocking, vms, time, { aFormat, out, errors } };
   }
 
   [[nodiscard]] std::uint64_t InForce() const
@@ -148,7 +148,7 @@
 struct verb_row
 {
   const char* name;
-  std::function<void(bench&)> given;
+  std::function<void(fixture&)> given;
   verb_call when;
   exit_code expect;
   std::uint64_t inForce;
@@ -157,40 +157,40 @@
 };
 
 void
-Nothing(bench& /*aBench*/)
+NoSetup(fixture& /*aFixture*/)
 {
 }
 
 void
-HoldOld(bench& aBench)
+StoreOld(fixture& aFixture)
 {
-  aBench.Hold(7, "before", kOld);
+  aFixture.Store(7, "before", kOld);
 }
 
 /// Stores version 8, made by the given change on top of the old version, and
 /// version 9 on top of it.
 void
-HoldLater(bench& aBench, const char* aChange)
+StoreLater(fixture& aFixture, const char* aChange)
 {
   const auto eighth =
     policy::NextConfigurationRecord({ 7, "before", kOld }, aChange, kNew);
-  aBench.store.Put(std::string(policy::kConfigurationKey),
-                   policy::PrintConfigurationRecord(
-                     policy::NextConfigurationRecord(eighth, "last", kOld)));
+  aFixture.store.Put(std::string(policy::kConfigurationKey),
+                     policy::PrintConfigurationRecord(
+                       policy::NextConfigurationRecord(eighth, "last", kOld)));
 }
 
 const verb_row kRows[] = {
   { "validate: good",
-    Nothing,
+    NoSetup,
     [](ctl::verbs aVerbs) {
       return aVerbs.Validate({ "f", kOld });
     },
     exit_code::kOk,
     0,
-    "f: good, 1 classes\n",
+    "f: valid, 1 classes\n",
     "" },
   { "validate: every fault",
-    Nothing,
+    NoSetup,
     [](ctl::verbs aVerbs) {
       return aVerbs.Validate({ "f", "classes: {}\nx: 1\n" });
     },
@@ -201,7 +201,7 @@
     "f:2:1: unknown key 'x' in the declaration; known are: classes, "
     "groups\n" },
   { "diff",
-    HoldOld,
+    StoreOld,
     [](ctl::verbs aVerbs) {
       return aVerbs.Diff({ "f", kNew });
     },
@@ -210,7 +210,7 @@
     "against version 7:\n~ class a max_staleness: 1s -> 2s\n",
     "" },
   { "diff against nothing",
-    Nothing,
+    NoSetup,
     [](ctl::verbs aVerbs) {
       return aVerbs.Diff({ "f", kNew });
     },
@@ -219,61 +219,61 @@
     "against version 0:\n+ class a\n",
     "" },
   { "diff: the platform is down",
-    [](bench& aBench) { aBench.store.SetOutage(true); },
+    [](fixture& aFixture) { aFixture.store.SetOutage(true); },
     [](ctl::verbs aVerbs) {
       return aVerbs.Diff({ "f", kNew });
     },
     exit_code::kPlatformUnreachable,
     0,
     "",
-    "the platform can't be asked: " },
+    "platform unavailable: " },
   { "apply: the first one",
-    Nothing,
+    NoSetup,
     Apply(kNew, 0),
     exit_code::kOk,
     1,
     "applied as version 1 (change own)\n",
     "" },
   { "apply: the next one",
-    HoldOld,
+    StoreOld,
     Apply(kNew, 7),
     exit_code::kOk,
     8,
     "applied as version 8 (change own)\n",
     "" },
   { "apply: against what is in force",
-    HoldOld,
+    StoreOld,
     Apply(kNew),
     exit_code::kOk,
     8,
     "applied as version 8 (change own)\n",
     "" },
   { "apply: the same again",
-    HoldOld,
+    StoreOld,
     Apply(kOld, 7),
     exit_code::kOk,
     7,
     "already in force as version 7\n",
     "" },
   { "apply: the operator saw an older version",
-    HoldOld,
+    StoreOld,
     Apply(kNew, 6),
     exit_code::kLostRace,
     7,
     "",
-    "not applied, lost the race: expected version 6, in force is version 7. "
-    "Look at it with 'show' and 'diff'.\n" },
+    "not applied, version conflict: expected version 6, in force is version 7. "
+    "Compare with 'show' and 'diff'.\n" },
   { "apply: not valid",
-    HoldOld,
+    StoreOld,
     Apply(kBroken),
     exit_code::kInvalidDeclaration,
     7,
     "",
     "f:2:3: class 'a' lacks access\n" },
   { "apply: the answer was lost after the effect",
-    [](bench& aBench) {
-      HoldOld(aBench);
-      aBench.store.LoseAfterEffect(1);
+    [](fixture& aFixture) {
+      StoreOld(aFixture);
+      aFixture.store.LoseAfterEffect(1);
     },
     Apply(kNew, 7),
     exit_code::kOk,
@@ -281,9 +281,9 @@
     "applied as version 8 (change own)\n",
     "" },
   { "apply: the answer was lost before the effect",
-    [](bench& aBench) {
-      HoldOld(aBench);
-      aBench.store.LoseBeforeEffect(2);
+    [](fixture& aFixture) {
+      StoreOld(aFixture);
+      aFixture.store.LoseBeforeEffect(2);
     },
     Apply(kNew, 7),
     exit_code::kOk,
@@ -291,30 +291,30 @@
     "applied as version 8 (change own)\n",
     "" },
   { "apply: never an answer",
-    [](bench& aBench) {
-      HoldOld(aBench);
-      aBench.store.LoseBeforeEffect(1000);
+    [](fixture& aFixture) {
+      StoreOld(aFixture);
+      aFixture.store.LoseBeforeEffect(1000);
     },
     Apply(kNew, 7),
     exit_code::kOutcomeUnknown,
     7,
     "",
-    "not known whether it was applied. Ask again with: apply FILE "
+    "unknown whether it was applied. Retry with: apply FILE "
     "--expect-version 7 --change own\n" },
   { "apply: the platform is down",
-    [](bench& aBench) {
-      HoldOld(aBench);
-      aBench.store.SetOutage(true);
+    [](fixture& aFixture) {
+      StoreOld(aFixture);
+      aFixture.store.SetOutage(true);
     },
     Apply(kNew, 7),
     exit_code::kPlatformUnreachable,
     7,
     "",
-    "the platform can't be asked: " },
+    "platform unavailable: " },
   { "apply: the platform is down for a moment",
-    [](bench& aBench) {
-      HoldOld(aBench);
-      aBench.store.LoseBeforeEffect(3);
+    [](fixture& aFixture) {
+      StoreOld(aFixture);
+      aFixture.store.LoseBeforeEffect(3);
     },
     Apply(kNew, 7),
     exit_code::kOk,
@@ -322,54 +322,55 @@
     "applied as version 8 (change own)\n",
     "" },
   { "apply again: it was made, and others built on it",
-    [](bench& aBench) { HoldLater(aBench, "own"); },
+    [](fixture& aFixture) { StoreLater(aFixture, "own"); },
     Apply(kNew, 7, true),
     exit_code::kOk,
     9,
     "applied as version 8 (change own)\n",
     "" },
   { "apply again: another took its place",
-    [](bench& aBench) { HoldLater(aBench, "other"); },
+    [](fixture& aFixture) { StoreLater(aFixture, "other"); },
     Apply(kNew, 7, true),
     exit_code::kLostRace,
     9,
     "",
-    "not applied, lost the race: expected version 7, in force is version 9. " },
+    "not applied, version conflict: expected version 7, in force is version "
+    "9. " },
   { "apply again: it was not made before",
-    HoldOld,
+    StoreOld,
     Apply(kNew, 7, true),
     exit_code::kOk,
     8,
     "applied as version 8 (change own)\n",
     "" },
   { "apply: what is stored is no configuration",
-    [](bench& aBench) {
-      aBench.store.Put(std::string(policy::kConfigurationKey), "{}");
+    [](fixture& aFixture) {
+      aFixture.store.Put(std::string(policy::kConfigurationKey), "{}");
     },
     Apply(kNew, 7),
     exit_code::kPlatformUnreachable,
     0,
     "",
-    "the platform can't be asked: the stored configuration can't be read\n" },
+    "platform unavailable: the stored configuration can't be read\n" },
   { "show",
-    HoldOld,
+    StoreOld,
     [](ctl::verbs aVerbs) { return aVerbs.Show(); },
     exit_code::kOk,
     7,
     "# version 7, change before\nclasses:\n",
     "" },
   { "show nothing",
-    Nothing,
+    NoSetup,
     [](ctl::verbs aVerbs) { return aVerbs.Show(); },
     exit_code::kOk,
     0,
     "nothing is in force yet\n",
     "" },
   { "wait: all have it, or a higher one",
-    [](bench& aBench) {
-      aBench.store.SetListing({ { Vm("m1"), Vm("m2"), Vm("m3", true) }, {} });
-      aBench.vms.Answer("m1", "\"configuration_version\":7");
-      aBench.vms.Answer("m2", "\"configuration_version\":8");
+    [](fixture& aFixture) {
+      aFixture.store.SetListing({ { Vm("m1"), Vm("m2"), Vm("m3", true) }, {} });
+      aFixture.vms.Answer("m1", "\"configuration_version\":7");
+      aFixture.vms.Answer("m2", "\"configuration_version\":8");
     },
     Wait(7),
     exit_code::kOk,
@@ -377,11 +378,11 @@
     "version 7 is on all 2 VMs\n",
     "" },
   { "wait: until it comes",
-    [](bench& aBench) {
-      aBench.store.SetListing({ { Vm("m1") }, {} });
-      aBench.vms.onFetch = [&aBench, round = 0]() mutable {
-        aBench.vms.Answer("m1",
-                          absl::StrCat("\"configuration_version\":", ++round));
+    [](fixture& aFixture) {
+      aFixture.store.SetListing({ { Vm("m1") }, {} });
+      aFixture.vms.onFetch = [&aFixture, round = 0]() mutable {
+        aFixture.vms.Answer(
+          "m1", absl::StrCat("\"configuration_version\":", ++round));
       };
     },
     Wait(3),
@@ -390,22 +391,22 @@
     "version 3 is on all 1 VMs\n",
     "" },
   { "wait: no time left",
-    [](bench& aBench) {
-      aBench.store.SetListing({ { Vm("m1"), Vm("m2"), Vm("m3") }, {} });
-      aBench.vms.Answer("m1", "\"configuration_version\":7");
-      aBench.vms.Answer("m2", "\"configuration_version\":6");
+    [](fixture& aFixture) {
+      aFixture.store.SetListing({ { Vm("m1"), Vm("m2"), Vm("m3") }, {} });
+      aFixture.vms.Answer("m1", "\"configuration_version\":7");
+      aFixture.vms.Answer("m2", "\"configuration_version\":6");
     },
     Wait(7),
     exit_code::kTimeout,
     0,
     "",
-    "no time left; version 7 is missing on 2 of 3 live VMs\n"
+    "timed out; version 7 is missing on 2 of 3 live VMs\n"
     "  m2 has version 6\n  m3: refused\n" },
   { "wait: gateways have it as well",
-    [](bench& aBench) {
-      aBench.store.SetListing({ { Vm("m1") }, {} });
-      aBench.vms.Answer("m1", "\"configuration_version\":7");
-      aBench.vms.Answer("m1", "\"configuration_version\":7", 10);
+    [](fixture& aFixture) {
+      aFixture.store.SetListing({ { Vm("m1") }, {} });
+      aFixture.vms.Answer("m1", "\"configuration_version\":7");
+      aFixture.vms.Answer("m1", "\"configuration_version\":7", 10);
     },
     WaitForGateways(7),
     exit_code::kOk,
@@ -413,39 +414,39 @@
     "version 7 is on all 1 VMs\n",
     "" },
   { "wait: a gateway lags, another is not there",
-    [](bench& aBench) {
-      aBench.store.SetListing({ { Vm("m1"), Vm("m2") }, {} });
-      aBench.vms.Answer("m1", "\"configuration_version\":7");
-      aBench.vms.Answer("m1", "\"configuration_version\":6", 10);
-      aBench.vms.Answer("m2", "\"configuration_version\":7");
+    [](fixture& aFixture) {
+      aFixture.store.SetListing({ { Vm("m1"), Vm("m2") }, {} });
+      aFixture.vms.Answer("m1", "\"configuration_version\":7");
+      aFixture.vms.Answer("m1", "\"configuration_version\":6", 10);
+      aFixture.vms.Answer("m2", "\"configuration_version\":7");
     },
     WaitForGateways(7),
     exit_code::kTimeout,
     0,
     "",
-    "no time left; version 7 is missing on 2 of 2 live VMs\n"
+    "timed out; version 7 is missing on 2 of 2 live VMs\n"
     "  m1 has version 6\n  m2: gateway: refused\n" },
   { "wait: no VM at all is no success",
-    Nothing,
+    NoSetup,
     Wait(7),
     exit_code::kTimeout,
     0,
     "",
-    "no time left; version 7 is missing on 0 of 0 live VMs\n" },
+    "timed out; version 7 is missing on 0 of 0 live VMs\n" },
   { "wait: the platform is down",
-    [](bench& aBench) { aBench.store.SetOutage(true); },
+    [](fixture& aFixture) { aFixture.store.SetOutage(true); },
     Wait(7),
     exit_code::kPlatformUnreachable,
     0,
     "",
-    "the platform can't be asked: " },
+    "platform unavailable: " },
   { "status",
-    [](bench& aBench) {
-      aBench.store.SetListing({ { Vm("m2"), Vm("m1") }, {} });
-      aBench.vms.Answer("m1",
-                        "\"configuration_version\":7,\"groups\":[{\"group\":"
-                        "\"g1\",\"term\":3,\"primary\":\"s2\",\"rank\":0},"
-                        "{\"group\":\"g2\",\"term\":1,\"primary\":\"s9\"}]");
+    [](fixture& aFixture) {
+      aFixture.store.SetListing({ { Vm("m2"), Vm("m1") }, {} });
+      aFixture.vms.Answer("m1",
+                          "\"configuration_version\":7,\"groups\":[{\"group\":"
+                          "\"g1\",\"term\":3,\"primary\":\"s2\",\"rank\":0},"
+                          "{\"group\":\"g2\",\"term\":1,\"primary\":\"s9\"}]");
     },
     [](ctl::verbs aVerbs) { return aVerbs.Status({}); },
     exit_code::kOk,
@@ -466,7 +467,7 @@
 TEST(ctl_verbs, table)
 {
   for (const auto& row : kRows) {
-    bench given;
+    fixture given;
     row.given(given);
     const auto ended = row.when(given.Verbs());
     LONGS_EQUAL_TEXT(
@@ -488,7 +489,7 @@
 TEST(ctl_verbs, json_results_are_one_line_on_the_output_stream)
 {
   for (const auto& row : kRows) {
-    bench given;
+    fixture given;
     row.given(given);
     static_cast<void>(row.when(given.Verbs(ctl::output::kJson)));
     const std::string text = given.out.str();
--- a/test/currantshed/gateway/caller_server.cpp
+++ b/test/currantshed/gateway/caller_server.cpp
@@ -22,7 +22,7 @@
 
 constexpr const char* kAddress = "127.0.0.1";
 /// Time limit that ends a hanging test; a passing test never waits for it.
-constexpr std::chrono::seconds kLongest{ 20 };
+constexpr std::chrono::seconds kTestTimeout{ 20 };
 constexpr std::size_t kBodyLimit = 1000;
 
 /// Accepts requests and answers them immediately or on demand.
@@ -31,8 +31,8 @@
 public:
   void Submit(caller_request aRequest) override
   {
-    taken.push_back(aRequest);
-    if (!holds) {
+    received.push_back(aRequest);
+    if (!deferAnswers) {
       Answer(aRequest.number);
     }
   }
@@ -56,28 +56,28 @@
   }
 
   caller_server* server = nullptr;
-  bool holds = false;
+  bool deferAnswers = false;
   currantshed::outcome::verdict verdict = currantshed::outcome::verdict::kDone;
-  std::vector<caller_request> taken;
+  std::vector<caller_request> received;
   std::vector<request_number> cancelled;
   unsigned refused = 0;
 };
 
 /// A server and its sink on an io_context that the test polls explicitly.
-class served
+class server_fixture
 {
 public:
-  explicit served(const caller_limits& aLimits)
+  explicit server_fixture(const caller_limits& aLimits)
     : server(mContext, aLimits, sink)
   {
     sink.server = &server;
     CHECK(!server.Start(kAddress, 0));
   }
 
-  ~served() { server.Stop(); }
+  ~server_fixture() { server.Stop(); }
 
-  served(const served&) = delete;
-  served& operator=(const served&) = delete;
+  server_fixture(const server_fixture&) = delete;
+  server_fixture& operator=(const server_fixture&) = delete;
 
   [[nodiscard]] tcp::socket Connect()
   {
@@ -92,7 +92,7 @@
   template<typename condition>
   [[nodiscard]] bool Until(condition aCondition)
   {
-    const auto end = std::chrono::steady_clock::now() + kLongest;
+    const auto end = std::chrono::steady_clock::now() + kTestTimeout;
     while (!aCondition()) {
       if (std::chrono::steady_clock::now() > end) {
         return false;
@@ -180,7 +180,7 @@
   std::string bytes;
   const char* status;
   const char* text;
-  std::size_t taken;
+  std::size_t received;
 };
 
 const row kRows[] = {
@@ -236,14 +236,14 @@
 TEST(gateway_caller_server, requests)
 {
   for (const auto& row : kRows) {
-    served made(Limits());
+    server_fixture made(Limits());
     auto caller = made.Connect();
     made.Send(caller, row.bytes);
     const std::string answer = made.Read(caller, 1);
     CHECK_TEXT(answer.rfind(row.status, 0) == 0, row.name);
     CHECK_TEXT(answer.find(row.text) != std::string::npos, row.name);
-    LONGS_EQUAL_TEXT(row.taken, made.sink.taken.size(), row.name);
-    LONGS_EQUAL_TEXT(1 - row.taken, made.sink.refused, row.name);
+    LONGS_EQUAL_TEXT(row.received, made.sink.received.size(), row.name);
+    LONGS_EQUAL_TEXT(1 - row.received, made.sink.refused, row.name);
     auto next = made.Connect();
     made.Send(next, Good());
     const std::string other = made.Read(next, 1);
@@ -253,18 +253,18 @@
 
 TEST(gateway_caller_server, requests_sent_ahead_are_answered_in_order)
 {
-  served made(Limits());
+  server_fixture made(Limits());
   auto caller = made.Connect();
   made.Send(caller, Good() + Good() + Good("Connection: close\r\n"));
   const std::string answers = made.Read(caller, 4);
-  LONGS_EQUAL(3, served::Answers(answers));
+  LONGS_EQUAL(3, server_fixture::Answers(answers));
   CHECK(made.Ended());
-  LONGS_EQUAL(3, made.sink.taken.size());
+  LONGS_EQUAL(3, made.sink.received.size());
 }
 
 TEST(gateway_caller_server, time_to_come_back_is_rounded_up)
 {
-  served made(Limits());
+  server_fixture made(Limits());
   made.sink.verdict = currantshed::outcome::verdict::kNotRun;
   auto caller = made.Connect();
   made.Send(caller, Good());
@@ -275,34 +275,34 @@
 
 TEST(gateway_caller_server, hang_up_cancels_the_request)
 {
-  served made(Limits());
-  made.sink.holds = true;
+  server_fixture made(Limits());
+  made.sink.deferAnswers = true;
   auto caller = made.Connect();
   made.Send(caller, Good());
-  CHECK(made.Until([&] { return made.sink.taken.size() == 1; }));
+  CHECK(made.Until([&] { return made.sink.received.size() == 1; }));
   caller.close();
   CHECK(made.Until([&] { return made.sink.cancelled.size() == 1; }));
-  CHECK(made.sink.cancelled[0] == made.sink.taken[0].number);
+  CHECK(made.sink.cancelled[0] == made.sink.received[0].number);
   LONGS_EQUAL(0, made.server.Connections());
-  made.sink.Answer(made.sink.taken[0].number);
+  made.sink.Answer(made.sink.received[0].number);
 }
 
 TEST(gateway_caller_server, hang_up_in_a_body_is_dropped)
 {
-  served made(Limits());
+  server_fixture made(Limits());
   auto caller = made.Connect();
   made.Send(caller, Good().substr(0, 80));
   CHECK(made.Until([&] { return made.server.Busy() == 1; }));
   caller.close();
   CHECK(made.Until([&] { return made.server.Connections() == 0; }));
-  LONGS_EQUAL(0, made.sink.taken.size());
+  LONGS_EQUAL(0, made.sink.received.size());
 }
 
 TEST(gateway_caller_server, request_that_does_not_arrive_in_time)
 {
   auto limits = Limits();
   limits.requestTimeout = 1ms;
-  served made(limits);
+  server_fixture made(limits);
   auto caller = made.Connect();
   made.Send(caller, Good().substr(0, 40));
   const std::string answer = made.Read(caller, 1);
@@ -313,13 +313,13 @@
 {
   auto limits = Limits();
   limits.writeTimeout = 1ms;
-  served made(limits);
-  made.sink.holds = true;
+  server_fixture made(limits);
+  made.sink.deferAnswers = true;
   auto caller = made.Connect();
   made.Send(caller, Good());
-  CHECK(made.Until([&] { return made.sink.taken.size() == 1; }));
+  CHECK(made.Until([&] { return made.sink.received.size() == 1; }));
   caller_answer answer;
-  answer.number = made.sink.taken[0].number;
+  answer.number = made.sink.received[0].number;
   answer.verdict = currantshed::outcome::verdict::kDone;
   // More than the operating system buffers for a caller.
   answer.results = { { { "c" }, { std::string(64UL * 1024 * 1024, 'x') }, 0 } };
@@ -331,7 +331,7 @@
 {
   auto limits = Limits();
   limits.connections = 1;
-  served made(limits);
+  server_fixture made(limits);
   auto first = made.Connect();
   CHECK(made.Until([&] { return made.server.Connections() == 1; }));
   auto second = made.Connect();
@@ -343,20 +343,20 @@
         std::string::npos);
 }
 
-TEST(gateway_caller_server, leaving_ends_connections_after_their_answer)
+TEST(gateway_caller_server, shutdown_closes_connections_after_their_answer)
 {
-  served made(Limits());
-  made.sink.holds = true;
+  server_fixture made(Limits());
+  made.sink.deferAnswers = true;
   auto idle = made.Connect();
   auto busy = made.Connect();
   made.Send(busy, Good());
   CHECK(made.Until([&] {
-    return made.sink.taken.size() == 1 && made.server.Connections() == 2;
+    return made.sink.received.size() == 1 && made.server.Connections() == 2;
   }));
   made.server.BeginShutdown();
   made.server.CloseIdle();
   LONGS_EQUAL(1, made.server.Connections());
-  made.sink.Answer(made.sink.taken[0].number);
+  made.sink.Answer(made.sink.received[0].number);
   const std::string answer = made.Read(busy, 2);
   CHECK(answer.find("200 OK") != std::string::npos);
   CHECK(answer.find("Connection: close") != std::string::npos);
@@ -395,11 +395,11 @@
   for (const auto& row : rows) {
     auto limits = Limits();
     limits.lingerTimeout = 1ms;
-    served made(limits);
+    server_fixture made(limits);
     auto caller = made.Connect();
     if (row.before == state::kKept) {
       made.Send(caller, Good());
-      CHECK_TEXT(served::Answers(made.Read(caller, 1)) == 1, row.name);
+      CHECK_TEXT(server_fixture::Answers(made.Read(caller, 1)) == 1, row.name);
     } else if (row.before == state::kFresh) {
       CHECK_TEXT(made.Until([&] { return made.server.Connections() == 1; }),
                  row.name);
@@ -423,7 +423,7 @@
 
 TEST(gateway_caller_server, new_connections_are_refused_once_it_stops_listening)
 {
-  served made(Limits());
+  server_fixture made(Limits());
   const auto port = made.server.Port();
   made.server.StopListening();
   boost::asio::io_context context;
@@ -449,7 +449,7 @@
   for (const auto& row : rows) {
     auto limits = Limits();
     limits.idleTimeout = row.idleTimeout;
-    served made(limits);
+    server_fixture made(limits);
     auto caller = made.Connect();
     CHECK_TEXT(made.Until([&] { return made.server.Connections() == 1; }),
                row.name);
--- a/test/currantshed/gateway/engine.cpp
+++ b/test/currantshed/gateway/engine.cpp
@@ -97,7 +97,7 @@
     [](auto& aCall) {
       aCall.kind = call_kind::kCommit;
       aCall.transaction = TransactionId("vm-a");
-      aCall.key = SpareKey(78).Text();
+      aCall.key = GeneratedKey(78).Text();
     },
     gateway_error::kKeyMismatch },
   { "outcome without a key",
@@ -277,10 +277,10 @@
   const auto& answer = fixture.given.answer;
   CHECK(!gateway::ReadTransactionId(answer.transaction, Ring(), name));
   const gateway::transaction_handle expected{
-    fixture.owners[0], "life-1", 42, "report", kGroup, SpareKey(1)
+    fixture.owners[0], "life-1", 42, "report", kGroup, GeneratedKey(1)
   };
   CHECK(name == expected);
-  CHECK(answer.key == SpareKey(1));
+  CHECK(answer.key == GeneratedKey(1));
 }
 
 TEST(gateway_engine, commit_uses_the_key_of_the_transaction)
@@ -289,7 +289,7 @@
   auto call = Call("", call_kind::kCommit);
   call.transaction = TransactionId("vm-a");
   fixture.Submit(call);
-  CHECK(fixture.sent.request.key == SpareKey(77));
+  CHECK(fixture.sent.request.key == GeneratedKey(77));
   LONGS_EQUAL(9, fixture.sent.request.transaction);
   STRCMP_EQUAL("life-1", fixture.sent.incarnation.c_str());
 }
@@ -327,9 +327,9 @@
   for (const auto& row : kRows) {
     engine_fixture fixture;
     auto call = Call("", row.kind);
-    call.key = SpareKey(77).Text();
+    call.key = GeneratedKey(77).Text();
     call.transaction = gateway::MakeTransactionId(
-      { "vm-a", "life-1", 9, row.workClass, kGroup, SpareKey(77) }, Ring());
+      { "vm-a", "life-1", 9, row.workClass, kGroup, GeneratedKey(77) }, Ring());
     fixture.Submit(call);
     CHECK_TEXT(row.places == fixture.sent.request.work.servedIn, row.name);
   }
@@ -340,7 +340,7 @@
   engine_fixture fixture;
   fixture.Submit(Call("lookup"));
   fixture.Engine().PoolerLost(fixture.owners[0], fixture.now);
-  fixture.Take();
+  fixture.CollectActions();
   fixture.Reply(Answer(verdict::kDone));
   fixture.Submit(Call("lookup"));
   fixture.Reply(Answer(verdict::kDone));
@@ -374,9 +374,9 @@
   auto late = Answer(verdict::kDone);
   late.request = fixture.sent.request.id;
   fixture.Engine().PoolerLost(fixture.owners[0], fixture.now);
-  fixture.Take();
+  fixture.CollectActions();
   fixture.Engine().PoolerAnswered(late, "life-1", fixture.now);
-  fixture.Take();
+  fixture.CollectActions();
   STRCMP_EQUAL("read@0 cancel@0 read@1", fixture.log.c_str());
 }
 
@@ -385,7 +385,7 @@
   engine_fixture fixture;
   fixture.Submit(Call("report"));
   fixture.Engine().Cancel(1, fixture.now);
-  fixture.Take();
+  fixture.CollectActions();
   STRCMP_EQUAL("write@0 cancel@0", fixture.log.c_str());
   LONGS_EQUAL(0, fixture.Engine().Pending());
   LONGS_EQUAL(1, fixture.Engine().Counters().abandoned);
@@ -430,13 +430,13 @@
   LONGS_EQUAL(0, fixture.Engine().Pending());
 }
 
-TEST(gateway_engine, giving_up_answers_all)
+TEST(gateway_engine, expiring_answers_all)
 {
   engine_fixture fixture;
   fixture.Submit(Call("report"));
   fixture.Submit(Call("lookup"));
   fixture.Engine().ExpireAll(fixture.now);
-  fixture.Take();
+  fixture.CollectActions();
   LONGS_EQUAL(2, fixture.answers);
   LONGS_EQUAL(0, fixture.Engine().Pending());
 }
@@ -449,7 +449,7 @@
     fixture.Submit(Call("lookup"));
     fixture.log.clear();
     fixture.Engine().PoolerLost(fixture.sent.vm, fixture.now);
-    fixture.Take();
+    fixture.CollectActions();
     if (fixture.log.find("read@") != std::string::npos) {
       ++retried;
       fixture.Reply(Answer(verdict::kDone));
--- a/test/currantshed/gateway/engine_failures.cpp
+++ b/test/currantshed/gateway/engine_failures.cpp
@@ -40,7 +40,7 @@
 }
 
 event
-Passes(std::chrono::milliseconds aTime)
+TimePasses(std::chrono::milliseconds aTime)
 {
   return { event_kind::kAdvance, {}, {}, aTime };
 }
@@ -53,7 +53,7 @@
 const event kVoid = Replies(verdict::kNotRun, reason::kKeyVoid);
 
 void
-Happen(engine_fixture& aFixture, const event& aEvent)
+ApplyEvent(engine_fixture& aFixture, const event& aEvent)
 {
   const std::string vm = aFixture.sent.vm;
   switch (aEvent.kind) {
@@ -76,10 +76,10 @@
       break;
     }
   }
-  aFixture.Take();
+  aFixture.CollectActions();
 }
 
-struct fate_row
+struct failure_row
 {
   const char* name;
   const char* workClass;
@@ -88,45 +88,45 @@
   reason why = reason::kNone;
 };
 
-const fate_row kFates[] = {
+const failure_row kFailures[] = {
   { "read answered", "lookup", { kDone }, "read@0 done" },
   { "write answered", "report", { kDone }, "write@0 done" },
   { "write acknowledged at the end of the validity",
     "report",
-    { Passes(200ms), kDone },
+    { TimePasses(200ms), kDone },
     "write@0 done" },
   { "write answered after the validity is reconfirmed",
     "report",
-    { Passes(201ms), kDone, kDone },
+    { TimePasses(201ms), kDone, kDone },
     "write@0 reconfirm@0 done" },
   { "reconfirmed too late is asked again",
     "report",
-    { Passes(201ms), kDone, Passes(201ms), kDone, kDone },
+    { TimePasses(201ms), kDone, TimePasses(201ms), kDone, kDone },
     "write@0 reconfirm@0 reconfirm@0 done" },
   { "position of a past term is resolved by the key",
     "report",
-    { Passes(201ms),
+    { TimePasses(201ms),
       kDone,
       Replies(verdict::kNotRun, reason::kNoPrimary),
-      Passes(50ms),
+      TimePasses(50ms),
       kDone },
     "write@0 reconfirm@0 resolve@0 done" },
   { "reconfirmation lost is resolved by the key",
     "report",
-    { Passes(201ms), kDone, kLost, kDone },
+    { TimePasses(201ms), kDone, kLost, kDone },
     "write@0 reconfirm@0 cancel@0 resolve@1 done" },
   { "reconfirmation not sent goes to the next owner",
     "report",
-    { Passes(201ms), kDone, kNotSent, kDone },
+    { TimePasses(201ms), kDone, kNotSent, kDone },
     "write@0 reconfirm@0 reconfirm@1 done" },
   { "reconfirmation unanswered at the deadline is unknown",
     "report",
-    { Passes(201ms), kDone, Passes(1800ms) },
+    { TimePasses(201ms), kDone, TimePasses(1800ms) },
     "write@0 reconfirm@0 cancel@0 unknown",
     reason::kDeadline },
   { "read answered late needs no reconfirmation",
     "lookup",
-    { Passes(400ms), kDone },
+    { TimePasses(400ms), kDone },
     "read@0 done" },
   { "read goes to the next owner",
     "lookup",
@@ -143,7 +143,7 @@
     reason::kOverloaded },
   { "silent pooler is left by a read",
     "lookup",
-    { Passes(499ms), Passes(1ms), kDone },
+    { TimePasses(499ms), TimePasses(1ms), kDone },
     "read@0 cancel@0 read@1 done" },
   { "lost write is resolved: done",
     "report",
@@ -156,22 +156,22 @@
     reason::kKeyVoid },
   { "lost write is resolved too late, and confirmed again",
     "report",
-    { kLost, Passes(201ms), kDone, kDone },
+    { kLost, TimePasses(201ms), kDone, kDone },
     "write@0 cancel@0 resolve@1 reconfirm@1 done" },
   { "lost write that no owner can resolve is unknown at the deadline",
     "report",
-    { kLost, kLost, kLost, Passes(2000ms) },
+    { kLost, kLost, kLost, TimePasses(2000ms) },
     "write@0 cancel@0 resolve@1 cancel@1 resolve@2 cancel@2 unknown",
     reason::kDeadline },
   { "resolving goes round the owners until one can tell",
     "report",
-    { kLost, kLost, kLost, Passes(50ms), kDone },
+    { kLost, kLost, kLost, TimePasses(50ms), kDone },
     "write@0 cancel@0 resolve@1 cancel@1 resolve@2 cancel@2 resolve@0 done" },
   { "refusal to resolve now is asked again",
     "report",
     { kLost,
       Replies(verdict::kNotRun, reason::kNoPrimary),
-      Passes(50ms),
+      TimePasses(50ms),
       kDone },
     "write@0 cancel@0 resolve@1 resolve@1 done" },
   { "refusal to resolve at all leaves it unknown",
@@ -190,7 +190,7 @@
     reason::kKeyVoid },
   { "silent pooler is left by a write",
     "report",
-    { Passes(999ms), Passes(1ms), kDone },
+    { TimePasses(999ms), TimePasses(1ms), kDone },
     "write@0 cancel@0 resolve@1 done" },
   { "VM gone from the view is lost at once",
     "report",
@@ -237,20 +237,20 @@
     reason::kKeyVoid },
   { "pooler's doubt at the deadline is told",
     "report",
-    { Passes(990ms),
+    { TimePasses(990ms),
       kLost,
-      Passes(995ms),
+      TimePasses(995ms),
       Replies(verdict::kUnknown, reason::kDeadline) },
     "write@0 cancel@0 resolve@1 unknown",
     reason::kDeadline },
   { "sent write at its deadline is unknown",
     "report",
-    { Passes(2000ms) },
+    { TimePasses(2000ms) },
     "write@0 cancel@0 unknown",
     reason::kDeadline },
   { "sent read at its deadline is unknown",
     "lookup",
-    { Passes(2000ms) },
+    { TimePasses(2000ms) },
     "read@0 cancel@0 unknown",
     reason::kDeadline },
   { "statement refused by the database",
@@ -276,7 +276,7 @@
   { "rollback", call_kind::kRollback, { kDone }, "rollback@1 done" },
   { "commit answered after the validity",
     call_kind::kCommit,
-    { Passes(201ms), kDone, kDone },
+    { TimePasses(201ms), kDone, kDone },
     "commit@1 reconfirm@0 done" },
   { "statement lost is unknown and never sent again",
     call_kind::kStatement,
@@ -332,11 +332,11 @@
 
 TEST(gateway_failures, statements)
 {
-  for (const auto& row : kFates) {
+  for (const auto& row : kFailures) {
     engine_fixture fixture;
     fixture.Submit(Call(row.workClass));
     for (const auto& next : row.events) {
-      Happen(fixture, next);
+      ApplyEvent(fixture, next);
     }
     STRCMP_EQUAL_TEXT(row.log, fixture.log.c_str(), row.name);
     const auto& answer = fixture.given.answer;
@@ -361,7 +361,7 @@
     call.transaction = TransactionId(fixture.owners[1]);
     fixture.Submit(call);
     for (const auto& next : row.events) {
-      Happen(fixture, next);
+      ApplyEvent(fixture, next);
     }
     STRCMP_EQUAL_TEXT(row.log, fixture.log.c_str(), row.name);
     CHECK_TEXT(row.why == fixture.given.answer.why, row.name);
@@ -375,10 +375,10 @@
   for (const auto& row : kOutcomes) {
     engine_fixture fixture;
     auto call = Call("", call_kind::kOutcome);
-    call.key = SpareKey(5).Text();
+    call.key = GeneratedKey(5).Text();
     call.deadline = 10ms;
     fixture.Submit(call);
-    Happen(fixture, row.reply);
+    ApplyEvent(fixture, row.reply);
     STRCMP_EQUAL_TEXT(row.log, fixture.log.c_str(), row.name);
   }
 }
--- a/test/currantshed/gateway/engine_fixture.cpp
+++ b/test/currantshed/gateway/engine_fixture.cpp
@@ -85,7 +85,7 @@
 }
 
 outcome::idempotency_key
-SpareKey(std::uint64_t aNumber)
+GeneratedKey(std::uint64_t aNumber)
 {
   return outcome::idempotency_key::Make(clock::wall_time(1000s), 1, aNumber);
 }
@@ -107,8 +107,8 @@
 std::string
 TransactionId(const std::string& aVm)
 {
-  return MakeTransactionId({ aVm, "life-1", 9, "report", kGroup, SpareKey(77) },
-                           Ring());
+  return MakeTransactionId(
+    { aVm, "life-1", 9, "report", kGroup, GeneratedKey(77) }, Ring());
 }
 
 group::answer
@@ -145,9 +145,9 @@
 engine_fixture::Submit(caller_request aRequest)
 {
   aRequest.number = ++mNumber;
-  aRequest.generatedKey = SpareKey(mNumber);
+  aRequest.generatedKey = GeneratedKey(mNumber);
   mEngine->Submit(std::move(aRequest), now);
-  Take();
+  CollectActions();
 }
 
 void
@@ -155,7 +155,7 @@
 {
   aAnswer.request = sent.request.id;
   mEngine->PoolerAnswered(std::move(aAnswer), "life-1", now);
-  Take();
+  CollectActions();
 }
 
 void
@@ -163,11 +163,11 @@
 {
   now += aTime;
   mEngine->Tick(now);
-  Take();
+  CollectActions();
 }
 
 void
-engine_fixture::Take()
+engine_fixture::CollectActions()
 {
   for (auto& next : mEngine->TakeActions()) {
     if (auto* message = std::get_if<send_to_pooler>(&next)) {
--- a/test/currantshed/gateway/engine_fixture.hpp
+++ b/test/currantshed/gateway/engine_fixture.hpp
@@ -31,7 +31,7 @@
 SampleConfiguration(std::uint64_t aVersion = kVersion);
 
 [[nodiscard]] outcome::idempotency_key
-SpareKey(std::uint64_t aNumber);
+GeneratedKey(std::uint64_t aNumber);
 
 /// A valid call of the class.
 [[nodiscard]] caller_request
@@ -60,7 +60,7 @@
   void Reply(group::answer aAnswer);
   void Advance(std::chrono::milliseconds aTime);
   /// Moves the engine's actions into the log.
-  void Take();
+  void CollectActions();
 
   clock::time_point now{ std::chrono::seconds(100) };
   /// The last request that was sent.
