--- a/src/currantshed/gateway/control.cpp
+++ b/src/currantshed/gateway/control.cpp
@@ -23,23 +23,23 @@
 std::vector<store::vm>
 WithoutLeaving(const std::vector<store::vm>& aVms)
 {
-  std::vector<store::vm> staying;
+  std::vector<store::vm> activeVms;
   for (const auto& vm : aVms) {
     if (!vm.leaving) {
-      staying.push_back(vm);
+      activeVms.push_back(vm);
     }
   }
-  return staying;
+  return activeVms;
 }
 
 boost::json::array
 DescribeGroups(const fleet_view& aView)
 {
   boost::json::array groups;
-  const auto staying = WithoutLeaving(aView.live);
+  const auto activeVms = WithoutLeaving(aView.live);
   for (const auto& name : aView.groups) {
     boost::json::array owners;
-    for (const auto& vm : member::ChooseOwners(name, staying, aView.owners)) {
+    for (const auto& vm : member::ChooseOwners(name, activeVms, aView.owners)) {
       owners.emplace_back(vm.id);
     }
     groups.push_back({ { "group", name }, { "owners", std::move(owners) } });
--- a/src/currantshed/gateway/engine.cpp
+++ b/src/currantshed/gateway/engine.cpp
@@ -30,13 +30,13 @@
   void Submit(caller_request aRequest, clock::time_point aNow) override
   {
     auto made = std::make_unique<exchange>();
-    exchange& begun = *made;
-    begun.arrived = aNow;
-    begun.deadline = aNow + mState.settings.defaultDeadline;
-    begun.request = std::move(aRequest);
-    const request_number number = begun.request.number;
+    exchange& added = *made;
+    added.arrived = aNow;
+    added.deadline = aNow + mState.settings.defaultDeadline;
+    added.request = std::move(aRequest);
+    const request_number number = added.request.number;
     mExchanges[number] = std::move(made);
-    Run(begun, 0, step::kForward, aNow);
+    Run(added, 0, step::kForward, aNow);
   }
 
   void Cancel(request_number aRequest, clock::time_point aNow) override
--- a/src/currantshed/gateway/shared_state.cpp
+++ b/src/currantshed/gateway/shared_state.cpp
@@ -86,12 +86,13 @@
 {
   const auto [place, added] = mOwners.try_emplace(aGroup);
   if (added) {
-    std::vector<store::vm> staying;
+    std::vector<store::vm> activeVms;
     std::copy_if(view.live.begin(),
                  view.live.end(),
-                 std::back_inserter(staying),
+                 std::back_inserter(activeVms),
                  [](const auto& aVm) { return !aVm.leaving; });
-    for (const auto& vm : member::ChooseOwners(aGroup, staying, view.owners)) {
+    for (const auto& vm :
+         member::ChooseOwners(aGroup, activeVms, view.owners)) {
       place->second.push_back(vm.id);
     }
   }
--- a/test/currantshed/ctl/verbs.cpp
+++ b/test/currantshed/ctl/verbs.cpp
@@ -131,9 +131,9 @@
 WaitForGateways(std::uint64_t aVersion)
 {
   return [=](ctl::verbs aVerbs) {
-    ctl::query_options asked;
-    asked.gateways = ctl::gateway_port{ 1, true };
-    return aVerbs.Wait(aVersion, std::chrono::seconds(1), asked);
+    ctl::query_options options;
+    options.gateways = ctl::gateway_port{ 1, true };
+    return aVerbs.Wait(aVersion, std::chrono::seconds(1), options);
   };
 }
 
--- a/test/currantshed/gateway/caller_server.cpp
+++ b/test/currantshed/gateway/caller_server.cpp
@@ -251,7 +251,7 @@
   }
 }
 
-TEST(gateway_caller_server, requests_sent_ahead_are_answered_in_order)
+TEST(gateway_caller_server, pipelined_requests_are_answered_in_order)
 {
   server_fixture made(Limits());
   auto caller = made.Connect();
@@ -262,7 +262,7 @@
   LONGS_EQUAL(3, made.sink.received.size());
 }
 
-TEST(gateway_caller_server, time_to_come_back_is_rounded_up)
+TEST(gateway_caller_server, retry_delay_is_rounded_up)
 {
   server_fixture made(Limits());
   made.sink.verdict = currantshed::outcome::verdict::kNotRun;
@@ -273,7 +273,7 @@
   CHECK(answer.find("\"retry_after_ms\":1200") != std::string::npos);
 }
 
-TEST(gateway_caller_server, hang_up_cancels_the_request)
+TEST(gateway_caller_server, disconnect_cancels_the_request)
 {
   server_fixture made(Limits());
   made.sink.deferAnswers = true;
@@ -287,7 +287,7 @@
   made.sink.Answer(made.sink.received[0].number);
 }
 
-TEST(gateway_caller_server, hang_up_in_a_body_is_dropped)
+TEST(gateway_caller_server, disconnect_in_a_body_is_dropped)
 {
   server_fixture made(Limits());
   auto caller = made.Connect();
@@ -382,7 +382,7 @@
   {
     const char* name;
     state before;
-    bool isSentBefore;
+    bool sentBeforeShutdown;
   };
   const row rows[] = {
     { "kept, sent before", state::kKept, true },
@@ -404,12 +404,12 @@
       CHECK_TEXT(made.Until([&] { return made.server.Connections() == 1; }),
                  row.name);
     }
-    if (row.isSentBefore) {
+    if (row.sentBeforeShutdown) {
       caller.write_some(boost::asio::buffer(Good()));
     }
     made.server.BeginShutdown();
     made.server.StopListening();
-    if (!row.isSentBefore) {
+    if (!row.sentBeforeShutdown) {
       made.Send(caller, Good());
     }
     const std::string answer = made.Read(caller, 2);
--- a/test/currantshed/gateway/engine.cpp
+++ b/test/currantshed/gateway/engine.cpp
@@ -240,7 +240,7 @@
   }
 }
 
-TEST(gateway_engine, answer_raises_the_token)
+TEST(gateway_engine, answer_advances_the_token)
 {
   engine_fixture fixture;
   auto call = Call("report");
@@ -253,7 +253,7 @@
   CHECK(seen.Floor("planner").position == (log_position{ 2, 8 }));
 }
 
-TEST(gateway_engine, answer_to_a_session_without_token_assumes_more)
+TEST(gateway_engine, answer_to_a_session_without_token_is_marked_incomplete)
 {
   engine_fixture fixture;
   auto call = Call("report");
@@ -311,7 +311,7 @@
     const char* name;
     call_kind kind;
     const char* workClass;
-    std::vector<std::string> places;
+    std::vector<std::string> domains;
   };
   const row kRows[] = {
     { "outcome", call_kind::kOutcome, "", { "depot", "hall" } },
@@ -331,11 +331,11 @@
     call.transaction = gateway::MakeTransactionId(
       { "vm-a", "life-1", 9, row.workClass, kGroup, GeneratedKey(77) }, Ring());
     fixture.Submit(call);
-    CHECK_TEXT(row.places == fixture.sent.request.work.servedIn, row.name);
+    CHECK_TEXT(row.domains == fixture.sent.request.work.servedIn, row.name);
   }
 }
 
-TEST(gateway_engine, suspected_pooler_is_passed_over_for_a_while)
+TEST(gateway_engine, suspect_pooler_is_skipped_for_a_while)
 {
   engine_fixture fixture;
   fixture.Submit(Call("lookup"));
