--- a/src/currantshed/gateway/metrics.cpp
+++ b/src/currantshed/gateway/metrics.cpp
@@ -69,7 +69,7 @@
   : mRegistry(std::make_shared<prometheus::Registry>())
   , mRequests(CounterFamily(*mRegistry,
                             "currantshed_requests_total",
-                            "Answered requests, by outcome"))
+                            "Callers' requests answered, by outcome"))
   , mDeadlineMet(CounterFamily(*mRegistry,
                                "currantshed_deadline_met_total",
                                "Requests completed within their deadline"))
