--- a/src/currantshed/ctl/vm_report.cpp
+++ b/src/currantshed/ctl/vm_report.cpp
@@ -107,7 +107,7 @@
   }
 }
 
-/// The poolers' addresses, then the gateways' where they are asked.
+/// URLs of the poolers' status, followed by those of the gateways if requested.
 std::vector<std::string>
 StatusUrls(const std::vector<store::vm>& aVms,
            const std::optional<gateway_port>& aGateways)
@@ -143,13 +143,13 @@
   boost::system::error_code error;
   const auto value = boost::json::parse(aAnswer.body, error);
   if (error || !value.is_object()) {
-    report.error = "its status is no JSON object";
+    report.error = "its status is not a JSON object";
     return report;
   }
   const auto& status = value.get_object();
   const std::string named = TextAt(status, "vm");
   if (named != aVm.id) {
-    report.error = absl::StrCat("VM '", named, "' answers in its place");
+    report.error = absl::StrCat("VM '", named, "' answers at this address");
     return report;
   }
   report.answered = true;
--- a/src/currantshed/gateway/caller_connection.cpp
+++ b/src/currantshed/gateway/caller_connection.cpp
@@ -24,7 +24,7 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-/// What is read of a request at once.
+/// Size of one read of a request.
 constexpr std::size_t kReadBytes = 65536;
 constexpr std::size_t kLingerBytes = 4096;
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
@@ -51,7 +51,7 @@
   return View(found->value());
 }
 
-/// Turns what Beast says of a request into the gateway's own error.
+/// Maps a Beast parse error to a gateway error.
 gateway_error
 FromReadError(const error_code& aError)
 {
@@ -65,8 +65,8 @@
   return gateway_error::kMalformedRequest;
 }
 
-/// Whether the error is Beast's word on the request, and not the end of the
-/// connection.
+/// Whether the error is about the request's content and not about the end of
+/// the connection.
 bool
 IsMalformed(const error_code& aError)
 {
@@ -76,7 +76,7 @@
          aError != http::error::partial_message;
 }
 
-/// Whole seconds, rounded up.
+/// The time in whole seconds, rounded up.
 std::string
 RetryAfterSeconds(std::chrono::milliseconds aTime)
 {
@@ -92,7 +92,7 @@
   {
   }
 
-  void Renew(const caller_limits& aLimits)
+  void ResetParser(const caller_limits& aLimits)
   {
     parser.emplace();
     parser->header_limit(aLimits.headerBytes);
@@ -183,7 +183,7 @@
                          return;
                        }
                        if (aError) {
-                         self->End();
+                         self->Terminate();
                          return;
                        }
                        self->mBuffers =
@@ -197,7 +197,7 @@
 {
   EnterPhase(phase::kReading);
   mTimedOut = false;
-  mBuffers->Renew(mOwner.Limits());
+  mBuffers->ResetParser(mOwner.Limits());
   http::async_read_header(
     mSocket,
     mBuffers->input,
@@ -230,7 +230,7 @@
         return;
       }
       if (aError) {
-        self->End();
+        self->Terminate();
         return;
       }
       self->ReadBody();
@@ -265,7 +265,7 @@
     return;
   }
   if (!IsMalformed(aError)) {
-    End();
+    Terminate();
     return;
   }
   mOwner.CountRefused();
@@ -306,26 +306,28 @@
 caller_connection::WatchForDisconnect()
 {
   if (mBuffers->input.size() > 0) {
-    // The caller has sent ahead, so it is there.
+    // Bytes of a pipelined request have arrived, so the caller is still
+    // connected.
     return;
   }
-  mSocket.async_wait(
-    tcp::socket::wait_read,
-    [self = shared_from_this(),
-     served = mRequestCount](const error_code& aError) {
-      if (self->mPhase != phase::kServing || self->mRequestCount != served) {
-        return;
-      }
-      char first = 0;
-      error_code error = aError;
-      if (!error) {
-        self->mSocket.receive(
-          asio::buffer(&first, 1), tcp::socket::message_peek, error);
-      }
-      if (error) {
-        self->End();
-      }
-    });
+  mSocket.async_wait(tcp::socket::wait_read,
+                     [self = shared_from_this(),
+                      requestCount = mRequestCount](const error_code& aError) {
+                       if (self->mPhase != phase::kServing ||
+                           self->mRequestCount != requestCount) {
+                         return;
+                       }
+                       char first = 0;
+                       error_code error = aError;
+                       if (!error) {
+                         self->mSocket.receive(asio::buffer(&first, 1),
+                                               tcp::socket::message_peek,
+                                               error);
+                       }
+                       if (error) {
+                         self->Terminate();
+                       }
+                     });
 }
 
 void
@@ -367,7 +369,7 @@
                         return;
                       }
                       if (aError) {
-                        self->End();
+                        self->Terminate();
                         return;
                       }
                       self->OnWritten(keepAlive);
@@ -392,8 +394,8 @@
 void
 caller_connection::Linger()
 {
-  // Closing while the caller still sends would reset the connection and take
-  // the answer with it, so what comes is read and dropped for a while.
+  // Closing while the caller is still sending would reset the connection and
+  // discard the response, so incoming bytes are read and dropped for a while.
   error_code ignored;
   mSocket.shutdown(tcp::socket::shutdown_send, ignored);
   if (mPhase != phase::kLingering) {
@@ -408,7 +410,7 @@
                               return;
                             }
                             if (aError) {
-                              self->End();
+                              self->Terminate();
                               return;
                             }
                             self->Linger();
@@ -418,18 +420,18 @@
 void
 caller_connection::CheckTimeout(clock::time_point aNow)
 {
-  // A request that came in time is read, however late this thread is.
+  // A request that arrived in time is read even if this thread is late.
   if (aNow < mTimeoutAt || (mPhase == phase::kIdle && HasUnread())) {
     return;
   }
   if (mPhase == phase::kReading && !mTimedOut) {
-    // The read ends with an error, and its handler answers.
+    // The read fails, and its handler sends the response.
     mTimedOut = true;
     mTimeoutAt = aNow + mOwner.Limits().lingerTimeout;
     mSocket.cancel();
     return;
   }
-  End();
+  Terminate();
 }
 
 void
@@ -452,7 +454,7 @@
 }
 
 void
-caller_connection::End()
+caller_connection::Terminate()
 {
   if (mPhase == phase::kClosed) {
     return;
--- a/src/currantshed/gateway/classify.cpp
+++ b/src/currantshed/gateway/classify.cpp
@@ -12,11 +12,11 @@
 
 using fault = std::optional<gateway_error>;
 
-/// Time to come back to a gateway that has no configuration or view yet.
-constexpr std::chrono::milliseconds kStartPause{ 500 };
+/// Retry delay while the gateway has no configuration or view yet.
+constexpr std::chrono::milliseconds kStartupRetryAfter{ 500 };
 
-/// Time to come back with a longer deadline.
-constexpr std::chrono::milliseconds kComeBack{ 100 };
+/// Retry delay for a request whose deadline is too short.
+constexpr std::chrono::milliseconds kRetryAfter{ 100 };
 
 group::operation
 FirstOperation(const exchange& aExchange)
@@ -51,8 +51,8 @@
   step Forward(exchange& aExchange, clock::time_point aNow) override
   {
     if (mState.configurationVersion == 0 || mState.view.live.empty()) {
-      aExchange.answer =
-        NotRun(outcome::reason::kUnreachable, mState.AddJitter(kStartPause));
+      aExchange.answer = NotRun(outcome::reason::kUnreachable,
+                                mState.AddJitter(kStartupRetryAfter));
       return step::kBack;
     }
     fault found = CheckStatements(aExchange.request);
@@ -67,7 +67,7 @@
     SetDeadline(aExchange);
     if (aExchange.deadline - mState.settings.returnMargin <= aNow) {
       aExchange.answer =
-        NotRun(outcome::reason::kDeadline, mState.AddJitter(kComeBack));
+        NotRun(outcome::reason::kDeadline, mState.AddJitter(kRetryAfter));
       return step::kBack;
     }
     return step::kForward;
@@ -99,7 +99,7 @@
     return {};
   }
 
-  /// Finds class, group and key by the kind of call.
+  /// Determines class, group and key according to the kind of call.
   [[nodiscard]] fault Find(exchange& aExchange) const
   {
     switch (aExchange.request.kind) {
@@ -131,7 +131,7 @@
       return gateway_error::kGroupNotAllowed;
     }
     if (aExchange.work->kind == policy::access::kWrite) {
-      return TakeKey(aExchange);
+      return SetKey(aExchange);
     }
     if (request.kind == call_kind::kBegin) {
       return gateway_error::kReadOnlyClass;
@@ -139,8 +139,8 @@
     return {};
   }
 
-  /// The caller's key, or the spare one where it sent none.
-  [[nodiscard]] static fault TakeKey(exchange& aExchange)
+  /// Uses the caller's key, or the generated one if the caller sent none.
+  [[nodiscard]] static fault SetKey(exchange& aExchange)
   {
     const caller_request& request = aExchange.request;
     if (request.key.empty()) {
@@ -164,8 +164,8 @@
     if (aExchange.request.key.empty()) {
       return gateway_error::kMalformedKey;
     }
-    aExchange.work = AnyWrite({}, aExchange.group);
-    return TakeKey(aExchange);
+    aExchange.work = MakeWritePlaceholder({}, aExchange.group);
+    return SetKey(aExchange);
   }
 
   [[nodiscard]] fault FindTransaction(exchange& aExchange) const
@@ -189,16 +189,16 @@
     aExchange.key = name.key;
     aExchange.work = mState.Rule(name.workClass);
     if (aExchange.work == nullptr) {
-      // The operators have dropped the class meanwhile; what it began may
-      // still end.
-      aExchange.work = AnyWrite(name.workClass, name.group);
+      // The operators have removed the class in the meantime; transactions that
+      // it started may still end.
+      aExchange.work = MakeWritePlaceholder(name.workClass, name.group);
     }
     return {};
   }
 
-  /// Stands in for the class of a change that isn't known: it may be looked
-  /// for wherever some class may write to the group.
-  [[nodiscard]] std::shared_ptr<const policy::work_class> AnyWrite(
+  /// Placeholder for the class of a change if that class is unknown: the
+  /// outcome may be queried wherever some class may write to the group.
+  [[nodiscard]] std::shared_ptr<const policy::work_class> MakeWritePlaceholder(
     const std::string& aName,
     const group::group_name& aGroup) const
   {
@@ -210,7 +210,7 @@
     return made;
   }
 
-  /// The class's deadline, or the caller's own where that comes first.
+  /// Sets the deadline of the class, or the caller's own if that is earlier.
   void SetDeadline(exchange& aExchange) const
   {
     auto allowed = aExchange.work->deadline;
--- a/src/currantshed/gateway/control.cpp
+++ b/src/currantshed/gateway/control.cpp
@@ -13,32 +13,33 @@
 
 namespace {
 
-/// Time between two questions to the own pooler; each is also the sign that
-/// it is there.
+/// Interval between subscription requests to this VM's pooler; the replies also
+/// serve as its heartbeat.
 constexpr std::chrono::milliseconds kRequestInterval{ 500 };
-/// Silence of the own pooler after which the gateway isn't ready.
+/// Time without a reply from this VM's pooler after which the gateway isn't
+/// ready.
 constexpr std::chrono::milliseconds kPoolerTimeout{ 2000 };
 
 std::vector<store::vm>
-Staying(const std::vector<store::vm>& aVms)
+WithoutLeaving(const std::vector<store::vm>& aVms)
 {
-  std::vector<store::vm> staying;
+  std::vector<store::vm> activeVms;
   for (const auto& vm : aVms) {
     if (!vm.leaving) {
-      staying.push_back(vm);
+      activeVms.push_back(vm);
     }
   }
-  return staying;
+  return activeVms;
 }
 
 boost::json::array
 DescribeGroups(const fleet_view& aView)
 {
   boost::json::array groups;
-  const auto staying = Staying(aView.live);
+  const auto activeVms = WithoutLeaving(aView.live);
   for (const auto& name : aView.groups) {
     boost::json::array owners;
-    for (const auto& vm : member::ChooseOwners(name, staying, aView.owners)) {
+    for (const auto& vm : member::ChooseOwners(name, activeVms, aView.owners)) {
       owners.emplace_back(vm.id);
     }
     groups.push_back({ { "group", name }, { "owners", std::move(owners) } });
@@ -70,7 +71,7 @@
   const auto error =
     mPooler.Connect(mSettings.poolerAddress,
                     mSettings.poolerPort,
-                    [this](std::string_view aBytes) { Received(aBytes); });
+                    [this](std::string_view aBytes) { OnReceived(aBytes); });
   if (error) {
     log::Write(log::level::kError,
                "pooler_connect_failed",
@@ -115,7 +116,7 @@
 control::RequestUpdates()
 {
   const wire::subscribe_request request{ mView.version, mConfiguration };
-  // A question that can't be sent is asked again at the next interval.
+  // A request that can't be sent is repeated at the next interval.
   (void)mPooler.Send(wire::Encode(request, std::chrono::steady_clock::now()));
   mTimer.expires_after(kRequestInterval);
   mTimer.async_wait([this](const boost::system::error_code& aError) {
@@ -126,7 +127,7 @@
 }
 
 void
-control::Received(std::string_view aBytes)
+control::OnReceived(std::string_view aBytes)
 {
   const auto read = wire::Decode(aBytes, std::chrono::steady_clock::now());
   const auto* view = std::get_if<wire::view>(&read.body);
--- a/src/currantshed/gateway/json_body.cpp
+++ b/src/currantshed/gateway/json_body.cpp
@@ -14,10 +14,10 @@
 
 namespace json = boost::json;
 
-constexpr std::size_t kDepth = 8;
-constexpr std::size_t kFirstBytes = 4096;
+constexpr std::size_t kMaxDepth = 8;
+constexpr std::size_t kInitialBufferBytes = 4096;
 
-/// What went wrong, and where for a person.
+/// An error, with a human-readable location.
 struct fault
 {
   std::error_code error;
@@ -54,8 +54,8 @@
   return {};
 }
 
-/// Writes a parameter as the text that the database reads; false for a kind
-/// that is no parameter.
+/// Converts a parameter to the database's text format; false for a JSON kind
+/// that is not allowed.
 bool
 ReadParameter(const json::value& aValue, upstream::cell& aTo)
 {
@@ -96,7 +96,7 @@
   return {};
 }
 
-/// Reads `sql` or `params`; kUnknownField for any other name.
+/// Parses `sql` or `params`; kUnknownField for any other name.
 fault
 ReadStatementField(json::string_view aName,
                    const json::value& aValue,
@@ -148,18 +148,18 @@
   return {};
 }
 
-/// Whether the call names class and group in its body.
+/// Whether the call's body contains class and group.
 bool
-NamesClass(const caller_request& aRequest)
+HasClassAndGroup(const caller_request& aRequest)
 {
   return aRequest.kind == call_kind::kStatements ||
          aRequest.kind == call_kind::kBegin;
 }
 
 bool
-TakesStatements(const caller_request& aRequest)
+AllowsStatements(const caller_request& aRequest)
 {
-  return NamesClass(aRequest) || aRequest.kind == call_kind::kStatement;
+  return HasClassAndGroup(aRequest) || aRequest.kind == call_kind::kStatement;
 }
 
 fault
@@ -168,13 +168,13 @@
           caller_request& aRequest,
           upstream::statement& aSingle)
 {
-  if (NamesClass(aRequest) && aName == "class") {
+  if (HasClassAndGroup(aRequest) && aName == "class") {
     return ReadText(aValue, "class", aRequest.workClass);
   }
-  if (NamesClass(aRequest) && aName == "group") {
+  if (HasClassAndGroup(aRequest) && aName == "group") {
     return ReadText(aValue, "group", aRequest.group);
   }
-  if (!TakesStatements(aRequest)) {
+  if (!AllowsStatements(aRequest)) {
     return Fault(gateway_error::kUnknownField, Text(aName));
   }
   if (aName == "statements") {
@@ -183,12 +183,13 @@
   return ReadStatementField(aName, aValue, aSingle);
 }
 
-/// Checks which fields are there, once each of them has been read.
+/// Checks that the required fields are present and that none conflict, after
+/// all of them have been parsed.
 fault
 CheckFields(const json::object& aFields, const caller_request& aRequest)
 {
   for (const char* name : { "class", "group" }) {
-    if (NamesClass(aRequest) && !aFields.contains(name)) {
+    if (HasClassAndGroup(aRequest) && !aFields.contains(name)) {
       return Fault(gateway_error::kMissingField, name);
     }
   }
@@ -219,14 +220,14 @@
   return CheckFields(aFields, aRequest);
 }
 
-/// A stream parser, since only that one tells how far it came.
+/// Uses a stream parser because only it reports the offset of an error.
 fault
 Parse(std::string_view aBody,
       const json::storage_ptr& aMemory,
       json::value& aValue)
 {
   json::parse_options options;
-  options.max_depth = kDepth;
+  options.max_depth = kMaxDepth;
   json::stream_parser parser(aMemory, options);
   json::error_code error;
   const std::size_t read = parser.write(aBody.data(), aBody.size(), error);
@@ -246,11 +247,11 @@
 std::error_code
 ReadBody(std::string_view aBody, caller_request& aRequest, std::string& aDetail)
 {
-  if (aBody.empty() && !TakesStatements(aRequest)) {
+  if (aBody.empty() && !AllowsStatements(aRequest)) {
     return {};
   }
-  std::array<unsigned char, kFirstBytes> first{};
-  json::monotonic_resource memory(first.data(), first.size());
+  std::array<unsigned char, kInitialBufferBytes> buffer{};
+  json::monotonic_resource memory(buffer.data(), buffer.size());
   json::value value(&memory);
   fault found = Parse(aBody, &memory, value);
   if (!found.error) {
--- a/test/currantshed/ctl/program.cpp
+++ b/test/currantshed/ctl/program.cpp
@@ -17,7 +17,7 @@
   const char* name;
   std::vector<const char*> given;
   int expect;
-  /// Parts of the output and of the standard error stream.
+  /// Expected substrings of the standard output and standard error streams.
   const char* out;
   const char* errors;
 };
@@ -44,7 +44,7 @@
     "change                           c ",
     "" },
   { "wait without a version", { "wait" }, 2, "", "wait needs --version" },
-  { "a gateways' port that is none",
+  { "an invalid gateway port",
     { "status", "--gateway-status-port=x" },
     2,
     "",
@@ -56,17 +56,13 @@
     2,
     "",
     "can't read the file /nowhere/x.yaml" },
-  { "a file where none is taken",
-    { "show", "f" },
-    2,
-    "",
-    "unexpected argument f" },
-  { "an expected version that is none",
+  { "an unexpected file", { "show", "f" }, 2, "", "unexpected argument f" },
+  { "an invalid expected version",
     { "apply", "f", "--expect-version=x" },
     2,
     "",
     "--expect-version must be a whole number" },
-  { "asking again without the version of before",
+  { "a retry without the expected version",
     { "apply", "f", "--change=c" },
     2,
     "",
--- a/test/currantshed/gateway/engine_failures.cpp
+++ b/test/currantshed/gateway/engine_failures.cpp
@@ -40,20 +40,20 @@
 }
 
 event
-Passes(std::chrono::milliseconds aTime)
+TimePasses(std::chrono::milliseconds aTime)
 {
   return { event_kind::kAdvance, {}, {}, aTime };
 }
 
 const event kLost{ event_kind::kLost };
 const event kNotSent{ event_kind::kNotSent };
-/// The pooler's VM leaves the view.
+/// The pooler's VM is removed from the view.
 const event kGone{ event_kind::kGone };
 const event kDone = Replies(verdict::kDone);
 const event kVoid = Replies(verdict::kNotRun, reason::kKeyVoid);
 
 void
-Happen(engine_fixture& aFixture, const event& aEvent)
+ApplyEvent(engine_fixture& aFixture, const event& aEvent)
 {
   const std::string vm = aFixture.sent.vm;
   switch (aEvent.kind) {
@@ -76,10 +76,10 @@
       break;
     }
   }
-  aFixture.Take();
+  aFixture.CollectActions();
 }
 
-struct fate_row
+struct failure_row
 {
   const char* name;
   const char* workClass;
@@ -88,62 +88,62 @@
   reason why = reason::kNone;
 };
 
-const fate_row kFates[] = {
+const failure_row kFailures[] = {
   { "read answered", "lookup", { kDone }, "read@0 done" },
   { "write answered", "report", { kDone }, "write@0 done" },
   { "write acknowledged at the end of the validity",
     "report",
-    { Passes(200ms), kDone },
+    { TimePasses(200ms), kDone },
     "write@0 done" },
   { "write answered after the validity is reconfirmed",
     "report",
-    { Passes(201ms), kDone, kDone },
+    { TimePasses(201ms), kDone, kDone },
     "write@0 reconfirm@0 done" },
-  { "reconfirmed too late is asked again",
+  { "late reconfirmation is repeated",
     "report",
-    { Passes(201ms), kDone, Passes(201ms), kDone, kDone },
+    { TimePasses(201ms), kDone, TimePasses(201ms), kDone, kDone },
     "write@0 reconfirm@0 reconfirm@0 done" },
   { "position of a past term is resolved by the key",
     "report",
-    { Passes(201ms),
+    { TimePasses(201ms),
       kDone,
       Replies(verdict::kNotRun, reason::kNoPrimary),
-      Passes(50ms),
+      TimePasses(50ms),
       kDone },
     "write@0 reconfirm@0 resolve@0 done" },
   { "reconfirmation lost is resolved by the key",
     "report",
-    { Passes(201ms), kDone, kLost, kDone },
+    { TimePasses(201ms), kDone, kLost, kDone },
     "write@0 reconfirm@0 cancel@0 resolve@1 done" },
-  { "reconfirmation not sent goes to the next owner",
+  { "unsent reconfirmation is retried at the next owner",
     "report",
-    { Passes(201ms), kDone, kNotSent, kDone },
+    { TimePasses(201ms), kDone, kNotSent, kDone },
     "write@0 reconfirm@0 reconfirm@1 done" },
   { "reconfirmation unanswered at the deadline is unknown",
     "report",
-    { Passes(201ms), kDone, Passes(1800ms) },
+    { TimePasses(201ms), kDone, TimePasses(1800ms) },
     "write@0 reconfirm@0 cancel@0 unknown",
     reason::kDeadline },
   { "read answered late needs no reconfirmation",
     "lookup",
-    { Passes(400ms), kDone },
+    { TimePasses(400ms), kDone },
     "read@0 done" },
-  { "read goes to the next owner",
+  { "read is retried at the next owner",
     "lookup",
     { kLost, kDone },
     "read@0 cancel@0 read@1 done" },
-  { "read goes on to the last owner",
+  { "read is retried up to the last owner",
     "lookup",
     { kLost, kLost, kDone },
     "read@0 cancel@0 read@1 cancel@1 read@2 done" },
-  { "read sent and lost is never told as not run",
+  { "lost read is never reported as not run",
     "lookup",
     { kLost, Replies(verdict::kNotRun, reason::kOverloaded) },
     "read@0 cancel@0 read@1 unknown",
     reason::kOverloaded },
-  { "silent pooler is left by a read",
+  { "read is retried after a reply timeout",
     "lookup",
-    { Passes(499ms), Passes(1ms), kDone },
+    { TimePasses(499ms), TimePasses(1ms), kDone },
     "read@0 cancel@0 read@1 done" },
   { "lost write is resolved: done",
     "report",
@@ -156,22 +156,22 @@
     reason::kKeyVoid },
   { "lost write is resolved too late, and confirmed again",
     "report",
-    { kLost, Passes(201ms), kDone, kDone },
+    { kLost, TimePasses(201ms), kDone, kDone },
     "write@0 cancel@0 resolve@1 reconfirm@1 done" },
   { "lost write that no owner can resolve is unknown at the deadline",
     "report",
-    { kLost, kLost, kLost, Passes(2000ms) },
+    { kLost, kLost, kLost, TimePasses(2000ms) },
     "write@0 cancel@0 resolve@1 cancel@1 resolve@2 cancel@2 unknown",
     reason::kDeadline },
-  { "resolving goes round the owners until one can tell",
+  { "resolution tries all owners in turn until one answers",
     "report",
-    { kLost, kLost, kLost, Passes(50ms), kDone },
+    { kLost, kLost, kLost, TimePasses(50ms), kDone },
     "write@0 cancel@0 resolve@1 cancel@1 resolve@2 cancel@2 resolve@0 done" },
-  { "refusal to resolve now is asked again",
+  { "rejected resolution is retried",
     "report",
     { kLost,
       Replies(verdict::kNotRun, reason::kNoPrimary),
-      Passes(50ms),
+      TimePasses(50ms),
       kDone },
     "write@0 cancel@0 resolve@1 resolve@1 done" },
   { "refusal to resolve at all leaves it unknown",
@@ -183,21 +183,21 @@
     "draft",
     { kLost, kDone },
     "write@0 cancel@0 write@1 done" },
-  { "repeatable write in doubt is not told as not run",
+  { "repeatable write of unknown outcome isn't reported as not run",
     "draft",
     { kLost, Replies(verdict::kNotRun, reason::kOverloaded), kVoid },
     "write@0 cancel@0 write@1 resolve@1 not_run",
     reason::kKeyVoid },
-  { "silent pooler is left by a write",
+  { "write is resolved after a reply timeout",
     "report",
-    { Passes(999ms), Passes(1ms), kDone },
+    { TimePasses(999ms), TimePasses(1ms), kDone },
     "write@0 cancel@0 resolve@1 done" },
-  { "VM gone from the view is lost at once",
+  { "VM removed from the view is lost at once",
     "report",
     { kGone, kVoid },
     "write@0 cancel@0 resolve@1 not_run",
     reason::kKeyVoid },
-  { "unsent read goes to the next owner",
+  { "unsent read is retried at the next owner",
     "lookup",
     { kNotSent, kDone },
     "read@0 read@1 done" },
@@ -214,7 +214,7 @@
     "report",
     { Replies(verdict::kNotRun, reason::kLeaving), kDone },
     "write@0 write@1 done" },
-  { "pooler that reaches no primary is passed over for the next owner",
+  { "pooler that reaches no primary is skipped",
     "report",
     { Replies(verdict::kNotRun, reason::kNoPrimary), kDone },
     "write@0 write@1 done" },
@@ -230,27 +230,27 @@
     { Replies(verdict::kNotRun, reason::kOverloaded) },
     "write@0 not_run",
     reason::kOverloaded },
-  { "pooler's doubt is resolved while there is time",
+  { "unknown outcome of the pooler is resolved before the deadline",
     "report",
     { Replies(verdict::kUnknown, reason::kDeadline), kVoid },
     "write@0 resolve@0 not_run",
     reason::kKeyVoid },
-  { "pooler's doubt at the deadline is told",
+  { "unknown outcome at the deadline is reported",
     "report",
-    { Passes(990ms),
+    { TimePasses(990ms),
       kLost,
-      Passes(995ms),
+      TimePasses(995ms),
       Replies(verdict::kUnknown, reason::kDeadline) },
     "write@0 cancel@0 resolve@1 unknown",
     reason::kDeadline },
   { "sent write at its deadline is unknown",
     "report",
-    { Passes(2000ms) },
+    { TimePasses(2000ms) },
     "write@0 cancel@0 unknown",
     reason::kDeadline },
   { "sent read at its deadline is unknown",
     "lookup",
-    { Passes(2000ms) },
+    { TimePasses(2000ms) },
     "read@0 cancel@0 unknown",
     reason::kDeadline },
   { "statement refused by the database",
@@ -269,14 +269,14 @@
   reason why = reason::kNone;
 };
 
-/// The transaction's pooler is the group's second owner.
+/// The pooler of the transaction is the group's second owner.
 const bound_row kBoundFates[] = {
   { "statement", call_kind::kStatement, { kDone }, "statement@1 done" },
   { "commit", call_kind::kCommit, { kDone }, "commit@1 done" },
   { "rollback", call_kind::kRollback, { kDone }, "rollback@1 done" },
   { "commit answered after the validity",
     call_kind::kCommit,
-    { Passes(201ms), kDone, kDone },
+    { TimePasses(201ms), kDone, kDone },
     "commit@1 reconfirm@0 done" },
   { "statement lost is unknown and never sent again",
     call_kind::kStatement,
@@ -332,11 +332,11 @@
 
 TEST(gateway_failures, statements)
 {
-  for (const auto& row : kFates) {
+  for (const auto& row : kFailures) {
     engine_fixture fixture;
     fixture.Submit(Call(row.workClass));
     for (const auto& next : row.events) {
-      Happen(fixture, next);
+      ApplyEvent(fixture, next);
     }
     STRCMP_EQUAL_TEXT(row.log, fixture.log.c_str(), row.name);
     const auto& answer = fixture.given.answer;
@@ -361,7 +361,7 @@
     call.transaction = TransactionId(fixture.owners[1]);
     fixture.Submit(call);
     for (const auto& next : row.events) {
-      Happen(fixture, next);
+      ApplyEvent(fixture, next);
     }
     STRCMP_EQUAL_TEXT(row.log, fixture.log.c_str(), row.name);
     CHECK_TEXT(row.why == fixture.given.answer.why, row.name);
@@ -375,10 +375,10 @@
   for (const auto& row : kOutcomes) {
     engine_fixture fixture;
     auto call = Call("", call_kind::kOutcome);
-    call.key = SpareKey(5).Text();
+    call.key = GeneratedKey(5).Text();
     call.deadline = 10ms;
     fixture.Submit(call);
-    Happen(fixture, row.reply);
+    ApplyEvent(fixture, row.reply);
     STRCMP_EQUAL_TEXT(row.log, fixture.log.c_str(), row.name);
   }
 }
