--- a/bin/currantshed-load/main.cpp
+++ b/bin/currantshed-load/main.cpp
@@ -22,15 +22,15 @@
 namespace policy = currantshed::policy;
 namespace settings = currantshed::settings;
 
-constexpr int kBreach = 1;
-constexpr int kNotMade = 3;
+constexpr int kViolation = 1;
+constexpr int kRunFailed = 3;
 
 /// Ends the program with a line for the person who started it.
 int
 Fail(const std::string& aFault)
 {
   std::cerr << "currantshed-load: " << aFault << '\n';
-  return kNotMade;
+  return kRunFailed;
 }
 
 std::optional<std::string>
@@ -124,7 +124,7 @@
     std::ofstream file(aOptions.recordsFile);
     load::WriteRecords(file, aResult.seen);
   }
-  return load::HasNoViolations(aResult.found) ? EXIT_SUCCESS : kBreach;
+  return load::HasNoViolations(aResult.found) ? EXIT_SUCCESS : kViolation;
 }
 
 int
@@ -171,6 +171,6 @@
     return Run(options);
   } catch (const std::exception& failure) {
     std::cerr << failure.what() << '\n';
-    return kNotMade;
+    return kRunFailed;
   }
 }
--- a/bin/currantshed-load/options.cpp
+++ b/bin/currantshed-load/options.cpp
@@ -13,13 +13,13 @@
   "Exit codes: 0 every promise was kept, 1 a breach, 2 wrong settings, 3 the "
   "run could not be made.";
 constexpr unsigned kHundred = 100;
-constexpr unsigned kMostThreads = 64;
-constexpr unsigned kMostSessions = 20000;
-constexpr unsigned kMostRate = 200000;
-constexpr unsigned kMostActivities = 100'000'000;
-constexpr unsigned kMostSeed = 1'000'000'000;
+constexpr unsigned kMaxThreads = 64;
+constexpr unsigned kMaxSessions = 20000;
+constexpr unsigned kMaxRate = 200000;
+constexpr unsigned kMaxActivities = 100'000'000;
+constexpr unsigned kMaxSeed = 1'000'000'000;
 constexpr milliseconds kNone{ 0 };
-constexpr milliseconds kLongest{ 600000 };
+constexpr milliseconds kMaxDuration{ 600000 };
 
 void
 AddFiles(settings::parser& aParser, options& aOptions)
@@ -51,20 +51,20 @@
 void
 AddLoad(settings::parser& aParser, options& aOptions)
 {
-  aParser.Count(aOptions.threads, "threads", "threads", 1, kMostThreads);
+  aParser.Count(aOptions.threads, "threads", "threads", 1, kMaxThreads);
   aParser.Count(
-    aOptions.sessions, "sessions", "callers' sessions", 1, kMostSessions);
+    aOptions.sessions, "sessions", "callers' sessions", 1, kMaxSessions);
   aParser.Count(aOptions.ratePerSecond,
                 "rate",
                 "activities that begin in a second, answered or not; 0 for "
                 "sessions that wait for their answers",
                 0,
-                kMostRate);
+                kMaxRate);
   aParser.Count(aOptions.activities,
                 "activities",
                 "end after so many; 0 for no such bound",
                 0,
-                kMostActivities);
+                kMaxActivities);
   aParser.Count(
     aOptions.readPercent, "read-percent", "reads in 100", 0, kHundred);
   aParser.Count(aOptions.transactionPercent,
@@ -77,7 +77,7 @@
                 "changes sent again with the same key, in 100",
                 0,
                 kHundred);
-  aParser.Count(aOptions.seed, "seed", "seed of the choices", 0, kMostSeed);
+  aParser.Count(aOptions.seed, "seed", "seed of the choices", 0, kMaxSeed);
 }
 
 void
@@ -87,19 +87,19 @@
                        "rest-ms",
                        "a session's rest between activities",
                        kNone,
-                       kLongest);
+                       kMaxDuration);
   aParser.Milliseconds(aOptions.clockInterval,
                        "clock-ms",
                        "time between writes of the row that dates reads",
                        milliseconds(1),
-                       kLongest);
+                       kMaxDuration);
   aParser.Milliseconds(
-    aOptions.length, "length-ms", "length of the run", kNone, kLongest);
+    aOptions.length, "length-ms", "length of the run", kNone, kMaxDuration);
   aParser.Milliseconds(aOptions.resolveTimeout,
                        "resolve-ms",
                        "how long a caller asks on for an outcome",
                        kNone,
-                       kLongest);
+                       kMaxDuration);
 }
 
 } // namespace
--- a/bin/currantshed-overhead/main.cpp
+++ b/bin/currantshed-overhead/main.cpp
@@ -20,9 +20,9 @@
 constexpr char kSummary[] =
   "Runs one statement straight to a database server and through a gateway, "
   "in turns, and compares.";
-constexpr unsigned kMostConnections = 10000;
-constexpr unsigned kMostThreads = 64;
-constexpr unsigned kMostRounds = 100;
+constexpr unsigned kMaxConnections = 10000;
+constexpr unsigned kMaxThreads = 64;
+constexpr unsigned kMaxRounds = 100;
 
 struct options
 {
@@ -46,9 +46,9 @@
   parser.Text(plan.work, "class", "class of the statement", true);
   parser.Text(aOptions.sql, "sql", "the statement", true);
   parser.Count(
-    plan.connections, "connections", "of each side", 1, kMostConnections);
-  parser.Count(plan.threads, "threads", "of this program", 1, kMostThreads);
-  parser.Count(aOptions.rounds, "rounds", "of each side", 1, kMostRounds);
+    plan.connections, "connections", "of each side", 1, kMaxConnections);
+  parser.Count(plan.threads, "threads", "of this program", 1, kMaxThreads);
+  parser.Count(aOptions.rounds, "rounds", "of each side", 1, kMaxRounds);
   parser.Milliseconds(plan.round,
                       "round-ms",
                       "length of a round",
--- a/src/currantshed/burn/picture.cpp
+++ b/src/currantshed/burn/picture.cpp
@@ -24,16 +24,16 @@
 /// Room above the highest rate, so that no line runs along the frame.
 constexpr double kHeadroom = 1.25;
 constexpr int kTimeTicks = 6;
-constexpr std::size_t kMostPoints = 600;
+constexpr std::size_t kMaxPoints = 600;
 constexpr double kSmallText = 12;
 constexpr double kText = 14;
 constexpr double kTitle = 20;
 
-constexpr colour kInk{ 0.13, 0.15, 0.18 };
-constexpr colour kFaint{ 0.42, 0.45, 0.50 };
-constexpr colour kGrid{ 0.90, 0.91, 0.93 };
-constexpr colour kAlarm{ 0.80, 0.13, 0.16 };
-constexpr colour kGood{ 0.13, 0.52, 0.28 };
+constexpr colour kTextColour{ 0.13, 0.15, 0.18 };
+constexpr colour kAxisColour{ 0.42, 0.45, 0.50 };
+constexpr colour kGridColour{ 0.90, 0.91, 0.93 };
+constexpr colour kAlertColour{ 0.80, 0.13, 0.16 };
+constexpr colour kOkColour{ 0.13, 0.52, 0.28 };
 
 /// One line of each panel.
 struct curve
@@ -41,7 +41,7 @@
   const char* label;
   objective_kind kind;
   std::chrono::seconds window;
-  colour tint;
+  colour lineColour;
   double width;
 };
 
@@ -117,12 +117,12 @@
   void Header()
   {
     mCanvas.DrawText(
-      kLeft, 34, kTitle, kInk, "Service-level burn by class of work");
+      kLeft, 34, kTitle, kTextColour, "Service-level burn by class of work");
     mCanvas.DrawText(
       kLeft,
       56,
       kText,
-      kFaint,
+      kAxisColour,
       absl::StrCat(clock::PrintTime(mReport.begin),
                    " to ",
                    clock::PrintTime(mReport.end),
@@ -138,14 +138,14 @@
     constexpr double kY = 82;
     double x = kLeft;
     for (const auto& one : kCurves) {
-      mCanvas.DrawLine(x, kY - 4, x + kMark, kY - 4, one.tint, one.width);
+      mCanvas.DrawLine(x, kY - 4, x + kMark, kY - 4, one.lineColour, one.width);
       x += kMark + kGap;
-      mCanvas.DrawText(x, kY, kText, kInk, one.label);
+      mCanvas.DrawText(x, kY, kText, kTextColour, one.label);
       x += mCanvas.TextWidth(one.label, kText) + 3 * kGap;
     }
-    mCanvas.DrawLine(x, kY - 4, x + kMark, kY - 4, kAlarm, 1.2, true);
+    mCanvas.DrawLine(x, kY - 4, x + kMark, kY - 4, kAlertColour, 1.2, true);
     mCanvas.DrawText(
-      x + kMark + kGap, kY, kText, kInk, "rate of an alert rule");
+      x + kMark + kGap, kY, kText, kTextColour, "rate of an alert rule");
   }
 
   void Panel(const class_burn& aClass, panel& aPlace)
@@ -164,7 +164,7 @@
       mCanvas.DrawText(kLeft + 16,
                        (aPlace.top + aPlace.bottom) / 2,
                        kText,
-                       kFaint,
+                       kAxisColour,
                        "no requests");
     }
   }
@@ -179,7 +179,7 @@
       times.push_back(one.end);
     }
     times.erase(std::unique(times.begin(), times.end()), times.end());
-    const std::size_t step = times.size() / kMostPoints + 1;
+    const std::size_t step = times.size() / kMaxPoints + 1;
     std::vector<clock::wall_time> picked;
     picked.reserve(times.size() / step + 1);
     const std::size_t first = times.empty() ? 0 : (times.size() - 1) % step;
@@ -227,27 +227,29 @@
         break;
       }
       const double y = YOf(rate, aPlace);
-      mCanvas.DrawLine(kLeft, y, right, y, kGrid, 1);
+      mCanvas.DrawLine(kLeft, y, right, y, kGridColour, 1);
       mCanvas.DrawTextEndingAt(
-        kLeft - 8, y + 4, kSmallText, kFaint, absl::StrFormat("%g", rate));
+        kLeft - 8, y + 4, kSmallText, kAxisColour, absl::StrFormat("%g", rate));
     }
     TimeTicks(aPlace);
     for (const auto& rule : kAlertRules) {
       const double y = YOf(rule.rate, aPlace);
-      mCanvas.DrawLine(kLeft, y, right, y, kAlarm, 1.2, true);
+      mCanvas.DrawLine(kLeft, y, right, y, kAlertColour, 1.2, true);
       mCanvas.DrawText(right + 8,
                        y + 4,
                        kSmallText,
-                       kAlarm,
+                       kAlertColour,
                        absl::StrFormat("%g, %s alert", rule.rate, rule.name));
     }
-    mCanvas.DrawLine(kLeft, aPlace.bottom, right, aPlace.bottom, kFaint, 1);
-    mCanvas.DrawLine(kLeft, aPlace.top, kLeft, aPlace.bottom, kFaint, 1);
-    mCanvas.DrawText(kLeft, aPlace.top - 12, kText + 1, kInk, aClass.name);
+    mCanvas.DrawLine(
+      kLeft, aPlace.bottom, right, aPlace.bottom, kAxisColour, 1);
+    mCanvas.DrawLine(kLeft, aPlace.top, kLeft, aPlace.bottom, kAxisColour, 1);
+    mCanvas.DrawText(
+      kLeft, aPlace.top - 12, kText + 1, kTextColour, aClass.name);
     mCanvas.DrawText(kLeft + mCanvas.TextWidth(aClass.name, kText + 1) + 12,
                      aPlace.top - 12,
                      kSmallText,
-                     kFaint,
+                     kAxisColour,
                      absl::StrFormat("objective %.6g%%, %.0f requests",
                                      kPercent * aClass.objective,
                                      aClass.objectives.front().whole.requests));
@@ -259,7 +261,7 @@
     for (int i = 0; i <= kTimeTicks; ++i) {
       const auto time = mReport.begin + span * i / kTimeTicks;
       const double x = XOf(time);
-      mCanvas.DrawLine(x, aPlace.top, x, aPlace.bottom, kGrid, 1);
+      mCanvas.DrawLine(x, aPlace.top, x, aPlace.bottom, kGridColour, 1);
       constexpr std::size_t kDateLength = 11;
       constexpr std::size_t kClockLength = 8;
       const std::string text =
@@ -267,7 +269,7 @@
       mCanvas.DrawText(x - mCanvas.TextWidth(text, kSmallText) / 2,
                        aPlace.bottom + 18,
                        kSmallText,
-                       kFaint,
+                       kAxisColour,
                        text);
     }
   }
@@ -284,7 +286,7 @@
         aIncrements, aCurve.kind, aClass.objective, time, aCurve.window);
       mCanvas.LineTo(XOf(time), YOf(burn.burnRate, aPlace));
     }
-    mCanvas.Stroke(aCurve.tint, aCurve.width);
+    mCanvas.Stroke(aCurve.lineColour, aCurve.width);
   }
 
   /// Whether each objective is fine, at the panel's right.
@@ -296,7 +298,7 @@
       mCanvas.DrawText(kWidth - kRight + 8,
                        y,
                        kSmallText,
-                       isFine ? kGood : kAlarm,
+                       isFine ? kOkColour : kAlertColour,
                        absl::StrFormat("%s %s, %.3g overall",
                                        ToString(one.kind),
                                        isFine ? "ok" : "ALERT",
--- a/src/currantshed/burn/program.cpp
+++ b/src/currantshed/burn/program.cpp
@@ -34,9 +34,9 @@
   "tells how fast each class of work burns its error budget, from the "
   "gateways' metrics";
 constexpr long kOk = 200;
-constexpr unsigned kMostSamples = 100'000;
-constexpr std::chrono::milliseconds kShortest{ 1 };
-constexpr std::chrono::hours kLongest{ 6 };
+constexpr unsigned kMaxSamples = 100'000;
+constexpr std::chrono::milliseconds kMinDuration{ 1 };
+constexpr std::chrono::hours kMaxDuration{ 6 };
 
 constexpr const char* kEpilogue =
   "Gateways are read from --targets or, with --gateway-status-port, from the\n"
@@ -80,14 +80,17 @@
                "gateway-status-port",
                "status port of the gateway on each VM of the platform's list, "
                "or +N for the one N above the pooler's");
-  aParser.Milliseconds(
-    aSettings.timeout, "timeout", "time for one answer", kShortest, kLongest);
+  aParser.Milliseconds(aSettings.timeout,
+                       "timeout",
+                       "time for one answer",
+                       kMinDuration,
+                       kMaxDuration);
   aParser.Milliseconds(aSettings.interval,
                        "interval",
                        "time between two readings",
-                       kShortest,
-                       kLongest);
-  aParser.Count(aSettings.samples, "samples", "readings", 1, kMostSamples);
+                       kMinDuration,
+                       kMaxDuration);
+  aParser.Count(aSettings.samples, "samples", "readings", 1, kMaxSamples);
   aParser.Text(aSettings.snapshotFolder,
                "snapshot-dir",
                "folder of snapshots to read, and to write where gateways are "
--- a/src/currantshed/load/caller.cpp
+++ b/src/currantshed/load/caller.cpp
@@ -15,8 +15,8 @@
 using std::chrono::milliseconds;
 
 /// How much longer than the class's deadline a caller waits.
-constexpr milliseconds kPatience{ 2000 };
-constexpr milliseconds kResolvePause{ 100 };
+constexpr milliseconds kAnswerTimeout{ 2000 };
+constexpr milliseconds kResolveInterval{ 100 };
 constexpr milliseconds kResolveDeadline{ 1000 };
 
 run_offset
@@ -121,7 +121,7 @@
       co_return change_outcome::kNotRun;
     }
     SwitchGateway();
-    co_await Sleep(kResolvePause);
+    co_await Sleep(kResolveInterval);
   }
   co_return change_outcome::kUnknown;
 }
@@ -196,7 +196,7 @@
   aRequest.session = mToken;
   aRequest.deadline = aWork.deadline;
   http_answer raw = co_await mConnections[mGateway]->Exchange(
-    aRequest, aWork.deadline + kPatience);
+    aRequest, aWork.deadline + kAnswerTimeout);
   answer reply = ReadAnswer(raw.body);
   reply.end = raw.end;
   reply.trace = std::move(raw.trace);
--- a/src/currantshed/load/checker.cpp
+++ b/src/currantshed/load/checker.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-constexpr std::size_t kBreachLines = 50;
+constexpr std::size_t kMaxViolationLines = 50;
 constexpr unsigned kPercent = 100;
-constexpr unsigned kMedian = 50;
-constexpr unsigned kTail = 99;
+constexpr unsigned kMedianPercent = 50;
+constexpr unsigned kTailPercent = 99;
 
 using latency_list = std::vector<std::chrono::microseconds>;
 
 void
-Note(findings& aFindings, std::uint64_t& aCount, std::string aLine)
+AddViolation(findings& aFindings, std::uint64_t& aCount, std::string aLine)
 {
   ++aCount;
-  if (aFindings.violations.size() < kBreachLines) {
+  if (aFindings.violations.size() < kMaxViolationLines) {
     aFindings.violations.push_back(std::move(aLine));
   }
 }
@@ -64,17 +64,19 @@
 }
 
 void
-CheckHeld(findings& aFindings, const change_record& aChange, unsigned aTimes)
+CheckContents(findings& aFindings,
+              const change_record& aChange,
+              unsigned aTimes)
 {
   const std::string name = aChange.group + "/" + aChange.change;
   if (aTimes == 0 && aChange.outcome == change_outcome::kDone) {
-    Note(aFindings, aFindings.lost, "lost " + name);
+    AddViolation(aFindings, aFindings.lost, "lost " + name);
   }
   if (aTimes > 1) {
-    Note(aFindings, aFindings.duplicated, "doubled " + name);
+    AddViolation(aFindings, aFindings.duplicated, "doubled " + name);
   }
   if (aTimes > 0 && MustBeAbsent(aChange.outcome)) {
-    Note(aFindings, aFindings.falseNotRun, "false not run " + name);
+    AddViolation(aFindings, aFindings.falseNotRun, "false not run " + name);
   }
 }
 
@@ -83,17 +85,17 @@
              const history& aHistory,
              const std::vector<group_contents>& aContents)
 {
-  const auto holdings = ByGroup(aContents);
+  const auto contents = ByGroup(aContents);
   for (const change_record& change : aHistory.changes) {
     CountOutcome(aFindings, change.outcome);
-    const auto held = holdings.find(change.group);
-    if (held == holdings.end()) {
+    const auto held = contents.find(change.group);
+    if (held == contents.end()) {
       ++aFindings.unchecked;
       continue;
     }
     const auto times = held->second->changes.find(change.change);
     const bool there = times != held->second->changes.end();
-    CheckHeld(aFindings, change, there ? times->second : 0);
+    CheckContents(aFindings, change, there ? times->second : 0);
   }
 }
 
@@ -102,9 +104,9 @@
 {
   for (const own_change_read& read : aHistory.ownReads) {
     if (!read.found) {
-      Note(aFindings,
-           aFindings.readYourWritesViolations,
-           "own write not read " + read.group + "/" + read.change);
+      AddViolation(aFindings,
+                   aFindings.readYourWritesViolations,
+                   "own write not read " + read.group + "/" + read.change);
     }
   }
 }
@@ -112,7 +114,7 @@
 /// The acknowledged values of each group's clock row by the time of their
 /// acknowledgement, each with the highest one up to then.
 std::map<std::string, std::vector<clock_write>>
-ClockLog(const history& aHistory)
+AcknowledgedClockValues(const history& aHistory)
 {
   std::map<std::string, std::vector<clock_write>> log;
   for (const clock_write& write : aHistory.clockWrites) {
@@ -147,7 +149,7 @@
 void
 CheckStaleness(findings& aFindings, const history& aHistory)
 {
-  const auto log = ClockLog(aHistory);
+  const auto log = AcknowledgedClockValues(aHistory);
   for (const clock_read& read : aHistory.clockReads) {
     const auto writes = log.find(read.group);
     if (writes == log.end()) {
@@ -155,10 +157,11 @@
     }
     const auto lowest = LowestAllowed(writes->second, read.sent - read.bound);
     if (read.value < lowest) {
-      Note(aFindings,
-           aFindings.stalenessViolations,
-           "stale read of " + read.group + ": " + std::to_string(read.value) +
-             " below " + std::to_string(lowest));
+      AddViolation(aFindings,
+                   aFindings.stalenessViolations,
+                   "stale read of " + read.group + ": " +
+                     std::to_string(read.value) + " below " +
+                     std::to_string(lowest));
     }
   }
 }
@@ -168,10 +171,10 @@
 {
   for (const tag_read& read : aReads) {
     if (read.first != read.second) {
-      Note(aFindings,
-           aFindings.fracturedReads,
-           "mixed in " + read.group + ": " + read.first + " and " +
-             read.second);
+      AddViolation(aFindings,
+                   aFindings.fracturedReads,
+                   "mixed in " + read.group + ": " + read.first + " and " +
+                     read.second);
     }
   }
 }
@@ -220,7 +223,9 @@
     return {};
   }
   std::sort(aList.begin(), aList.end());
-  return { aList.size(), Percentile(aList, kMedian), Percentile(aList, kTail) };
+  return { aList.size(),
+           Percentile(aList, kMedianPercent),
+           Percentile(aList, kTailPercent) };
 }
 
 /// Latencies of one class by outcome.
--- a/src/currantshed/load/control.cpp
+++ b/src/currantshed/load/control.cpp
@@ -21,7 +21,7 @@
 
 constexpr long kTimeoutMs = 10000;
 constexpr long kHttpOk = 200;
-constexpr milliseconds kPause{ 50 };
+constexpr milliseconds kRetryInterval{ 50 };
 
 std::size_t
 Collect(const char* aData, std::size_t aSize, std::size_t aCount, void* aTarget)
@@ -176,7 +176,7 @@
     if (held) {
       return held;
     }
-    std::this_thread::sleep_for(kPause);
+    std::this_thread::sleep_for(kRetryInterval);
   }
   return std::nullopt;
 }
--- a/src/currantshed/load/experiment.cpp
+++ b/src/currantshed/load/experiment.cpp
@@ -15,9 +15,9 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kPrepareAtMost{ 30000 };
-constexpr milliseconds kHoldingAtMost{ 15000 };
-constexpr milliseconds kStep{ 10 };
+constexpr milliseconds kPrepareTimeout{ 30000 };
+constexpr milliseconds kReadContentsTimeout{ 15000 };
+constexpr milliseconds kPollInterval{ 10 };
 constexpr std::chrono::seconds kProgressInterval{ 1 };
 
 /// Cuts the primary off. The moment is that before the order, so that a gap
@@ -33,7 +33,7 @@
   const run_offset at = aRunner.Now();
   if (!primary || !aControl.Fault(*primary, "cut=all")) {
     aProgress << "cut failed group=" << aGroup << std::endl;
-    aSeen.cuts.push_back({ aGroup, "", aRunner.Now() + kHoldingAtMost });
+    aSeen.cuts.push_back({ aGroup, "", aRunner.Now() + kReadContentsTimeout });
     return;
   }
   aSeen.cuts.push_back({ aGroup, primary->id, at });
@@ -75,7 +75,7 @@
       ShowProgress(aRunner, aProgress);
       nextProgress += kProgressInterval;
     }
-    std::this_thread::sleep_for(kStep);
+    std::this_thread::sleep_for(kPollInterval);
   }
 }
 
@@ -113,7 +113,7 @@
   experiment_result result;
   const control servers(aShape.upstreams);
   runner sessions(aPlan);
-  if (!sessions.Prepare(kPrepareAtMost)) {
+  if (!sessions.Prepare(kPrepareTimeout)) {
     result.fault = "the run's tables could not be made in every group";
     return result;
   }
@@ -121,13 +121,13 @@
   sessions.Start();
   Attend(sessions, servers, std::move(aCuts), result.seen, aProgress);
   Append(result.seen, sessions.Finish());
-  std::vector<group_contents> holdings;
+  std::vector<group_contents> contents;
   for (const std::string& group : aPlan.groups) {
-    if (auto held = servers.ReadContents(group, kHoldingAtMost)) {
-      holdings.push_back(std::move(*held));
+    if (auto held = servers.ReadContents(group, kReadContentsTimeout)) {
+      contents.push_back(std::move(*held));
     }
   }
-  result.found = Check(result.seen, holdings);
+  result.found = Check(result.seen, contents);
   return result;
 }
 
--- a/src/currantshed/load/overhead.cpp
+++ b/src/currantshed/load/overhead.cpp
@@ -27,11 +27,11 @@
 using std::chrono::microseconds;
 
 constexpr std::size_t kAnswerLimit = std::size_t{ 1 } << 20U;
-constexpr std::chrono::milliseconds kPatience{ 5000 };
+constexpr std::chrono::milliseconds kAnswerTimeout{ 5000 };
 constexpr double kMicrosPerMilli = 1000.0;
 constexpr unsigned kHundred = 100;
-constexpr unsigned kMedian = 50;
-constexpr unsigned kTail = 99;
+constexpr unsigned kMedianPercent = 50;
+constexpr unsigned kTailPercent = 99;
 
 /// What one thread counts.
 struct tally
@@ -124,7 +124,8 @@
     if (sent >= aUntil) {
       co_return;
     }
-    const http_answer raw = co_await connection.Exchange(request, kPatience);
+    const http_answer raw =
+      co_await connection.Exchange(request, kAnswerTimeout);
     const bool good = raw.end == exchange_result::kAnswered &&
                       ReadAnswer(raw.body).outcome == change_outcome::kDone;
     aTally.Add(sent, good);
@@ -154,8 +155,8 @@
   std::sort(all.begin(), all.end());
   figures.statements = all.size();
   figures.perSecond = static_cast<double>(all.size()) / aTime.count();
-  figures.p50 = Percentile(all, kMedian);
-  figures.p99 = Percentile(all, kTail);
+  figures.p50 = Percentile(all, kMedianPercent);
+  figures.p99 = Percentile(all, kTailPercent);
   return figures;
 }
 
--- a/src/currantshed/load/runner.cpp
+++ b/src/currantshed/load/runner.cpp
@@ -19,10 +19,10 @@
 
 constexpr unsigned kHundred = 100;
 /// The longest that a session rests because an answer asked for it.
-constexpr milliseconds kLongestRest{ 2000 };
-constexpr milliseconds kPreparePause{ 100 };
+constexpr milliseconds kMaxRetryPause{ 2000 };
+constexpr milliseconds kPrepareRetryInterval{ 100 };
 /// How late a session of the open loop still begins.
-constexpr milliseconds kLatestStart{ 100 };
+constexpr milliseconds kMaxStartDelay{ 100 };
 
 /// Ends a coroutine's failure where it would vanish: in the process.
 void
@@ -34,7 +34,7 @@
 }
 
 bool
-Goes(caller& aCaller)
+ShouldContinue(caller& aCaller)
 {
   const plan& plan = aCaller.Plan();
   const progress& counts = aCaller.Progress();
@@ -52,10 +52,10 @@
 
 /// Rests after an activity, as long as its answer or the plan asks for.
 asio::awaitable<void>
-RestAfter(caller& aCaller, milliseconds aRetryAfter)
+PauseAfter(caller& aCaller, milliseconds aRetryAfter)
 {
   const milliseconds plain = aCaller.Plan().rest;
-  const milliseconds asked = std::min(aRetryAfter, kLongestRest);
+  const milliseconds asked = std::min(aRetryAfter, kMaxRetryPause);
   const milliseconds rest = std::max(plain, asked);
   if (rest.count() > 0) {
     co_await aCaller.Sleep(rest);
@@ -63,7 +63,7 @@
 }
 
 /// The kinds of activity that an ordinary session mixes.
-class mixture
+class activity_mix
 {
 public:
   activity& Pick(caller& aCaller)
@@ -71,18 +71,18 @@
     const plan& plan = aCaller.Plan();
     const auto draw = aCaller.RandomBelow(kHundred);
     if (draw < plan.readPercent) {
-      return *mBrowsing;
+      return *mRead;
     }
     if (draw < plan.readPercent + plan.transactionPercent) {
-      return *mPairing.at(aCaller.RandomBelow(mPairing.size()));
+      return *mTransactions.at(aCaller.RandomBelow(mTransactions.size()));
     }
-    return *mFiling;
+    return *mWrite;
   }
 
 private:
-  std::unique_ptr<activity> mBrowsing = MakeReadActivity();
-  std::unique_ptr<activity> mFiling = MakeWriteActivity();
-  std::array<std::unique_ptr<activity>, 2> mPairing{
+  std::unique_ptr<activity> mRead = MakeReadActivity();
+  std::unique_ptr<activity> mWrite = MakeWriteActivity();
+  std::array<std::unique_ptr<activity>, 2> mTransactions{
     MakeTransactionActivity(false),
     MakeTransactionActivity(true)
   };
@@ -90,16 +90,16 @@
 
 /// A session in the closed loop: goes on when answered.
 asio::awaitable<void>
-LiveClosed(caller& aCaller)
+RunClosedLoop(caller& aCaller)
 {
-  mixture activities;
-  while (Goes(aCaller)) {
+  activity_mix activities;
+  while (ShouldContinue(aCaller)) {
     const auto& groups = aCaller.Plan().groups;
     const std::string group = groups[aCaller.RandomBelow(groups.size())];
     aCaller.SwitchGateway();
     const answer reply = co_await activities.Pick(aCaller).Run(aCaller, group);
     CountActivity(aCaller);
-    co_await RestAfter(aCaller, reply.retryAfter);
+    co_await PauseAfter(aCaller, reply.retryAfter);
   }
 }
 
@@ -108,16 +108,16 @@
 /// left out and counted, so that latencies show the system and not a backlog
 /// in this program.
 asio::awaitable<void>
-LiveOpen(caller& aCaller)
+RunOpenLoop(caller& aCaller)
 {
-  mixture activities;
+  activity_mix activities;
   const double each = aCaller.Plan().sessions / aCaller.Plan().rate;
   const auto interval =
     std::chrono::duration_cast<run_offset>(std::chrono::duration<double>(each));
   run_offset next{ aCaller.RandomBelow(
     static_cast<std::uint64_t>(interval.count())) };
-  while (Goes(aCaller)) {
-    if (aCaller.Now() > next + kLatestStart) {
+  while (ShouldContinue(aCaller)) {
+    if (aCaller.Now() > next + kMaxStartDelay) {
       ++aCaller.History().missedStarts;
       next += interval;
       continue;
@@ -140,7 +140,7 @@
 LiveCounting(caller& aCaller, std::string aGroup)
 {
   const auto activity = MakeCounterActivity();
-  while (Goes(aCaller)) {
+  while (ShouldContinue(aCaller)) {
     const answer reply = co_await activity->Run(aCaller, aGroup);
     co_await aCaller.Sleep(
       std::max(aCaller.Plan().clockInterval, reply.retryAfter));
@@ -158,7 +158,7 @@
       co_return;
     }
     aCaller.SwitchGateway();
-    co_await aCaller.Sleep(kPreparePause);
+    co_await aCaller.Sleep(kPrepareRetryInterval);
   }
 }
 
@@ -235,7 +235,7 @@
     worker& home = *mWorkers[i % mWorkers.size()];
     caller& each = home.Add(mPlan, mOrigin, seed++, mProgress);
     asio::co_spawn(home.context,
-                   mPlan.rate > 0 ? LiveOpen(each) : LiveClosed(each),
+                   mPlan.rate > 0 ? RunOpenLoop(each) : RunClosedLoop(each),
                    Rethrow);
   }
   for (std::size_t i = 0; i < mPlan.groups.size(); ++i) {
--- a/src/currantshed/pooler/control.cpp
+++ b/src/currantshed/pooler/control.cpp
@@ -19,13 +19,13 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kHousekeeping{ 500 };
+constexpr milliseconds kMaintenanceInterval{ 500 };
 /// VMs of each failure domain that watch the configuration at the platform.
 constexpr unsigned kWatchers = 3;
 /// What the choice of those VMs is hashed by.
-constexpr const char* kWatchName = "watch/configuration";
+constexpr const char* kWatcherHashKey = "watch/configuration";
 /// Least time between two questions for a configuration.
-constexpr milliseconds kAskPause{ 100 };
+constexpr milliseconds kMinRequestInterval{ 100 };
 
 clock::time_point
 Now()
@@ -165,9 +165,9 @@
 {
   if (const auto* beat = std::get_if<member::heartbeat>(&aMessage)) {
     Heard(*beat, aBytes);
-  } else if (const auto* question =
+  } else if (const auto* query =
                std::get_if<wire::configuration_request>(&aMessage)) {
-    if (mConfiguration.Current().version > question->knownVersion) {
+    if (mConfiguration.Current().version > query->knownVersion) {
       wire::configuration told = mConfiguration.Current();
       told.vms = mListing.Current().vms;
       told.groups = mListing.Current().groups;
@@ -206,15 +206,15 @@
 control::RequestConfiguration(const peer_address& aPeer)
 {
   const auto now = Now();
-  if (now - mLastPeerRequestAt < kAskPause) {
+  if (now - mLastPeerRequestAt < kMinRequestInterval) {
     return;
   }
   mLastPeerRequestAt = now;
   // Without a list of its own this process asks for all that the peer has.
-  const wire::configuration_request question{
-    mListing.HasAny() ? mConfiguration.Current().version : 0
-  };
-  (void)mPeers.Send(aPeer, wire::Encode(question, now));
+  const wire::configuration_request query{ mListing.HasAny()
+                                             ? mConfiguration.Current().version
+                                             : 0 };
+  (void)mPeers.Send(aPeer, wire::Encode(query, now));
 }
 
 void
@@ -235,7 +235,7 @@
 void
 control::Listed(store::listing aListing)
 {
-  const bool differs = mListing.Take(std::move(aListing));
+  const bool differs = mListing.Update(std::move(aListing));
   mMembership->Listed(mListing.Current().vms, Now());
   if (differs) {
     mMembership->SetGroups(NamesOf(mListing.Current().groups));
@@ -252,7 +252,7 @@
   }
   const auto record = policy::ParseConfigurationRecord(aEntry.value);
   if (record) {
-    Offer({ record->version, record->declaration, {}, {} });
+    ApplyIfNewer({ record->version, record->declaration, {}, {} });
   } else {
     log::Write(log::level::kError, "configuration_unreadable");
   }
@@ -265,13 +265,13 @@
     log::Write(log::level::kInfo, "list_taken_from_peer");
     Listed({ aUpdate.vms, aUpdate.groups });
   }
-  Offer({ aUpdate.version, aUpdate.declaration, {}, {} });
+  ApplyIfNewer({ aUpdate.version, aUpdate.declaration, {}, {} });
 }
 
 void
-control::Offer(const wire::configuration& aOffered)
+control::ApplyIfNewer(const wire::configuration& aOffered)
 {
-  if (!mConfiguration.Offer(aOffered)) {
+  if (!mConfiguration.ApplyIfNewer(aOffered)) {
     return;
   }
   const std::uint64_t version = mConfiguration.Current().version;
@@ -279,7 +279,7 @@
              "configuration_in_force",
              { { "version", static_cast<std::int64_t>(version) } });
   mMetrics.SetConfigurationVersion(version);
-  if (!mDeclaredLimits.Take(mConfiguration.Current().declaration)) {
+  if (!mDeclaredLimits.Update(mConfiguration.Current().declaration)) {
     log::Write(log::level::kError,
                "declaration_faulty",
                { { "version", static_cast<std::int64_t>(version) } });
@@ -384,12 +384,12 @@
 void
 control::RunMaintenance()
 {
-  mMonitors.Release(Now());
+  mMonitors.ReleaseExpired(Now());
   if (!mConfiguration.HasAny() || !mListing.HasAny()) {
     RequestFromPeers();
   }
   mMetrics.SetControlTime(ThreadTime());
-  mMaintenanceTimer.At(Now() + kHousekeeping);
+  mMaintenanceTimer.At(Now() + kMaintenanceInterval);
 }
 
 bool
@@ -401,7 +401,8 @@
       neighbours.push_back(vm);
     }
   }
-  return RankOf(member::ChooseOwners(kWatchName, neighbours, kWatchers)) >= 0;
+  return RankOf(member::ChooseOwners(kWatcherHashKey, neighbours, kWatchers)) >=
+         0;
 }
 
 int
--- a/src/currantshed/pooler/control.hpp
+++ b/src/currantshed/pooler/control.hpp
@@ -67,7 +67,7 @@
   void Listed(store::listing aListing);
   void OnConfigurationEntry(const store::entry& aEntry);
   void OnPeerConfiguration(const wire::configuration& aUpdate);
-  void Offer(const wire::configuration& aOffered);
+  void ApplyIfNewer(const wire::configuration& aOffered);
   void TickMembership();
   void UpdateAssignments();
   void UpdateTraffic();
--- a/src/currantshed/pooler/declared_limits.cpp
+++ b/src/currantshed/pooler/declared_limits.cpp
@@ -5,7 +5,7 @@
 namespace currantshed::pooler {
 
 bool
-declared_limits::Take(std::string_view aYaml)
+declared_limits::Update(std::string_view aYaml)
 {
   auto parsed = policy::ParseDeclaration(aYaml);
   if (!parsed.faults.empty()) {
--- a/src/currantshed/pooler/declared_limits.hpp
+++ b/src/currantshed/pooler/declared_limits.hpp
@@ -17,7 +17,7 @@
 public:
   /// Takes a declaration over; false when it has faults, and then the former
   /// one stays, so that a pooler never works with half a declaration.
-  bool Take(std::string_view aYaml);
+  bool Update(std::string_view aYaml);
 
   /// The same groups with their declared bounds.
   [[nodiscard]] std::vector<group::description> Apply(
--- a/src/currantshed/pooler/group_monitor.cpp
+++ b/src/currantshed/pooler/group_monitor.cpp
@@ -16,7 +16,7 @@
 constexpr std::chrono::milliseconds kCommandTimeout{ 1000 };
 /// Part of the time to a suspicion within which a replica must have heard a
 /// primary that lives; of one that has failed, none heard so lately.
-constexpr int kVouchingPart = 2;
+constexpr int kHeardWithinDivisor = 2;
 
 clock::time_point
 Now()
@@ -67,10 +67,10 @@
   , mRank(aRank)
   , mOwners(aOwners)
   , mLatestTerm{ mName, 0, {} }
-  , mReachability(aDependencies.settings.suspectAfter / kVouchingPart)
+  , mReachability(aDependencies.settings.suspectAfter / kHeardWithinDivisor)
   , mTimer(aDependencies.context, [this] {
     mCoordinator->Tick(Now());
-    Perform();
+    ExecuteActions();
   })
 {
 }
@@ -101,7 +101,7 @@
   mRank = aRank;
   mOwners = aOwners;
   mCoordinator->Configure(aGroup, aRank, aOwners, Now());
-  Perform();
+  ExecuteActions();
 }
 
 void
@@ -121,25 +121,25 @@
       mCoordinator->PeerAnnounces(news.term, news.primary, now);
     }
   }
-  Perform();
+  ExecuteActions();
 }
 
 void
-group_monitor::Perform()
+group_monitor::ExecuteActions()
 {
-  if (mIsPerforming) {
+  if (mIsExecuting) {
     return;
   }
-  mIsPerforming = true;
+  mIsExecuting = true;
   auto actions = mCoordinator->TakeActions();
   while (!actions.empty()) {
     for (const auto& action : actions) {
-      Note(action);
-      std::visit([this](const auto& aAction) { Do(aAction); }, action);
+      ObserveStep(action);
+      std::visit([this](const auto& aAction) { Execute(aAction); }, action);
     }
     actions = mCoordinator->TakeActions();
   }
-  mIsPerforming = false;
+  mIsExecuting = false;
   CheckReachability();
   mTimer.At(mCoordinator->NextTick());
 }
@@ -159,7 +159,7 @@
 }
 
 void
-group_monitor::Note(const failover::action& aAction)
+group_monitor::ObserveStep(const failover::action& aAction)
 {
   const auto step = mStepTimer.Observe(aAction, Now());
   if (step) {
@@ -168,48 +168,49 @@
 }
 
 void
-group_monitor::Do(const failover::probe& aAction)
+group_monitor::Execute(const failover::probe& aAction)
 {
   const upstream::server_id server = aAction.server;
-  Ask(server,
-      mDependencies.dialect.Status(),
-      mProbeTimeout,
-      [this, server](const std::optional<upstream::server_status>& aStatus,
-                     bool aAccepted,
-                     clock::time_point aAskedAt) {
-        if (aAccepted) {
-          mReachability.Heard(*aStatus, Now());
-          mCoordinator->StatusArrived(server, *aStatus, aAskedAt, Now());
-        } else {
-          mCoordinator->StatusFailed(server, Now());
-        }
-      });
+  Query(server,
+        mDependencies.dialect.Status(),
+        mProbeTimeout,
+        [this, server](const std::optional<upstream::server_status>& aStatus,
+                       bool aAccepted,
+                       clock::time_point aSentAt) {
+          if (aAccepted) {
+            mReachability.Heard(*aStatus, Now());
+            mCoordinator->StatusArrived(server, *aStatus, aSentAt, Now());
+          } else {
+            mCoordinator->StatusFailed(server, Now());
+          }
+        });
 }
 
 void
-group_monitor::Do(const failover::fence& aAction)
+group_monitor::Execute(const failover::fence& aAction)
 {
   log::Write(log::level::kWarning,
              "fence",
              { { "group", mName },
                { "term", Number(aAction.term) },
                { "server", aAction.server } });
-  Ask(aAction.server,
-      mDependencies.dialect.Fence(aAction.term),
-      kCommandTimeout,
-      [this, aAction](const std::optional<upstream::server_status>& aStatus,
-                      bool aAccepted,
-                      clock::time_point) {
-        mCoordinator->FenceAnswered(aAction.server,
-                                    aAction.term,
-                                    aAccepted,
-                                    aStatus.value_or(upstream::server_status{}),
-                                    Now());
-      });
+  Query(aAction.server,
+        mDependencies.dialect.Fence(aAction.term),
+        kCommandTimeout,
+        [this, aAction](const std::optional<upstream::server_status>& aStatus,
+                        bool aAccepted,
+                        clock::time_point) {
+          mCoordinator->FenceAnswered(
+            aAction.server,
+            aAction.term,
+            aAccepted,
+            aStatus.value_or(upstream::server_status{}),
+            Now());
+        });
 }
 
 void
-group_monitor::Do(const failover::promote& aAction)
+group_monitor::Execute(const failover::promote& aAction)
 {
   mPromotedTerm = aAction.term;
   log::Write(log::level::kWarning,
@@ -217,23 +218,23 @@
              { { "group", mName },
                { "term", Number(aAction.term) },
                { "server", aAction.server } });
-  Ask(aAction.server,
-      mDependencies.dialect.Promote(aAction.term),
-      kCommandTimeout,
-      [this, aAction](const std::optional<upstream::server_status>& aStatus,
-                      bool aAccepted,
-                      clock::time_point) {
-        mCoordinator->PromoteAnswered(
-          aAction.server,
-          aAction.term,
-          aAccepted,
-          aStatus.value_or(upstream::server_status{}),
-          Now());
-      });
+  Query(aAction.server,
+        mDependencies.dialect.Promote(aAction.term),
+        kCommandTimeout,
+        [this, aAction](const std::optional<upstream::server_status>& aStatus,
+                        bool aAccepted,
+                        clock::time_point) {
+          mCoordinator->PromoteAnswered(
+            aAction.server,
+            aAction.term,
+            aAccepted,
+            aStatus.value_or(upstream::server_status{}),
+            Now());
+        });
 }
 
 void
-group_monitor::Do(const failover::follow& aAction)
+group_monitor::Execute(const failover::follow& aAction)
 {
   const group::member* primary = Find(aAction.primary);
   if (primary == nullptr) {
@@ -247,7 +248,7 @@
                { "term", Number(aAction.term) },
                { "server", aAction.server },
                { "primary", aAction.primary } });
-  Ask(
+  Query(
     aAction.server,
     mDependencies.dialect.Follow(aAction.term, primary->address, primary->port),
     kCommandTimeout,
@@ -263,7 +264,7 @@
 }
 
 void
-group_monitor::Do(const failover::read_record& /*aAction*/)
+group_monitor::Execute(const failover::read_record& /*aAction*/)
 {
   mDependencies.platform.Get(
     RecordKey(mName),
@@ -273,12 +274,12 @@
       }
       mDependencies.metrics.CountPlatformCall("read_terms", !aError);
       mCoordinator->RecordRead(!aError, aEntry, Now());
-      Perform();
+      ExecuteActions();
     });
 }
 
 void
-group_monitor::Do(const failover::swap_record& aAction)
+group_monitor::Execute(const failover::swap_record& aAction)
 {
   mDependencies.platform.Swap(
     RecordKey(mName),
@@ -291,12 +292,12 @@
       const bool isKnown = aOutcome != store::swap_outcome::kUnknown;
       mDependencies.metrics.CountPlatformCall("write_terms", isKnown);
       mCoordinator->RecordSwapped(aOutcome, Now());
-      Perform();
+      ExecuteActions();
     });
 }
 
 void
-group_monitor::Do(const failover::announce& aAction)
+group_monitor::Execute(const failover::announce& aAction)
 {
   const member::term_update news{ mName, aAction.term, aAction.primary };
   if (news.term == mLatestTerm.term && news.primary == mLatestTerm.primary) {
@@ -315,7 +316,7 @@
 }
 
 void
-group_monitor::Do(const failover::report_suspicion& aAction)
+group_monitor::Execute(const failover::report_suspicion& aAction)
 {
   log::Write(log::level::kInfo,
              aAction.word.primary.empty() ? "suspicion_withdrawn"
@@ -328,10 +329,10 @@
 }
 
 void
-group_monitor::Ask(const upstream::server_id& aServer,
-                   upstream::statement aQuestion,
-                   std::chrono::milliseconds aTimeout,
-                   answered aDone)
+group_monitor::Query(const upstream::server_id& aServer,
+                     upstream::statement aQuery,
+                     std::chrono::milliseconds aTimeout,
+                     answered aDone)
 {
   const group::member* member = Find(aServer);
   if (member == nullptr) {
@@ -347,20 +348,19 @@
     channel = std::make_unique<server_channel>(mDependencies.context,
                                                std::move(endpoint));
   }
-  channel->Ask(std::move(aQuestion),
-               aTimeout,
-               [this, done = std::move(aDone)](
-                 const std::optional<upstream::reply>& aReply,
-                 clock::time_point aAskedAt) {
-                 std::optional<upstream::server_status> status;
-                 if (aReply && aReply->end == upstream::batch_end::kComplete &&
-                     !aReply->results.empty()) {
-                   status =
-                     mDependencies.dialect.ReadStatus(aReply->results.front());
-                 }
-                 done(status, status.has_value(), aAskedAt);
-                 Perform();
-               });
+  channel->Query(
+    std::move(aQuery),
+    aTimeout,
+    [this, done = std::move(aDone)](
+      const std::optional<upstream::reply>& aReply, clock::time_point aSentAt) {
+      std::optional<upstream::server_status> status;
+      if (aReply && aReply->end == upstream::batch_end::kComplete &&
+          !aReply->results.empty()) {
+        status = mDependencies.dialect.ReadStatus(aReply->results.front());
+      }
+      done(status, status.has_value(), aSentAt);
+      ExecuteActions();
+    });
 }
 
 const group::member*
--- a/src/currantshed/pooler/group_monitor.hpp
+++ b/src/currantshed/pooler/group_monitor.hpp
@@ -76,23 +76,23 @@
   using answered =
     std::function<void(const std::optional<upstream::server_status>&,
                        bool aAccepted,
-                       clock::time_point aAskedAt)>;
-
-  void Perform();
-  void Do(const failover::probe& aAction);
-  void Do(const failover::fence& aAction);
-  void Do(const failover::promote& aAction);
-  void Do(const failover::follow& aAction);
-  void Do(const failover::read_record& aAction);
-  void Do(const failover::swap_record& aAction);
-  void Do(const failover::announce& aAction);
-  void Do(const failover::report_suspicion& aAction);
-  void Note(const failover::action& aAction);
+                       clock::time_point aSentAt)>;
+
+  void ExecuteActions();
+  void Execute(const failover::probe& aAction);
+  void Execute(const failover::fence& aAction);
+  void Execute(const failover::promote& aAction);
+  void Execute(const failover::follow& aAction);
+  void Execute(const failover::read_record& aAction);
+  void Execute(const failover::swap_record& aAction);
+  void Execute(const failover::announce& aAction);
+  void Execute(const failover::report_suspicion& aAction);
+  void ObserveStep(const failover::action& aAction);
   void CheckReachability();
-  void Ask(const upstream::server_id& aServer,
-           upstream::statement aQuestion,
-           std::chrono::milliseconds aTimeout,
-           answered aDone);
+  void Query(const upstream::server_id& aServer,
+             upstream::statement aQuery,
+             std::chrono::milliseconds aTimeout,
+             answered aDone);
   [[nodiscard]] const group::member* Find(
     const upstream::server_id& aServer) const;
 
@@ -111,7 +111,7 @@
   bool mIsCutOff = false;
   absl::flat_hash_map<upstream::server_id, std::unique_ptr<server_channel>>
     mChannels;
-  bool mIsPerforming = false;
+  bool mIsExecuting = false;
   net::tick_timer mTimer;
   /// Ends with the guard, so that late answers of the platform find nothing.
   std::shared_ptr<bool> mAlive = std::make_shared<bool>(true);
--- a/src/currantshed/pooler/group_monitors.cpp
+++ b/src/currantshed/pooler/group_monitors.cpp
@@ -29,12 +29,12 @@
   std::vector<group::group_name> names;
   for (const auto& owned : aGroups) {
     names.push_back(owned.group.name);
-    auto& guard = mMonitors[owned.group.name];
-    if (!guard) {
-      guard = std::make_unique<group_monitor>(
+    auto& monitor = mMonitors[owned.group.name];
+    if (!monitor) {
+      monitor = std::make_unique<group_monitor>(
         mDependencies, owned.group.name, owned.rank, owned.owners, mListener);
     }
-    guard->Configure(owned.group, owned.rank, owned.owners);
+    monitor->Configure(owned.group, owned.rank, owned.owners);
   }
   mOwnership.Assign(names, aNow);
 }
@@ -42,16 +42,16 @@
 void
 group_monitors::Heard(const member::heartbeat& aBeat)
 {
-  for (auto& [name, guard] : mMonitors) {
-    guard->Heard(aBeat);
+  for (auto& [name, monitor] : mMonitors) {
+    monitor->Heard(aBeat);
   }
 }
 
 void
-group_monitors::Release(clock::time_point aNow)
+group_monitors::ReleaseExpired(clock::time_point aNow)
 {
   const auto hasNone = [](const group::group_name&) { return false; };
-  for (const auto& name : mOwnership.Release(hasNone, aNow)) {
+  for (const auto& name : mOwnership.ReleaseExpired(hasNone, aNow)) {
     mMonitors.erase(name);
     log::Write(
       log::level::kInfo, "group_no_longer_owned", { { "group", name } });
@@ -62,8 +62,8 @@
 group_monitors::LatestTerm() const
 {
   std::vector<member::term_update> news;
-  for (const auto& [name, guard] : mMonitors) {
-    news.push_back(guard->LatestTerm());
+  for (const auto& [name, monitor] : mMonitors) {
+    news.push_back(monitor->LatestTerm());
   }
   return news;
 }
--- a/src/currantshed/pooler/group_monitors.hpp
+++ b/src/currantshed/pooler/group_monitors.hpp
@@ -40,7 +40,7 @@
 
   /// Lets guards go whose grace is over. Not to be called from a guard's own
   /// callback.
-  void Release(clock::time_point aNow);
+  void ReleaseExpired(clock::time_point aNow);
 
   /// Who leads each guarded group, by name.
   [[nodiscard]] std::vector<member::term_update> LatestTerm() const;
--- a/src/currantshed/pooler/group_runner.cpp
+++ b/src/currantshed/pooler/group_runner.cpp
@@ -45,7 +45,7 @@
   , mStatusTimeout(EngineSettings(aSettings).statusTimeout)
   , mTimer(aContext, [this] {
     mEngine->Tick(Now());
-    Perform();
+    ExecuteActions();
   })
 {
 }
@@ -71,28 +71,28 @@
   }
   mGroup = aGroup;
   mEngine->Configure(aGroup, Now());
-  Perform();
+  ExecuteActions();
 }
 
 void
 group_runner::Submit(group::request aRequest)
 {
   mEngine->Submit(std::move(aRequest), Now(), std::chrono::system_clock::now());
-  Perform();
+  ExecuteActions();
 }
 
 void
 group_runner::Cancel(group::request_id aRequest)
 {
   mEngine->Cancel(aRequest, Now());
-  Perform();
+  ExecuteActions();
 }
 
 void
 group_runner::Drain()
 {
   mEngine->Drain(Now());
-  Perform();
+  ExecuteActions();
 }
 
 std::size_t
@@ -102,26 +102,26 @@
 }
 
 void
-group_runner::Perform()
+group_runner::ExecuteActions()
 {
   // An action may call back at once; the loop below then takes what follows.
-  if (mIsPerforming) {
+  if (mIsExecuting) {
     return;
   }
-  mIsPerforming = true;
+  mIsExecuting = true;
   auto actions = mEngine->TakeActions();
   while (!actions.empty()) {
     for (auto& action : actions) {
-      std::visit([this](auto& aAction) { Do(aAction); }, action);
+      std::visit([this](auto& aAction) { Execute(aAction); }, action);
     }
     actions = mEngine->TakeActions();
   }
-  mIsPerforming = false;
+  mIsExecuting = false;
   mTimer.At(mEngine->NextTick());
 }
 
 void
-group_runner::Do(const group::open_connection& aAction)
+group_runner::Execute(const group::open_connection& aAction)
 {
   const group::connection_id id = aAction.connection;
   const group::member* member = Find(aAction.server);
@@ -138,13 +138,13 @@
 }
 
 void
-group_runner::Do(const group::close_connection& aAction)
+group_runner::Execute(const group::close_connection& aAction)
 {
   Drop(aAction.connection);
 }
 
 void
-group_runner::Do(group::run_batch& aAction)
+group_runner::Execute(group::run_batch& aAction)
 {
   const auto found = mLinks.find(aAction.connection);
   if (found == mLinks.end()) {
@@ -157,12 +157,12 @@
                                 [this, id, batch](upstream::reply aReply) {
                                   mEngine->Replied(
                                     id, batch, std::move(aReply), Now());
-                                  Perform();
+                                  ExecuteActions();
                                 });
 }
 
 void
-group_runner::Do(const group::ask_status& aAction)
+group_runner::Execute(const group::ask_status& aAction)
 {
   const upstream::server_id& server = aAction.server;
   const group::member* member = Find(server);
@@ -175,16 +175,16 @@
     channel =
       std::make_unique<server_channel>(mContext, EndpointOf(*member, false));
   }
-  channel->Ask(mDialect.Status(),
-               mStatusTimeout,
-               [this, server](const std::optional<upstream::reply>& aReply,
-                              clock::time_point aAskedAt) {
-                 StatusReplied(server, aReply, aAskedAt);
-               });
+  channel->Query(mDialect.Status(),
+                 mStatusTimeout,
+                 [this, server](const std::optional<upstream::reply>& aReply,
+                                clock::time_point aSentAt) {
+                   StatusReplied(server, aReply, aSentAt);
+                 });
 }
 
 void
-group_runner::Do(group::give_answer& aAction)
+group_runner::Execute(group::give_answer& aAction)
 {
   mAnswer(std::move(aAction.reply));
 }
@@ -198,7 +198,7 @@
     Drop(aConnection);
     mEngine->ConnectionFailed(aConnection, Now());
   }
-  Perform();
+  ExecuteActions();
 }
 
 void
@@ -206,7 +206,7 @@
 {
   Drop(aConnection);
   mEngine->ConnectionLost(aConnection, Now());
-  Perform();
+  ExecuteActions();
 }
 
 void
@@ -223,7 +223,7 @@
 void
 group_runner::StatusReplied(const upstream::server_id& aServer,
                             const std::optional<upstream::reply>& aReply,
-                            clock::time_point aAskedAt)
+                            clock::time_point aSentAt)
 {
   std::optional<upstream::server_status> status;
   if (aReply && aReply->end == upstream::batch_end::kComplete &&
@@ -232,11 +232,11 @@
   }
   mMetrics.CountStatusQuery(status.has_value());
   if (status) {
-    mEngine->StatusArrived(aServer, *status, aAskedAt, Now());
+    mEngine->StatusArrived(aServer, *status, aSentAt, Now());
   } else {
     mEngine->StatusFailed(aServer, Now());
   }
-  Perform();
+  ExecuteActions();
 }
 
 const group::member*
--- a/src/currantshed/pooler/group_runner.hpp
+++ b/src/currantshed/pooler/group_runner.hpp
@@ -57,18 +57,18 @@
     upstream::server_id server;
   };
 
-  void Perform();
-  void Do(const group::open_connection& aAction);
-  void Do(const group::close_connection& aAction);
-  void Do(group::run_batch& aAction);
-  void Do(const group::ask_status& aAction);
-  void Do(group::give_answer& aAction);
+  void ExecuteActions();
+  void Execute(const group::open_connection& aAction);
+  void Execute(const group::close_connection& aAction);
+  void Execute(group::run_batch& aAction);
+  void Execute(const group::ask_status& aAction);
+  void Execute(group::give_answer& aAction);
   void Opened(group::connection_id aConnection, bool aIsOpen);
   void Lost(group::connection_id aConnection);
   void Drop(group::connection_id aConnection);
   void StatusReplied(const upstream::server_id& aServer,
                      const std::optional<upstream::reply>& aReply,
-                     clock::time_point aAskedAt);
+                     clock::time_point aSentAt);
   [[nodiscard]] const group::member* Find(
     const upstream::server_id& aServer) const;
   [[nodiscard]] upstream::endpoint EndpointOf(const group::member& aMember,
@@ -85,7 +85,7 @@
   absl::flat_hash_map<group::connection_id, link> mLinks;
   absl::flat_hash_map<upstream::server_id, std::unique_ptr<server_channel>>
     mChannels;
-  bool mIsPerforming = false;
+  bool mIsExecuting = false;
   net::tick_timer mTimer;
 };
 
--- a/src/currantshed/pooler/latest_configuration.cpp
+++ b/src/currantshed/pooler/latest_configuration.cpp
@@ -3,7 +3,7 @@
 namespace currantshed::pooler {
 
 bool
-latest_configuration::Offer(const wire::configuration& aOffered)
+latest_configuration::ApplyIfNewer(const wire::configuration& aOffered)
 {
   if (aOffered.version <= mCurrent.version) {
     return false;
--- a/src/currantshed/pooler/latest_configuration.hpp
+++ b/src/currantshed/pooler/latest_configuration.hpp
@@ -15,7 +15,7 @@
 {
 public:
   /// Takes a version over if it is above the one held; false if not.
-  bool Offer(const wire::configuration& aOffered);
+  bool ApplyIfNewer(const wire::configuration& aOffered);
 
   /// Whether any version is held.
   [[nodiscard]] bool HasAny() const noexcept;
--- a/src/currantshed/pooler/latest_listing.cpp
+++ b/src/currantshed/pooler/latest_listing.cpp
@@ -5,7 +5,7 @@
 namespace currantshed::pooler {
 
 bool
-latest_listing::Take(store::listing aListing)
+latest_listing::Update(store::listing aListing)
 {
   const bool differs = !mHasAny || aListing.groups != mCurrent.groups;
   mHasAny = true;
--- a/src/currantshed/pooler/latest_listing.hpp
+++ b/src/currantshed/pooler/latest_listing.hpp
@@ -14,7 +14,7 @@
 public:
   /// Takes a reading over; whether its groups differ from those held, which
   /// the first reading always does.
-  bool Take(store::listing aListing);
+  bool Update(store::listing aListing);
 
   /// Whether any reading is held.
   [[nodiscard]] bool HasAny() const noexcept { return mHasAny; }
--- a/src/currantshed/pooler/metrics.cpp
+++ b/src/currantshed/pooler/metrics.cpp
@@ -100,8 +100,8 @@
 }
 
 void
-group_metrics::Answered(const group::answer& aAnswer,
-                        std::chrono::steady_clock::duration aAfter)
+group_metrics::CountAnswer(const group::answer& aAnswer,
+                           std::chrono::steady_clock::duration aAfter)
 {
   const auto verdict = static_cast<std::size_t>(aAnswer.verdict);
   mAnswers.at(verdict).at(ServerKind(aAnswer))->Increment();
--- a/src/currantshed/pooler/metrics.hpp
+++ b/src/currantshed/pooler/metrics.hpp
@@ -25,8 +25,8 @@
                 const group::group_name& aGroup);
 
   /// Counts an answer and the time from its request.
-  void Answered(const group::answer& aAnswer,
-                std::chrono::steady_clock::duration aAfter);
+  void CountAnswer(const group::answer& aAnswer,
+                   std::chrono::steady_clock::duration aAfter);
 
   /// Counts a status question by whether it was answered.
   void CountStatusQuery(bool aAnswered);
--- a/src/currantshed/pooler/ownership.cpp
+++ b/src/currantshed/pooler/ownership.cpp
@@ -24,13 +24,13 @@
 }
 
 void
-ownership::Use(const group::group_name& aGroup, clock::time_point aNow)
+ownership::MarkUsed(const group::group_name& aGroup, clock::time_point aNow)
 {
   mLastUse[aGroup] = aNow;
 }
 
 std::vector<group::group_name>
-ownership::Release(
+ownership::ReleaseExpired(
   const std::function<bool(const group::group_name&)>& aHasWork,
   clock::time_point aNow)
 {
--- a/src/currantshed/pooler/ownership.hpp
+++ b/src/currantshed/pooler/ownership.hpp
@@ -28,10 +28,10 @@
               clock::time_point aNow);
 
   /// Holds a group that was asked for, for a grace.
-  void Use(const group::group_name& aGroup, clock::time_point aNow);
+  void MarkUsed(const group::group_name& aGroup, clock::time_point aNow);
 
   /// Names of the groups let go now, each once.
-  [[nodiscard]] std::vector<group::group_name> Release(
+  [[nodiscard]] std::vector<group::group_name> ReleaseExpired(
     const std::function<bool(const group::group_name&)>& aHasWork,
     clock::time_point aNow);
 
--- a/src/currantshed/pooler/peer_links.cpp
+++ b/src/currantshed/pooler/peer_links.cpp
@@ -11,23 +11,23 @@
 namespace {
 
 /// Most peers with a connection of their own at a time.
-constexpr std::size_t kMostLinks = 64;
+constexpr std::size_t kMaxConnections = 64;
 /// Longest message between poolers; a configuration is the longest.
-constexpr std::int64_t kLongestMessage = std::int64_t{ 2 } * 1024 * 1024;
+constexpr std::int64_t kMaxMessageBytes = std::int64_t{ 2 } * 1024 * 1024;
 /// Messages waiting for one peer: a few heartbeats, no more.
-constexpr int kSendHighWater = 8;
+constexpr int kSendHighWaterMark = 8;
 /// Messages of one peer waiting to be taken. ZeroMQ 4.3 aborts the process when
 /// a connection fails while its receiving side is full, which eight heartbeats
 /// did in a process that got no processor time for a second.
-constexpr int kHighWater = 512;
+constexpr int kReceiveHighWaterMark = 512;
 
 net::socket_settings
 PeerSettings()
 {
   net::socket_settings settings;
-  settings.longestMessage = kLongestMessage;
-  settings.highWater = kHighWater;
-  settings.sendHighWater = kSendHighWater;
+  settings.longestMessage = kMaxMessageBytes;
+  settings.highWater = kReceiveHighWaterMark;
+  settings.sendHighWater = kSendHighWaterMark;
   // In a large fleet most heartbeats go to a peer that was not written to
   // lately, and are the first on their connection.
   settings.onlyConnected = false;
@@ -102,7 +102,7 @@
 void
 peer_links::EvictLeastRecentlyUsed()
 {
-  if (mLinks.size() < kMostLinks) {
+  if (mLinks.size() < kMaxConnections) {
     return;
   }
   const auto oldest = std::min_element(
--- a/src/currantshed/pooler/platform_link.cpp
+++ b/src/currantshed/pooler/platform_link.cpp
@@ -14,12 +14,12 @@
 namespace {
 
 /// How often a VM that doesn't watch looks for itself.
-constexpr std::chrono::seconds kOwnLook{ 30 };
+constexpr std::chrono::seconds kFallbackReadInterval{ 30 };
 /// Time between two readings for each VM of the fleet: 200 a second by all.
-constexpr std::chrono::milliseconds kListSpacing{ 5 };
+constexpr std::chrono::milliseconds kListIntervalPerVm{ 5 };
 /// The lister keeps its interval while the fleet changes by less than a
 /// quarter.
-constexpr int kNoticedPart = 4;
+constexpr int kFleetChangeDivisor = 4;
 
 clock::time_point
 Now()
@@ -40,7 +40,7 @@
 std::chrono::milliseconds
 ListInterval(std::chrono::milliseconds aSetting, std::size_t aVms)
 {
-  return std::max(aSetting, kListSpacing * static_cast<int>(aVms));
+  return std::max(aSetting, kListIntervalPerVm * static_cast<int>(aVms));
 }
 
 platform_link::platform_link(boost::asio::io_context& aContext,
@@ -81,7 +81,7 @@
   const auto change = interval > mListInterval ? interval - mListInterval
                                                : mListInterval - interval;
   const bool isBusy = !mLister.NextTick();
-  if (isBusy || change <= mListInterval / kNoticedPart) {
+  if (isBusy || change <= mListInterval / kFleetChangeDivisor) {
     return;
   }
   mListInterval = interval;
@@ -123,7 +123,7 @@
   for (const auto& action : mWatcher.TakeActions()) {
     if (const auto* start = std::get_if<store::start_watch>(&action)) {
       mDeferredWatch = *start;
-      mDeferredUntil = Now() + kOwnLook;
+      mDeferredUntil = Now() + kFallbackReadInterval;
     } else {
       mListener.configured(std::get<store::deliver_entry>(action).content);
     }
--- a/src/currantshed/pooler/server_channel.cpp
+++ b/src/currantshed/pooler/server_channel.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 /// Largest answer to a question about a server, in bytes.
-constexpr std::size_t kAnswerLimit = 64 * std::size_t{ 1024 };
+constexpr std::size_t kMaxAnswerBytes = 64 * std::size_t{ 1024 };
 
 } // namespace
 
@@ -26,12 +26,12 @@
 server_channel::~server_channel() = default;
 
 void
-server_channel::Ask(upstream::statement aQuestion,
-                    std::chrono::milliseconds aTimeout,
-                    answer aDone)
+server_channel::Query(upstream::statement aQuery,
+                      std::chrono::milliseconds aTimeout,
+                      answer aDone)
 {
   const auto due = std::chrono::steady_clock::now() + aTimeout;
-  mQuestions.push_back({ std::move(aQuestion), due, std::move(aDone), {} });
+  mQueries.push_back({ std::move(aQuery), due, std::move(aDone), {} });
   if (!mConnection) {
     Open();
   } else {
@@ -63,14 +63,14 @@
 void
 server_channel::SendNext()
 {
-  if (!mIsOpen || mQuestions.empty() || mQuestions.front().isSent) {
+  if (!mIsOpen || mQueries.empty() || mQueries.front().isSent) {
     return;
   }
-  question& next = mQuestions.front();
+  query& next = mQueries.front();
   next.isSent = true;
-  next.askedAt = std::chrono::steady_clock::now();
+  next.sentAt = std::chrono::steady_clock::now();
   mConnection->Run(
-    { std::move(next.text) }, kAnswerLimit, [this](upstream::reply aReply) {
+    { std::move(next.text) }, kMaxAnswerBytes, [this](upstream::reply aReply) {
       Replied(std::move(aReply));
     });
 }
@@ -82,10 +82,10 @@
     // Lost follows and fails the question.
     return;
   }
-  question answered = std::move(mQuestions.front());
-  mQuestions.pop_front();
+  query answered = std::move(mQueries.front());
+  mQueries.pop_front();
   SendNext();
-  answered.done(std::move(aReply), answered.askedAt);
+  answered.done(std::move(aReply), answered.sentAt);
 }
 
 void
@@ -99,9 +99,9 @@
 void
 server_channel::FailAll()
 {
-  const std::deque<question> failed = std::exchange(mQuestions, {});
-  for (const auto& question : failed) {
-    question.done(std::nullopt, question.askedAt);
+  const std::deque<query> failed = std::exchange(mQueries, {});
+  for (const auto& query : failed) {
+    query.done(std::nullopt, query.sentAt);
   }
 }
 
@@ -109,7 +109,7 @@
 server_channel::Expire()
 {
   const auto now = std::chrono::steady_clock::now();
-  if (mQuestions.empty() || now < mQuestions.front().due) {
+  if (mQueries.empty() || now < mQueries.front().due) {
     Schedule();
     return;
   }
@@ -117,25 +117,25 @@
     mConnection.reset();
     mIsOpen = false;
   }
-  std::vector<question> late;
-  while (!mQuestions.empty() && mQuestions.front().due <= now) {
-    late.push_back(std::move(mQuestions.front()));
-    mQuestions.pop_front();
+  std::vector<query> late;
+  while (!mQueries.empty() && mQueries.front().due <= now) {
+    late.push_back(std::move(mQueries.front()));
+    mQueries.pop_front();
   }
-  if (!mQuestions.empty() && !mConnection) {
+  if (!mQueries.empty() && !mConnection) {
     Open();
   }
   Schedule();
-  for (const auto& question : late) {
-    question.done(std::nullopt, question.askedAt);
+  for (const auto& query : late) {
+    query.done(std::nullopt, query.sentAt);
   }
 }
 
 void
 server_channel::Schedule()
 {
-  if (!mQuestions.empty()) {
-    mTimer.At(mQuestions.front().due);
+  if (!mQueries.empty()) {
+    mTimer.At(mQueries.front().due);
   }
 }
 
--- a/src/currantshed/pooler/server_channel.hpp
+++ b/src/currantshed/pooler/server_channel.hpp
@@ -28,7 +28,7 @@
   /// The server's reply, or none if it did not come in time; and when the
   /// question was sent.
   using answer = std::function<void(const std::optional<upstream::reply>&,
-                                    clock::time_point aAskedAt)>;
+                                    clock::time_point aSentAt)>;
 
   server_channel(boost::asio::io_context& aContext,
                  upstream::endpoint aEndpoint);
@@ -38,17 +38,17 @@
 
   /// Asks a question; the answer comes later, once, unless the channel is
   /// destroyed before. The time includes that for opening a connection.
-  void Ask(upstream::statement aQuestion,
-           std::chrono::milliseconds aTimeout,
-           answer aDone);
+  void Query(upstream::statement aQuery,
+             std::chrono::milliseconds aTimeout,
+             answer aDone);
 
 private:
-  struct question
+  struct query
   {
     upstream::statement text;
     clock::time_point due;
     answer done;
-    clock::time_point askedAt;
+    clock::time_point sentAt;
     bool isSent = false;
   };
 
@@ -65,7 +65,7 @@
   upstream::endpoint mEndpoint;
   std::unique_ptr<upstream::pq_connection> mConnection;
   bool mIsOpen = false;
-  std::deque<question> mQuestions;
+  std::deque<query> mQueries;
   net::tick_timer mTimer;
 };
 
--- a/src/currantshed/pooler/status_reporter.cpp
+++ b/src/currantshed/pooler/status_reporter.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 /// How long the traffic thread may be silent and still count as running.
-constexpr std::chrono::seconds kTrafficSilence{ 2 };
+constexpr std::chrono::seconds kTrafficTimeout{ 2 };
 
 boost::json::object
 Describe(const group_status& aGroup)
@@ -54,7 +54,7 @@
   const std::lock_guard lock(mMutex);
   const auto silence = std::chrono::steady_clock::now() - mTrafficAliveAt;
   const bool hasAll = mControl.configurationVersion > 0 && mControl.hasList;
-  return hasAll && !mControl.isLeaving && silence <= kTrafficSilence;
+  return hasAll && !mControl.isLeaving && silence <= kTrafficTimeout;
 }
 
 std::string
--- a/src/currantshed/pooler/traffic.cpp
+++ b/src/currantshed/pooler/traffic.cpp
@@ -14,20 +14,20 @@
 namespace {
 
 /// Time between two rounds of housekeeping.
-constexpr std::chrono::milliseconds kHousekeeping{ 500 };
+constexpr std::chrono::milliseconds kMaintenanceInterval{ 500 };
 /// The same while the pooler waits for its work to end.
-constexpr std::chrono::milliseconds kDrainCheck{ 10 };
+constexpr std::chrono::milliseconds kDrainCheckInterval{ 10 };
 /// How long a group that is no longer led keeps its engine.
 constexpr std::chrono::milliseconds kReleaseGrace{ 3000 };
 /// When to come back while this pooler knows no groups yet, or leaves.
-constexpr std::chrono::milliseconds kComeBack{ 200 };
+constexpr std::chrono::milliseconds kRetryAfter{ 200 };
 
 /// How long no request must have come before a shutdown ends.
-constexpr std::chrono::milliseconds kQuiet{ 100 };
+constexpr std::chrono::milliseconds kQuietPeriod{ 100 };
 /// How long a shutdown goes on refusing requests when nothing is pending.
-constexpr std::chrono::milliseconds kLongestRefusing{ 2000 };
+constexpr std::chrono::milliseconds kMaxRefusalTime{ 2000 };
 /// How long the last answers may take to leave at the end.
-constexpr std::chrono::milliseconds kLastAnswers{ 500 };
+constexpr std::chrono::milliseconds kLingerTimeout{ 500 };
 
 clock::time_point
 Now()
@@ -48,7 +48,7 @@
 RouterSettings()
 {
   net::socket_settings settings;
-  settings.linger = kLastAnswers;
+  settings.linger = kLingerTimeout;
   return settings;
 }
 
@@ -121,7 +121,7 @@
 traffic::Publish(wire::view aView)
 {
   boost::asio::post(mContext, [this, view = std::move(aView)]() mutable {
-    Deliver(mViews.Change(std::move(view)));
+    Deliver(mViews.SetView(std::move(view)));
   });
 }
 
@@ -176,10 +176,10 @@
 {
   mLastArrival = Now();
   const group::request_id id = aRequest.request.id;
-  const bool isForeign =
+  const bool isOfOtherIncarnation =
     IsInTransaction(aRequest.request.kind) &&
     aRequest.transactionIncarnation != mSettings.incarnation;
-  if (isForeign) {
+  if (isOfOtherIncarnation) {
     // Its connection ended with the process that had opened it, so that
     // nothing of it can be kept any more.
     Refuse(
@@ -215,7 +215,7 @@
     return;
   }
   const auto now = Now();
-  mOwnership.Use(aRequest.group, now);
+  mOwnership.MarkUsed(aRequest.group, now);
   ++mLastRequest;
   mOrigins.emplace(mLastRequest,
                    origin{ aPeer, aRequest.request.id, aRequest.group, now });
@@ -260,7 +260,7 @@
   answer.verdict = aVerdict;
   answer.why = aWhy;
   if (aVerdict == outcome::verdict::kNotRun) {
-    answer.retryAfter = kComeBack;
+    answer.retryAfter = kRetryAfter;
   }
   Reply(aPeer, std::move(answer));
 }
@@ -276,7 +276,7 @@
   mOrigins.erase(found);
   const auto runner = mRunners.find(from.group);
   if (runner != mRunners.end()) {
-    runner->second->Metrics().Answered(aAnswer, Now() - from.arrivedAt);
+    runner->second->Metrics().CountAnswer(aAnswer, Now() - from.arrivedAt);
   }
   aAnswer.request = from.id;
   Reply(from.peer, std::move(aAnswer));
@@ -347,12 +347,12 @@
 {
   const auto now = Now();
   mStatusReporter.MarkTrafficAlive(now);
-  mViews.Forget(now);
+  mViews.RemoveExpired(now);
   const auto hasWork = [this](const group::group_name& aGroup) {
     const auto runner = mRunners.find(aGroup);
     return runner != mRunners.end() && runner->second->Pending() > 0;
   };
-  for (const auto& name : mOwnership.Release(hasWork, now)) {
+  for (const auto& name : mOwnership.ReleaseExpired(hasWork, now)) {
     mRunners.erase(name);
     log::Write(log::level::kInfo, "group_released", { { "group", name } });
   }
@@ -362,7 +362,7 @@
   if (mIsDraining && mDrained) {
     CheckDrained(now);
   }
-  mTimer.At(now + (mIsDraining ? kDrainCheck : kHousekeeping));
+  mTimer.At(now + (mIsDraining ? kDrainCheckInterval : kMaintenanceInterval));
 }
 
 void
@@ -373,8 +373,8 @@
     return;
   }
   mEmptySince = mEmptySince.value_or(aNow);
-  const bool isQuiet = aNow - mLastArrival >= kQuiet;
-  if (isQuiet || aNow - *mEmptySince >= kLongestRefusing) {
+  const bool isQuiet = aNow - mLastArrival >= kQuietPeriod;
+  if (isQuiet || aNow - *mEmptySince >= kMaxRefusalTime) {
     std::exchange(mDrained, nullptr)();
   }
 }
--- a/src/currantshed/pooler/view_publisher.cpp
+++ b/src/currantshed/pooler/view_publisher.cpp
@@ -11,7 +11,7 @@
 }
 
 std::vector<view_publisher::delivery>
-view_publisher::Change(wire::view aView)
+view_publisher::SetView(wire::view aView)
 {
   aView.version = mView.version;
   if (mHasView && aView == mView) {
@@ -46,7 +46,7 @@
 }
 
 void
-view_publisher::Forget(clock::time_point aNow)
+view_publisher::RemoveExpired(clock::time_point aNow)
 {
   for (auto entry = mSubscribers.begin(); entry != mSubscribers.end();) {
     const bool isOver = aNow - entry->second.renewedAt > kSubscriptionTtl;
--- a/src/currantshed/pooler/view_publisher.hpp
+++ b/src/currantshed/pooler/view_publisher.hpp
@@ -32,7 +32,7 @@
   explicit view_publisher(std::uint64_t aFirstVersion);
 
   /// Takes the present view, whose own version counts for nothing.
-  [[nodiscard]] std::vector<delivery> Change(wire::view aView);
+  [[nodiscard]] std::vector<delivery> SetView(wire::view aView);
 
   /// Takes a subscription, which holds for a while; a gateway renews it.
   [[nodiscard]] std::vector<delivery> Subscribe(
@@ -41,7 +41,7 @@
     clock::time_point aNow);
 
   /// Ends subscriptions that were not renewed.
-  void Forget(clock::time_point aNow);
+  void RemoveExpired(clock::time_point aNow);
 
   [[nodiscard]] std::size_t Subscribers() const noexcept;
 
--- a/test/currantshed/load/checker.cpp
+++ b/test/currantshed/load/checker.cpp
@@ -22,7 +22,7 @@
   std::uint64_t falseNotRun = 0;
   std::uint64_t ownReads = 0;
   std::uint64_t stale = 0;
-  std::uint64_t mixed = 0;
+  std::uint64_t fractured = 0;
   std::uint64_t unchecked = 0;
 
   [[nodiscard]] bool operator==(const breach_counts&) const = default;
@@ -38,7 +38,7 @@
 };
 
 load::history
-Told(change_outcome aOutcome)
+MakeChange(change_outcome aOutcome)
 {
   return { .changes = {
              { .group = "g", .change = "c", .outcome = aOutcome } } };
@@ -89,42 +89,58 @@
 }
 
 const check_row kCheckRows[] = {
-  { "acknowledged and held", Told(change_outcome::kDone), Held(1), {}, true },
+  { "acknowledged and held",
+    MakeChange(change_outcome::kDone),
+    Held(1),
+    {},
+    true },
   { "acknowledged and absent",
-    Told(change_outcome::kDone),
+    MakeChange(change_outcome::kDone),
     Held(0),
     { .lost = 1 },
     false },
   { "acknowledged and held twice",
-    Told(change_outcome::kDone),
+    MakeChange(change_outcome::kDone),
     Held(2),
     { .duplicated = 1 },
     false },
-  { "unknown and held", Told(change_outcome::kUnknown), Held(1), {}, true },
-  { "unknown and absent", Told(change_outcome::kUnknown), Held(0), {}, true },
+  { "unknown and held",
+    MakeChange(change_outcome::kUnknown),
+    Held(1),
+    {},
+    true },
+  { "unknown and absent",
+    MakeChange(change_outcome::kUnknown),
+    Held(0),
+    {},
+    true },
   { "unknown and held twice",
-    Told(change_outcome::kUnknown),
+    MakeChange(change_outcome::kUnknown),
     Held(2),
     { .duplicated = 1 },
     false },
-  { "not run and absent", Told(change_outcome::kNotRun), Held(0), {}, true },
+  { "not run and absent",
+    MakeChange(change_outcome::kNotRun),
+    Held(0),
+    {},
+    true },
   { "not run and held",
-    Told(change_outcome::kNotRun),
+    MakeChange(change_outcome::kNotRun),
     Held(1),
     { .falseNotRun = 1 },
     false },
   { "refused and held",
-    Told(change_outcome::kRefused),
+    MakeChange(change_outcome::kRefused),
     Held(1),
     { .falseNotRun = 1 },
     false },
   { "abandoned and held",
-    Told(change_outcome::kAbandoned),
+    MakeChange(change_outcome::kAbandoned),
     Held(1),
     { .falseNotRun = 1 },
     false },
   { "a group that could not be read",
-    Told(change_outcome::kDone),
+    MakeChange(change_outcome::kDone),
     {},
     { .unchecked = 1 },
     false },
@@ -154,11 +170,11 @@
     false },
   { "writes of another group", Clock(0, 0ms, 30ms, "h"), {}, {}, true },
   { "tags match", Tags("a", "a"), {}, {}, true },
-  { "tags differ", Tags("a", "b"), {}, { .mixed = 1 }, false },
+  { "tags differ", Tags("a", "b"), {}, { .fractured = 1 }, false },
   { "tags held differ",
     {},
     { { .group = "g", .tags = { { "g", "a", "b" } } } },
-    { .mixed = 1 },
+    { .fractured = 1 },
     false },
   { "group serves again after a cut",
     Cut(change_outcome::kDone, 150ms, 400ms),
@@ -296,7 +312,7 @@
                                         change_outcome::kUnknown,
                                         change_outcome::kRefused,
                                         change_outcome::kAbandoned }) {
-    load::Append(given, Told(outcome));
+    load::Append(given, MakeChange(outcome));
   }
   given.activities = 5;
   given.missedStarts = 2;
--- a/test/currantshed/pooler/declared_limits.cpp
+++ b/test/currantshed/pooler/declared_limits.cpp
@@ -58,7 +58,7 @@
   for (const auto& row : LimitRows()) {
     pooler::declared_limits limits;
     for (const auto& declaration : row.declarations) {
-      (void)limits.Take(declaration);
+      (void)limits.Update(declaration);
     }
     const auto groups = limits.Apply({ { "planner-1", {} } });
     CHECK_TEXT(groups[0].transactionLimit == row.expected, row.name);
--- a/test/currantshed/pooler/latest_configuration.cpp
+++ b/test/currantshed/pooler/latest_configuration.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-struct keeper_row
+struct configuration_row
 {
   const char* name;
   /// Versions in the order in which they are offered.
@@ -20,8 +20,8 @@
   int taken;
 };
 
-std::vector<keeper_row>
-KeeperRows()
+std::vector<configuration_row>
+ConfigurationRows()
 {
   return {
     { "none offered", {}, 0, 0 },
@@ -41,23 +41,24 @@
 
 TEST(latest_configuration, never_goes_back)
 {
-  for (const auto& row : KeeperRows()) {
-    pooler::latest_configuration keeper;
+  for (const auto& row : ConfigurationRows()) {
+    pooler::latest_configuration latest;
     int taken = 0;
     for (const auto version : row.offered) {
-      const bool isTaken = keeper.Offer({ version, std::to_string(version) });
+      const bool isTaken =
+        latest.ApplyIfNewer({ version, std::to_string(version) });
       taken += isTaken ? 1 : 0;
     }
-    CHECK_EQUAL_TEXT(row.held, keeper.Current().version, row.name);
+    CHECK_EQUAL_TEXT(row.held, latest.Current().version, row.name);
     CHECK_EQUAL_TEXT(row.taken, taken, row.name);
-    CHECK_EQUAL_TEXT(row.held != 0, keeper.HasAny(), row.name);
+    CHECK_EQUAL_TEXT(row.held != 0, latest.HasAny(), row.name);
   }
 }
 
-TEST(latest_configuration, one_version_keeps_one_text)
+TEST(latest_configuration, one_version_keeps_one_declaration)
 {
-  pooler::latest_configuration keeper;
-  CHECK(keeper.Offer({ 3, "first" }));
-  CHECK_FALSE(keeper.Offer({ 3, "second" }));
-  STRCMP_EQUAL("first", keeper.Current().declaration.c_str());
+  pooler::latest_configuration latest;
+  CHECK(latest.ApplyIfNewer({ 3, "first" }));
+  CHECK_FALSE(latest.ApplyIfNewer({ 3, "second" }));
+  STRCMP_EQUAL("first", latest.Current().declaration.c_str());
 }
--- a/test/currantshed/pooler/latest_listing.cpp
+++ b/test/currantshed/pooler/latest_listing.cpp
@@ -64,18 +64,18 @@
 
 TEST_GROUP(latest_listing){};
 
-TEST(latest_listing, tells_other_groups)
+TEST(latest_listing, reports_changed_groups)
 {
   for (const auto& row : ListingRows()) {
-    pooler::latest_listing keeper;
-    CHECK_FALSE_TEXT(keeper.HasAny(), row.name);
+    pooler::latest_listing latest;
+    CHECK_FALSE_TEXT(latest.HasAny(), row.name);
     std::vector<bool> differs;
     for (const auto& read : row.read) {
-      differs.push_back(keeper.Take(read));
-      CHECK_TEXT(keeper.Current().vms == read.vms, row.name);
-      CHECK_TEXT(keeper.Current().groups == read.groups, row.name);
+      differs.push_back(latest.Update(read));
+      CHECK_TEXT(latest.Current().vms == read.vms, row.name);
+      CHECK_TEXT(latest.Current().groups == read.groups, row.name);
     }
     CHECK_TEXT(differs == row.differs, row.name);
-    CHECK_TEXT(keeper.HasAny(), row.name);
+    CHECK_TEXT(latest.HasAny(), row.name);
   }
 }
--- a/test/currantshed/pooler/ownership.cpp
+++ b/test/currantshed/pooler/ownership.cpp
@@ -91,19 +91,20 @@
       if (step.used.empty()) {
         ownership.Assign(step.assigned, now);
       } else {
-        ownership.Use(step.used, now);
+        ownership.MarkUsed(step.used, now);
       }
     }
     const auto isBusy = [&](const group::group_name& aGroup) {
       return std::find(row.busy.begin(), row.busy.end(), aGroup) !=
              row.busy.end();
     };
-    const auto released = ownership.Release(isBusy, kStart + row.releaseAt);
+    const auto released =
+      ownership.ReleaseExpired(isBusy, kStart + row.releaseAt);
     CHECK_TEXT(released == row.released, row.name);
     for (const auto& group : released) {
       CHECK_FALSE_TEXT(ownership.Holds(group), row.name);
     }
-    const auto again = ownership.Release(isBusy, kStart + row.releaseAt);
+    const auto again = ownership.ReleaseExpired(isBusy, kStart + row.releaseAt);
     CHECK_TEXT(again.empty(), row.name);
   }
 }
--- a/test/currantshed/pooler/primary_reachability.cpp
+++ b/test/currantshed/pooler/primary_reachability.cpp
@@ -15,7 +15,7 @@
 using upstream::server_role;
 
 constexpr clock::time_point kStart{ 100s };
-constexpr auto kVouchedFor = 100ms;
+constexpr auto kHeardWithin = 100ms;
 constexpr position::term_id kTerm = 3;
 
 struct word
@@ -92,7 +92,7 @@
 TEST(primary_reachability, cut_off)
 {
   for (const auto& row : ReachRows()) {
-    pooler::primary_reachability reach(kVouchedFor);
+    pooler::primary_reachability reach(kHeardWithin);
     if (row.isSuspected) {
       reach.Suspect({ "g", kTerm, "a" });
     }
@@ -110,7 +110,7 @@
 
 TEST(primary_reachability, a_withdrawn_suspicion_ends_it)
 {
-  pooler::primary_reachability reach(kVouchedFor);
+  pooler::primary_reachability reach(kHeardWithin);
   reach.Suspect({ "g", kTerm, "a" });
   upstream::server_status status;
   status.term = kTerm;
--- a/test/currantshed/pooler/server_channel.cpp
+++ b/test/currantshed/pooler/server_channel.cpp
@@ -56,7 +56,7 @@
 
   [[nodiscard]] int Connections() const { return mConnections; }
 
-  [[nodiscard]] int Questions() const { return mQuestions; }
+  [[nodiscard]] int Questions() const { return mQueries; }
 
   void SetQuiet(bool aIsQuiet) { mIsQuiet = aIsQuiet; }
 
@@ -102,7 +102,7 @@
       asio::write(aSocket, asio::buffer(Message('R', accepted) + ready));
       return;
     }
-    ++mQuestions;
+    ++mQueries;
     if (mIsQuiet) {
       return;
     }
@@ -118,7 +118,7 @@
   bool mIsStarted = false;
   bool mIsQuiet = false;
   int mConnections = 0;
-  int mQuestions = 0;
+  int mQueries = 0;
 };
 
 upstream::endpoint
@@ -139,7 +139,7 @@
   /// One letter for each answer in its order: a for one that came, n for none.
   std::string mAnswers;
 
-  pooler::server_channel::answer Note()
+  pooler::server_channel::answer RecordAnswer()
   {
     return [this](const std::optional<upstream::reply>& aReply,
                   clock::time_point) { mAnswers += aReply ? 'a' : 'n'; };
@@ -162,12 +162,12 @@
   }
 };
 
-TEST(server_channel, questions_share_one_connection)
+TEST(server_channel, queries_share_one_connection)
 {
   fake_server server(mContext);
   pooler::server_channel channel(mContext, EndpointAt(server.Port()));
   for (int asked = 0; asked < 3; ++asked) {
-    channel.Ask({ "SELECT 1", {} }, kLong, Note());
+    channel.Query({ "SELECT 1", {} }, kLong, RecordAnswer());
   }
   CHECK(RunUntilAnswered("aaa"));
   CHECK_EQUAL(1, server.Connections());
@@ -177,44 +177,44 @@
 {
   fake_server server(mContext);
   pooler::server_channel channel(mContext, EndpointAt(server.Port()));
-  channel.Ask({ "SELECT 1", {} }, kLong, Note());
+  channel.Query({ "SELECT 1", {} }, kLong, RecordAnswer());
   CHECK(RunUntilAnswered("a"));
   server.SetQuiet(true);
-  channel.Ask({ "SELECT 2", {} }, kShort, Note());
+  channel.Query({ "SELECT 2", {} }, kShort, RecordAnswer());
   CHECK(RunUntilAnswered("an"));
   server.SetQuiet(false);
-  channel.Ask({ "SELECT 3", {} }, kLong, Note());
+  channel.Query({ "SELECT 3", {} }, kLong, RecordAnswer());
   CHECK(RunUntilAnswered("ana"));
   CHECK_EQUAL(2, server.Connections());
 }
 
-TEST(server_channel, a_question_behind_a_late_one_gets_its_own_answer)
+TEST(server_channel, a_query_behind_a_late_one_gets_its_own_answer)
 {
   fake_server server(mContext);
   pooler::server_channel channel(mContext, EndpointAt(server.Port()));
-  channel.Ask({ "SELECT 1", {} }, kLong, Note());
+  channel.Query({ "SELECT 1", {} }, kLong, RecordAnswer());
   CHECK(RunUntilAnswered("a"));
   server.SetQuiet(true);
-  channel.Ask({ "SELECT 2", {} }, kShort, Note());
-  channel.Ask({ "SELECT 3", {} }, kLong, Note());
+  channel.Query({ "SELECT 2", {} }, kShort, RecordAnswer());
+  channel.Query({ "SELECT 3", {} }, kLong, RecordAnswer());
   CHECK(RunUntilAnswered("an"));
   server.SetQuiet(false);
   CHECK(RunUntilAnswered("ana"));
   CHECK_EQUAL(2, server.Connections());
 }
 
-TEST(server_channel, a_broken_connection_fails_what_waits)
+TEST(server_channel, a_broken_connection_fails_waiting_queries)
 {
   fake_server server(mContext);
   server.SetQuiet(true);
   pooler::server_channel channel(mContext, EndpointAt(server.Port()));
-  channel.Ask({ "SELECT 1", {} }, kLong, Note());
-  channel.Ask({ "SELECT 2", {} }, kLong, Note());
+  channel.Query({ "SELECT 1", {} }, kLong, RecordAnswer());
+  channel.Query({ "SELECT 2", {} }, kLong, RecordAnswer());
   CHECK(RunUntil([&] { return server.Questions() == 1; }));
   server.Cut();
   CHECK(RunUntilAnswered("nn"));
   server.SetQuiet(false);
-  channel.Ask({ "SELECT 3", {} }, kLong, Note());
+  channel.Query({ "SELECT 3", {} }, kLong, RecordAnswer());
   CHECK(RunUntilAnswered("nna"));
 }
 
@@ -222,6 +222,6 @@
 {
   constexpr std::uint16_t kSilentPort = 1;
   pooler::server_channel channel(mContext, EndpointAt(kSilentPort));
-  channel.Ask({ "SELECT 1", {} }, kLong, Note());
+  channel.Query({ "SELECT 1", {} }, kLong, RecordAnswer());
   CHECK(RunUntilAnswered("n"));
 }
--- a/test/currantshed/pooler/view_publisher.cpp
+++ b/test/currantshed/pooler/view_publisher.cpp
@@ -51,7 +51,7 @@
 {
   for (const auto& row : kSubscribeRows) {
     pooler::view_publisher publisher(kFirst);
-    CHECK_TEXT(publisher.Change(ViewOf(row.present)).empty(), row.name);
+    CHECK_TEXT(publisher.SetView(ViewOf(row.present)).empty(), row.name);
     const auto sent = publisher.Subscribe("gateway", { 0, row.told }, kStart);
     CHECK_EQUAL_TEXT(1, sent.size(), row.name);
     STRCMP_EQUAL_TEXT("gateway", sent[0].peer.c_str(), row.name);
@@ -65,9 +65,9 @@
 {
   pooler::view_publisher publisher(kFirst);
   CHECK(publisher.Subscribe("gateway", { 0, 0 }, kStart).empty());
-  CHECK_EQUAL(1, publisher.Change(ViewOf(3)).size());
-  CHECK(publisher.Change(ViewOf(3)).empty());
-  const auto second = publisher.Change(ViewOf(4));
+  CHECK_EQUAL(1, publisher.SetView(ViewOf(3)).size());
+  CHECK(publisher.SetView(ViewOf(3)).empty());
+  const auto second = publisher.SetView(ViewOf(4));
   CHECK_EQUAL(1, second.size());
   CHECK_EQUAL(kFirst + 2, second[0].view.version);
   STRCMP_EQUAL("classes: []", second[0].view.declaration.c_str());
@@ -76,7 +76,7 @@
 TEST(view_publisher, a_lost_declaration_comes_with_the_next_subscription)
 {
   pooler::view_publisher publisher(kFirst);
-  (void)publisher.Change(ViewOf(3));
+  (void)publisher.SetView(ViewOf(3));
   (void)publisher.Subscribe("gateway", { 0, 0 }, kStart);
   const auto again = publisher.Subscribe("gateway", { 0, 0 }, kStart + 1s);
   CHECK_EQUAL(1, again.size());
@@ -88,9 +88,9 @@
   pooler::view_publisher publisher(kFirst);
   (void)publisher.Subscribe("stays", { 0, 0 }, kStart + 1s);
   (void)publisher.Subscribe("goes", { 0, 0 }, kStart);
-  publisher.Forget(kStart + pooler::kSubscriptionTtl + 1s);
+  publisher.RemoveExpired(kStart + pooler::kSubscriptionTtl + 1s);
   CHECK_EQUAL(1, publisher.Subscribers());
-  const auto sent = publisher.Change(ViewOf(1));
+  const auto sent = publisher.SetView(ViewOf(1));
   CHECK_EQUAL(1, sent.size());
   STRCMP_EQUAL("stays", sent[0].peer.c_str());
 }
--- a/test/matrix/pooler_node.cpp
+++ b/test/matrix/pooler_node.cpp
@@ -164,8 +164,9 @@
 const wire::configuration&
 pooler_node::Configuration() const
 {
-  return mAround.rules.Broken(variant::kConfigurationLastSeen) ? mLastSeen
-                                                               : mKeeper.Held();
+  return mAround.rules.Broken(variant::kConfigurationLastSeen)
+           ? mLastSeen
+           : mKeeper.Current();
 }
 
 void
@@ -707,7 +708,7 @@
   if (aPeer.mNews.term > 0) {
     mCoordinator->PeerAnnounces(aPeer.mNews.term, aPeer.mNews.primary, now);
   }
-  Offer(aPeer.Configuration());
+  ApplyIfNewer(aPeer.Configuration());
 }
 
 void
@@ -718,7 +719,7 @@
     const auto record = policy::ParseConfigurationRecord(aEntry.value);
     if (aReached && record) {
       Bind([this, found = *record] {
-        Offer({ found.version, found.declaration });
+        ApplyIfNewer({ found.version, found.declaration });
       })();
     }
   };
@@ -733,13 +734,13 @@
 }
 
 void
-pooler_node::Offer(const wire::configuration& aOffered)
+pooler_node::ApplyIfNewer(const wire::configuration& aOffered)
 {
   if (aOffered.version == 0) {
     return;
   }
   const auto before = Configuration().version;
-  (void)mKeeper.Offer(aOffered);
+  (void)mKeeper.ApplyIfNewer(aOffered);
   mLastSeen = aOffered;
   if (Configuration().version != before) {
     mAround.seen.versions.push_back({ VmName() + "/" + std::to_string(Life()),
--- a/test/matrix/pooler_node.hpp
+++ b/test/matrix/pooler_node.hpp
@@ -118,7 +118,7 @@
   void Beat();
   void Hear(const pooler_node& aPeer);
   void ReadConfiguration();
-  void Offer(const wire::configuration& aOffered);
+  void ApplyIfNewer(const wire::configuration& aOffered);
   void WaitForEnd();
   [[nodiscard]] std::string Incarnation() const;
   void Configure();
