--- a/bin/currantshed-pooler/main.cpp
+++ b/bin/currantshed-pooler/main.cpp
@@ -22,14 +22,14 @@
 
 using namespace currantshed;
 
-/// Exit code of a pooler that could not begin to listen.
+/// Exit code if a port cannot be bound.
 constexpr int kStartFailed = 1;
 
-/// How long the pooler still takes work after it has told that it leaves, so
-/// that gateways hear of it first.
+/// Time for which the pooler still accepts work after announcing that it is
+/// leaving, so that gateways learn of it first.
 constexpr std::chrono::milliseconds kLeaveNotice{ 300 };
 
-/// The main thread: signals, the status port, and the order of the end.
+/// The main thread: signals, the status port, and the shutdown sequence.
 class pooler_process
 {
 public:
--- a/bin/currantshed-pooler/options.cpp
+++ b/bin/currantshed-pooler/options.cpp
@@ -25,7 +25,7 @@
 
 constexpr unsigned kPercent = 100;
 
-/// Values as they are typed, before they are turned into settings.
+/// Values of the flags before they are converted to settings.
 struct typed_values
 {
   unsigned answerLimitBytes = 0;
@@ -42,11 +42,11 @@
   aParser.Text(self.id, "vm", "Name of this VM", true);
   aParser.Text(
     self.failureDomain, "failure-domain", "Its failure domain", true);
-  aParser.Text(self.address, "address", "Its IP number", true);
+  aParser.Text(self.address, "address", "Its IP address", true);
   aParser.Port(
-    self.poolerPort, "request-port", "Port for gateways' requests", true);
+    self.poolerPort, "request-port", "Port for requests of gateways", true);
   aParser.Port(
-    self.peerPort, "peer-port", "Port for other poolers' heartbeats", true);
+    self.peerPort, "peer-port", "Port for heartbeats of other poolers", true);
   aParser.Port(self.statusPort,
                "status-port",
                "Port for metrics, health and status over HTTP",
@@ -57,40 +57,41 @@
 DeclareTimes(parser& aParser, options& aOptions)
 {
   settings& given = aOptions.settings;
-  aParser.Milliseconds(given.validity,
-                       "validity-ms",
-                       "How long a majority's word holds; the same everywhere",
-                       10ms,
-                       10s);
+  aParser.Milliseconds(
+    given.validity,
+    "validity-ms",
+    "Validity of a majority confirmation; the same on all VMs",
+    10ms,
+    10s);
   aParser.Milliseconds(given.probeInterval,
                        "probe-interval-ms",
-                       "Time between two probes of a server",
+                       "Interval between probes of a server",
                        5ms,
                        10s);
   aParser.Milliseconds(
     given.suspectAfter,
     "suspect-after-ms",
-    "How long a primary may be silent before it is suspected",
+    "Time without a response after which a primary is suspected",
     20ms,
     60s);
   aParser.Milliseconds(given.transactionIdle,
                        "transaction-idle-ms",
-                       "How long an open transaction may be without a request",
+                       "Idle timeout of an open transaction",
                        100ms,
                        1h);
   aParser.Milliseconds(given.listInterval,
                        "list-interval-ms",
-                       "Time between two readings of the platform's list",
+                       "Interval between reads of the platform's listing",
                        100ms,
                        60s);
   aParser.Milliseconds(given.platformTimeout,
                        "platform-timeout-ms",
-                       "How long one call of the platform may take",
+                       "Timeout of a call to the platform",
                        50ms,
                        60s);
   aParser.Milliseconds(aOptions.drainTimeout,
                        "drain-timeout-ms",
-                       "How long a shutdown waits for what is in flight",
+                       "Time that a shutdown waits for requests in flight",
                        0ms,
                        1h);
 }
@@ -103,17 +104,17 @@
   constexpr unsigned kMostQueued = 100000;
   aParser.Count(aTyped.answerLimitBytes,
                 "answer-limit-bytes",
-                "Longest answer of a server to one request",
+                "Maximum size of a server's answer to one request",
                 kLeastAnswer,
                 kMostAnswer);
   aParser.Count(aTyped.queueLimit,
                 "queue-limit",
-                "Requests that may wait for one group",
+                "Maximum number of requests queued for one group",
                 1,
                 kMostQueued);
   aParser.Count(aTyped.reservePercent,
                 "takeover-reserve",
-                "Share of a server's connections left for a takeover, percent",
+                "Percentage of a server's connections reserved for a takeover",
                 0,
                 kPercent);
 }
@@ -146,7 +147,7 @@
   return aText == "error" ? log::level::kError : log::level::kInfo;
 }
 
-/// Names this life of the process; no other one has the same name.
+/// Returns a unique id for this incarnation of the process.
 failover::incarnation_id
 MakeIncarnation(const std::string& aVm)
 {
@@ -174,7 +175,7 @@
   DeclareLimits(aParser, aTyped);
   aParser.Choice(aTyped.logLevel,
                  "log-level",
-                 "Lowest level that is logged",
+                 "Minimum level that is logged",
                  { "debug", "info", "warning", "error" });
 }
 
--- a/bin/currantshed-pooler/options.hpp
+++ b/bin/currantshed-pooler/options.hpp
@@ -9,7 +9,7 @@
 
 namespace currantshed::pooler {
 
-/// The pooler's settings as flags and environment give them.
+/// Settings of the process from flags and environment.
 struct options
 {
   pooler::settings settings;
@@ -17,7 +17,7 @@
   log::level logLevel = log::level::kInfo;
 };
 
-/// Reads flags and environment; prints faults, help or version itself.
+/// Parses flags and environment; prints errors, help or version itself.
 [[nodiscard]] currantshed::settings::parse_result
 ReadOptions(options& aOptions, int aCount, const char* const* aValues);
 
--- a/src/currantshed/pooler/control.cpp
+++ b/src/currantshed/pooler/control.cpp
@@ -20,11 +20,12 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kMaintenanceInterval{ 500 };
-/// VMs of each failure domain that watch the configuration at the platform.
+/// Number of VMs per failure domain that watch the configuration at the
+/// platform.
 constexpr unsigned kWatchers = 3;
-/// What the choice of those VMs is hashed by.
+/// Key that is hashed to choose those VMs.
 constexpr const char* kWatcherHashKey = "watch/configuration";
-/// Least time between two questions for a configuration.
+/// Minimum time between two requests for the configuration.
 constexpr milliseconds kMinRequestInterval{ 100 };
 
 clock::time_point
@@ -43,7 +44,7 @@
   return membership;
 }
 
-/// A seed that differs between processes and is the same for one of them.
+/// Seed that differs between processes and is stable within one.
 std::uint64_t
 SeedOf(const failover::incarnation_id& aIncarnation)
 {
@@ -210,7 +211,7 @@
     return;
   }
   mLastPeerRequestAt = now;
-  // Without a list of its own this process asks for all that the peer has.
+  // Without a listing, version zero requests everything that the peer has.
   const wire::configuration_request query{ mListing.HasAny()
                                              ? mConfiguration.Current().version
                                              : 0 };
--- a/src/currantshed/pooler/control.hpp
+++ b/src/currantshed/pooler/control.hpp
@@ -31,9 +31,10 @@
 
 namespace currantshed::pooler {
 
-/// The control thread: the platform's list and configuration, the heartbeats
-/// between poolers, and one guard for each group that this pooler owns. Tells
-/// the traffic thread which groups there are and what gateways are to know.
+/// The control thread: reads the listing and the configuration from the
+/// platform, exchanges heartbeats with other poolers, and runs one monitor for
+/// each group that this pooler owns. Passes the groups and the view for
+/// gateways to the traffic thread.
 class control
 {
 public:
@@ -46,14 +47,14 @@
   control& operator=(const control&) = delete;
   ~control();
 
-  /// Listens at the peer port and starts the thread.
+  /// Binds the peer port and starts the thread.
   [[nodiscard]] std::error_code Start();
 
-  /// Tells the peers at once that this VM leaves. May be called on any
-  /// thread.
+  /// Announces to the peers at once that this VM is leaving. May be called from
+  /// any thread.
   void Leave();
 
-  /// Ends the thread.
+  /// Stops and joins the thread.
   void Stop();
 
 private:
--- a/src/currantshed/pooler/declared_limits.hpp
+++ b/src/currantshed/pooler/declared_limits.hpp
@@ -10,16 +10,16 @@
 
 namespace currantshed::pooler {
 
-/// What the operators' declaration says of groups, put into the groups that
-/// the platform lists.
+/// Applies the limits for groups in the operators' declaration to the groups
+/// listed by the platform.
 class declared_limits
 {
 public:
-  /// Takes a declaration over; false when it has faults, and then the former
-  /// one stays, so that a pooler never works with half a declaration.
+  /// Replaces the declaration. Returns false if it is invalid; the previous one
+  /// then stays in force, so that a declaration is never applied in part.
   bool Update(std::string_view aYaml);
 
-  /// The same groups with their declared bounds.
+  /// Returns the groups with their declared limits set.
   [[nodiscard]] std::vector<group::description> Apply(
     std::vector<group::description> aGroups) const;
 
--- a/src/currantshed/pooler/failover_step_timer.hpp
+++ b/src/currantshed/pooler/failover_step_timer.hpp
@@ -9,21 +9,22 @@
 
 namespace currantshed::pooler {
 
-/// Follows one coordinator's actions to tell how long each step of its
-/// failovers took: `detect` from the suspicion to the first fence, `fence`
-/// from there to the promotion's request (majority and the wait for old
-/// acknowledgements to lapse), and `promote` from there to the announcement.
+/// Measures the steps of a failover from the actions of one coordinator:
+/// `detect` lasts from the suspicion to the first fence, `fence` from there to
+/// the promotion request (a majority of fenced servers and the expiry of
+/// earlier acknowledgements), and `promote` from there to the announcement of
+/// the new primary.
 class failover_step_timer
 {
 public:
-  /// One step that has ended.
+  /// A completed step.
   struct step
   {
     std::string name;
     clock::duration elapsed{};
   };
 
-  /// Takes the next action; gives the step that it ends, if any.
+  /// Processes the next action; returns the step that it completes, if any.
   [[nodiscard]] std::optional<step> Observe(const failover::action& aAction,
                                             clock::time_point aNow);
 
--- a/src/currantshed/pooler/group_monitor.cpp
+++ b/src/currantshed/pooler/group_monitor.cpp
@@ -12,10 +12,11 @@
 
 namespace {
 
-/// How long fence, promote and follow may take.
+/// Timeout of fence, promote and follow commands.
 constexpr std::chrono::milliseconds kCommandTimeout{ 1000 };
-/// Part of the time to a suspicion within which a replica must have heard a
-/// primary that lives; of one that has failed, none heard so lately.
+/// A replica counts as hearing the primary if it has heard from it within this
+/// fraction (1/2) of the suspicion timeout. No replica has heard from a failed
+/// primary that recently.
 constexpr int kHeardWithinDivisor = 2;
 
 clock::time_point
--- a/src/currantshed/pooler/group_monitor.hpp
+++ b/src/currantshed/pooler/group_monitor.hpp
@@ -23,22 +23,22 @@
 
 namespace currantshed::pooler {
 
-/// Drives one owned group's coordinator on the control thread: probes and
-/// commands run on one control connection a server, the term record lives in
-/// the platform's store.
+/// Runs the failover coordinator of one owned group on the control thread.
+/// Probes and commands use one control connection per server; the term record
+/// is kept in the platform's store.
 class group_monitor
 {
 public:
-  /// What the rest of the control thread hears from a guard.
+  /// Callbacks to the control thread.
   struct listener
   {
     std::function<void(const member::term_update&)> announced;
     std::function<void(const failover::suspicion&)> suspected;
-    /// Whether only this pooler can't reach the group's primary.
+    /// Reports whether only this pooler cannot reach the group's primary.
     std::function<void(const group::group_name&, bool)> cutOff;
   };
 
-  /// What a guard works with; all of it outlives the guard.
+  /// References that the monitor uses; all must outlive it.
   struct dependencies
   {
     boost::asio::io_context& context;
@@ -61,10 +61,11 @@
                  unsigned aRank,
                  unsigned aOwners);
 
-  /// Takes what another pooler's heartbeat says of this group.
+  /// Processes the suspicions and terms of this group in a heartbeat of another
+  /// pooler.
   void Heard(const member::heartbeat& aBeat);
 
-  /// Who leads the group, as last announced here or heard of.
+  /// The latest term and primary, announced here or received from a peer.
   [[nodiscard]] const member::term_update& LatestTerm() const noexcept
   {
     return mLatestTerm;
@@ -113,7 +114,8 @@
     mChannels;
   bool mIsExecuting = false;
   net::tick_timer mTimer;
-  /// Ends with the guard, so that late answers of the platform find nothing.
+  /// Set to false on destruction, so that platform responses that arrive later
+  /// are ignored.
   std::shared_ptr<bool> mAlive = std::make_shared<bool>(true);
 };
 
--- a/src/currantshed/pooler/group_monitors.cpp
+++ b/src/currantshed/pooler/group_monitors.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// How long a group that is no longer owned keeps its guard.
+/// Time for which the monitor of a group that is no longer owned is kept.
 constexpr std::chrono::milliseconds kReleaseGrace{ 2000 };
 
 } // namespace
--- a/src/currantshed/pooler/group_monitors.hpp
+++ b/src/currantshed/pooler/group_monitors.hpp
@@ -15,34 +15,34 @@
 
 namespace currantshed::pooler {
 
-/// One group that this pooler owns.
+/// A group that this pooler owns.
 struct owned_group
 {
   group::description group;
-  /// Rank among the owners, from zero.
+  /// Rank among the owners, starting at zero.
   unsigned rank = 0;
   unsigned owners = 1;
 };
 
-/// The guards of the groups that this pooler owns. A guard stays for a grace
-/// when its group moves to other owners.
+/// The monitors of the groups that this pooler owns. A monitor is kept for a
+/// grace period after its group has moved to other owners.
 class group_monitors
 {
 public:
   group_monitors(const group_monitor::dependencies& aDependencies,
                  group_monitor::listener aListener);
 
-  /// Takes the groups that are owned from now on.
+  /// Sets the groups that are owned from now on.
   void Assign(const std::vector<owned_group>& aGroups, clock::time_point aNow);
 
-  /// Hands another pooler's heartbeat to every guard.
+  /// Passes another pooler's heartbeat to every monitor.
   void Heard(const member::heartbeat& aBeat);
 
-  /// Lets guards go whose grace is over. Not to be called from a guard's own
-  /// callback.
+  /// Destroys the monitors whose grace period has expired. Must not be called
+  /// from a monitor's own callback.
   void ReleaseExpired(clock::time_point aNow);
 
-  /// Who leads each guarded group, by name.
+  /// The latest term and primary of each monitored group, sorted by group name.
   [[nodiscard]] std::vector<member::term_update> LatestTerm() const;
 
 private:
--- a/src/currantshed/pooler/group_runner.cpp
+++ b/src/currantshed/pooler/group_runner.cpp
@@ -104,7 +104,8 @@
 void
 group_runner::ExecuteActions()
 {
-  // An action may call back at once; the loop below then takes what follows.
+  // An action may call back synchronously; the loop then also executes the
+  // actions that result.
   if (mIsExecuting) {
     return;
   }
--- a/src/currantshed/pooler/group_runner.hpp
+++ b/src/currantshed/pooler/group_runner.hpp
@@ -20,8 +20,8 @@
 
 namespace currantshed::pooler {
 
-/// Drives one group's engine on the traffic thread: does its actions on
-/// connections to the servers, and feeds it what comes back.
+/// Runs the engine of one group on the traffic thread: executes its actions on
+/// connections to the servers and reports the results back to it.
 class group_runner
 {
 public:
@@ -37,15 +37,15 @@
   group_runner& operator=(const group_runner&) = delete;
   ~group_runner();
 
-  /// Takes the group's servers over; connections to servers that are gone or
-  /// have moved are the engine's to close.
+  /// Updates the group's servers. The engine closes connections to servers that
+  /// were removed or have moved.
   void Configure(const group::description& aGroup);
 
   void Submit(group::request aRequest);
   void Cancel(group::request_id aRequest);
   void Drain();
 
-  /// Requests and open transactions that have not ended.
+  /// Number of requests and transactions in progress.
   [[nodiscard]] std::size_t Pending() const noexcept;
 
   [[nodiscard]] group_metrics& Metrics() noexcept { return mMetrics; }
--- a/src/currantshed/pooler/latest_configuration.hpp
+++ b/src/currantshed/pooler/latest_configuration.hpp
@@ -8,19 +8,20 @@
 
 namespace currantshed::pooler {
 
-/// The configuration in force at this process: the one with the highest
-/// version seen, whether the store or a peer gave it. It never goes back to a
-/// lower version, whatever the store or a peer says later.
+/// The configuration in force in this process: the one with the highest version
+/// received from the store or from a peer. The version never decreases, so an
+/// older configuration from a restored store or a stale peer is ignored.
 class latest_configuration
 {
 public:
-  /// Takes a version over if it is above the one held; false if not.
+  /// Replaces the configuration if the given version is higher than the current
+  /// one; returns false otherwise.
   bool ApplyIfNewer(const wire::configuration& aOffered);
 
-  /// Whether any version is held.
+  /// Whether a configuration has been received.
   [[nodiscard]] bool HasAny() const noexcept;
 
-  /// The version held, or version zero.
+  /// The current configuration; version zero before any has been received.
   [[nodiscard]] const wire::configuration& Current() const noexcept;
 
 private:
--- a/src/currantshed/pooler/latest_listing.hpp
+++ b/src/currantshed/pooler/latest_listing.hpp
@@ -6,20 +6,21 @@
 
 namespace currantshed::pooler {
 
-/// The platform's lists as they were read last, by this process or by a peer.
-/// Most readings bring nothing new, and working out the owners of every group
-/// is dear in a large fleet: so each reading is compared with the last one.
+/// The platform's latest listing of VMs and groups, read by this process or
+/// received from a peer. Most reads return an unchanged listing, and computing
+/// the owners of every group is expensive in a large fleet, so each new listing
+/// is compared with the previous one.
 class latest_listing
 {
 public:
-  /// Takes a reading over; whether its groups differ from those held, which
-  /// the first reading always does.
+  /// Replaces the listing; returns whether its groups differ from the previous
+  /// ones, which is always true of the first listing.
   bool Update(store::listing aListing);
 
-  /// Whether any reading is held.
+  /// Whether a listing has been received.
   [[nodiscard]] bool HasAny() const noexcept { return mHasAny; }
 
-  /// The last reading, or empty lists.
+  /// The latest listing; empty before the first one.
   [[nodiscard]] const store::listing& Current() const noexcept
   {
     return mCurrent;
--- a/src/currantshed/pooler/metrics.cpp
+++ b/src/currantshed/pooler/metrics.cpp
@@ -15,7 +15,7 @@
 constexpr std::array kVerdictNames{ "done", "not_run", "unknown", "refused" };
 constexpr std::array kServerNames{ "none", "primary", "replica" };
 
-/// Bounds in seconds, from a tenth of a millisecond to the longest deadlines.
+/// Histogram bounds in seconds, from 0.1 ms to the longest deadlines.
 const prometheus::Histogram::BucketBoundaries&
 RequestBounds()
 {
@@ -82,20 +82,20 @@
   }
   mSeconds = &BuildHistogram()
                 .Name("currantshed_pooler_request_seconds")
-                .Help("Time from a request to its answer")
+                .Help("Time from the arrival of a request to its answer")
                 .Register(aRegistry)
                 .Add({ { "group", aGroup } }, RequestBounds());
   auto& questions =
     Counters(aRegistry,
              "currantshed_pooler_confirmation_questions_total",
-             "Status questions to servers, which confirm positions");
+             "Status queries to servers, which confirm positions");
   mStatusAnswered =
     &questions.Add({ { "group", aGroup }, { "result", "answered" } });
   mStatusFailed =
     &questions.Add({ { "group", aGroup }, { "result", "failed" } });
   mPending = &Gauges(aRegistry,
                      "currantshed_pooler_pending",
-                     "Requests and open transactions that have not ended")
+                     "Requests and transactions in progress")
                 .Add({ { "group", aGroup } });
 }
 
@@ -134,30 +134,31 @@
   : mRegistry(std::make_shared<prometheus::Registry>())
   , mRefused(Counters(*mRegistry,
                       "currantshed_pooler_messages_refused_total",
-                      "Messages that could not be read"))
+                      "Messages that could not be decoded or sent"))
   , mPlatformCalls(Counters(*mRegistry,
                             "currantshed_pooler_platform_calls_total",
-                            "Calls of the platform, by kind and result"))
+                            "Calls to the platform, by kind and result"))
   , mFailovers(Counters(*mRegistry,
                         "currantshed_pooler_failovers_total",
                         "Primaries promoted by this pooler"))
   , mFailoverSteps(BuildHistogram()
                      .Name("currantshed_pooler_failover_step_seconds")
-                     .Help("Time that each step of a failover took")
+                     .Help("Duration of each step of a failover")
                      .Register(*mRegistry))
 {
-  auto& beats = Counters(
-    *mRegistry, "currantshed_pooler_heartbeats_total", "Heartbeats of poolers");
+  auto& beats = Counters(*mRegistry,
+                         "currantshed_pooler_heartbeats_total",
+                         "Heartbeats between poolers");
   auto& bytes = Counters(*mRegistry,
                          "currantshed_pooler_heartbeat_bytes_total",
-                         "Bytes of heartbeats of poolers");
+                         "Bytes of heartbeats between poolers");
   mBeatsSent = &beats.Add({ { "direction", "sent" } });
   mBeatsReceived = &beats.Add({ { "direction", "received" } });
   mBeatBytesSent = &bytes.Add({ { "direction", "sent" } });
   mBeatBytesReceived = &bytes.Add({ { "direction", "received" } });
   mControlTime = &Counters(*mRegistry,
                            "currantshed_pooler_control_cpu_seconds_total",
-                           "Processor time of the control thread")
+                           "CPU time used by the control thread")
                     .Add({});
   mConfigurationVersion = &Gauges(*mRegistry,
                                   "currantshed_pooler_configuration_version",
@@ -165,7 +166,7 @@
                              .Add({});
   mLiveVms = &Gauges(*mRegistry,
                      "currantshed_pooler_live_vms",
-                     "VMs taken for live, this one included")
+                     "VMs considered live, including this one")
                 .Add({});
 }
 
--- a/src/currantshed/pooler/metrics.hpp
+++ b/src/currantshed/pooler/metrics.hpp
@@ -17,23 +17,23 @@
 
 namespace currantshed::pooler {
 
-/// The metrics of one group, looked up once so that counting is cheap.
+/// Metrics of one group. Looks the counters up once, so that counting is cheap.
 class group_metrics
 {
 public:
   group_metrics(prometheus::Registry& aRegistry,
                 const group::group_name& aGroup);
 
-  /// Counts an answer and the time from its request.
+  /// Counts an answer and records the time since its request.
   void CountAnswer(const group::answer& aAnswer,
                    std::chrono::steady_clock::duration aAfter);
 
-  /// Counts a status question by whether it was answered.
+  /// Counts a status query by whether it was answered.
   void CountStatusQuery(bool aAnswered);
 
   void SetPending(std::size_t aCount);
 
-  /// Counts a server's connections up or down.
+  /// Adds to the number of open connections to a server; negative to subtract.
   void AddConnections(const upstream::server_id& aServer, int aBy);
 
 private:
@@ -49,8 +49,7 @@
   prometheus::Gauge* mPending;
 };
 
-/// All metrics of one pooler; docs/modules/pooler.md lists them. Safe for use
-/// by several threads.
+/// All metrics of one pooler, listed in docs/modules/pooler.md. Thread-safe.
 class metrics
 {
 public:
@@ -61,7 +60,8 @@
     return mRegistry;
   }
 
-  /// Messages at the request port that could not be read.
+  /// Counts a message that could not be decoded, or an answer that could not be
+  /// sent.
   void CountRejectedMessage(const std::string& aWhy);
 
   void CountPlatformCall(const std::string& aCall, bool aReached);
@@ -69,16 +69,16 @@
   void CountHeartbeatSent(std::size_t aBytes);
   void CountHeartbeatReceived(std::size_t aBytes);
 
-  /// Processor time that the control thread has used so far.
+  /// Sets the CPU time used by the control thread so far.
   void SetControlTime(std::chrono::nanoseconds aUsed);
 
   void SetConfigurationVersion(std::uint64_t aVersion);
   void SetLiveVms(std::size_t aCount);
 
-  /// A primary promoted by this pooler.
+  /// Counts a failover in which this pooler promoted the primary.
   void CountFailover(const group::group_name& aGroup);
 
-  /// Time that one step of a failover took.
+  /// Records the duration of one step of a failover.
   void ObserveFailoverStep(const group::group_name& aGroup,
                            const std::string& aStep,
                            std::chrono::steady_clock::duration aElapsed);
--- a/src/currantshed/pooler/ownership.hpp
+++ b/src/currantshed/pooler/ownership.hpp
@@ -14,23 +14,23 @@
 
 namespace currantshed::pooler {
 
-/// Which groups a thread of the pooler holds, and which of them it lets go:
-/// those that it isn't meant to hold any more, that nothing has asked for
-/// within a grace, and that have no work pending. The grace keeps connections
-/// through a view that changes back and forth.
+/// Decides which groups a thread of the pooler keeps. A group is released once
+/// it is no longer assigned, has not been used within the grace period, and has
+/// no work pending. The grace period preserves connections when the assignment
+/// alternates between VMs.
 class ownership
 {
 public:
   explicit ownership(std::chrono::milliseconds aGrace);
 
-  /// Takes the groups that are to be held from now on, and holds them.
+  /// Sets the assigned groups, and marks them as used.
   void Assign(const std::vector<group::group_name>& aGroups,
               clock::time_point aNow);
 
-  /// Holds a group that was asked for, for a grace.
+  /// Marks a group as used, which keeps it for the grace period.
   void MarkUsed(const group::group_name& aGroup, clock::time_point aNow);
 
-  /// Names of the groups let go now, each once.
+  /// Removes the groups that are due for release and returns their names.
   [[nodiscard]] std::vector<group::group_name> ReleaseExpired(
     const std::function<bool(const group::group_name&)>& aHasWork,
     clock::time_point aNow);
--- a/src/currantshed/pooler/peer_links.cpp
+++ b/src/currantshed/pooler/peer_links.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-/// Most peers with a connection of their own at a time.
+/// Maximum number of peers with a DEALER socket.
 constexpr std::size_t kMaxConnections = 64;
-/// Longest message between poolers; a configuration is the longest.
+/// Maximum size of a message between poolers; configurations are the largest.
 constexpr std::int64_t kMaxMessageBytes = std::int64_t{ 2 } * 1024 * 1024;
-/// Messages waiting for one peer: a few heartbeats, no more.
+/// Maximum number of messages queued for one peer: a few heartbeats.
 constexpr int kSendHighWaterMark = 8;
-/// Messages of one peer waiting to be taken. ZeroMQ 4.3 aborts the process when
-/// a connection fails while its receiving side is full, which eight heartbeats
-/// did in a process that got no processor time for a second.
+/// Maximum number of messages queued from one peer. ZeroMQ 4.3 aborts the
+/// process when a connection fails while its receive queue is full; a limit of
+/// eight heartbeats was reached by a process that got no CPU time for a second.
 constexpr int kReceiveHighWaterMark = 512;
 
 net::socket_settings
@@ -28,8 +28,8 @@
   settings.longestMessage = kMaxMessageBytes;
   settings.highWater = kReceiveHighWaterMark;
   settings.sendHighWater = kSendHighWaterMark;
-  // In a large fleet most heartbeats go to a peer that was not written to
-  // lately, and are the first on their connection.
+  // In a large fleet most heartbeats go to a peer without a recent connection,
+  // and are the first message on a new one.
   settings.onlyConnected = false;
   return settings;
 }
@@ -109,7 +109,7 @@
     mLinks.begin(), mLinks.end(), [](const auto& aLeft, const auto& aRight) {
       return aLeft.second.lastUse < aRight.second.lastUse;
     });
-  // The dealer may be in the middle of handing a message over.
+  // The socket may be delivering a message at this moment.
   boost::asio::post(mContext,
                     [gone = std::shared_ptr<net::dealer>(std::move(
                        oldest->second.dealer))]() mutable { gone.reset(); });
--- a/src/currantshed/pooler/peer_links.hpp
+++ b/src/currantshed/pooler/peer_links.hpp
@@ -21,15 +21,15 @@
 
 namespace currantshed::pooler {
 
-/// Messages to and from other poolers: a router at the peer port, and a
-/// dealer to each peer that was written to lately. The dealers are bounded;
-/// the one used longest ago makes room.
+/// Exchanges messages with other poolers through a ROUTER socket at the peer
+/// port and a DEALER socket for each peer written to recently. The number of
+/// DEALER sockets is bounded; the least recently used one is evicted.
 class peer_links
 {
 public:
-  /// Answers the sender of a message.
+  /// Replies to the sender of a message.
   using responder = std::function<void(const wire::message&)>;
-  /// A message that came, its length, and the way to answer it.
+  /// Receives a message, its size in bytes, and a function to reply.
   using receiver =
     std::function<void(wire::message, std::size_t, const responder&)>;
 
@@ -40,7 +40,7 @@
   [[nodiscard]] std::error_code Bind(const std::string& aAddress,
                                      std::uint16_t aPort);
 
-  /// Sends without waiting; false when the message could not be taken.
+  /// Sends without blocking; returns false if the message could not be queued.
   bool Send(const peer_address& aTo, std::string_view aBytes);
 
   void Close();
--- a/src/currantshed/pooler/platform_link.cpp
+++ b/src/currantshed/pooler/platform_link.cpp
@@ -13,11 +13,12 @@
 
 namespace {
 
-/// How often a VM that doesn't watch looks for itself.
+/// Interval at which a VM that does not watch reads the key itself.
 constexpr std::chrono::seconds kFallbackReadInterval{ 30 };
-/// Time between two readings for each VM of the fleet: 200 a second by all.
+/// Listing interval per VM of the fleet; limits the fleet to 200 reads per
+/// second.
 constexpr std::chrono::milliseconds kListIntervalPerVm{ 5 };
-/// The lister keeps its interval while the fleet changes by less than a
+/// The listing interval is kept unless the new one differs by more than a
 /// quarter.
 constexpr int kFleetChangeDivisor = 4;
 
--- a/src/currantshed/pooler/platform_link.hpp
+++ b/src/currantshed/pooler/platform_link.hpp
@@ -21,20 +21,20 @@
 
 namespace currantshed::pooler {
 
-/// Time between two readings of the platform's lists by one VM: the setting,
-/// or longer in a large fleet, so that all VMs' readings together stay below a
-/// bound.
+/// Interval at which one VM reads the platform's listing: the configured
+/// interval, or a longer one in a large fleet, so that the rate of reads by all
+/// VMs stays bounded.
 [[nodiscard]] std::chrono::milliseconds
 ListInterval(std::chrono::milliseconds aSetting, std::size_t aVms);
 
-/// What one pooler hears from the platform by itself: the lists, read again
-/// and again, and the configuration's key, watched. In a large fleet only a
-/// few VMs of each failure domain watch; the others hear of a new version from
-/// their peers, and look for themselves now and then.
+/// Reads the platform's listing periodically and watches the key of the
+/// configuration. In a large fleet only a few VMs of each failure domain watch;
+/// the others learn of a new version from their peers, and read the key
+/// themselves at a longer interval.
 class platform_link
 {
 public:
-  /// What the control thread hears.
+  /// Callbacks to the control thread.
   struct listener
   {
     std::function<void(store::listing)> listed;
@@ -51,10 +51,10 @@
 
   void Start();
 
-  /// Whether this VM is one of those that watch.
+  /// Sets whether this VM watches the configuration.
   void SetWatching(bool aIsWatching);
 
-  /// How many VMs are live.
+  /// Sets the number of live VMs.
   void SetFleetSize(std::size_t aVms);
 
 private:
@@ -74,7 +74,8 @@
   store::lister mLister;
   store::watcher mWatcher;
   bool mIsWatching = true;
-  /// A watch that waits until this VM watches, or looks for itself.
+  /// A watch that is deferred until this VM becomes a watcher or its next
+  /// fallback read is due.
   std::optional<store::start_watch> mDeferredWatch;
   clock::time_point mDeferredUntil;
   absl::BitGen mBits;
--- a/src/currantshed/pooler/primary_reachability.cpp
+++ b/src/currantshed/pooler/primary_reachability.cpp
@@ -13,7 +13,7 @@
 {
   mIsSuspected = !aSuspicion.primary.empty();
   mSuspectedTerm = aSuspicion.term;
-  // What replicas said before may be as old as the primary's end.
+  // Earlier statuses of replicas may predate the failure of the primary.
   mHeardByReplicaAt = {};
 }
 
--- a/src/currantshed/pooler/primary_reachability.hpp
+++ b/src/currantshed/pooler/primary_reachability.hpp
@@ -10,22 +10,24 @@
 
 namespace currantshed::pooler {
 
-/// Tells a primary that has failed from one that only this pooler can't
-/// reach: then replicas say that they still hear it. A failover would be wrong
-/// and doesn't come; another owner of the group should serve it meanwhile.
+/// Distinguishes a failed primary from one that only this pooler cannot reach,
+/// in which case replicas report that they still receive from it. Such a
+/// primary must not be failed over; another owner of the group should serve its
+/// requests in the meantime.
 class primary_reachability
 {
 public:
-  /// A replica that has heard the primary within this time vouches for it.
+  /// A replica shows that the primary is alive if it has heard from it within
+  /// the given time.
   explicit primary_reachability(std::chrono::milliseconds aHeardWithin);
 
-  /// This pooler's own suspicion; an empty primary withdraws it.
+  /// Sets the suspicion of this pooler; an empty primary withdraws it.
   void Suspect(const failover::suspicion& aSuspicion);
 
-  /// A server's status as it just came.
+  /// Processes a status that has just been received from a server.
   void Heard(const upstream::server_status& aStatus, clock::time_point aNow);
 
-  /// Whether this pooler alone is cut off from a primary that lives.
+  /// Whether this pooler suspects a primary that a replica still hears from.
   [[nodiscard]] bool IsCutOff(clock::time_point aNow) const noexcept;
 
 private:
--- a/src/currantshed/pooler/server_channel.cpp
+++ b/src/currantshed/pooler/server_channel.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Largest answer to a question about a server, in bytes.
+/// Maximum size of an answer to a status query or command, in bytes.
 constexpr std::size_t kMaxAnswerBytes = 64 * std::size_t{ 1024 };
 
 } // namespace
@@ -79,7 +79,7 @@
 server_channel::Replied(upstream::reply aReply)
 {
   if (aReply.end == upstream::batch_end::kTorn) {
-    // Lost follows and fails the question.
+    // Lost() is called next and fails the query.
     return;
   }
   query answered = std::move(mQueries.front());
--- a/src/currantshed/pooler/server_channel.hpp
+++ b/src/currantshed/pooler/server_channel.hpp
@@ -18,15 +18,15 @@
 
 namespace currantshed::pooler {
 
-/// One connection to a database server for questions about the server itself,
-/// asked one after the other. It opens the connection when a question needs
-/// it, and drops it when an answer is late, so that a late answer is never
-/// taken for that to a later question.
+/// A connection to a database server for status queries and control commands,
+/// which are executed one at a time. It is opened when first needed, and closed
+/// when an answer is late, so that a late answer is never matched to a
+/// subsequent query.
 class server_channel
 {
 public:
-  /// The server's reply, or none if it did not come in time; and when the
-  /// question was sent.
+  /// Receives the reply, or none if it did not arrive in time, and the time at
+  /// which the query was sent.
   using answer = std::function<void(const std::optional<upstream::reply>&,
                                     clock::time_point aSentAt)>;
 
@@ -36,8 +36,9 @@
   server_channel& operator=(const server_channel&) = delete;
   ~server_channel();
 
-  /// Asks a question; the answer comes later, once, unless the channel is
-  /// destroyed before. The time includes that for opening a connection.
+  /// Queues a query. The callback runs later, exactly once, unless the channel
+  /// is destroyed first. The timeout includes the time for opening a
+  /// connection.
   void Query(upstream::statement aQuery,
              std::chrono::milliseconds aTimeout,
              answer aDone);
--- a/src/currantshed/pooler/settings.hpp
+++ b/src/currantshed/pooler/settings.hpp
@@ -12,10 +12,10 @@
 
 namespace currantshed::pooler {
 
-/// Where a peer listens for heartbeats.
+/// Address at which a peer receives heartbeats.
 struct peer_address
 {
-  /// IP number.
+  /// IP address.
   std::string address;
   std::uint16_t port = 0;
 
@@ -23,16 +23,17 @@
                                        const peer_address&) = default;
 };
 
-/// All that one pooler is told at its start.
+/// Settings of a pooler.
 struct settings
 {
   /// This VM: name, failure domain, address and ports.
   store::vm self;
   failover::incarnation_id incarnation;
   std::string platformUrl;
-  /// Peers to ask for the configuration before the platform has told any.
+  /// Peers from which the configuration is requested while the platform has not
+  /// provided one.
   std::vector<peer_address> bootstrapPeers;
-  /// How long a majority's word holds.
+  /// Validity of a confirmation by a majority of the servers.
   std::chrono::milliseconds validity{ 200 };
   std::chrono::milliseconds probeInterval{ 50 };
   std::chrono::milliseconds suspectAfter{ 200 };
@@ -41,9 +42,9 @@
   std::chrono::milliseconds platformTimeout{ 2000 };
   std::size_t answerLimitBytes = std::size_t{ 4 } * 1024 * 1024;
   std::size_t queueLimit = 512;
-  /// Share of a server's connections left for a takeover.
+  /// Fraction of the connections of a server that is reserved for a takeover.
   double takeoverReserve = 0.5;
-  /// Poolers that own each group.
+  /// Number of poolers that own each group.
   unsigned owners = 3;
 };
 
--- a/src/currantshed/pooler/status_reporter.cpp
+++ b/src/currantshed/pooler/status_reporter.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// How long the traffic thread may be silent and still count as running.
+/// Time after which a traffic thread that has not reported counts as stalled.
 constexpr std::chrono::seconds kTrafficTimeout{ 2 };
 
 boost::json::object
--- a/src/currantshed/pooler/status_reporter.hpp
+++ b/src/currantshed/pooler/status_reporter.hpp
@@ -14,15 +14,15 @@
 
 namespace currantshed::pooler {
 
-/// What the status page tells of one group.
+/// Status of one group.
 struct group_status
 {
   member::term_update news;
-  /// This pooler's rank among the owners, or a negative number.
+  /// Rank of this pooler among the owners; negative if it is not an owner.
   int rank = -1;
 };
 
-/// What the control thread knows, for the status page.
+/// Status of the control thread.
 struct control_status
 {
   std::uint64_t configurationVersion = 0;
@@ -31,8 +31,8 @@
   std::vector<group_status> groups;
 };
 
-/// The pooler's word about itself, written by its threads and read by the
-/// status server's.
+/// Readiness and status of the pooler, written by its threads and read by the
+/// thread of the status server.
 class status_reporter final : public http::status_source
 {
 public:
@@ -40,19 +40,19 @@
 
   void SetControl(control_status aStatus);
 
-  /// Notes that the traffic thread runs.
+  /// Records that the traffic thread was running at the given time.
   void MarkTrafficAlive(clock::time_point aNow);
 
-  /// Has a configuration and a list of groups, isn't leaving, and its traffic
-  /// thread has run lately.
+  /// Whether the pooler has a configuration and a listing, is not leaving, and
+  /// its traffic thread has run recently.
   [[nodiscard]] bool Ready() const override;
 
   [[nodiscard]] std::string StatusJson() const override;
 
 private:
   const settings& mSettings;
-  /// Guards what follows. Of the standard library, since the thread sanitizer
-  /// doesn't see the locks of a library that is built without it.
+  /// Protects the members below. A standard mutex, since the thread sanitizer
+  /// does not see the locks of a library that is built without it.
   mutable std::mutex mMutex;
   control_status mControl;
   clock::time_point mTrafficAliveAt;
--- a/src/currantshed/pooler/traffic.cpp
+++ b/src/currantshed/pooler/traffic.cpp
@@ -13,20 +13,22 @@
 
 namespace {
 
-/// Time between two rounds of housekeeping.
+/// Interval of periodic maintenance.
 constexpr std::chrono::milliseconds kMaintenanceInterval{ 500 };
-/// The same while the pooler waits for its work to end.
+/// Interval of periodic maintenance while draining.
 constexpr std::chrono::milliseconds kDrainCheckInterval{ 10 };
-/// How long a group that is no longer led keeps its engine.
+/// Time for which the engine of a group that is no longer led is kept.
 constexpr std::chrono::milliseconds kReleaseGrace{ 3000 };
-/// When to come back while this pooler knows no groups yet, or leaves.
+/// Retry delay given to callers while this pooler knows no groups yet, or is
+/// leaving.
 constexpr std::chrono::milliseconds kRetryAfter{ 200 };
 
-/// How long no request must have come before a shutdown ends.
+/// Time without a request after which draining ends.
 constexpr std::chrono::milliseconds kQuietPeriod{ 100 };
-/// How long a shutdown goes on refusing requests when nothing is pending.
+/// Maximum time for which requests are refused during draining once nothing is
+/// pending.
 constexpr std::chrono::milliseconds kMaxRefusalTime{ 2000 };
-/// How long the last answers may take to leave at the end.
+/// Time to flush the last answers when the socket is closed.
 constexpr std::chrono::milliseconds kLingerTimeout{ 500 };
 
 clock::time_point
@@ -43,7 +45,7 @@
     std::chrono::duration_cast<std::chrono::milliseconds>(wall).count());
 }
 
-/// The last answers of a shutdown are still sent.
+/// The linger time allows the last answers of a shutdown to be sent.
 net::socket_settings
 RouterSettings()
 {
@@ -167,7 +169,8 @@
                std::get_if<wire::subscribe_request>(&decoded.body)) {
     Handle(peer, *subscription);
   } else {
-    mMetrics.CountRejectedMessage("message not for this port");
+    mMetrics.CountRejectedMessage(
+      "unexpected message type at the request port");
   }
 }
 
@@ -180,8 +183,8 @@
     IsInTransaction(aRequest.request.kind) &&
     aRequest.transactionIncarnation != mSettings.incarnation;
   if (isOfOtherIncarnation) {
-    // Its connection ended with the process that had opened it, so that
-    // nothing of it can be kept any more.
+    // The connection of the transaction ended with the process that had opened
+    // it, so the transaction can no longer take effect.
     Refuse(
       aPeer, id, outcome::verdict::kNotRun, outcome::reason::kTransactionLost);
   } else if (!mHasList) {
@@ -288,7 +291,8 @@
   const auto error = mRouter.Send(
     aPeer, wire::Encode({ std::move(aAnswer), mSettings.incarnation }));
   if (error) {
-    // The gateway has gone or does not read; it resolves what it must.
+    // The gateway has gone or is not reading; it resolves the outcome itself
+    // where needed.
     mMetrics.CountRejectedMessage("answer: " + error.message());
   }
 }
--- a/src/currantshed/pooler/traffic.hpp
+++ b/src/currantshed/pooler/traffic.hpp
@@ -29,16 +29,18 @@
 
 namespace currantshed::pooler {
 
-/// The groups that the platform lists, and those that this pooler leads.
+/// The groups listed by the platform, and those for which this pooler is the
+/// first owner.
 struct group_assignment
 {
   std::vector<group::description> groups;
   std::vector<group::group_name> led;
 };
 
-/// The traffic thread: takes gateways' requests at the request port, hands
-/// each to its group's engine, and sends the answers back. A group gets an
-/// engine when this pooler comes to lead it or is asked for it.
+/// The traffic thread: receives gateways' requests at the request port,
+/// dispatches each to the engine of its group, and returns the answers. The
+/// engine of a group is created when this pooler becomes its first owner or
+/// receives a request for it.
 class traffic
 {
 public:
@@ -50,29 +52,30 @@
   traffic& operator=(const traffic&) = delete;
   ~traffic();
 
-  /// Listens at the request port and starts the thread.
+  /// Binds the request port and starts the thread.
   [[nodiscard]] std::error_code Start();
 
-  /// Ends the thread; what is under way is dropped.
+  /// Stops the thread and discards the work in progress.
   void Stop();
 
-  // The rest may be called on any thread, and takes effect on the traffic
-  // thread in the order of the calls.
+  // The functions below may be called from any thread. They take effect on the
+  // traffic thread in the order of the calls.
 
   void Assign(group_assignment aAssignment);
   void Publish(wire::view aView);
 
-  /// Whether gateways are to ask the group's next owner, since this pooler
-  /// can't reach the primary. Open transactions go on here.
+  /// Sets whether new requests are redirected to the group's next owner because
+  /// this pooler cannot reach the primary. Open transactions continue here.
   void SetRedirected(const group::group_name& aGroup, bool aIsOn);
 
-  /// Takes no new work, and calls back on the traffic thread once nothing is
-  /// pending and no request has come for a moment; gateways that go on asking
-  /// are told for a short while that this pooler leaves.
+  /// Stops accepting new work. Calls back on the traffic thread once nothing is
+  /// pending and no request has arrived for a quiet period; requests that keep
+  /// arriving are refused for a bounded time with the reason that this pooler
+  /// is leaving.
   void Drain(std::function<void()> aDone);
 
 private:
-  /// Where an answer goes.
+  /// Origin of a request, to which its answer is sent.
   struct origin
   {
     std::string peer;
@@ -120,9 +123,9 @@
   group::request_id mLastRequest = 0;
   std::function<void()> mDrained;
   bool mIsDraining = false;
-  /// When a request came last.
+  /// Arrival time of the last request.
   clock::time_point mLastArrival;
-  /// When nothing was pending for the first time in a shutdown.
+  /// Time since which nothing has been pending while draining.
   std::optional<clock::time_point> mEmptySince;
   net::tick_timer mTimer;
   std::thread mThread;
--- a/src/currantshed/pooler/view_publisher.cpp
+++ b/src/currantshed/pooler/view_publisher.cpp
@@ -67,8 +67,8 @@
   if (aSubscriber.configurationVersion >= mView.configurationVersion) {
     made.view.declaration.clear();
   }
-  // A delivery that gets lost is made up for by the next subscription, which
-  // tells the version that the gateway really has.
+  // A lost delivery is recovered by the next subscription, which reports the
+  // version that the gateway actually has.
   aSubscriber.configurationVersion =
     std::max(aSubscriber.configurationVersion, mView.configurationVersion);
   return made;
--- a/src/currantshed/pooler/view_publisher.hpp
+++ b/src/currantshed/pooler/view_publisher.hpp
@@ -14,33 +14,33 @@
 
 namespace currantshed::pooler {
 
-/// Decides which gateway gets which view, and when: each subscriber at once,
-/// and again with every change. A declaration goes only to those that have
-/// told of an older one, since it may be long.
+/// Determines which view is sent to which gateway: to each new subscriber at
+/// once, and to all subscribers on every change. The declaration, which may be
+/// large, is only included for subscribers that have reported an older version.
 class view_publisher
 {
 public:
-  /// One view for one peer, by its name at the socket.
+  /// A view for one peer, identified by its ZeroMQ routing id.
   struct delivery
   {
     std::string peer;
     wire::view view;
   };
 
-  /// Versions of views begin above the given one, which is above all that an
-  /// earlier life of this process has given.
+  /// Views are numbered from above the given version, which must exceed every
+  /// version published by an earlier incarnation of this process.
   explicit view_publisher(std::uint64_t aFirstVersion);
 
-  /// Takes the present view, whose own version counts for nothing.
+  /// Sets the current view. The version set in the argument is ignored.
   [[nodiscard]] std::vector<delivery> SetView(wire::view aView);
 
-  /// Takes a subscription, which holds for a while; a gateway renews it.
+  /// Adds or renews a subscription, which expires unless renewed.
   [[nodiscard]] std::vector<delivery> Subscribe(
     const std::string& aPeer,
     const wire::subscribe_request& aRequest,
     clock::time_point aNow);
 
-  /// Ends subscriptions that were not renewed.
+  /// Removes subscriptions that have expired.
   void RemoveExpired(clock::time_point aNow);
 
   [[nodiscard]] std::size_t Subscribers() const noexcept;
@@ -60,9 +60,9 @@
   absl::btree_map<std::string, subscriber> mSubscribers;
 };
 
-/// How long a subscription holds without being renewed.
+/// Lifetime of a subscription that is not renewed.
 constexpr std::chrono::seconds kSubscriptionTtl{ 30 };
-/// Most subscribers at a time; there are few gateways on one VM.
+/// Maximum number of subscribers; there are few gateways on one VM.
 constexpr std::size_t kMaxSubscribers = 64;
 
 } // namespace currantshed::pooler
