--- a/bin/currantshed-overhead/main.cpp
+++ b/bin/currantshed-overhead/main.cpp
@@ -41,8 +41,7 @@
   parser.Text(
     plan.server.address, "server-address", "address of the server", true);
   parser.Port(plan.server.port, "server-port", "port of the server", true);
-  parser.Text(
-    plan.gateway.address, "gateway-address", "address of the gateway", true);
+  parser.Text(plan.gateway.address, "gateway-address", "gateway's", true);
   parser.Port(
     plan.gateway.port, "gateway-port", "caller port of the gateway", true);
   parser.Text(plan.group, "group", "group of the server", true);
--- a/src/currantshed/burn/program.cpp
+++ b/src/currantshed/burn/program.cpp
@@ -92,8 +92,7 @@
                        "interval between readings",
                        kMinDuration,
                        kMaxDuration);
-  aParser.Count(
-    aSettings.samples, "samples", "number of readings", 1, kMaxSamples);
+  aParser.Count(aSettings.samples, "samples", "readings", 1, kMaxSamples);
   aParser.Text(aSettings.snapshotFolder,
                "snapshot-dir",
                "directory to read snapshots from, and to write them to if "
--- a/src/currantshed/pooler/control.cpp
+++ b/src/currantshed/pooler/control.cpp
@@ -375,9 +375,9 @@
   status.configurationVersion = mConfiguration.Current().version;
   status.hasList = mListing.HasAny();
   status.isLeaving = mIsLeaving;
-  for (const auto& news : mMonitors.LatestTerm()) {
-    const int rank = RankOf(mMembership->Owners(news.group));
-    status.groups.push_back({ news, rank });
+  for (const auto& latestTerm : mMonitors.LatestTerm()) {
+    const int rank = RankOf(mMembership->Owners(latestTerm.group));
+    status.groups.push_back({ latestTerm, rank });
   }
   mStatusReporter.SetControl(std::move(status));
 }
--- a/src/currantshed/pooler/group_monitors.cpp
+++ b/src/currantshed/pooler/group_monitors.cpp
@@ -61,11 +61,11 @@
 std::vector<member::term_update>
 group_monitors::LatestTerm() const
 {
-  std::vector<member::term_update> news;
+  std::vector<member::term_update> terms;
   for (const auto& [name, monitor] : mMonitors) {
-    news.push_back(monitor->LatestTerm());
+    terms.push_back(monitor->LatestTerm());
   }
-  return news;
+  return terms;
 }
 
 } // namespace currantshed::pooler
--- a/src/currantshed/pooler/status_reporter.cpp
+++ b/src/currantshed/pooler/status_reporter.cpp
@@ -18,9 +18,9 @@
 Describe(const group_status& aGroup)
 {
   boost::json::object object;
-  object["group"] = aGroup.news.group;
-  object["term"] = aGroup.news.term;
-  object["primary"] = aGroup.news.primary;
+  object["group"] = aGroup.latestTerm.group;
+  object["term"] = aGroup.latestTerm.term;
+  object["primary"] = aGroup.latestTerm.primary;
   if (aGroup.rank >= 0) {
     object["rank"] = aGroup.rank;
   }
--- a/src/currantshed/pooler/status_reporter.hpp
+++ b/src/currantshed/pooler/status_reporter.hpp
@@ -17,7 +17,7 @@
 /// Status of one group.
 struct group_status
 {
-  member::term_update news;
+  member::term_update latestTerm;
   /// Rank of this pooler among the owners; negative if it is not an owner.
   int rank = -1;
 };
--- a/test/currantshed/burn/exposition.cpp
+++ b/test/currantshed/burn/exposition.cpp
@@ -12,7 +12,8 @@
 {
   const char* name;
   const char* given;
-  /// Samples as name{label=value,}=value, then the numbers of bad lines.
+  /// Expected samples as name{label=value,}=value, then the numbers of
+  /// malformed lines.
   const char* expect;
 };
 
@@ -20,14 +21,14 @@
   { "nothing", "", "" },
   { "comments and empty lines", "# HELP a b\n\n  # TYPE a counter\n", "" },
   { "plain", "a_total 3\n", "a_total{}=3 " },
-  { "no end of the last line", "a 1.5e3", "a{}=1500 " },
+  { "last line without line feed", "a 1.5e3", "a{}=1500 " },
   { "labels", "a{x=\"1\",y=\"two\"} 2\n", "a{x=1,y=two,}=2 " },
   { "a comma at the end, spaces", "a{ x = \"1\" , } \t 2\n", "a{x=1,}=2 " },
   { "empty braces", "a{} 2\n", "a{}=2 " },
   { "escapes", "a{x=\"q\\\"b\\\\s}\"} 2\n", "a{x=q\"b\\s},}=2 " },
-  { "a time stamp is passed over", "a 2 1700000000000\n", "a{}=2 " },
-  { "numbers that are not finite", "a +Inf\nb -Inf\n", "a{}=inf b{}=-inf " },
-  { "lines ended as on other systems", "a 1\r\nb 2\r\n", "a{}=1 b{}=2 " },
+  { "a timestamp is ignored", "a 2 1700000000000\n", "a{}=2 " },
+  { "infinite numbers", "a +Inf\nb -Inf\n", "a{}=inf b{}=-inf " },
+  { "lines with CR LF", "a 1\r\nb 2\r\n", "a{}=1 b{}=2 " },
   { "bad lines do not hide good ones",
     "a{x=\"1} 2\n9x 1\nb\nc{x} 1\nd{x=\"1\" y=\"2\"} 1\ne two\nf 6\n",
     "f{}=6 bad:1,2,3,4,5,6," },
--- a/test/currantshed/burn/program.cpp
+++ b/test/currantshed/burn/program.cpp
@@ -17,7 +17,7 @@
   const char* name;
   std::vector<const char*> given;
   int expect;
-  /// Parts of the output and of the standard error stream.
+  /// Expected substrings of standard output and standard error.
   const char* out;
   const char* errors;
 };
@@ -31,7 +31,7 @@
     "interval                         5s ",
     "" },
   { "no declaration", {}, 2, "", "no declaration: " },
-  { "a declaration that is not there",
+  { "a missing declaration file",
     { "--declaration=/nowhere/x.yaml" },
     2,
     "",
@@ -41,7 +41,7 @@
     2,
     "",
     "declaration:1:1: the declaration is empty" },
-  { "all faults of the flags",
+  { "invalid flags",
     { "--samples=0", "--bogus" },
     2,
     "",
--- a/test/currantshed/burn/report.cpp
+++ b/test/currantshed/burn/report.cpp
@@ -44,13 +44,13 @@
            { { "a", { aRequests, aNotDone, aMet, 0, 0 } } } };
 }
 
-/// A gateway read each minute, with bad requests in some span of time.
+/// A gateway read every minute, with bad requests during a time span.
 struct history
 {
   minutes length;
   minutes badFrom;
   minutes badUntil;
-  /// Of 1000 requests a minute.
+  /// Bad requests out of 1000 per minute.
   double badEachMinute;
 };
 
@@ -73,7 +73,7 @@
 {
   const char* name;
   history given;
-  /// Burn rates over the windows, "-" where not covered, and alerts.
+  /// Expected burn rates over the windows, "-" where not covered, and alerts.
   const char* expect;
   bool isBurning;
 };
@@ -87,7 +87,7 @@
     { hours(7), minutes(0), hours(7), 1 },
     "1.0 1.0 1.0 1.0",
     false },
-  { "a short outage that goes on: both windows of the fast rule",
+  { "an ongoing short outage: both windows of the fast rule",
     { hours(7), hours(7) - minutes(5), hours(7), 200 },
     "200.0 33.3 16.7 2.8 fast",
     true },
@@ -134,14 +134,14 @@
 {
   const char* name;
   std::vector<burn::snapshot> given;
-  /// Summed over all increments.
+  /// Expected sums over all increments.
   double requests;
   double notDone;
   double met;
 };
 
 const increment_row kIncrementRows[] = {
-  { "one reading gives only the base",
+  { "one reading is only a baseline",
     { Shot("g", minutes(0), 50, 1, 40) },
     0,
     0,
@@ -159,7 +159,7 @@
     15,
     5,
     10 },
-  { "a gateway that began anew counts from zero",
+  { "a restarted gateway counts from zero",
     { Shot("g", minutes(0), 1000, 9, 900), Shot("g", minutes(1), 30, 2, 28) },
     30,
     2,
@@ -172,7 +172,7 @@
     20,
     1,
     19 },
-  { "the same moment twice gives nothing",
+  { "two readings at the same time give no increment",
     { Shot("g", minutes(0), 0, 0, 0), Shot("g", minutes(0), 10, 0, 10) },
     0,
     0,
--- a/test/currantshed/burn/snapshot_store.cpp
+++ b/test/currantshed/burn/snapshot_store.cpp
@@ -10,7 +10,7 @@
 {
   const char* name;
   const char* given;
-  /// Empty for a file that is no snapshot.
+  /// Empty for a file that is not a snapshot.
   const char* target;
   long long milliseconds;
 };
@@ -21,7 +21,7 @@
     "127.0.0.1:24001",
     1700000000123 },
   { "a dash in the target", "5-a-b.prom", "a-b", 5 },
-  { "another end", "5-a.prom.part", "", 0 },
+  { "another suffix", "5-a.prom.part", "", 0 },
   { "no time", "x-a.prom", "", 0 },
   { "no target", "5-.prom", "", 0 },
   { "no dash", "5.prom", "", 0 },
--- a/test/currantshed/load/checker.cpp
+++ b/test/currantshed/load/checker.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Counts of every kind of breach, in the order of the findings.
+/// Expected number of violations of each kind, in the order of the findings.
 struct breach_counts
 {
   std::uint64_t lost = 0;
@@ -45,7 +45,7 @@
 }
 
 std::vector<load::group_contents>
-Held(unsigned aTimes)
+MakeContents(unsigned aTimes)
 {
   load::group_contents held{ .group = "g" };
   if (aTimes > 0) {
@@ -60,7 +60,7 @@
   return { .ownReads = { { "g", "c", aFound } } };
 }
 
-/// Writes of 1 at 10 ms and of 2 at 20 ms, and one read.
+/// A write of 1 at 10 ms, a write of 2 at 20 ms, and one read.
 load::history
 Clock(std::uint64_t aValue,
       std::chrono::milliseconds aBound,
@@ -91,52 +91,52 @@
 const check_row kCheckRows[] = {
   { "acknowledged and held",
     MakeChange(change_outcome::kDone),
-    Held(1),
+    MakeContents(1),
     {},
     true },
   { "acknowledged and absent",
     MakeChange(change_outcome::kDone),
-    Held(0),
+    MakeContents(0),
     { .lost = 1 },
     false },
   { "acknowledged and held twice",
     MakeChange(change_outcome::kDone),
-    Held(2),
+    MakeContents(2),
     { .duplicated = 1 },
     false },
   { "unknown and held",
     MakeChange(change_outcome::kUnknown),
-    Held(1),
+    MakeContents(1),
     {},
     true },
   { "unknown and absent",
     MakeChange(change_outcome::kUnknown),
-    Held(0),
+    MakeContents(0),
     {},
     true },
   { "unknown and held twice",
     MakeChange(change_outcome::kUnknown),
-    Held(2),
+    MakeContents(2),
     { .duplicated = 1 },
     false },
   { "not run and absent",
     MakeChange(change_outcome::kNotRun),
-    Held(0),
+    MakeContents(0),
     {},
     true },
   { "not run and held",
     MakeChange(change_outcome::kNotRun),
-    Held(1),
+    MakeContents(1),
     { .falseNotRun = 1 },
     false },
   { "refused and held",
     MakeChange(change_outcome::kRefused),
-    Held(1),
+    MakeContents(1),
     { .falseNotRun = 1 },
     false },
   { "abandoned and held",
     MakeChange(change_outcome::kAbandoned),
-    Held(1),
+    MakeContents(1),
     { .falseNotRun = 1 },
     false },
   { "a group that could not be read",
@@ -144,8 +144,12 @@
     {},
     { .unchecked = 1 },
     false },
-  { "own write read", OwnRead(true), Held(1), {}, true },
-  { "own write not read", OwnRead(false), Held(1), { .ownReads = 1 }, false },
+  { "own write read", OwnRead(true), MakeContents(1), {}, true },
+  { "own write not read",
+    OwnRead(false),
+    MakeContents(1),
+    { .ownReads = 1 },
+    false },
   { "fresh read shows the last write", Clock(2, 0ms, 30ms), {}, {}, true },
   { "fresh read shows an older write",
     Clock(1, 0ms, 30ms),
@@ -178,12 +182,12 @@
     false },
   { "group serves again after a cut",
     Cut(change_outcome::kDone, 150ms, 400ms),
-    Held(1),
+    MakeContents(1),
     {},
     true },
   { "group never serves again after a cut",
     Cut(change_outcome::kUnknown, 150ms, 400ms),
-    Held(0),
+    MakeContents(0),
     {},
     false },
 };
@@ -213,7 +217,7 @@
 
 const gap_row kGapRows[] = {
   { "first write after the cut", change_outcome::kDone, 150ms, 400ms, 300ms },
-  { "write on its way at the cut", change_outcome::kDone, 90ms, 110ms, kNoGap },
+  { "write in flight at the cut", change_outcome::kDone, 90ms, 110ms, kNoGap },
   { "write without acknowledgement",
     change_outcome::kNotRun,
     150ms,
@@ -253,7 +257,7 @@
 {
   for (const auto& row : kGapRows) {
     const auto found =
-      load::Check(Cut(row.outcome, row.sent, row.answered), Held(1));
+      load::Check(Cut(row.outcome, row.sent, row.answered), MakeContents(1));
     CHECK_TEXT(found.gaps.size() == 1, row.name);
     CHECK_TEXT(found.gaps[0].gap.value_or(kNoGap) == row.expect, row.name);
   }
@@ -317,7 +321,7 @@
   given.activities = 5;
   given.missedStarts = 2;
   load::Append(given, { .activities = 1, .missedStarts = 1 });
-  const auto found = load::Check(given, Held(1));
+  const auto found = load::Check(given, MakeContents(1));
   UNSIGNED_LONGLONGS_EQUAL(6, found.activities);
   UNSIGNED_LONGLONGS_EQUAL(3, found.missedStarts);
   UNSIGNED_LONGLONGS_EQUAL(2, found.acknowledged);
--- a/test/currantshed/pooler/declared_limits.cpp
+++ b/test/currantshed/pooler/declared_limits.cpp
@@ -22,7 +22,7 @@
 struct limit_row
 {
   const char* name;
-  /// Declarations in the order in which they come.
+  /// Declarations in the order in which they are received.
   std::vector<std::string> declarations;
   std::chrono::milliseconds expected;
 };
--- a/test/currantshed/pooler/latest_configuration.cpp
+++ b/test/currantshed/pooler/latest_configuration.cpp
@@ -13,10 +13,10 @@
 struct configuration_row
 {
   const char* name;
-  /// Versions in the order in which they are offered.
+  /// Versions in the order in which they are received.
   std::vector<std::uint64_t> offered;
   std::uint64_t held;
-  /// Offers that are taken over.
+  /// Number of versions that are accepted.
   int taken;
 };
 
@@ -24,12 +24,12 @@
 ConfigurationRows()
 {
   return {
-    { "none offered", {}, 0, 0 },
+    { "none received", {}, 0, 0 },
     { "the first one", { 3 }, 3, 1 },
     { "a higher one replaces it", { 3, 4 }, 4, 2 },
-    { "a lower one from a restored store is refused", { 4, 3 }, 4, 1 },
+    { "a lower one from a restored store is rejected", { 4, 3 }, 4, 1 },
     { "the same one again", { 3, 3 }, 3, 1 },
-    { "a late answer of an old watch", { 3, 5, 4 }, 5, 2 },
+    { "a late response to an old watch", { 3, 5, 4 }, 5, 2 },
     { "no version at all", { 0 }, 0, 0 },
     { "an empty store after an outage", { 7, 0 }, 7, 1 },
   };
--- a/test/currantshed/pooler/latest_listing.cpp
+++ b/test/currantshed/pooler/latest_listing.cpp
@@ -13,7 +13,7 @@
 {
   const char* name;
   std::vector<store::listing> read;
-  /// Whether each reading brought other groups.
+  /// Whether the groups of each listing differ from the previous ones.
   std::vector<bool> differs;
 };
 
@@ -44,19 +44,19 @@
 {
   const auto one = Lists({ "vm-1" }, { Group("g") });
   return {
-    { "the first reading", { one }, { true } },
-    { "the first reading is empty", { {} }, { true } },
+    { "the first listing", { one }, { true } },
+    { "the first listing is empty", { {} }, { true } },
     { "the same again", { one, one, one }, { true, false, false } },
-    { "other VMs alone: the roster sees to them",
+    { "changed VMs only: handled by the membership",
       { one, Lists({ "vm-2" }, { Group("g") }) },
       { true, false } },
-    { "a group more",
+    { "an additional group",
       { one, Lists({ "vm-1" }, { Group("g"), Group("h") }) },
       { true, true } },
     { "a server that leaves",
       { one, Lists({ "vm-1" }, { Group("g", true) }) },
       { true, true } },
-    { "back to what was before", { one, {}, one }, { true, true, true } },
+    { "back to the previous groups", { one, {}, one }, { true, true, true } },
   };
 }
 
--- a/test/currantshed/pooler/ownership.cpp
+++ b/test/currantshed/pooler/ownership.cpp
@@ -20,7 +20,7 @@
   std::chrono::milliseconds at;
   /// Groups assigned at this time.
   std::vector<group::group_name> assigned;
-  /// Group asked for at this time, or none.
+  /// Group used at this time; empty for none.
   group::group_name used;
 };
 
@@ -29,7 +29,7 @@
   const char* name;
   std::vector<step> steps;
   std::chrono::milliseconds releaseAt;
-  /// Groups with work pending at the release.
+  /// Groups with pending work at the time of the release.
   std::vector<group::group_name> busy;
   std::vector<group::group_name> released;
 };
@@ -39,12 +39,12 @@
 {
   return {
     { "an assigned group stays", { { 0ms, { "a" }, "" } }, 1h, {}, {} },
-    { "one assigned no more stays for the grace",
+    { "an unassigned group stays for the grace period",
       { { 0ms, { "a" }, "" }, { 1000ms, {}, "" } },
       3999ms,
       {},
       {} },
-    { "and goes after it",
+    { "an unassigned group is released after it",
       { { 0ms, { "a" }, "" }, { 1000ms, {}, "" } },
       4000ms,
       {},
@@ -54,23 +54,27 @@
       1h,
       { "a" },
       {} },
-    { "one asked for is held for the grace",
+    { "a used group is kept for the grace period",
       { { 0ms, {}, "a" } },
       2999ms,
       {},
       {} },
-    { "and goes after it without work", { { 0ms, {}, "a" } }, 3s, {}, { "a" } },
-    { "asking again holds it longer",
+    { "a used group is released after it without work",
+      { { 0ms, {}, "a" } },
+      3s,
+      {},
+      { "a" } },
+    { "using it again extends the grace period",
       { { 0ms, {}, "a" }, { 2000ms, {}, "a" } },
       4999ms,
       {},
       {} },
-    { "a view that changes back and forth keeps it",
+    { "an assignment that alternates keeps it",
       { { 0ms, { "a" }, "" }, { 1000ms, {}, "" }, { 2000ms, { "a" }, "" } },
       1h,
       {},
       {} },
-    { "only the one that moved goes",
+    { "only the group that moved is released",
       { { 0ms, { "a", "b" }, "" }, { 1000ms, { "b" }, "" } },
       10s,
       {},
--- a/test/currantshed/pooler/platform_link.cpp
+++ b/test/currantshed/pooler/platform_link.cpp
@@ -19,11 +19,11 @@
 };
 
 constexpr interval_row kIntervalRows[] = {
-  { "a VM alone", 1000ms, 1, 1000ms },
-  { "today's fleet", 1000ms, 9, 1000ms },
-  { "up to where the fleet's readings reach the bound", 1000ms, 200, 1000ms },
-  { "the planned fleet", 1000ms, 530, 2650ms },
-  { "a longer setting stands", 10s, 530, 10s },
+  { "a single VM", 1000ms, 1, 1000ms },
+  { "a fleet of 9 VMs", 1000ms, 9, 1000ms },
+  { "the largest fleet within the rate limit", 1000ms, 200, 1000ms },
+  { "the planned fleet of 530 VMs", 1000ms, 530, 2650ms },
+  { "a longer setting is kept", 10s, 530, 10s },
 };
 
 } // namespace
--- a/test/currantshed/pooler/primary_reachability.cpp
+++ b/test/currantshed/pooler/primary_reachability.cpp
@@ -18,7 +18,7 @@
 constexpr auto kHeardWithin = 100ms;
 constexpr position::term_id kTerm = 3;
 
-struct word
+struct report
 {
   std::chrono::milliseconds at;
   server_role role = server_role::kReplica;
@@ -29,9 +29,9 @@
 struct reach_row
 {
   const char* name;
-  /// Suspected from the start on, or not at all.
+  /// Whether the primary is suspected from the start.
   bool isSuspected;
-  std::vector<word> words;
+  std::vector<report> reports;
   std::chrono::milliseconds asked;
   bool isCutOff;
 };
@@ -41,7 +41,7 @@
 {
   const auto replica = server_role::kReplica;
   return {
-    { "nothing is known", true, {}, 10ms, false },
+    { "no status received", true, {}, 10ms, false },
     { "a replica hears the primary",
       true,
       { { 10ms, replica, kTerm, 5ms } },
@@ -57,7 +57,7 @@
       { { 10ms, replica, kTerm, 101ms } },
       20ms,
       false },
-    { "a replica follows nobody",
+    { "a replica follows no primary",
       true,
       { { 10ms, replica, kTerm, std::nullopt } },
       20ms,
@@ -72,12 +72,12 @@
       { { 10ms, server_role::kFenced, kTerm, 5ms } },
       20ms,
       false },
-    { "the word has grown old",
+    { "the report is too old",
       true,
       { { 10ms, replica, kTerm, 5ms } },
       111ms,
       false },
-    { "one of two hears it",
+    { "one of two replicas hears it",
       true,
       { { 10ms, replica, kTerm, 5ms }, { 20ms, replica, kTerm, 500ms } },
       30ms,
@@ -92,31 +92,31 @@
 TEST(primary_reachability, cut_off)
 {
   for (const auto& row : ReachRows()) {
-    pooler::primary_reachability reach(kHeardWithin);
+    pooler::primary_reachability reachability(kHeardWithin);
     if (row.isSuspected) {
-      reach.Suspect({ "g", kTerm, "a" });
+      reachability.Suspect({ "g", kTerm, "a" });
     }
-    for (const auto& word : row.words) {
+    for (const auto& report : row.reports) {
       upstream::server_status status;
-      status.role = word.role;
-      status.term = word.term;
-      status.sincePrimary = word.sincePrimary;
-      reach.Heard(status, kStart + word.at);
+      status.role = report.role;
+      status.term = report.term;
+      status.sincePrimary = report.sincePrimary;
+      reachability.Heard(status, kStart + report.at);
     }
     CHECK_EQUAL_TEXT(
-      row.isCutOff, reach.IsCutOff(kStart + row.asked), row.name);
+      row.isCutOff, reachability.IsCutOff(kStart + row.asked), row.name);
   }
 }
 
 TEST(primary_reachability, a_withdrawn_suspicion_ends_it)
 {
-  pooler::primary_reachability reach(kHeardWithin);
-  reach.Suspect({ "g", kTerm, "a" });
+  pooler::primary_reachability reachability(kHeardWithin);
+  reachability.Suspect({ "g", kTerm, "a" });
   upstream::server_status status;
   status.term = kTerm;
   status.sincePrimary = 1ms;
-  reach.Heard(status, kStart);
-  CHECK(reach.IsCutOff(kStart));
-  reach.Suspect({ "g", 0, "" });
-  CHECK_FALSE(reach.IsCutOff(kStart));
+  reachability.Heard(status, kStart);
+  CHECK(reachability.IsCutOff(kStart));
+  reachability.Suspect({ "g", 0, "" });
+  CHECK_FALSE(reachability.IsCutOff(kStart));
 }
--- a/test/currantshed/pooler/server_channel.cpp
+++ b/test/currantshed/pooler/server_channel.cpp
@@ -22,12 +22,12 @@
 namespace {
 
 constexpr const char* kAddress = "127.0.0.1";
-constexpr auto kBound = 10s;
+constexpr auto kTestTimeout = 10s;
 constexpr std::chrono::milliseconds kLong{ 10000 };
 constexpr std::chrono::milliseconds kShort{ 1 };
 
-/// Messages of PostgreSQL's protocol, as a server sends them: a letter, the
-/// length with itself in four bytes, the content.
+/// Encodes a message of the PostgreSQL protocol as sent by a server: the type,
+/// the length including its own four bytes, and the content.
 std::string
 Message(char aKind, const std::string& aContent)
 {
@@ -38,8 +38,8 @@
   return message + aContent;
 }
 
-/// One server that speaks as much of the protocol as a channel needs. It
-/// answers each question, or keeps quiet.
+/// A server that implements the part of the protocol that a channel uses. It
+/// answers each query, or does not respond while quiet.
 class fake_server
 {
 public:
@@ -56,12 +56,12 @@
 
   [[nodiscard]] int Connections() const { return mConnections; }
 
-  [[nodiscard]] int Questions() const { return mQueries; }
+  [[nodiscard]] int Queries() const { return mQueries; }
 
   void SetQuiet(bool aIsQuiet) { mIsQuiet = aIsQuiet; }
 
-  /// Closes the present connection.
-  void Cut() { mSocket->close(); }
+  /// Closes the current connection.
+  void CloseConnection() { mSocket->close(); }
 
 private:
   void Accept()
@@ -92,7 +92,7 @@
       });
   }
 
-  /// Whatever arrives at once is the start, or one whole question.
+  /// Each read is taken for the startup message or one complete query.
   void Reply(tcp::socket& aSocket)
   {
     const std::string ready = Message('Z', "I");
@@ -136,7 +136,7 @@
 TEST_GROUP(server_channel)
 {
   asio::io_context mContext;
-  /// One letter for each answer in its order: a for one that came, n for none.
+  /// One letter per callback in order: "a" for an answer, "n" for none.
   std::string mAnswers;
 
   pooler::server_channel::answer RecordAnswer()
@@ -147,10 +147,10 @@
 
   bool RunUntil(const std::function<bool()>& aCondition)
   {
-    const auto last = std::chrono::steady_clock::now() + kBound;
+    const auto last = std::chrono::steady_clock::now() + kTestTimeout;
     while (!aCondition() && std::chrono::steady_clock::now() < last) {
       mContext.restart();
-      mContext.run_one_for(kBound);
+      mContext.run_one_for(kTestTimeout);
     }
     return aCondition();
   }
@@ -210,8 +210,8 @@
   pooler::server_channel channel(mContext, EndpointAt(server.Port()));
   channel.Query({ "SELECT 1", {} }, kLong, RecordAnswer());
   channel.Query({ "SELECT 2", {} }, kLong, RecordAnswer());
-  CHECK(RunUntil([&] { return server.Questions() == 1; }));
-  server.Cut();
+  CHECK(RunUntil([&] { return server.Queries() == 1; }));
+  server.CloseConnection();
   CHECK(RunUntilAnswered("nn"));
   server.SetQuiet(false);
   channel.Query({ "SELECT 3", {} }, kLong, RecordAnswer());
--- a/test/currantshed/pooler/view_publisher.cpp
+++ b/test/currantshed/pooler/view_publisher.cpp
@@ -28,9 +28,9 @@
 struct subscribe_row
 {
   const char* name;
-  /// Version of the configuration in the present view.
+  /// Version of the configuration in the current view.
   std::uint64_t present;
-  /// Version that the gateway tells.
+  /// Version reported by the gateway.
   std::uint64_t told;
   bool getsDeclaration;
 };
@@ -38,8 +38,8 @@
 constexpr subscribe_row kSubscribeRows[] = {
   { "a new gateway gets the declaration", 4, 0, true },
   { "one with an older declaration gets it", 4, 3, true },
-  { "one with the same does not", 4, 4, false },
-  { "one with a newer does not", 4, 5, false },
+  { "one with the same version does not", 4, 4, false },
+  { "one with a newer version does not", 4, 5, false },
   { "there is none yet", 0, 0, false },
 };
 
