--- a/bin/currantshed-load/main.cpp
+++ b/bin/currantshed-load/main.cpp
@@ -52,7 +52,7 @@
 }
 
 bool
-Wanted(const std::vector<std::string>& aNames, const std::string& aName)
+IsSelected(const std::vector<std::string>& aNames, const std::string& aName)
 {
   return aNames.empty() ||
          std::find(aNames.begin(), aNames.end(), aName) != aNames.end();
@@ -75,14 +75,16 @@
     return path + ": " + parsed.faults.front().message;
   }
   for (const policy::work_class& work : parsed.value.classes) {
-    if (Wanted(Names(aOptions.classes), work.name)) {
+    if (IsSelected(Names(aOptions.classes), work.name)) {
       aPlan.classes.push_back(work);
     }
   }
-  const bool whole = !load::ClassesOf(aPlan, policy::access::kRead).empty() &&
-                     !load::ClassesOf(aPlan, policy::access::kWrite).empty();
-  return whole ? ""
-               : "at least one read class and one write class are required";
+  const bool hasBothKinds =
+    !load::ClassesOf(aPlan, policy::access::kRead).empty() &&
+    !load::ClassesOf(aPlan, policy::access::kWrite).empty();
+  return hasBothKinds
+           ? ""
+           : "at least one read class and one write class are required";
 }
 
 load::plan
@@ -90,7 +92,7 @@
 {
   load::plan plan;
   for (const load::shape_vm& vm : aShape.vms) {
-    if (Wanted(Names(aOptions.gateways), vm.id)) {
+    if (IsSelected(Names(aOptions.gateways), vm.id)) {
       plan.gateways.push_back({ vm.address, vm.callerPort });
     }
   }
--- a/src/currantshed/load/report.cpp
+++ b/src/currantshed/load/report.cpp
@@ -199,8 +199,8 @@
     text += gap.gap ? std::to_string(gap.gap->count() / 1000) + " ms\n"
                     : std::string("no write afterwards\n");
   }
-  for (const std::string& breach : aFindings.violations) {
-    text += "BREACH " + breach + "\n";
+  for (const std::string& violation : aFindings.violations) {
+    text += "BREACH " + violation + "\n";
   }
   return text;
 }
--- a/src/currantshed/pooler/control.cpp
+++ b/src/currantshed/pooler/control.cpp
@@ -105,7 +105,7 @@
            [this](wire::message aMessage,
                   std::size_t aBytes,
                   const peer_links::responder& aRespond) {
-             Received(std::move(aMessage), aBytes, aRespond);
+             OnMessage(std::move(aMessage), aBytes, aRespond);
            })
   , mMembership(member::MakeMembership(MembershipSettings(aSettings),
                                        SeedOf(aSettings.incarnation)))
@@ -160,12 +160,12 @@
 }
 
 void
-control::Received(wire::message aMessage,
-                  std::size_t aBytes,
-                  const peer_links::responder& aRespond)
+control::OnMessage(wire::message aMessage,
+                   std::size_t aBytes,
+                   const peer_links::responder& aRespond)
 {
   if (const auto* beat = std::get_if<member::heartbeat>(&aMessage)) {
-    Heard(*beat, aBytes);
+    OnHeartbeat(*beat, aBytes);
   } else if (const auto* query =
                std::get_if<wire::configuration_request>(&aMessage)) {
     if (mConfiguration.Current().version > query->knownVersion) {
@@ -181,11 +181,11 @@
 }
 
 void
-control::Heard(const member::heartbeat& aBeat, std::size_t aBytes)
+control::OnHeartbeat(const member::heartbeat& aBeat, std::size_t aBytes)
 {
   mMetrics.CountHeartbeatReceived(aBytes);
   mMembership->HeartbeatArrived(aBeat, Now());
-  mMonitors.Heard(aBeat);
+  mMonitors.OnHeartbeat(aBeat);
   if (aBeat.configuration > mConfiguration.Current().version) {
     RequestConfiguration(AddressOf(aBeat.sender));
   }
--- a/src/currantshed/pooler/control.hpp
+++ b/src/currantshed/pooler/control.hpp
@@ -58,10 +58,10 @@
   void Stop();
 
 private:
-  void Received(wire::message aMessage,
-                std::size_t aBytes,
-                const peer_links::responder& aRespond);
-  void Heard(const member::heartbeat& aBeat, std::size_t aBytes);
+  void OnMessage(wire::message aMessage,
+                 std::size_t aBytes,
+                 const peer_links::responder& aRespond);
+  void OnHeartbeat(const member::heartbeat& aBeat, std::size_t aBytes);
   void SendHeartbeats();
   void RequestConfiguration(const peer_address& aPeer);
   void RequestFromPeers();
--- a/src/currantshed/pooler/group_monitor.cpp
+++ b/src/currantshed/pooler/group_monitor.cpp
@@ -106,7 +106,7 @@
 }
 
 void
-group_monitor::Heard(const member::heartbeat& aBeat)
+group_monitor::OnHeartbeat(const member::heartbeat& aBeat)
 {
   const auto now = Now();
   failover::suspicion word{ mName, 0, {} };
@@ -179,7 +179,7 @@
                        bool aAccepted,
                        clock::time_point aSentAt) {
           if (aAccepted) {
-            mReachability.Heard(*aStatus, Now());
+            mReachability.OnStatus(*aStatus, Now());
             mCoordinator->StatusArrived(server, *aStatus, aSentAt, Now());
           } else {
             mCoordinator->StatusFailed(server, Now());
--- a/src/currantshed/pooler/group_monitor.hpp
+++ b/src/currantshed/pooler/group_monitor.hpp
@@ -63,7 +63,7 @@
 
   /// Processes the suspicions and terms of this group in a heartbeat of another
   /// pooler.
-  void Heard(const member::heartbeat& aBeat);
+  void OnHeartbeat(const member::heartbeat& aBeat);
 
   /// The latest term and primary, announced here or received from a peer.
   [[nodiscard]] const member::term_update& LatestTerm() const noexcept
--- a/src/currantshed/pooler/group_monitors.cpp
+++ b/src/currantshed/pooler/group_monitors.cpp
@@ -40,10 +40,10 @@
 }
 
 void
-group_monitors::Heard(const member::heartbeat& aBeat)
+group_monitors::OnHeartbeat(const member::heartbeat& aBeat)
 {
   for (auto& [name, monitor] : mMonitors) {
-    monitor->Heard(aBeat);
+    monitor->OnHeartbeat(aBeat);
   }
 }
 
--- a/src/currantshed/pooler/group_monitors.hpp
+++ b/src/currantshed/pooler/group_monitors.hpp
@@ -36,7 +36,7 @@
   void Assign(const std::vector<owned_group>& aGroups, clock::time_point aNow);
 
   /// Passes another pooler's heartbeat to every monitor.
-  void Heard(const member::heartbeat& aBeat);
+  void OnHeartbeat(const member::heartbeat& aBeat);
 
   /// Destroys the monitors whose grace period has expired. Must not be called
   /// from a monitor's own callback.
--- a/src/currantshed/pooler/primary_reachability.cpp
+++ b/src/currantshed/pooler/primary_reachability.cpp
@@ -18,8 +18,8 @@
 }
 
 void
-primary_reachability::Heard(const upstream::server_status& aStatus,
-                            clock::time_point aNow)
+primary_reachability::OnStatus(const upstream::server_status& aStatus,
+                               clock::time_point aNow)
 {
   const bool isVouching = aStatus.role == upstream::server_role::kReplica &&
                           aStatus.term == mSuspectedTerm &&
--- a/src/currantshed/pooler/primary_reachability.hpp
+++ b/src/currantshed/pooler/primary_reachability.hpp
@@ -25,7 +25,7 @@
   void Suspect(const failover::suspicion& aSuspicion);
 
   /// Processes a status that has just been received from a server.
-  void Heard(const upstream::server_status& aStatus, clock::time_point aNow);
+  void OnStatus(const upstream::server_status& aStatus, clock::time_point aNow);
 
   /// Whether this pooler suspects a primary that a replica still hears from.
   [[nodiscard]] bool IsCutOff(clock::time_point aNow) const noexcept;
--- a/src/currantshed/pooler/traffic.cpp
+++ b/src/currantshed/pooler/traffic.cpp
@@ -92,7 +92,7 @@
     mRouter.Bind(mSettings.self.address,
                  mSettings.self.poolerPort,
                  [this](std::string_view aPeer, std::string_view aBytes) {
-                   Received(aPeer, aBytes);
+                   OnMessage(aPeer, aBytes);
                  });
   if (error) {
     return error;
@@ -153,7 +153,7 @@
 }
 
 void
-traffic::Received(std::string_view aPeer, std::string_view aBytes)
+traffic::OnMessage(std::string_view aPeer, std::string_view aBytes)
 {
   auto decoded = wire::Decode(aBytes, Now());
   if (decoded.error) {
--- a/src/currantshed/pooler/traffic.hpp
+++ b/src/currantshed/pooler/traffic.hpp
@@ -84,7 +84,7 @@
     clock::time_point arrivedAt;
   };
 
-  void Received(std::string_view aPeer, std::string_view aBytes);
+  void OnMessage(std::string_view aPeer, std::string_view aBytes);
   void Handle(const std::string& aPeer, wire::group_request&& aRequest);
   void Handle(const std::string& aPeer, const wire::cancel_request& aRequest);
   void Handle(const std::string& aPeer,
--- a/test/currantshed/pooler/primary_reachability.cpp
+++ b/test/currantshed/pooler/primary_reachability.cpp
@@ -101,7 +101,7 @@
       status.role = report.role;
       status.term = report.term;
       status.sincePrimary = report.sincePrimary;
-      reachability.Heard(status, kStart + report.at);
+      reachability.OnStatus(status, kStart + report.at);
     }
     CHECK_EQUAL_TEXT(
       row.isCutOff, reachability.IsCutOff(kStart + row.asked), row.name);
@@ -115,7 +115,7 @@
   upstream::server_status status;
   status.term = kTerm;
   status.sincePrimary = 1ms;
-  reachability.Heard(status, kStart);
+  reachability.OnStatus(status, kStart);
   CHECK(reachability.IsCutOff(kStart));
   reachability.Suspect({ "g", 0, "" });
   CHECK_FALSE(reachability.IsCutOff(kStart));
