--- a/src/currantshed/pooler/primary_reachability.cpp
+++ b/src/currantshed/pooler/primary_reachability.cpp
@@ -21,11 +21,11 @@
 primary_reachability::OnStatus(const upstream::server_status& aStatus,
                                clock::time_point aNow)
 {
-  const bool isVouching = aStatus.role == upstream::server_role::kReplica &&
-                          aStatus.term == mSuspectedTerm &&
-                          aStatus.sincePrimary &&
-                          *aStatus.sincePrimary <= mHeardWithin;
-  if (mIsSuspected && isVouching) {
+  const bool hearsPrimary = aStatus.role == upstream::server_role::kReplica &&
+                            aStatus.term == mSuspectedTerm &&
+                            aStatus.sincePrimary &&
+                            *aStatus.sincePrimary <= mHeardWithin;
+  if (mIsSuspected && hearsPrimary) {
     mHeardByReplicaAt = aNow;
   }
 }
