--- a/bin/currantshed-load/main.cpp
+++ b/bin/currantshed-load/main.cpp
@@ -22,15 +22,15 @@
 namespace policy = currantshed::policy;
 namespace settings = currantshed::settings;
 
-constexpr int kBreach = 1;
-constexpr int kNotMade = 3;
+constexpr int kViolation = 1;
+constexpr int kRunFailed = 3;
 
-/// Ends the program with a line for the person who started it.
+/// Prints an error and returns the exit code for a failed run.
 int
 Fail(const std::string& aFault)
 {
   std::cerr << "currantshed-load: " << aFault << '\n';
-  return kNotMade;
+  return kRunFailed;
 }
 
 std::optional<std::string>
@@ -52,7 +52,7 @@
 }
 
 bool
-Wanted(const std::vector<std::string>& aNames, const std::string& aName)
+IsSelected(const std::vector<std::string>& aNames, const std::string& aName)
 {
   return aNames.empty() ||
          std::find(aNames.begin(), aNames.end(), aName) != aNames.end();
@@ -68,20 +68,23 @@
                              : aOptions.declarationFile;
   const auto text = ReadFile(path);
   if (!text) {
-    return "can't open " + path;
+    return "cannot open " + path;
   }
   const auto parsed = policy::ParseDeclaration(*text);
   if (!parsed.faults.empty()) {
     return path + ": " + parsed.faults.front().message;
   }
   for (const policy::work_class& work : parsed.value.classes) {
-    if (Wanted(Names(aOptions.classes), work.name)) {
+    if (IsSelected(Names(aOptions.classes), work.name)) {
       aPlan.classes.push_back(work);
     }
   }
-  const bool whole = !load::ClassesOf(aPlan, policy::access::kRead).empty() &&
-                     !load::ClassesOf(aPlan, policy::access::kWrite).empty();
-  return whole ? "" : "a class that reads and one that writes are needed";
+  const bool hasBothKinds =
+    !load::ClassesOf(aPlan, policy::access::kRead).empty() &&
+    !load::ClassesOf(aPlan, policy::access::kWrite).empty();
+  return hasBothKinds
+           ? ""
+           : "at least one read class and one write class are required";
 }
 
 load::plan
@@ -89,7 +92,7 @@
 {
   load::plan plan;
   for (const load::shape_vm& vm : aShape.vms) {
-    if (Wanted(Names(aOptions.gateways), vm.id)) {
+    if (IsSelected(Names(aOptions.gateways), vm.id)) {
       plan.gateways.push_back({ vm.address, vm.callerPort });
     }
   }
@@ -117,14 +120,14 @@
     std::ofstream file(aOptions.jsonFile);
     file << load::ReportJson(aResult.found, aOptions.length) << '\n';
     if (!file.flush()) {
-      return Fail("can't write " + aOptions.jsonFile);
+      return Fail("cannot write " + aOptions.jsonFile);
     }
   }
   if (!aOptions.recordsFile.empty()) {
     std::ofstream file(aOptions.recordsFile);
     load::WriteRecords(file, aResult.seen);
   }
-  return load::HasNoViolations(aResult.found) ? EXIT_SUCCESS : kBreach;
+  return load::HasNoViolations(aResult.found) ? EXIT_SUCCESS : kViolation;
 }
 
 int
@@ -134,7 +137,7 @@
   load::shape shape;
   std::string fault;
   if (!text || !load::ParseShape(*text, shape, fault)) {
-    return Fail("can't read " + aOptions.shapeFile + " " + fault);
+    return Fail("cannot read " + aOptions.shapeFile + " " + fault);
   }
   if (aOptions.printShape) {
     std::cout << load::ShellLines(shape);
@@ -144,10 +147,10 @@
   fault = AddClasses(aOptions, shape, plan);
   std::vector<load::cut_order> cuts;
   if (!load::ParseCuts(aOptions.cuts, cuts)) {
-    fault = "cuts are given as group@milliseconds";
+    fault = "cuts must have the form group@milliseconds";
   }
   if (plan.gateways.empty()) {
-    fault = "none of the VMs named is in the shape";
+    fault = "none of the given VMs is in the shape";
   }
   if (!fault.empty()) {
     return Fail(fault);
@@ -171,6 +174,6 @@
     return Run(options);
   } catch (const std::exception& failure) {
     std::cerr << failure.what() << '\n';
-    return kNotMade;
+    return kRunFailed;
   }
 }
--- a/src/currantshed/burn/picture.cpp
+++ b/src/currantshed/burn/picture.cpp
@@ -21,27 +21,28 @@
 constexpr double kPanelTop = 36;
 constexpr double kPanelBottom = 34;
 constexpr double kPercent = 100;
-/// Room above the highest rate, so that no line runs along the frame.
+/// Factor by which the axis extends above the highest rate, so that no curve
+/// runs along the frame.
 constexpr double kHeadroom = 1.25;
 constexpr int kTimeTicks = 6;
-constexpr std::size_t kMostPoints = 600;
+constexpr std::size_t kMaxPoints = 600;
 constexpr double kSmallText = 12;
 constexpr double kText = 14;
 constexpr double kTitle = 20;
 
-constexpr colour kInk{ 0.13, 0.15, 0.18 };
-constexpr colour kFaint{ 0.42, 0.45, 0.50 };
-constexpr colour kGrid{ 0.90, 0.91, 0.93 };
-constexpr colour kAlarm{ 0.80, 0.13, 0.16 };
-constexpr colour kGood{ 0.13, 0.52, 0.28 };
+constexpr colour kTextColour{ 0.13, 0.15, 0.18 };
+constexpr colour kAxisColour{ 0.42, 0.45, 0.50 };
+constexpr colour kGridColour{ 0.90, 0.91, 0.93 };
+constexpr colour kAlertColour{ 0.80, 0.13, 0.16 };
+constexpr colour kOkColour{ 0.13, 0.52, 0.28 };
 
-/// One line of each panel.
+/// A curve of each panel.
 struct curve
 {
   const char* label;
   objective_kind kind;
   std::chrono::seconds window;
-  colour tint;
+  colour lineColour;
   double width;
 };
 
@@ -68,10 +69,11 @@
     2.6 },
 };
 
-/// Burn rates that have a line across the panel.
+/// Burn rates with a grid line.
 constexpr double kRateTicks[] = { 0, 1, 10, 100, 1000, 10'000, 100'000 };
 
-/// Where the panel of one class lies, and what it shows.
+/// Vertical position of the panel of one class, and the highest rate that it
+/// shows.
 struct panel
 {
   double top = 0;
@@ -79,14 +81,15 @@
   double highest = 0;
 };
 
-/// Burn rates reach over powers of ten and down to zero.
+/// Logarithmic scale that includes zero, since burn rates span several powers
+/// of ten.
 double
 ScaleRate(double aRate)
 {
   return std::log10(1 + aRate);
 }
 
-/// Draws one report.
+/// Draws a report.
 class painter
 {
 public:
@@ -117,12 +120,12 @@
   void Header()
   {
     mCanvas.DrawText(
-      kLeft, 34, kTitle, kInk, "Service-level burn by class of work");
+      kLeft, 34, kTitle, kTextColour, "Service-level burn by class of work");
     mCanvas.DrawText(
       kLeft,
       56,
       kText,
-      kFaint,
+      kAxisColour,
       absl::StrCat(clock::PrintTime(mReport.begin),
                    " to ",
                    clock::PrintTime(mReport.end),
@@ -138,14 +141,14 @@
     constexpr double kY = 82;
     double x = kLeft;
     for (const auto& one : kCurves) {
-      mCanvas.DrawLine(x, kY - 4, x + kMark, kY - 4, one.tint, one.width);
+      mCanvas.DrawLine(x, kY - 4, x + kMark, kY - 4, one.lineColour, one.width);
       x += kMark + kGap;
-      mCanvas.DrawText(x, kY, kText, kInk, one.label);
+      mCanvas.DrawText(x, kY, kText, kTextColour, one.label);
       x += mCanvas.TextWidth(one.label, kText) + 3 * kGap;
     }
-    mCanvas.DrawLine(x, kY - 4, x + kMark, kY - 4, kAlarm, 1.2, true);
+    mCanvas.DrawLine(x, kY - 4, x + kMark, kY - 4, kAlertColour, 1.2, true);
     mCanvas.DrawText(
-      x + kMark + kGap, kY, kText, kInk, "rate of an alert rule");
+      x + kMark + kGap, kY, kText, kTextColour, "rate of an alert rule");
   }
 
   void Panel(const class_burn& aClass, panel& aPlace)
@@ -164,12 +167,12 @@
       mCanvas.DrawText(kLeft + 16,
                        (aPlace.top + aPlace.bottom) / 2,
                        kText,
-                       kFaint,
+                       kAxisColour,
                        "no requests");
     }
   }
 
-  /// The moments that get a point, at most a bounded number.
+  /// Selects the times of the points of a curve, bounded in number.
   static std::vector<clock::wall_time> PickTimes(
     const std::vector<increment>& aIncrements)
   {
@@ -179,7 +182,7 @@
       times.push_back(one.end);
     }
     times.erase(std::unique(times.begin(), times.end()), times.end());
-    const std::size_t step = times.size() / kMostPoints + 1;
+    const std::size_t step = times.size() / kMaxPoints + 1;
     std::vector<clock::wall_time> picked;
     picked.reserve(times.size() / step + 1);
     const std::size_t first = times.empty() ? 0 : (times.size() - 1) % step;
@@ -227,27 +230,29 @@
         break;
       }
       const double y = YOf(rate, aPlace);
-      mCanvas.DrawLine(kLeft, y, right, y, kGrid, 1);
+      mCanvas.DrawLine(kLeft, y, right, y, kGridColour, 1);
       mCanvas.DrawTextEndingAt(
-        kLeft - 8, y + 4, kSmallText, kFaint, absl::StrFormat("%g", rate));
+        kLeft - 8, y + 4, kSmallText, kAxisColour, absl::StrFormat("%g", rate));
     }
     TimeTicks(aPlace);
     for (const auto& rule : kAlertRules) {
       const double y = YOf(rule.rate, aPlace);
-      mCanvas.DrawLine(kLeft, y, right, y, kAlarm, 1.2, true);
+      mCanvas.DrawLine(kLeft, y, right, y, kAlertColour, 1.2, true);
       mCanvas.DrawText(right + 8,
                        y + 4,
                        kSmallText,
-                       kAlarm,
+                       kAlertColour,
                        absl::StrFormat("%g, %s alert", rule.rate, rule.name));
     }
-    mCanvas.DrawLine(kLeft, aPlace.bottom, right, aPlace.bottom, kFaint, 1);
-    mCanvas.DrawLine(kLeft, aPlace.top, kLeft, aPlace.bottom, kFaint, 1);
-    mCanvas.DrawText(kLeft, aPlace.top - 12, kText + 1, kInk, aClass.name);
+    mCanvas.DrawLine(
+      kLeft, aPlace.bottom, right, aPlace.bottom, kAxisColour, 1);
+    mCanvas.DrawLine(kLeft, aPlace.top, kLeft, aPlace.bottom, kAxisColour, 1);
+    mCanvas.DrawText(
+      kLeft, aPlace.top - 12, kText + 1, kTextColour, aClass.name);
     mCanvas.DrawText(kLeft + mCanvas.TextWidth(aClass.name, kText + 1) + 12,
                      aPlace.top - 12,
                      kSmallText,
-                     kFaint,
+                     kAxisColour,
                      absl::StrFormat("objective %.6g%%, %.0f requests",
                                      kPercent * aClass.objective,
                                      aClass.objectives.front().whole.requests));
@@ -259,7 +264,7 @@
     for (int i = 0; i <= kTimeTicks; ++i) {
       const auto time = mReport.begin + span * i / kTimeTicks;
       const double x = XOf(time);
-      mCanvas.DrawLine(x, aPlace.top, x, aPlace.bottom, kGrid, 1);
+      mCanvas.DrawLine(x, aPlace.top, x, aPlace.bottom, kGridColour, 1);
       constexpr std::size_t kDateLength = 11;
       constexpr std::size_t kClockLength = 8;
       const std::string text =
@@ -267,7 +272,7 @@
       mCanvas.DrawText(x - mCanvas.TextWidth(text, kSmallText) / 2,
                        aPlace.bottom + 18,
                        kSmallText,
-                       kFaint,
+                       kAxisColour,
                        text);
     }
   }
@@ -284,10 +289,10 @@
         aIncrements, aCurve.kind, aClass.objective, time, aCurve.window);
       mCanvas.LineTo(XOf(time), YOf(burn.burnRate, aPlace));
     }
-    mCanvas.Stroke(aCurve.tint, aCurve.width);
+    mCanvas.Stroke(aCurve.lineColour, aCurve.width);
   }
 
-  /// Whether each objective is fine, at the panel's right.
+  /// Draws the alert state of each objective to the right of the panel.
   void State(const class_burn& aClass, const panel& aPlace)
   {
     double y = aPlace.bottom - 30;
@@ -296,7 +301,7 @@
       mCanvas.DrawText(kWidth - kRight + 8,
                        y,
                        kSmallText,
-                       isFine ? kGood : kAlarm,
+                       isFine ? kOkColour : kAlertColour,
                        absl::StrFormat("%s %s, %.3g overall",
                                        ToString(one.kind),
                                        isFine ? "ok" : "ALERT",
--- a/src/currantshed/load/caller.cpp
+++ b/src/currantshed/load/caller.cpp
@@ -14,9 +14,10 @@
 namespace asio = boost::asio;
 using std::chrono::milliseconds;
 
-/// How much longer than the class's deadline a caller waits.
-constexpr milliseconds kPatience{ 2000 };
-constexpr milliseconds kResolvePause{ 100 };
+/// Time beyond the deadline of the class for which a caller waits for an
+/// answer.
+constexpr milliseconds kAnswerTimeout{ 2000 };
+constexpr milliseconds kResolveInterval{ 100 };
 constexpr milliseconds kResolveDeadline{ 1000 };
 
 run_offset
@@ -114,14 +115,14 @@
     if (reply.outcome == change_outcome::kDone) {
       co_return change_outcome::kDone;
     }
-    // Only a key found void tells that the change can never run; any other
-    // "not run" speaks of this very question.
+    // Only the reason "key_void" states that the change can never run; any
+    // other "not run" refers to this query itself.
     if (reply.outcome == change_outcome::kNotRun &&
         reply.reason == "key_void") {
       co_return change_outcome::kNotRun;
     }
     SwitchGateway();
-    co_await Sleep(kResolvePause);
+    co_await Sleep(kResolveInterval);
   }
   co_return change_outcome::kUnknown;
 }
@@ -196,7 +197,7 @@
   aRequest.session = mToken;
   aRequest.deadline = aWork.deadline;
   http_answer raw = co_await mConnections[mGateway]->Exchange(
-    aRequest, aWork.deadline + kPatience);
+    aRequest, aWork.deadline + kAnswerTimeout);
   answer reply = ReadAnswer(raw.body);
   reply.end = raw.end;
   reply.trace = std::move(raw.trace);
--- a/src/currantshed/load/overhead.cpp
+++ b/src/currantshed/load/overhead.cpp
@@ -15,7 +15,7 @@
 #include "currantshed/load/process_time.hpp"
 #include "currantshed/upstream/pq_connection.hpp"
 
-// See activity.cpp.
+// False positive of GCC 12; see activity.cpp.
 #pragma GCC diagnostic ignored "-Wmismatched-new-delete"
 
 namespace currantshed::load {
@@ -27,13 +27,13 @@
 using std::chrono::microseconds;
 
 constexpr std::size_t kAnswerLimit = std::size_t{ 1 } << 20U;
-constexpr std::chrono::milliseconds kPatience{ 5000 };
+constexpr std::chrono::milliseconds kAnswerTimeout{ 5000 };
 constexpr double kMicrosPerMilli = 1000.0;
 constexpr unsigned kHundred = 100;
-constexpr unsigned kMedian = 50;
-constexpr unsigned kTail = 99;
+constexpr unsigned kMedianPercent = 50;
+constexpr unsigned kTailPercent = 99;
 
-/// What one thread counts.
+/// Results of one thread.
 struct tally
 {
   std::vector<microseconds> latencies;
@@ -50,7 +50,7 @@
   }
 };
 
-/// A connection to the server that runs the statement again and again.
+/// A connection to the server that executes the statement repeatedly.
 class direct_loop
 {
 public:
@@ -107,7 +107,7 @@
   tally& mTally;
 };
 
-/// The same through a gateway.
+/// A connection to the gateway that executes the statement repeatedly.
 asio::awaitable<void>
 LoopThrough(asio::io_context& aContext,
             const overhead_plan& aPlan,
@@ -124,7 +124,8 @@
     if (sent >= aUntil) {
       co_return;
     }
-    const http_answer raw = co_await connection.Exchange(request, kPatience);
+    const http_answer raw =
+      co_await connection.Exchange(request, kAnswerTimeout);
     const bool good = raw.end == exchange_result::kAnswered &&
                       ReadAnswer(raw.body).outcome == change_outcome::kDone;
     aTally.Add(sent, good);
@@ -154,15 +155,15 @@
   std::sort(all.begin(), all.end());
   figures.statements = all.size();
   figures.perSecond = static_cast<double>(all.size()) / aTime.count();
-  figures.p50 = Percentile(all, kMedian);
-  figures.p99 = Percentile(all, kTail);
+  figures.p50 = Percentile(all, kMedianPercent);
+  figures.p99 = Percentile(all, kTailPercent);
   return figures;
 }
 
 using thread_body =
   std::function<void(asio::io_context&, clock::time_point, tally&, unsigned)>;
 
-/// Runs one round of the given body on the plan's threads, each with its
+/// Runs one round of the given body on the threads of the plan, each with its
 /// share of the connections.
 round_figures
 RunRound(const overhead_plan& aPlan, const thread_body& aBody)
--- a/src/currantshed/load/report.cpp
+++ b/src/currantshed/load/report.cpp
@@ -37,7 +37,7 @@
   return aGap.gap ? json::value(Milliseconds(*aGap.gap)) : json::value(nullptr);
 }
 
-/// The longest gap; null where none was cut, or a group never came back.
+/// The longest gap; null if there was no cut, or if a group did not recover.
 json::value
 LongestGap(const findings& aFindings)
 {
@@ -199,8 +199,8 @@
     text += gap.gap ? std::to_string(gap.gap->count() / 1000) + " ms\n"
                     : std::string("no write afterwards\n");
   }
-  for (const std::string& breach : aFindings.violations) {
-    text += "BREACH " + breach + "\n";
+  for (const std::string& violation : aFindings.violations) {
+    text += "BREACH " + violation + "\n";
   }
   return text;
 }
--- a/src/currantshed/load/runner.cpp
+++ b/src/currantshed/load/runner.cpp
@@ -18,13 +18,15 @@
 using std::chrono::milliseconds;
 
 constexpr unsigned kHundred = 100;
-/// The longest that a session rests because an answer asked for it.
-constexpr milliseconds kLongestRest{ 2000 };
-constexpr milliseconds kPreparePause{ 100 };
-/// How late a session of the open loop still begins.
-constexpr milliseconds kLatestStart{ 100 };
+/// Maximum pause of a session due to the retry delay in an answer.
+constexpr milliseconds kMaxRetryPause{ 2000 };
+constexpr milliseconds kPrepareRetryInterval{ 100 };
+/// Maximum delay after which a scheduled activity of the open loop is still
+/// started.
+constexpr milliseconds kMaxStartDelay{ 100 };
 
-/// Ends a coroutine's failure where it would vanish: in the process.
+/// Rethrows the exception of a coroutine, which would otherwise be lost, and so
+/// ends the process.
 void
 Rethrow(const std::exception_ptr& aFault)
 {
@@ -34,7 +36,7 @@
 }
 
 bool
-Goes(caller& aCaller)
+ShouldContinue(caller& aCaller)
 {
   const plan& plan = aCaller.Plan();
   const progress& counts = aCaller.Progress();
@@ -50,20 +52,21 @@
   ++aCaller.History().activities;
 }
 
-/// Rests after an activity, as long as its answer or the plan asks for.
+/// Pauses after an activity for the plan's pause or the retry delay of the
+/// answer, whichever is longer.
 asio::awaitable<void>
-RestAfter(caller& aCaller, milliseconds aRetryAfter)
+PauseAfter(caller& aCaller, milliseconds aRetryAfter)
 {
   const milliseconds plain = aCaller.Plan().rest;
-  const milliseconds asked = std::min(aRetryAfter, kLongestRest);
+  const milliseconds asked = std::min(aRetryAfter, kMaxRetryPause);
   const milliseconds rest = std::max(plain, asked);
   if (rest.count() > 0) {
     co_await aCaller.Sleep(rest);
   }
 }
 
-/// The kinds of activity that an ordinary session mixes.
-class mixture
+/// The mix of activities of an ordinary session.
+class activity_mix
 {
 public:
   activity& Pick(caller& aCaller)
@@ -71,53 +74,54 @@
     const plan& plan = aCaller.Plan();
     const auto draw = aCaller.RandomBelow(kHundred);
     if (draw < plan.readPercent) {
-      return *mBrowsing;
+      return *mRead;
     }
     if (draw < plan.readPercent + plan.transactionPercent) {
-      return *mPairing.at(aCaller.RandomBelow(mPairing.size()));
+      return *mTransactions.at(aCaller.RandomBelow(mTransactions.size()));
     }
-    return *mFiling;
+    return *mWrite;
   }
 
 private:
-  std::unique_ptr<activity> mBrowsing = MakeReadActivity();
-  std::unique_ptr<activity> mFiling = MakeWriteActivity();
-  std::array<std::unique_ptr<activity>, 2> mPairing{
+  std::unique_ptr<activity> mRead = MakeReadActivity();
+  std::unique_ptr<activity> mWrite = MakeWriteActivity();
+  std::array<std::unique_ptr<activity>, 2> mTransactions{
     MakeTransactionActivity(false),
     MakeTransactionActivity(true)
   };
 };
 
-/// A session in the closed loop: goes on when answered.
+/// Runs a closed-loop session, which starts an activity when the previous one
+/// has ended.
 asio::awaitable<void>
-LiveClosed(caller& aCaller)
+RunClosedLoop(caller& aCaller)
 {
-  mixture activities;
-  while (Goes(aCaller)) {
+  activity_mix activities;
+  while (ShouldContinue(aCaller)) {
     const auto& groups = aCaller.Plan().groups;
     const std::string group = groups[aCaller.RandomBelow(groups.size())];
     aCaller.SwitchGateway();
     const answer reply = co_await activities.Pick(aCaller).Run(aCaller, group);
     CountActivity(aCaller);
-    co_await RestAfter(aCaller, reply.retryAfter);
+    co_await PauseAfter(aCaller, reply.retryAfter);
   }
 }
 
-/// A session in the open loop: begins at its own times. What it begins late
-/// counts from when it ought to have begun, and what would be very late is
-/// left out and counted, so that latencies show the system and not a backlog
-/// in this program.
+/// Runs an open-loop session, which starts activities on a fixed schedule. The
+/// latency of an activity that starts late is measured from its scheduled time;
+/// activities that would start too late are skipped and counted, so that
+/// latencies reflect the system and not a backlog in this program.
 asio::awaitable<void>
-LiveOpen(caller& aCaller)
+RunOpenLoop(caller& aCaller)
 {
-  mixture activities;
+  activity_mix activities;
   const double each = aCaller.Plan().sessions / aCaller.Plan().rate;
   const auto interval =
     std::chrono::duration_cast<run_offset>(std::chrono::duration<double>(each));
   run_offset next{ aCaller.RandomBelow(
     static_cast<std::uint64_t>(interval.count())) };
-  while (Goes(aCaller)) {
-    if (aCaller.Now() > next + kLatestStart) {
+  while (ShouldContinue(aCaller)) {
+    if (aCaller.Now() > next + kMaxStartDelay) {
       ++aCaller.History().missedStarts;
       next += interval;
       continue;
@@ -135,12 +139,12 @@
   }
 }
 
-/// The one session that counts a group's row upwards.
+/// Runs the single session that increments a group's counter row.
 asio::awaitable<void>
-LiveCounting(caller& aCaller, std::string aGroup)
+RunCounterSession(caller& aCaller, std::string aGroup)
 {
   const auto activity = MakeCounterActivity();
-  while (Goes(aCaller)) {
+  while (ShouldContinue(aCaller)) {
     const answer reply = co_await activity->Run(aCaller, aGroup);
     co_await aCaller.Sleep(
       std::max(aCaller.Plan().clockInterval, reply.retryAfter));
@@ -148,7 +152,7 @@
 }
 
 asio::awaitable<void>
-LivePreparing(caller& aCaller, std::string aGroup, milliseconds aTimeout)
+RunSetup(caller& aCaller, std::string aGroup, milliseconds aTimeout)
 {
   const auto activity = MakeSetupActivity();
   while (aCaller.Now() < aTimeout) {
@@ -158,7 +162,7 @@
       co_return;
     }
     aCaller.SwitchGateway();
-    co_await aCaller.Sleep(kPreparePause);
+    co_await aCaller.Sleep(kPrepareRetryInterval);
   }
 }
 
@@ -216,8 +220,7 @@
   const auto origin = std::chrono::steady_clock::now();
   for (const std::string& group : mPlan.groups) {
     caller& each = single.Add(mPlan, origin, seed++, counts);
-    asio::co_spawn(
-      single.context, LivePreparing(each, group, aTimeout), Rethrow);
+    asio::co_spawn(single.context, RunSetup(each, group, aTimeout), Rethrow);
   }
   single.context.run();
   return counts.activities == mPlan.groups.size();
@@ -235,13 +238,14 @@
     worker& home = *mWorkers[i % mWorkers.size()];
     caller& each = home.Add(mPlan, mOrigin, seed++, mProgress);
     asio::co_spawn(home.context,
-                   mPlan.rate > 0 ? LiveOpen(each) : LiveClosed(each),
+                   mPlan.rate > 0 ? RunOpenLoop(each) : RunClosedLoop(each),
                    Rethrow);
   }
   for (std::size_t i = 0; i < mPlan.groups.size(); ++i) {
     worker& home = *mWorkers[i % mWorkers.size()];
     caller& each = home.Add(mPlan, mOrigin, seed++, mProgress);
-    asio::co_spawn(home.context, LiveCounting(each, mPlan.groups[i]), Rethrow);
+    asio::co_spawn(
+      home.context, RunCounterSession(each, mPlan.groups[i]), Rethrow);
   }
   for (const auto& each : mWorkers) {
     each->Run();
--- a/src/currantshed/pooler/control.cpp
+++ b/src/currantshed/pooler/control.cpp
@@ -19,13 +19,14 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kHousekeeping{ 500 };
-/// VMs of each failure domain that watch the configuration at the platform.
+constexpr milliseconds kMaintenanceInterval{ 500 };
+/// Number of VMs per failure domain that watch the configuration at the
+/// platform.
 constexpr unsigned kWatchers = 3;
-/// What the choice of those VMs is hashed by.
-constexpr const char* kWatchName = "watch/configuration";
-/// Least time between two questions for a configuration.
-constexpr milliseconds kAskPause{ 100 };
+/// Key that is hashed to choose those VMs.
+constexpr const char* kWatcherHashKey = "watch/configuration";
+/// Minimum time between two requests for the configuration.
+constexpr milliseconds kMinRequestInterval{ 100 };
 
 clock::time_point
 Now()
@@ -43,7 +44,7 @@
   return membership;
 }
 
-/// A seed that differs between processes and is the same for one of them.
+/// Seed that differs between processes and is stable within one.
 std::uint64_t
 SeedOf(const failover::incarnation_id& aIncarnation)
 {
@@ -104,7 +105,7 @@
            [this](wire::message aMessage,
                   std::size_t aBytes,
                   const peer_links::responder& aRespond) {
-             Received(std::move(aMessage), aBytes, aRespond);
+             OnMessage(std::move(aMessage), aBytes, aRespond);
            })
   , mMembership(member::MakeMembership(MembershipSettings(aSettings),
                                        SeedOf(aSettings.incarnation)))
@@ -159,19 +160,19 @@
 }
 
 void
-control::Received(wire::message aMessage,
-                  std::size_t aBytes,
-                  const peer_links::responder& aRespond)
+control::OnMessage(wire::message aMessage,
+                   std::size_t aBytes,
+                   const peer_links::responder& aRespond)
 {
   if (const auto* beat = std::get_if<member::heartbeat>(&aMessage)) {
-    Heard(*beat, aBytes);
-  } else if (const auto* question =
+    OnHeartbeat(*beat, aBytes);
+  } else if (const auto* query =
                std::get_if<wire::configuration_request>(&aMessage)) {
-    if (mConfiguration.Current().version > question->knownVersion) {
-      wire::configuration told = mConfiguration.Current();
-      told.vms = mListing.Current().vms;
-      told.groups = mListing.Current().groups;
-      aRespond(told);
+    if (mConfiguration.Current().version > query->knownVersion) {
+      wire::configuration response = mConfiguration.Current();
+      response.vms = mListing.Current().vms;
+      response.groups = mListing.Current().groups;
+      aRespond(response);
     }
   } else if (const auto* offered =
                std::get_if<wire::configuration>(&aMessage)) {
@@ -180,11 +181,11 @@
 }
 
 void
-control::Heard(const member::heartbeat& aBeat, std::size_t aBytes)
+control::OnHeartbeat(const member::heartbeat& aBeat, std::size_t aBytes)
 {
   mMetrics.CountHeartbeatReceived(aBytes);
   mMembership->HeartbeatArrived(aBeat, Now());
-  mMonitors.Heard(aBeat);
+  mMonitors.OnHeartbeat(aBeat);
   if (aBeat.configuration > mConfiguration.Current().version) {
     RequestConfiguration(AddressOf(aBeat.sender));
   }
@@ -206,15 +207,15 @@
 control::RequestConfiguration(const peer_address& aPeer)
 {
   const auto now = Now();
-  if (now - mLastPeerRequestAt < kAskPause) {
+  if (now - mLastPeerRequestAt < kMinRequestInterval) {
     return;
   }
   mLastPeerRequestAt = now;
-  // Without a list of its own this process asks for all that the peer has.
-  const wire::configuration_request question{
-    mListing.HasAny() ? mConfiguration.Current().version : 0
-  };
-  (void)mPeers.Send(aPeer, wire::Encode(question, now));
+  // Without a listing, version zero requests everything that the peer has.
+  const wire::configuration_request query{ mListing.HasAny()
+                                             ? mConfiguration.Current().version
+                                             : 0 };
+  (void)mPeers.Send(aPeer, wire::Encode(query, now));
 }
 
 void
@@ -235,7 +236,7 @@
 void
 control::Listed(store::listing aListing)
 {
-  const bool differs = mListing.Take(std::move(aListing));
+  const bool differs = mListing.Update(std::move(aListing));
   mMembership->Listed(mListing.Current().vms, Now());
   if (differs) {
     mMembership->SetGroups(NamesOf(mListing.Current().groups));
@@ -279,7 +280,7 @@
              "configuration_in_force",
              { { "version", static_cast<std::int64_t>(version) } });
   mMetrics.SetConfigurationVersion(version);
-  if (!mDeclaredLimits.Take(mConfiguration.Current().declaration)) {
+  if (!mDeclaredLimits.Update(mConfiguration.Current().declaration)) {
     log::Write(log::level::kError,
                "declaration_faulty",
                { { "version", static_cast<std::int64_t>(version) } });
@@ -330,8 +331,8 @@
 group_monitor::listener
 control::MakeMonitorListener()
 {
-  return { [this](const member::term_update& aNews) {
-            mMembership->SetTerm(aNews);
+  return { [this](const member::term_update& aUpdate) {
+            mMembership->SetTerm(aUpdate);
             mMembershipTimer.ScheduleAt(Now());
             UpdateStatus();
           },
@@ -374,9 +375,9 @@
   status.configurationVersion = mConfiguration.Current().version;
   status.hasList = mListing.HasAny();
   status.isLeaving = mIsLeaving;
-  for (const auto& news : mMonitors.LatestTerm()) {
-    const int rank = RankOf(mMembership->Owners(news.group));
-    status.groups.push_back({ news, rank });
+  for (const auto& latestTerm : mMonitors.LatestTerm()) {
+    const int rank = RankOf(mMembership->Owners(latestTerm.group));
+    status.groups.push_back({ latestTerm, rank });
   }
   mStatusReporter.SetControl(std::move(status));
 }
@@ -384,12 +385,12 @@
 void
 control::RunMaintenance()
 {
-  mMonitors.Release(Now());
+  mMonitors.ReleaseExpired(Now());
   if (!mConfiguration.HasAny() || !mListing.HasAny()) {
     RequestFromPeers();
   }
   mMetrics.SetControlTime(ThreadTime());
-  mMaintenanceTimer.ScheduleAt(Now() + kHousekeeping);
+  mMaintenanceTimer.ScheduleAt(Now() + kMaintenanceInterval);
 }
 
 bool
@@ -401,7 +402,8 @@
       neighbours.push_back(vm);
     }
   }
-  return RankOf(member::ChooseOwners(kWatchName, neighbours, kWatchers)) >= 0;
+  return RankOf(member::ChooseOwners(kWatcherHashKey, neighbours, kWatchers)) >=
+         0;
 }
 
 int
--- a/src/currantshed/pooler/group_monitor.hpp
+++ b/src/currantshed/pooler/group_monitor.hpp
@@ -23,22 +23,22 @@
 
 namespace currantshed::pooler {
 
-/// Drives one owned group's coordinator on the control thread: probes and
-/// commands run on one control connection a server, the term record lives in
-/// the platform's store.
+/// Runs the failover coordinator of one owned group on the control thread.
+/// Probes and commands use one control connection per server; the term record
+/// is kept in the platform's store.
 class group_monitor
 {
 public:
-  /// What the rest of the control thread hears from a guard.
+  /// Callbacks to the control thread.
   struct listener
   {
     std::function<void(const member::term_update&)> announced;
     std::function<void(const failover::suspicion&)> suspected;
-    /// Whether only this pooler can't reach the group's primary.
+    /// Reports whether only this pooler cannot reach the group's primary.
     std::function<void(const group::group_name&, bool)> cutOff;
   };
 
-  /// What a guard works with; all of it outlives the guard.
+  /// References that the monitor uses; all must outlive it.
   struct dependencies
   {
     boost::asio::io_context& context;
@@ -61,10 +61,11 @@
                  unsigned aRank,
                  unsigned aOwners);
 
-  /// Takes what another pooler's heartbeat says of this group.
-  void Heard(const member::heartbeat& aBeat);
+  /// Processes the suspicions and terms of this group in a heartbeat of another
+  /// pooler.
+  void OnHeartbeat(const member::heartbeat& aBeat);
 
-  /// Who leads the group, as last announced here or heard of.
+  /// The latest term and primary, announced here or received from a peer.
   [[nodiscard]] const member::term_update& LatestTerm() const noexcept
   {
     return mLatestTerm;
@@ -76,23 +77,23 @@
   using answered =
     std::function<void(const std::optional<upstream::server_status>&,
                        bool aAccepted,
-                       clock::time_point aAskedAt)>;
-
-  void Perform();
-  void Do(const failover::probe& aAction);
-  void Do(const failover::fence& aAction);
-  void Do(const failover::promote& aAction);
-  void Do(const failover::follow& aAction);
-  void Do(const failover::read_record& aAction);
-  void Do(const failover::swap_record& aAction);
-  void Do(const failover::announce& aAction);
-  void Do(const failover::report_suspicion& aAction);
-  void Note(const failover::action& aAction);
+                       clock::time_point aSentAt)>;
+
+  void ExecuteActions();
+  void Execute(const failover::probe& aAction);
+  void Execute(const failover::fence& aAction);
+  void Execute(const failover::promote& aAction);
+  void Execute(const failover::follow& aAction);
+  void Execute(const failover::read_record& aAction);
+  void Execute(const failover::swap_record& aAction);
+  void Execute(const failover::announce& aAction);
+  void Execute(const failover::report_suspicion& aAction);
+  void ObserveStep(const failover::action& aAction);
   void CheckReachability();
-  void Ask(const upstream::server_id& aServer,
-           upstream::statement aQuestion,
-           std::chrono::milliseconds aTimeout,
-           answered aDone);
+  void Query(const upstream::server_id& aServer,
+             upstream::statement aQuery,
+             std::chrono::milliseconds aTimeout,
+             answered aDone);
   [[nodiscard]] const group::member* Find(
     const upstream::server_id& aServer) const;
 
@@ -111,9 +112,10 @@
   bool mIsCutOff = false;
   absl::flat_hash_map<upstream::server_id, std::unique_ptr<server_channel>>
     mChannels;
-  bool mIsPerforming = false;
+  bool mIsExecuting = false;
   net::tick_timer mTimer;
-  /// Ends with the guard, so that late answers of the platform find nothing.
+  /// Set to false on destruction, so that platform responses that arrive later
+  /// are ignored.
   std::shared_ptr<bool> mAlive = std::make_shared<bool>(true);
 };
 
--- a/src/currantshed/pooler/group_runner.hpp
+++ b/src/currantshed/pooler/group_runner.hpp
@@ -20,8 +20,8 @@
 
 namespace currantshed::pooler {
 
-/// Drives one group's engine on the traffic thread: does its actions on
-/// connections to the servers, and feeds it what comes back.
+/// Runs the engine of one group on the traffic thread: executes its actions on
+/// connections to the servers and reports the results back to it.
 class group_runner
 {
 public:
@@ -37,15 +37,15 @@
   group_runner& operator=(const group_runner&) = delete;
   ~group_runner();
 
-  /// Takes the group's servers over; connections to servers that are gone or
-  /// have moved are the engine's to close.
+  /// Updates the group's servers. The engine closes connections to servers that
+  /// were removed or have moved.
   void Configure(const group::description& aGroup);
 
   void Submit(group::request aRequest);
   void Cancel(group::request_id aRequest);
   void Drain();
 
-  /// Requests and open transactions that have not ended.
+  /// Number of requests and transactions in progress.
   [[nodiscard]] std::size_t Pending() const noexcept;
 
   [[nodiscard]] group_metrics& Metrics() noexcept { return mMetrics; }
@@ -57,18 +57,18 @@
     upstream::server_id server;
   };
 
-  void Perform();
-  void Do(const group::open_connection& aAction);
-  void Do(const group::close_connection& aAction);
-  void Do(group::run_batch& aAction);
-  void Do(const group::request_status& aAction);
-  void Do(group::give_answer& aAction);
+  void ExecuteActions();
+  void Execute(const group::open_connection& aAction);
+  void Execute(const group::close_connection& aAction);
+  void Execute(group::run_batch& aAction);
+  void Execute(const group::request_status& aAction);
+  void Execute(group::give_answer& aAction);
   void Opened(group::connection_id aConnection, bool aIsOpen);
   void Lost(group::connection_id aConnection);
   void Drop(group::connection_id aConnection);
   void StatusReplied(const upstream::server_id& aServer,
                      const std::optional<upstream::reply>& aReply,
-                     clock::time_point aAskedAt);
+                     clock::time_point aSentAt);
   [[nodiscard]] const group::member* Find(
     const upstream::server_id& aServer) const;
   [[nodiscard]] upstream::endpoint EndpointOf(const group::member& aMember,
@@ -85,7 +85,7 @@
   absl::flat_hash_map<group::connection_id, link> mLinks;
   absl::flat_hash_map<upstream::server_id, std::unique_ptr<server_channel>>
     mChannels;
-  bool mIsPerforming = false;
+  bool mIsExecuting = false;
   net::tick_timer mTimer;
 };
 
--- a/src/currantshed/pooler/primary_reachability.cpp
+++ b/src/currantshed/pooler/primary_reachability.cpp
@@ -13,19 +13,19 @@
 {
   mIsSuspected = !aSuspicion.primary.empty();
   mSuspectedTerm = aSuspicion.term;
-  // What replicas said before may be as old as the primary's end.
+  // Earlier statuses of replicas may predate the failure of the primary.
   mHeardByReplicaAt = {};
 }
 
 void
-primary_reachability::Heard(const upstream::server_status& aStatus,
-                            clock::time_point aNow)
+primary_reachability::OnStatus(const upstream::server_status& aStatus,
+                               clock::time_point aNow)
 {
-  const bool isVouching = aStatus.role == upstream::server_role::kReplica &&
-                          aStatus.term == mSuspectedTerm &&
-                          aStatus.sincePrimary &&
-                          *aStatus.sincePrimary <= mHeardWithin;
-  if (mIsSuspected && isVouching) {
+  const bool hearsPrimary = aStatus.role == upstream::server_role::kReplica &&
+                            aStatus.term == mSuspectedTerm &&
+                            aStatus.sincePrimary &&
+                            *aStatus.sincePrimary <= mHeardWithin;
+  if (mIsSuspected && hearsPrimary) {
     mHeardByReplicaAt = aNow;
   }
 }
--- a/src/currantshed/pooler/server_channel.hpp
+++ b/src/currantshed/pooler/server_channel.hpp
@@ -18,17 +18,17 @@
 
 namespace currantshed::pooler {
 
-/// One connection to a database server for questions about the server itself,
-/// asked one after the other. It opens the connection when a question needs
-/// it, and drops it when an answer is late, so that a late answer is never
-/// taken for that to a later question.
+/// A connection to a database server for status queries and control commands,
+/// which are executed one at a time. It is opened when first needed, and closed
+/// when an answer is late, so that a late answer is never matched to a
+/// subsequent query.
 class server_channel
 {
 public:
-  /// The server's reply, or none if it did not come in time; and when the
-  /// question was sent.
+  /// Receives the reply, or none if it did not arrive in time, and the time at
+  /// which the query was sent.
   using answer = std::function<void(const std::optional<upstream::reply>&,
-                                    clock::time_point aAskedAt)>;
+                                    clock::time_point aSentAt)>;
 
   server_channel(boost::asio::io_context& aContext,
                  upstream::endpoint aEndpoint);
@@ -36,19 +36,20 @@
   server_channel& operator=(const server_channel&) = delete;
   ~server_channel();
 
-  /// Asks a question; the answer comes later, once, unless the channel is
-  /// destroyed before. The time includes that for opening a connection.
-  void Ask(upstream::statement aQuestion,
-           std::chrono::milliseconds aTimeout,
-           answer aDone);
+  /// Queues a query. The callback runs later, exactly once, unless the channel
+  /// is destroyed first. The timeout includes the time for opening a
+  /// connection.
+  void Query(upstream::statement aQuery,
+             std::chrono::milliseconds aTimeout,
+             answer aDone);
 
 private:
-  struct question
+  struct query
   {
     upstream::statement text;
     clock::time_point due;
     answer done;
-    clock::time_point askedAt;
+    clock::time_point sentAt;
     bool isSent = false;
   };
 
@@ -65,7 +66,7 @@
   upstream::endpoint mEndpoint;
   std::unique_ptr<upstream::pq_connection> mConnection;
   bool mIsOpen = false;
-  std::deque<question> mQuestions;
+  std::deque<query> mQueries;
   net::tick_timer mTimer;
 };
 
--- a/src/currantshed/pooler/status_reporter.cpp
+++ b/src/currantshed/pooler/status_reporter.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-/// How long the traffic thread may be silent and still count as running.
-constexpr std::chrono::seconds kTrafficSilence{ 2 };
+/// Time after which a traffic thread that has not reported counts as stalled.
+constexpr std::chrono::seconds kTrafficTimeout{ 2 };
 
 boost::json::object
 Describe(const group_status& aGroup)
 {
   boost::json::object object;
-  object["group"] = aGroup.news.group;
-  object["term"] = aGroup.news.term;
-  object["primary"] = aGroup.news.primary;
+  object["group"] = aGroup.latestTerm.group;
+  object["term"] = aGroup.latestTerm.term;
+  object["primary"] = aGroup.latestTerm.primary;
   if (aGroup.rank >= 0) {
     object["rank"] = aGroup.rank;
   }
@@ -54,7 +54,7 @@
   const std::lock_guard lock(mMutex);
   const auto silence = std::chrono::steady_clock::now() - mTrafficAliveAt;
   const bool hasAll = mControl.configurationVersion > 0 && mControl.hasList;
-  return hasAll && !mControl.isLeaving && silence <= kTrafficSilence;
+  return hasAll && !mControl.isLeaving && silence <= kTrafficTimeout;
 }
 
 std::string
--- a/src/currantshed/pooler/traffic.cpp
+++ b/src/currantshed/pooler/traffic.cpp
@@ -13,21 +13,23 @@
 
 namespace {
 
-/// Time between two rounds of housekeeping.
-constexpr std::chrono::milliseconds kHousekeeping{ 500 };
-/// The same while the pooler waits for its work to end.
-constexpr std::chrono::milliseconds kDrainCheck{ 10 };
-/// How long a group that is no longer led keeps its engine.
+/// Interval of periodic maintenance.
+constexpr std::chrono::milliseconds kMaintenanceInterval{ 500 };
+/// Interval of periodic maintenance while draining.
+constexpr std::chrono::milliseconds kDrainCheckInterval{ 10 };
+/// Time for which the engine of a group that is no longer led is kept.
 constexpr std::chrono::milliseconds kReleaseGrace{ 3000 };
-/// When to come back while this pooler knows no groups yet, or leaves.
-constexpr std::chrono::milliseconds kComeBack{ 200 };
-
-/// How long no request must have come before a shutdown ends.
-constexpr std::chrono::milliseconds kQuiet{ 100 };
-/// How long a shutdown goes on refusing requests when nothing is pending.
-constexpr std::chrono::milliseconds kLongestRefusing{ 2000 };
-/// How long the last answers may take to leave at the end.
-constexpr std::chrono::milliseconds kLastAnswers{ 500 };
+/// Retry delay given to callers while this pooler knows no groups yet, or is
+/// leaving.
+constexpr std::chrono::milliseconds kRetryAfter{ 200 };
+
+/// Time without a request after which draining ends.
+constexpr std::chrono::milliseconds kQuietPeriod{ 100 };
+/// Maximum time for which requests are refused during draining once nothing is
+/// pending.
+constexpr std::chrono::milliseconds kMaxRefusalTime{ 2000 };
+/// Time to flush the last answers when the socket is closed.
+constexpr std::chrono::milliseconds kLingerTimeout{ 500 };
 
 clock::time_point
 Now()
@@ -43,12 +45,12 @@
     std::chrono::duration_cast<std::chrono::milliseconds>(wall).count());
 }
 
-/// The last answers of a shutdown are still sent.
+/// The linger time allows the last answers of a shutdown to be sent.
 net::socket_settings
 RouterSettings()
 {
   net::socket_settings settings;
-  settings.linger = kLastAnswers;
+  settings.linger = kLingerTimeout;
   return settings;
 }
 
@@ -90,7 +92,7 @@
     mRouter.Bind(mSettings.self.address,
                  mSettings.self.poolerPort,
                  [this](std::string_view aPeer, std::string_view aBytes) {
-                   Received(aPeer, aBytes);
+                   OnMessage(aPeer, aBytes);
                  });
   if (error) {
     return error;
@@ -121,7 +123,7 @@
 traffic::Publish(wire::view aView)
 {
   boost::asio::post(mContext, [this, view = std::move(aView)]() mutable {
-    Deliver(mViews.Change(std::move(view)));
+    Deliver(mViews.SetView(std::move(view)));
   });
 }
 
@@ -151,7 +153,7 @@
 }
 
 void
-traffic::Received(std::string_view aPeer, std::string_view aBytes)
+traffic::OnMessage(std::string_view aPeer, std::string_view aBytes)
 {
   auto decoded = wire::Decode(aBytes, Now());
   if (decoded.error) {
@@ -176,12 +178,12 @@
 {
   mLastArrival = Now();
   const group::request_id id = aRequest.request.id;
-  const bool isForeign =
+  const bool isOfOtherIncarnation =
     IsInTransaction(aRequest.request.kind) &&
     aRequest.transactionIncarnation != mSettings.incarnation;
-  if (isForeign) {
-    // Its connection ended with the process that had opened it, so that
-    // nothing of it can be kept any more.
+  if (isOfOtherIncarnation) {
+    // The connection of the transaction ended with the process that had opened
+    // it, so the transaction can no longer take effect.
     Refuse(
       aPeer, id, outcome::verdict::kNotRun, outcome::reason::kTransactionLost);
   } else if (!mHasList) {
@@ -215,7 +217,7 @@
     return;
   }
   const auto now = Now();
-  mOwnership.Use(aRequest.group, now);
+  mOwnership.MarkUsed(aRequest.group, now);
   ++mLastRequest;
   mOrigins.emplace(mLastRequest,
                    origin{ aPeer, aRequest.request.id, aRequest.group, now });
@@ -260,7 +262,7 @@
   answer.verdict = aVerdict;
   answer.why = aWhy;
   if (aVerdict == outcome::verdict::kNotRun) {
-    answer.retryAfter = kComeBack;
+    answer.retryAfter = kRetryAfter;
   }
   Reply(aPeer, std::move(answer));
 }
@@ -276,7 +278,7 @@
   mOrigins.erase(found);
   const auto runner = mRunners.find(from.group);
   if (runner != mRunners.end()) {
-    runner->second->Metrics().Answered(aAnswer, Now() - from.arrivedAt);
+    runner->second->Metrics().CountAnswer(aAnswer, Now() - from.arrivedAt);
   }
   aAnswer.request = from.id;
   Reply(from.peer, std::move(aAnswer));
@@ -288,7 +290,8 @@
   const auto error = mRouter.Send(
     aPeer, wire::Encode({ std::move(aAnswer), mSettings.incarnation }));
   if (error) {
-    // The gateway has gone or does not read; it resolves what it must.
+    // The gateway has gone or is not reading; it resolves the outcome itself
+    // where needed.
     mMetrics.CountRejectedMessage("answer: " + error.message());
   }
 }
@@ -347,12 +350,12 @@
 {
   const auto now = Now();
   mStatusReporter.MarkTrafficAlive(now);
-  mViews.Forget(now);
+  mViews.RemoveExpired(now);
   const auto hasWork = [this](const group::group_name& aGroup) {
     const auto runner = mRunners.find(aGroup);
     return runner != mRunners.end() && runner->second->Pending() > 0;
   };
-  for (const auto& name : mOwnership.Release(hasWork, now)) {
+  for (const auto& name : mOwnership.ReleaseExpired(hasWork, now)) {
     mRunners.erase(name);
     log::Write(log::level::kInfo, "group_released", { { "group", name } });
   }
@@ -362,7 +365,8 @@
   if (mIsDraining && mDrained) {
     CheckDrained(now);
   }
-  mTimer.ScheduleAt(now + (mIsDraining ? kDrainCheck : kHousekeeping));
+  mTimer.ScheduleAt(now +
+                    (mIsDraining ? kDrainCheckInterval : kMaintenanceInterval));
 }
 
 void
@@ -373,8 +377,8 @@
     return;
   }
   mEmptySince = mEmptySince.value_or(aNow);
-  const bool isQuiet = aNow - mLastArrival >= kQuiet;
-  if (isQuiet || aNow - *mEmptySince >= kLongestRefusing) {
+  const bool isQuiet = aNow - mLastArrival >= kQuietPeriod;
+  if (isQuiet || aNow - *mEmptySince >= kMaxRefusalTime) {
     std::exchange(mDrained, nullptr)();
   }
 }
--- a/test/currantshed/pooler/latest_listing.cpp
+++ b/test/currantshed/pooler/latest_listing.cpp
@@ -13,7 +13,7 @@
 {
   const char* name;
   std::vector<store::listing> read;
-  /// Whether each reading brought other groups.
+  /// Whether the groups of each listing differ from the previous ones.
   std::vector<bool> differs;
 };
 
@@ -44,19 +44,19 @@
 {
   const auto one = Lists({ "vm-1" }, { Group("g") });
   return {
-    { "the first reading", { one }, { true } },
-    { "the first reading is empty", { {} }, { true } },
+    { "the first listing", { one }, { true } },
+    { "the first listing is empty", { {} }, { true } },
     { "the same again", { one, one, one }, { true, false, false } },
-    { "other VMs alone: the roster sees to them",
+    { "changed VMs only: handled by the membership",
       { one, Lists({ "vm-2" }, { Group("g") }) },
       { true, false } },
-    { "a group more",
+    { "an additional group",
       { one, Lists({ "vm-1" }, { Group("g"), Group("h") }) },
       { true, true } },
     { "a server that leaves",
       { one, Lists({ "vm-1" }, { Group("g", true) }) },
       { true, true } },
-    { "back to what was before", { one, {}, one }, { true, true, true } },
+    { "back to the previous groups", { one, {}, one }, { true, true, true } },
   };
 }
 
@@ -64,18 +64,18 @@
 
 TEST_GROUP(latest_listing){};
 
-TEST(latest_listing, tells_other_groups)
+TEST(latest_listing, reports_changed_groups)
 {
   for (const auto& row : ListingRows()) {
-    pooler::latest_listing keeper;
-    CHECK_FALSE_TEXT(keeper.HasAny(), row.name);
+    pooler::latest_listing latest;
+    CHECK_FALSE_TEXT(latest.HasAny(), row.name);
     std::vector<bool> differs;
     for (const auto& read : row.read) {
-      differs.push_back(keeper.Take(read));
-      CHECK_TEXT(keeper.Current().vms == read.vms, row.name);
-      CHECK_TEXT(keeper.Current().groups == read.groups, row.name);
+      differs.push_back(latest.Update(read));
+      CHECK_TEXT(latest.Current().vms == read.vms, row.name);
+      CHECK_TEXT(latest.Current().groups == read.groups, row.name);
     }
     CHECK_TEXT(differs == row.differs, row.name);
-    CHECK_TEXT(keeper.HasAny(), row.name);
+    CHECK_TEXT(latest.HasAny(), row.name);
   }
 }
--- a/test/currantshed/pooler/view_publisher.cpp
+++ b/test/currantshed/pooler/view_publisher.cpp
@@ -28,9 +28,9 @@
 struct subscribe_row
 {
   const char* name;
-  /// Version of the configuration in the present view.
+  /// Version of the configuration in the current view.
   std::uint64_t present;
-  /// Version that the gateway tells.
+  /// Version reported by the gateway.
   std::uint64_t told;
   bool getsDeclaration;
 };
@@ -38,8 +38,8 @@
 constexpr subscribe_row kSubscribeRows[] = {
   { "a new gateway gets the declaration", 4, 0, true },
   { "one with an older declaration gets it", 4, 3, true },
-  { "one with the same does not", 4, 4, false },
-  { "one with a newer does not", 4, 5, false },
+  { "one with the same version does not", 4, 4, false },
+  { "one with a newer version does not", 4, 5, false },
   { "there is none yet", 0, 0, false },
 };
 
@@ -51,7 +51,7 @@
 {
   for (const auto& row : kSubscribeRows) {
     pooler::view_publisher publisher(kFirst);
-    CHECK_TEXT(publisher.Change(ViewOf(row.present)).empty(), row.name);
+    CHECK_TEXT(publisher.SetView(ViewOf(row.present)).empty(), row.name);
     const auto sent = publisher.Subscribe("gateway", { 0, row.told }, kStart);
     CHECK_EQUAL_TEXT(1, sent.size(), row.name);
     STRCMP_EQUAL_TEXT("gateway", sent[0].peer.c_str(), row.name);
@@ -65,9 +65,9 @@
 {
   pooler::view_publisher publisher(kFirst);
   CHECK(publisher.Subscribe("gateway", { 0, 0 }, kStart).empty());
-  CHECK_EQUAL(1, publisher.Change(ViewOf(3)).size());
-  CHECK(publisher.Change(ViewOf(3)).empty());
-  const auto second = publisher.Change(ViewOf(4));
+  CHECK_EQUAL(1, publisher.SetView(ViewOf(3)).size());
+  CHECK(publisher.SetView(ViewOf(3)).empty());
+  const auto second = publisher.SetView(ViewOf(4));
   CHECK_EQUAL(1, second.size());
   CHECK_EQUAL(kFirst + 2, second[0].view.version);
   STRCMP_EQUAL("classes: []", second[0].view.declaration.c_str());
@@ -76,7 +76,7 @@
 TEST(view_publisher, a_lost_declaration_comes_with_the_next_subscription)
 {
   pooler::view_publisher publisher(kFirst);
-  (void)publisher.Change(ViewOf(3));
+  (void)publisher.SetView(ViewOf(3));
   (void)publisher.Subscribe("gateway", { 0, 0 }, kStart);
   const auto again = publisher.Subscribe("gateway", { 0, 0 }, kStart + 1s);
   CHECK_EQUAL(1, again.size());
@@ -88,9 +88,9 @@
   pooler::view_publisher publisher(kFirst);
   (void)publisher.Subscribe("stays", { 0, 0 }, kStart + 1s);
   (void)publisher.Subscribe("goes", { 0, 0 }, kStart);
-  publisher.Forget(kStart + pooler::kSubscriptionTtl + 1s);
+  publisher.RemoveExpired(kStart + pooler::kSubscriptionTtl + 1s);
   CHECK_EQUAL(1, publisher.Subscribers());
-  const auto sent = publisher.Change(ViewOf(1));
+  const auto sent = publisher.SetView(ViewOf(1));
   CHECK_EQUAL(1, sent.size());
   STRCMP_EQUAL("stays", sent[0].peer.c_str());
 }
