--- a/test/matrix/callers.cpp
+++ b/test/matrix/callers.cpp
@@ -17,7 +17,7 @@
 constexpr milliseconds kAskAgain{ 250 };
 constexpr unsigned kAsks = 8;
 constexpr unsigned kThinkSpread = 50;
-// Once all faults are over, callers take their time.
+// Think time once all faults have ended.
 constexpr unsigned kCalmSpread = 400;
 constexpr instant kBusyUntil = milliseconds(3500);
 const std::string kGroup = "claimsbook-1";
@@ -209,8 +209,8 @@
   auto request = aRequest;
   request.session = mToken;
   Call(request, [=, this](const told_answer& aSecond) {
-    // That the repetition has not run says nothing of the first try, unless
-    // the key itself is void.
+    // That the retry did not run says nothing about the first attempt, unless
+    // the idempotency key itself is void.
     const bool settles = aSecond && (aSecond->verdict == verdict::kDone ||
                                      aSecond->why == reason::kKeyVoid);
     if (settles) {
@@ -298,7 +298,7 @@
       TransactionRow(aChange, aTransaction, aRow + 1);
       return;
     }
-    // It is never committed.
+    // The transaction is never committed.
     mAround.seen.changes[aChange].outcome = told::kNotRun;
     mAround.seen.changes[aChange].answered = mAround.time.Since();
     mAround.seen.changes[aChange].why = "not committed";
--- a/test/matrix/callers.hpp
+++ b/test/matrix/callers.hpp
@@ -12,10 +12,10 @@
 
 namespace currantshed::matrix {
 
-/// One session that roams between the gateways and does one thing after
-/// another: single and repeatable changes, changes of two rows, transactions,
-/// reads with its token, bounded and fresh reads, and questions about the
-/// outcomes that it was left unsure of. Writes down what it is told.
+/// One session that issues one request at a time, each at a randomly chosen
+/// gateway: single and repeatable writes, two-row writes, transactions, reads
+/// with its session token, bounded and fresh reads, and outcome queries for
+/// writes whose outcome is unknown. Records every answer in the history.
 class session_caller
 {
 public:
@@ -23,11 +23,11 @@
                  std::vector<gateway_node*> aGateways,
                  unsigned aNumber);
 
-  /// Begins, and goes on until the time given.
+  /// Starts the session; it issues requests until the given time.
   void Start(instant aEnd);
 
 private:
-  /// None where no answer came.
+  /// Empty if no answer arrived.
   using told_answer = std::optional<gateway::caller_answer>;
   using next_step = std::function<void(const told_answer&)>;
 
@@ -50,7 +50,8 @@
   [[nodiscard]] gateway::caller_request Request(
     gateway::call_kind aKind,
     const std::string& aClass) const;
-  /// Sends a request by some gateway that runs, and waits for its answer.
+  /// Sends a request through a randomly chosen running gateway and waits for
+  /// its answer.
   void Call(const gateway::caller_request& aRequest, const next_step& aNext);
 
   surroundings& mAround;
--- a/test/matrix/cells.cpp
+++ b/test/matrix/cells.cpp
@@ -19,7 +19,8 @@
   return aStep.of == layer::kFailover;
 }
 
-/// Steps of the applier and of failover are reached but a few times.
+/// Steps of the configuration applier and of failover are reached only a few
+/// times per run, so late occurrences are not tried there.
 unsigned
 LaterOccurrence(const step& aStep)
 {
@@ -49,7 +50,7 @@
   return drawn;
 }
 
-/// The same fault at the first occurrences of one step.
+/// Injects the same fault at the first occurrences of one step.
 std::vector<injection>
 Series(fault aFault, std::size_t aStep, unsigned aCount)
 {
@@ -135,7 +136,8 @@
       p::kNothingLost,
       { f::kReplicaLags },
       true,
-      // The fences of the old primary and of the replica that has all.
+      // Drops the fence requests to the old primary and to the most advanced
+      // replica.
       { { f::kMessageLost, StepOf(layer::kFailover, 1, moment::kAsked), 1 },
         { f::kMessageLost, StepOf(layer::kFailover, 1, moment::kAsked), 3 } } },
     { v::kResentWithoutKey,
--- a/test/matrix/cells.hpp
+++ b/test/matrix/cells.hpp
@@ -9,35 +9,36 @@
 
 namespace currantshed::matrix {
 
-/// Every fault at every step, once for each of the given occurrences.
+/// Every fault at every step, one plan for each of the given occurrences.
 [[nodiscard]] std::vector<plan>
 SingleCells();
 
-/// Every fault at every step, twice over.
+/// Every fault at every step, struck twice in one run.
 [[nodiscard]] std::vector<plan>
 DoubleCells();
 
-/// Pairs of faults at steps drawn by chance.
+/// Pairs of faults at randomly drawn steps.
 [[nodiscard]] std::vector<plan>
 PairCells(std::uint64_t aFirstSeed, std::uint64_t aCount);
 
-/// A switched-off rule: what it must be seen as, and where it is looked for.
+/// A disabled rule (seeded bug): the violation the checker must report for it,
+/// and the plans to search.
 struct proof
 {
   variant broken = variant::kNone;
   promise expected = promise::kNothingLost;
-  /// Faults of which each is tried at each step.
+  /// Faults to inject, each one at every step.
   std::vector<fault> faults;
-  /// Whether a failover goes on in each of the cells.
+  /// Whether each plan includes a failover.
   bool failover = false;
-  /// What goes wrong besides, in each of the cells.
+  /// Additional faults in every plan.
   std::vector<injection> besides = {};
 };
 
 [[nodiscard]] const std::vector<proof>&
 Proofs();
 
-/// The cells that are searched for a proof, in order.
+/// The plans to search for a seeded bug, in order.
 [[nodiscard]] std::vector<plan>
 CellsFor(const proof& aProof);
 
--- a/test/matrix/checker.cpp
+++ b/test/matrix/checker.cpp
@@ -44,7 +44,7 @@
          (aChange.repeated ? ", repeated" : "") + ", " + aChange.why + ")";
 }
 
-/// How often each value stands in the log, and in which record.
+/// How often each value occurs in the log, and in which record.
 struct log_index
 {
   explicit log_index(const history& aHistory)
@@ -88,7 +88,7 @@
   }
 }
 
-/// Each record of the log is one whole change and nothing besides.
+/// Checks that each log record holds exactly one whole change.
 void
 CheckRecords(breaches& aOut, const history& aHistory)
 {
@@ -112,7 +112,8 @@
   }
 }
 
-/// The primary in force at a time: the one of the highest term by then.
+/// The primary at a given time: the server promoted in the highest term up to
+/// then.
 const promotion*
 PrimaryAt(const history& aHistory, instant aTime)
 {
@@ -152,7 +153,7 @@
   }
 }
 
-/// The values of all changes by number, and what each change adds.
+/// Values of all changes, numbered, and the values that each change adds.
 struct value_index
 {
   explicit value_index(const history& aHistory)
@@ -170,7 +171,7 @@
   std::vector<std::vector<std::size_t>> adds;
 };
 
-/// Which values a read shows.
+/// Which values a read returned, by value number.
 using shown_values = std::vector<bool>;
 
 std::string
@@ -369,8 +370,9 @@
       done += change.outcome == told::kDone ? 1 : 0;
     }
   }
-  // A server that strayed is still brought back at that time, by one more
-  // change of primary.
+  // A server that diverged is still being reintegrated at that time, which
+  // takes one more change of the primary, so only half of the changes are
+  // required to succeed.
   if (done * 2 < late) {
     Note(aOut,
          promise::kRecovers,
--- a/test/matrix/checker.hpp
+++ b/test/matrix/checker.hpp
@@ -10,7 +10,7 @@
 
 namespace currantshed::matrix {
 
-/// What must hold in every run.
+/// Invariants that every run must satisfy.
 enum class promise
 {
   kNothingLost,
@@ -24,9 +24,9 @@
   kLeavingLeftAlone,
   kNothingCutAtStop,
   kConfigurationKept,
-  /// What a read shows is kept.
+  /// A value returned by a read is in the final log.
   kShownIsKept,
-  /// Work goes on once all faults are over.
+  /// Writes succeed again once all faults have ended.
   kRecovers,
 };
 constexpr std::size_t kPromises = 13;
@@ -34,14 +34,14 @@
 [[nodiscard]] std::string_view
 Name(promise aPromise);
 
-/// One thing that went wrong.
+/// One violation of an invariant.
 struct breach
 {
   promise broken = promise::kNothingLost;
   std::string text;
 };
 
-/// Judges a run from what was seen alone.
+/// Checks the invariants of a run, using its history alone.
 [[nodiscard]] std::vector<breach>
 Check(const history& aHistory);
 
--- a/test/matrix/gateway_node.cpp
+++ b/test/matrix/gateway_node.cpp
@@ -212,7 +212,7 @@
   };
   const auto sentAt = mAround.time.Now();
   const auto arrive = pooler->Bind([=, this, name = VmName()] {
-    // Its deadline travels as the time left.
+    // The message carries the remaining time, not an absolute deadline.
     auto arrived = message;
     arrived.request.deadline += mAround.time.Now() - sentAt;
     pooler->Receive(arrived, name, back);
--- a/test/matrix/gateway_node.hpp
+++ b/test/matrix/gateway_node.hpp
@@ -14,7 +14,8 @@
 
 namespace currantshed::matrix {
 
-/// A gateway: the adapters' part of its engine, over fakes.
+/// A simulated gateway: runs the real engine and replaces its I/O adapters by
+/// fakes.
 class gateway_node final : public process
 {
 public:
@@ -22,20 +23,21 @@
 
   gateway_node(surroundings& aAround, std::string aName);
 
-  /// The pooler of its own VM, and all poolers.
+  /// Sets the pooler on the same VM, and all poolers.
   void SetPoolers(pooler_node* aOwn, std::vector<pooler_node*> aAll);
 
-  /// The poolers taken for live.
+  /// Sets the poolers considered live.
   void SetView(const gateway::fleet_view& aView);
 
-  /// A caller's request as it arrives; the callback runs once, or never when
-  /// the gateway dies.
+  /// Submits a caller's request. The callback runs once, or never if the
+  /// gateway is killed.
   void Submit(gateway::caller_request aRequest, answered aAnswered);
 
-  /// A pooler's process has ended, and its connections with it.
+  /// Reports that a pooler's process ended and its connections were closed.
   void PoolerDied(const std::string& aVm);
 
-  /// Takes no new work, and ends when what is under way has ended.
+  /// Starts a graceful shutdown: refuses new requests and exits once those in
+  /// progress have ended.
   void Stop();
 
 protected:
@@ -49,7 +51,7 @@
   struct waiting
   {
     answered done;
-    /// Whether it came before the gateway was stopped.
+    /// Whether the request arrived before the shutdown began.
     bool early = true;
   };
 
@@ -71,7 +73,7 @@
   bool mStopping = false;
 };
 
-/// The classes of work that the callers use.
+/// The work classes that the callers use.
 [[nodiscard]] std::vector<policy::work_class>
 Classes();
 
--- a/test/matrix/history.hpp
+++ b/test/matrix/history.hpp
@@ -9,10 +9,10 @@
 
 namespace currantshed::matrix {
 
-/// Time since the beginning of a run.
+/// Time since the start of a run.
 using instant = std::chrono::microseconds;
 
-/// What a caller was told.
+/// The outcome that a caller was told.
 enum class told
 {
   kNothing,
@@ -22,50 +22,50 @@
   kRefused,
 };
 
-/// One change as its caller knows it: a request, or a whole transaction.
+/// One change as its caller knows it: a single request or a whole transaction.
 struct change_record
 {
   unsigned number = 0;
   unsigned session = 0;
-  /// Values that it adds, in order.
+  /// Values that the change adds, in order.
   std::vector<std::string> values;
   std::string key;
   instant sent{ 0 };
   instant answered{ 0 };
   told outcome = told::kNothing;
-  /// Server that the answer names.
+  /// The server named in the answer.
   std::string servedBy;
-  /// Whether the answer tells of a change made earlier under the same key.
+  /// Whether the answer reports a change made earlier under the same
+  /// idempotency key.
   bool repeated = false;
   std::string why;
 };
 
-/// One read.
 struct read_record
 {
   unsigned number = 0;
   unsigned session = 0;
-  /// Whether it went with the session's token.
+  /// Whether the request carried the session token.
   bool withToken = false;
-  /// How old its data may be; zero for a fresh read.
+  /// Staleness bound; zero for a fresh read.
   std::chrono::milliseconds bound{ 0 };
   instant sent{ 0 };
   instant answered{ 0 };
   told outcome = told::kNothing;
   std::vector<std::string> values;
-  /// Whether every statement was answered, and by its own answer.
+  /// Whether every statement was answered, each with its own result.
   bool whole = true;
   bool byReplica = false;
 };
 
-/// A transaction in the log of the last primary.
+/// A transaction in the final primary's log.
 struct kept_record
 {
   std::uint64_t term = 0;
   std::vector<std::string> values;
 };
 
-/// A server that became primary.
+/// A promotion of a server to primary.
 struct promotion
 {
   std::uint64_t term = 0;
@@ -73,29 +73,30 @@
   instant at{ 0 };
 };
 
-/// Work that began on a server.
+/// The start of a unit of work on a server.
 struct work_record
 {
   std::string server;
   instant at{ 0 };
 };
 
-/// A server that was marked as leaving.
+/// A server that was marked as draining.
 struct leaving_record
 {
   std::string server;
-  /// From when on it must get no new work.
+  /// Time from which on the server must get no new work.
   instant freeFrom{ 0 };
 };
 
-/// A process that was stopped gracefully, and what was cut off by its end.
+/// A graceful shutdown of a process, and the number of requests that its exit
+/// cut off.
 struct stop_record
 {
   std::string process;
   unsigned cutOff = 0;
 };
 
-/// A version that came in force in one life of a process.
+/// A configuration version that took effect in one incarnation of a process.
 struct version_record
 {
   std::string process;
@@ -103,7 +104,7 @@
   std::string declaration;
 };
 
-/// What an operator was told about a change of the configuration.
+/// The result an operator was given for a configuration change.
 struct applied_record
 {
   std::string declaration;
@@ -111,8 +112,8 @@
   told outcome = told::kNothing;
 };
 
-/// All that a run left: what callers and operators were told, and what
-/// servers and processes hold.
+/// Everything recorded in a run: the answers given to callers and operators,
+/// and the final state of servers and processes.
 struct history
 {
   std::vector<change_record> changes;
@@ -122,14 +123,14 @@
   std::vector<work_record> work;
   std::vector<leaving_record> leaving;
   std::vector<stop_record> stops;
-  /// In the order of their coming in force.
+  /// In the order in which they took effect.
   std::vector<version_record> versions;
   std::vector<applied_record> applied;
-  /// Every version that the store held.
+  /// Every configuration version that the store held.
   std::vector<version_record> stored;
-  /// Processes that must hold the last version at the end.
+  /// Processes that must have the last version in effect at the end.
   std::vector<std::string> lastProcesses;
-  /// From when on everything works again.
+  /// Time at which all faults have ended.
   instant healed{ 0 };
   bool settled = false;
 };
--- a/test/matrix/injector.hpp
+++ b/test/matrix/injector.hpp
@@ -9,7 +9,7 @@
 
 class process;
 
-/// What becomes of the message at hand.
+/// What the fault does to the current message.
 struct fate
 {
   bool lost = false;
@@ -17,13 +17,13 @@
   clock::duration delay{ 0 };
 };
 
-/// Told of every step that is reached; lets the planned faults strike.
+/// Notified of every step that is reached; injects the planned faults.
 class injector
 {
 public:
   virtual ~injector() = default;
 
-  /// A process has reached a step, by its place in the list of steps.
+  /// Reports that a process reached a step, given by its index in Steps().
   [[nodiscard]] virtual fate Reach(std::size_t aStep, process& aBy) = 0;
 };
 
--- a/test/matrix/operators.hpp
+++ b/test/matrix/operators.hpp
@@ -11,13 +11,13 @@
 
 namespace currantshed::matrix {
 
-/// One operator who applies one change of the configuration.
+/// An operator that applies one configuration change.
 class operator_call final : public process
 {
 public:
   operator_call(surroundings& aAround, std::string aDeclaration);
 
-  /// Applies the change over the version that the store holds now.
+  /// Applies the change on top of the version that the store holds now.
   void Apply();
 
 protected:
--- a/test/matrix/plan.hpp
+++ b/test/matrix/plan.hpp
@@ -9,7 +9,7 @@
 
 namespace currantshed::matrix {
 
-/// What can go wrong.
+/// Faults that can be injected.
 enum class fault
 {
   kPrimaryPartitioned,
@@ -42,7 +42,8 @@
 };
 constexpr std::size_t kFaults = 27;
 
-/// The rules that can be switched off to prove the checker.
+/// Rules that can be disabled (seeded bugs), to show that the checker detects
+/// their violation.
 enum class variant
 {
   kNone,
@@ -70,7 +71,7 @@
 [[nodiscard]] std::string_view
 Name(variant aVariant);
 
-/// One fault at the n-th time that a step is reached, counted from one.
+/// One fault, injected the n-th time that a step is reached, counted from one.
 struct injection
 {
   fault what = fault::kPrimaryPartitioned;
@@ -78,18 +79,18 @@
   unsigned occurrence = 1;
 };
 
-/// One run: what goes wrong, and what drives the callers' choices.
+/// One run: the faults to inject, and the seed of the random choices.
 struct plan
 {
   std::vector<injection> injections;
-  /// Whether a primary is partitioned off in any case, so that the steps of a
+  /// Whether a primary is partitioned off in addition, so that the steps of a
   /// failover are reached.
   bool failover = false;
   std::uint64_t seed = 1;
   variant broken = variant::kNone;
 };
 
-/// The plan in one line, as reports show it.
+/// Formats the plan as one line for reports.
 [[nodiscard]] std::string
 Print(const plan& aPlan);
 
--- a/test/matrix/pooler_node.cpp
+++ b/test/matrix/pooler_node.cpp
@@ -45,7 +45,8 @@
   return torn;
 }
 
-/// Half of the rows of a reply that broke off, given out as the whole.
+/// Passes on half of the rows of an interrupted reply as if they were all of
+/// it.
 void
 CutInHalf(upstream::reply& aReply)
 {
@@ -450,7 +451,8 @@
   const auto send = [=, incarnation = Incarnation()] {
     from.answer(*answer, incarnation);
   };
-  // The message is on its way already: it needs this process no more.
+  // The message is already in transit, so it is delivered even if this process
+  // is killed.
   mAround.time.In(aFate.delay, send);
   if (aFate.twice) {
     mAround.time.In(aFate.delay + kBreakDelay, send);
@@ -617,7 +619,7 @@
   }
 }
 
-// One end comes for each question: an answer in time, or none.
+// Each query ends exactly once: with an answer in time, or with none.
 void
 pooler_node::Ask(const question& aQuestion, const fate& aFate)
 {
--- a/test/matrix/pooler_node.hpp
+++ b/test/matrix/pooler_node.hpp
@@ -18,36 +18,39 @@
 
 namespace currantshed::matrix {
 
-/// A pooler: the adapters' part of its engines for one group, over fakes.
+/// A simulated pooler: runs the real engines for one group and replaces their
+/// I/O adapters by fakes.
 class pooler_node final : public process
 {
 public:
-  /// Gives an answer and the pooler's incarnation to a gateway.
+  /// Delivers an answer and the pooler's incarnation to a gateway.
   using answer_to =
     std::function<void(const group::answer&, const std::string&)>;
 
   pooler_node(surroundings& aAround, std::string aVm, std::string aDomain);
 
-  /// The other poolers of the group.
+  /// Sets the other poolers of the group.
   void SetPeers(std::vector<pooler_node*> aPeers);
 
-  /// Its rank among the live owners, and the group as the platform lists it.
+  /// Sets the pooler's rank among the live owners, and the group as the
+  /// platform lists it.
   void Describe(unsigned aRank, unsigned aOwners);
 
-  /// A gateway's request, as it arrives.
+  /// Receives a request from a gateway.
   void Receive(const gateway::send_to_pooler& aMessage,
                const std::string& aGateway,
                const answer_to& aAnswer);
   void Receive(const gateway::cancel_at_pooler& aMessage,
                const std::string& aGateway);
 
-  /// Takes no new work, and ends when what is under way has ended.
+  /// Starts a graceful shutdown: refuses new work and exits once the work in
+  /// progress has ended.
   void Stop();
 
-  /// A server has gone, with every connection to it.
+  /// Reports that a server died and all connections to it were closed.
   void ServerDied(const upstream::server_id& aServer);
 
-  /// The configuration in force here.
+  /// The configuration in effect at this pooler.
   [[nodiscard]] const wire::configuration& Configuration() const;
 
 protected:
@@ -63,7 +66,7 @@
     std::string gateway;
     group::request_id id = 0;
     answer_to answer;
-    /// Whether it had been taken before the pooler was stopped.
+    /// Whether the request was accepted before the shutdown began.
     bool early = true;
   };
 
@@ -75,7 +78,8 @@
     bool running = false;
   };
 
-  /// A question to a server on its channel, and how it is answered.
+  /// A query to a server on its control connection, and the handler of its
+  /// answer.
   struct question
   {
     upstream::server_id server;
@@ -101,11 +105,11 @@
   void Do(const failover::report_suspicion& aAction, const fate& aFate);
 
   void Ask(const question& aQuestion, const fate& aFate);
-  /// Lets something happen at a server once its packets get through.
+  /// Runs an event at a server once packets to it get through.
   void Carry(const upstream::server_id& aServer,
              clock::duration aDelay,
              std::function<void()> aEvent);
-  /// The same for the way back.
+  /// Runs an event here once packets from the server get through.
   void CarryBack(const upstream::server_id& aServer,
                  clock::duration aDelay,
                  std::function<void()> aEvent);
--- a/test/matrix/process.hpp
+++ b/test/matrix/process.hpp
@@ -12,8 +12,9 @@
 
 namespace currantshed::matrix {
 
-/// A process that can be paused, killed and started again. What happens to it
-/// while it is paused waits; what was meant for an earlier life is dropped.
+/// A simulated process that can be paused, killed and restarted. Events that
+/// arrive while it is paused are deferred; events for an earlier incarnation
+/// are dropped.
 class process
 {
 public:
@@ -37,7 +38,7 @@
     return mPausedUntil > mTimeline.Now();
   }
 
-  /// An event bound to the present life.
+  /// Wraps an event so that it runs in the current incarnation only.
   [[nodiscard]] event Bind(event aEvent)
   {
     return
@@ -69,23 +70,23 @@
   }
 
 protected:
-  /// Makes the engines of a new life.
+  /// Creates the engines of a new incarnation.
   virtual void Begun() = 0;
   virtual void Ended() = 0;
-  /// Puts what the engines want done into the outbox.
+  /// Moves the engines' pending actions into the outbox.
   virtual void Collect() = 0;
   virtual void Tick() = 0;
   [[nodiscard]] virtual clock::time_point NextTick() const = 0;
 
   using deed = std::function<void(const fate&)>;
 
-  /// Puts an action into the outbox, with the step at which it is asked for.
+  /// Queues an action, with the step reached when it is requested.
   void Want(std::size_t aStep, deed aDeed)
   {
     mOutbox.push_back({ aStep, std::move(aDeed), std::nullopt });
   }
 
-  /// Whether something wanted has not been done yet.
+  /// Whether queued actions remain.
   [[nodiscard]] bool Busy() const noexcept
   {
     return mPerforming || !mOutbox.empty();
@@ -93,8 +94,8 @@
 
   [[nodiscard]] injector& Faults() const noexcept { return mFaults; }
 
-  /// An answer that arrives: reaches its step, then is taken, unless it is
-  /// lost.
+  /// Wraps the arrival of an answer: reaches its step, then handles the answer,
+  /// unless a fault drops it.
   [[nodiscard]] event Arrival(std::size_t aStep, event aTake, event aLost)
   {
     return Bind(
@@ -118,7 +119,7 @@
       });
   }
 
-  /// Does what the engines want, up to a pause.
+  /// Performs the queued actions, until the process is paused.
   void Perform()
   {
     if (mPerforming) {
--- a/test/matrix/report.cpp
+++ b/test/matrix/report.cpp
@@ -26,7 +26,7 @@
 constexpr std::size_t kMostTexts = 4;
 constexpr std::uint64_t kPairsInCi = 600;
 
-/// What one cell came to.
+/// The result of one cell (one plan).
 struct cell_result
 {
   bool struck = false;
@@ -66,7 +66,7 @@
   return names;
 }
 
-/// Runs numbered work on several threads.
+/// Runs numbered tasks on several threads.
 void
 Spread(std::size_t aCount,
        unsigned aThreads,
@@ -217,7 +217,7 @@
   }
 }
 
-/// What was asked for on the command line.
+/// Options from the command line.
 struct options
 {
   std::string file;
@@ -265,7 +265,7 @@
   return made;
 }
 
-/// Runs the cells whose line holds the text, and tells all of them.
+/// Runs the cells whose description contains the text, and prints each of them.
 int
 ReplayOnly(const std::string& aText)
 {
--- a/test/matrix/report.hpp
+++ b/test/matrix/report.hpp
@@ -12,19 +12,19 @@
 
 namespace currantshed::matrix {
 
-/// A run that kept a promise badly.
+/// A run that violated an invariant.
 struct bad_run
 {
   plan cell;
   std::vector<breach> breaches;
 };
 
-/// One part of the matrix.
+/// Results of one part of the matrix.
 struct part_result
 {
   std::string name;
   std::size_t cells = 0;
-  /// Cells whose faults all struck.
+  /// Number of cells whose faults were all injected.
   std::size_t struck = 0;
   std::size_t changes = 0;
   std::size_t reads = 0;
@@ -34,7 +34,7 @@
   std::vector<std::string> unreached;
 };
 
-/// Whether a switched-off rule was seen, and where first.
+/// Whether a seeded bug was detected, and in which cell first.
 struct proof_result
 {
   variant broken = variant::kNone;
@@ -45,17 +45,18 @@
   std::string text;
 };
 
-/// Runs cells on several threads; the result does not depend on how many.
+/// Runs cells on several threads; the result does not depend on the number of
+/// threads.
 [[nodiscard]] part_result
 RunPart(std::string aName, const std::vector<plan>& aCells, unsigned aThreads);
 
-/// Looks for the first cell that shows each switched-off rule.
+/// Searches for the first cell that exposes each seeded bug.
 [[nodiscard]] std::vector<proof_result>
 RunProofs(unsigned aThreads);
 
-/// The program: `--ci`, `--json FILE`, `--seed N --count N`, `--threads N`,
-/// `--proofs`, `--verbose`. The exit code is zero when no promise was broken
-/// and every switched-off rule was seen.
+/// Runs the program with the flags `--ci`, `--json FILE`, `--seed N --count N`,
+/// `--threads N`, `--proofs`, `--verbose`. The exit code is zero if no
+/// invariant was violated and every seeded bug was detected.
 [[nodiscard]] int
 RunProgram(const std::vector<std::string>& aArguments);
 
--- a/test/matrix/rules.cpp
+++ b/test/matrix/rules.cpp
@@ -19,7 +19,8 @@
     aSettings.validity = kEndless;
   }
   if (Broken(variant::kAnswersDatedLate)) {
-    // Gateways come back soon to the pooler that woke up.
+    // A short suspicion time, so that gateways soon use a pooler again after
+    // its pause.
     aSettings.suspectFor = kShortSuspicion;
   }
 }
--- a/test/matrix/rules.hpp
+++ b/test/matrix/rules.hpp
@@ -11,8 +11,9 @@
 
 namespace currantshed::matrix {
 
-/// Stands between the engines and the world, and breaks one rule where the
-/// plan says so, to prove that the checker sees it. Breaks none by default.
+/// Intercepts messages between the engines and the simulated environment, and
+/// breaks the one rule that the plan names (seeded bug), to show that the
+/// checker detects it. Breaks none by default.
 class rules
 {
 public:
@@ -30,22 +31,23 @@
   void Settle(group::engine_settings& aSettings) const;
   void Settle(failover::coordinator_settings& aSettings) const;
 
-  /// A request on its way to a pooler.
+  /// Called for a request sent to a pooler.
   void Sent(gateway::send_to_pooler& aMessage);
 
-  /// A pooler's answer on its way to a gateway.
+  /// Called for an answer sent by a pooler to a gateway.
   void Answered(group::answer& aAnswer);
 
-  /// A gateway's answer on its way to its caller.
+  /// Called for an answer sent by a gateway to its caller.
   void Given(gateway::caller_answer& aAnswer) const;
 
-  /// A server's status on its way to an engine that confirms by it.
+  /// Called for a server's status before it reaches the engine that confirms a
+  /// primary by it.
   void Heard(upstream::server_status& aStatus,
              const upstream::server_status& aPrimary,
              clock::time_point& aAskedAt,
              clock::time_point aNow) const;
 
-  /// The group as an engine is told of it.
+  /// Returns the group description given to an engine.
   [[nodiscard]] group::description Described(group::description aGroup) const;
 
 private:
--- a/test/matrix/servers.cpp
+++ b/test/matrix/servers.cpp
@@ -353,8 +353,8 @@
   return result_set{ {}, {}, 1 };
 }
 
-// The unique key is checked again, since another transaction may have
-// committed it meanwhile; PostgreSQL lets the later insert wait instead.
+// The unique key is checked again, since another transaction may have committed
+// it in the meantime; PostgreSQL blocks the later insert instead.
 std::string
 server_group::Commit(server_session& aSession)
 {
@@ -414,7 +414,7 @@
   }
 }
 
-// Equal terms at one index mean equal logs up to it.
+// Equal terms at one index imply equal logs up to that index.
 void
 server_group::CopyLog(const server& aPrimary, server& aReplica) const
 {
--- a/test/matrix/servers.hpp
+++ b/test/matrix/servers.hpp
@@ -18,17 +18,18 @@
 
 namespace currantshed::matrix {
 
-/// A database server: its log and term, and whether it runs.
+/// A simulated database server: its log, its term, and whether it runs.
 struct server : test::fake_server
 {
-  /// When it last heard the primary that it follows.
+  /// Time of the last message from the primary that it follows.
   clock::time_point heardAt;
   bool alive = true;
-  /// Goes up when the server starts again; older connections are gone.
+  /// Incremented when the server restarts; connections of earlier incarnations
+  /// are closed.
   unsigned life = 1;
 };
 
-/// A server's side of one connection.
+/// The server's end of one connection.
 struct server_session
 {
   upstream::server_id server;
@@ -37,9 +38,9 @@
   std::optional<test::fake_transaction> transaction;
 };
 
-/// The three servers of one group by the rules that the project assumes of
-/// them, and the links between all parties. Callers' statements are
-/// `add VALUE`, `list` and `echo TEXT`.
+/// The three servers of one group, which behave as the project requires of its
+/// upstreams, and the links between all parties. Callers' statements are `add
+/// VALUE`, `list` and `echo TEXT`.
 class server_group
 {
 public:
@@ -49,7 +50,7 @@
   [[nodiscard]] const group::description& Description() const noexcept;
   void SetLeaving(const upstream::server_id& aServer, clock::duration aGrace);
 
-  /// The live primary of the highest term, or null.
+  /// The live primary with the highest term, or null.
   [[nodiscard]] server* Primary();
   [[nodiscard]] upstream::server_id PrimaryId();
   /// The first server that is not the primary.
@@ -66,7 +67,7 @@
                             position::term_id aTerm,
                             const upstream::server_id& aPrimary);
 
-  /// Runs a batch on a connection.
+  /// Runs a batch of statements on a connection.
   [[nodiscard]] upstream::reply Run(
     server_session& aSession,
     const std::vector<upstream::statement>& aStatements);
@@ -77,7 +78,7 @@
   [[nodiscard]] bool Linked(const std::string& aLeft,
                             const std::string& aRight) const;
 
-  /// Writes down what the servers hold at the end.
+  /// Records the servers' final state in the history.
   void Finish();
 
 private:
--- a/test/matrix/steps.cpp
+++ b/test/matrix/steps.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// An alternative of an action, and whether something answers it.
+/// One alternative of an action variant, and whether it is answered.
 struct row
 {
   std::string_view name;
@@ -42,7 +42,7 @@
   row{ "swap_configuration", true },
 };
 
-// A new action without its row stops the build here.
+// Fails to compile if an action variant has an alternative without a row.
 static_assert(kGatewayRows.size() == std::variant_size_v<gateway::action>);
 static_assert(kGroupRows.size() == std::variant_size_v<group::action>);
 static_assert(kFailoverRows.size() == std::variant_size_v<failover::action>);
--- a/test/matrix/steps.hpp
+++ b/test/matrix/steps.hpp
@@ -7,7 +7,7 @@
 
 namespace currantshed::matrix {
 
-/// Whose action a step belongs to.
+/// The engine that a step's action belongs to.
 enum class layer
 {
   kGateway,
@@ -16,8 +16,8 @@
   kApply,
 };
 
-/// When in an action's life: as it is asked for, after its effect, or as its
-/// answer is about to be taken.
+/// The moment within an action: when it is requested, after its effect, or just
+/// before its answer is handled.
 enum class moment
 {
   kAsked,
@@ -25,8 +25,8 @@
   kAnswered,
 };
 
-/// One place where a fault can strike: an alternative of an engine's action,
-/// at one moment.
+/// One injection point: an alternative of an engine's action variant, at one
+/// moment.
 struct step
 {
   std::string name;
@@ -35,11 +35,11 @@
   moment at = moment::kAsked;
 };
 
-/// Every step, made from the engines' own lists of actions.
+/// Every step, generated from the engines' action variants.
 [[nodiscard]] const std::vector<step>&
 Steps();
 
-/// Place of a step in the list.
+/// Index of a step in Steps().
 [[nodiscard]] std::size_t
 StepOf(layer aLayer, std::size_t aAlternative, moment aMoment);
 
--- a/test/matrix/store.hpp
+++ b/test/matrix/store.hpp
@@ -11,7 +11,8 @@
 
 namespace currantshed::matrix {
 
-/// The platform's store: keys under compare-and-swap, with its faults.
+/// A fake of the platform's store: keys with compare-and-swap, and injected
+/// faults.
 class fake_store
 {
 public:
@@ -23,7 +24,8 @@
   {
   }
 
-  /// Reads a key for a process; the answer goes by its own arrival.
+  /// Reads a key on behalf of a process; the answer is delivered through that
+  /// process's own arrival step.
   void Read(const std::string& aKey, const read_done& aDone)
   {
     mTimeline.In(Delay(), [this, aKey, aDone] {
--- a/test/matrix/surroundings.hpp
+++ b/test/matrix/surroundings.hpp
@@ -13,7 +13,7 @@
 
 namespace currantshed::matrix {
 
-/// What all parties of one run share.
+/// State shared by all parties of one run.
 struct surroundings
 {
   timeline& time;
@@ -24,7 +24,7 @@
   history& seen;
   std::mt19937_64& chance;
 
-  /// Time of one message on its way.
+  /// Random transit time of one message.
   [[nodiscard]] clock::duration Transit() const
   {
     constexpr unsigned kSpread = 1500;
--- a/test/matrix/tests/checker.cpp
+++ b/test/matrix/tests/checker.cpp
@@ -11,8 +11,8 @@
 using namespace currantshed::matrix;
 using std::chrono::milliseconds;
 
-// A run in which everything went well: two changes, one of them in a later
-// term, a read with the token and a bounded one.
+// A run without violations: two changes, one of them in a later term, a read
+// with the session token and a bounded read.
 history
 Good()
 {
--- a/test/matrix/timeline.hpp
+++ b/test/matrix/timeline.hpp
@@ -12,7 +12,7 @@
 
 namespace currantshed::matrix {
 
-/// Virtual time, and what happens in it.
+/// Virtual clock and event queue.
 class timeline
 {
 public:
@@ -20,7 +20,7 @@
 
   [[nodiscard]] clock::time_point Now() const noexcept { return mNow; }
 
-  /// Time since the beginning.
+  /// Time since the start of the run.
   [[nodiscard]] instant Since() const
   {
     return std::chrono::duration_cast<instant>(mNow - kStart);
@@ -33,7 +33,8 @@
         mNow.time_since_epoch()));
   }
 
-  /// Lets something happen; events of one time keep their order.
+  /// Schedules an event; events with equal times run in the order of
+  /// scheduling.
   void At(clock::time_point aTime, event aEvent)
   {
     mEvents.emplace(std::pair(std::max(aTime, mNow), ++mNumber),
@@ -45,7 +46,7 @@
     At(mNow + aTime, std::move(aEvent));
   }
 
-  /// Lets everything happen until the time since the beginning.
+  /// Runs all events up to the given time since the start.
   void RunUntil(instant aEnd)
   {
     const auto end = kStart + aEnd;
@@ -57,7 +58,7 @@
     mNow = end;
   }
 
-  /// Forgets all that has not happened.
+  /// Drops all pending events.
   void Clear() { mEvents.clear(); }
 
 private:
--- a/test/matrix/world.cpp
+++ b/test/matrix/world.cpp
@@ -14,7 +14,8 @@
 
 using std::chrono::milliseconds;
 
-// Callers begin, every fault ends, calls must succeed again, callers end.
+// Phases of a run: callers start, every fault ends, calls must succeed again,
+// callers stop.
 constexpr instant kCallersFrom = milliseconds(400);
 constexpr instant kHealAt = milliseconds(3000);
 constexpr instant kWorksFrom = milliseconds(6000);
@@ -317,8 +318,8 @@
   }
 }
 
-// The primary keeps its links to the pooler that leads unless it is cut off
-// wholly, so that it goes on believing that it leads.
+// Unless it is isolated completely, the primary keeps its links to the leading
+// pooler, so that it continues to consider itself primary.
 void
 world::Partition(const std::string& aServer, bool aWholly)
 {
@@ -334,7 +335,7 @@
   mTime.In(kPartition, [this] { mServers.HealAll(); });
 }
 
-// It comes back as what it was, with its log.
+// The server restarts with its previous role and log.
 void
 world::KillServer(const upstream::server_id& aServer)
 {
--- a/test/matrix/world.hpp
+++ b/test/matrix/world.hpp
@@ -15,24 +15,25 @@
 
 namespace currantshed::matrix {
 
-/// What came of one run.
+/// The result of one run.
 struct run_result
 {
   history seen;
-  /// Faults of the plan that struck.
+  /// Number of planned faults that were injected.
   unsigned struck = 0;
-  /// How often each step was reached while faults may strike.
+  /// How often each step was reached while faults may be injected.
   std::vector<unsigned> reached;
 };
 
-/// Two gateways, three poolers, one group of three servers, the platform's
-/// store, operators and callers, in virtual time, with the faults of a plan.
+/// Simulates two gateways, three poolers, one group of three servers, the
+/// platform's store, operators and callers in virtual time, and injects the
+/// faults of a plan.
 class world final : public injector
 {
 public:
   explicit world(const plan& aPlan);
 
-  /// Runs to the end and gives what was seen.
+  /// Runs the simulation to its end and returns its history.
   [[nodiscard]] run_result Run();
 
   [[nodiscard]] fate Reach(std::size_t aStep, process& aBy) override;
@@ -40,7 +41,8 @@
 private:
   void Begin();
   void Strike(fault aWhat, process& aBy, fate& aFate);
-  /// Strikes that only concern the message at hand; false for any other.
+  /// Applies a fault that affects the current message alone; returns false for
+  /// any other fault.
   [[nodiscard]] bool StrikeMessage(fault aWhat, fate& aFate);
   [[nodiscard]] bool StrikeServer(fault aWhat);
   [[nodiscard]] bool StrikeStore(fault aWhat);
@@ -57,7 +59,7 @@
   void Apply(const std::string& aDeclaration);
   [[nodiscard]] pooler_node& PoolerFor(process& aBy);
   [[nodiscard]] gateway_node& GatewayFor(process& aBy);
-  /// The poolers of live processes, in rank order.
+  /// The live poolers, in rank order.
   [[nodiscard]] std::vector<pooler_node*> Ranked();
 
   plan mPlan;
