--- a/standin/callers/main.cpp
+++ b/standin/callers/main.cpp
@@ -24,7 +24,7 @@
 using std::chrono::milliseconds;
 using clock_type = std::chrono::steady_clock;
 
-/// What all callers saw together.
+/// Totals over all callers.
 struct tally
 {
   std::uint64_t served = 0;
@@ -51,9 +51,9 @@
   unsigned seed = 1;
 };
 
-/// One caller: writes ever higher numbers to an item of its own, and reads it
-/// back. A read of its own session must show its last acknowledged number;
-/// nothing but the last attempts whose fate is unknown may show a higher one.
+/// One caller: writes increasing numbers to its own item and reads it back. A
+/// read in its own session must return the last acknowledged number; only
+/// attempts with an unknown outcome may show a higher one.
 class caller : public std::enable_shared_from_this<caller>
 {
 public:
@@ -77,7 +77,7 @@
 
   void Start()
   {
-    // Another run's items are none of this one's.
+    // The run id keeps this run's items apart from those of other runs.
     mItem = "item-" + mRun + "-" + std::to_string(mNumber);
     mDatabase = "group-" + std::to_string(mNumber % mGroups) + ".";
     mDatabase += mNumber % 2 == 0 ? "primary" : "read_your_writes";
@@ -104,7 +104,7 @@
     }
     const auto port = mPorts[mRandom() % mPorts.size()];
     mStream = std::make_shared<line_stream>(tcp::socket(mContext));
-    // What this session must see begins anew: it may be another's VM.
+    // A new session, which may be on another VM, has no writes of its own yet.
     mOwn = 0;
     mIsPrepared = false;
     mStream->Connect(
@@ -144,7 +144,7 @@
     });
   }
 
-  // An attempt whose fate is unknown may have taken effect.
+  // An attempt with an unknown outcome may have taken effect.
   void Forget(bool aUnknown)
   {
     const bool single = mStep == step::kWrite || mStep == step::kExecute;
@@ -302,8 +302,8 @@
               << (mInTransaction ? " in a transaction" : "") << ": " << mFailure
               << '\n';
     Forget(!promised);
-    // A failed transaction ends with its session; the pause is what the
-    // refusal asked for at most.
+    // A failed transaction ends with its session. The pause is at most the
+    // retry delay given in the refusal.
     mInTransaction = false;
     mStream->Close();
     Later(milliseconds{ 100 });
@@ -338,8 +338,8 @@
   /// Whether the open transaction has written.
   bool mHasWritten = false;
   std::uint64_t mRequests = 0;
-  // The last number tried, the last acknowledged in this session, and the
-  // highest that may be seen.
+  // The last number attempted, the last one acknowledged in this session, and
+  // the highest that a read may return.
   std::uint64_t mLast = 0;
   std::uint64_t mOwn = 0;
   std::uint64_t mHighest = 0;
@@ -388,7 +388,7 @@
     std::make_shared<caller>(context, ports, chosen, number, end, seen)
       ->Start();
   }
-  // Callers that hang beyond their end have had no answer.
+  // Callers that are still waiting 8 s after the end got no answer.
   context.run_for(chosen.length + milliseconds{ 8000 });
   std::cout << "{\"served\":" << seen.served
             << ",\"acknowledged\":" << seen.acknowledged
--- a/standin/proxy/main.cpp
+++ b/standin/proxy/main.cpp
@@ -31,8 +31,8 @@
   unsigned fan = 1;
 };
 
-/// Tunnels of one process, and the port on which they are told of faults: one
-/// line a connection, "PORT FAULT [MILLISECONDS]".
+/// The tunnels of one process and the control port, which takes one command per
+/// connection: "PORT FAULT [MILLISECONDS]".
 class proxy
 {
 public:
--- a/standin/proxy/tunnel.cpp
+++ b/standin/proxy/tunnel.cpp
@@ -11,7 +11,7 @@
 
 using std::chrono::milliseconds;
 
-// How often bytes that are held look whether they may go on.
+// Interval at which held data is checked for whether it may be forwarded.
 constexpr milliseconds kLook{ 10 };
 
 struct named_fault
--- a/standin/proxy/tunnel.hpp
+++ b/standin/proxy/tunnel.hpp
@@ -17,24 +17,24 @@
 
 using tcp = boost::asio::ip::tcp;
 
-/// What happens to the bytes of one way through the proxy.
+/// Fault applied to the bytes forwarded by one tunnel.
 enum class fault
 {
   kNone,
-  /// Each piece arrives later.
+  /// Each chunk is delayed.
   kDelay,
-  /// Nothing is passed on, on old connections and new ones, until the fault
+  /// Nothing is forwarded, on existing or new connections, until the fault
   /// ends.
   kHold,
-  /// The same for what comes back only.
+  /// The same, but for data from the target only.
   kHoldAnswers,
-  /// The connections of now pass on nothing any more, for good; new ones work.
+  /// Existing connections never forward anything again; new ones work.
   kSilence,
-  /// The connections of now are reset; new ones work.
+  /// Existing connections are reset; new ones work.
   kReset,
 };
 
-/// The fault of that name, none for an unknown one.
+/// Finds a fault by name; empty if the name is unknown.
 [[nodiscard]] std::optional<fault>
 FaultNamed(std::string_view aName);
 
@@ -44,7 +44,7 @@
   std::chrono::milliseconds delay{ 0 };
 };
 
-/// One connection and the one beyond the proxy that belongs to it.
+/// An accepted connection and its connection to the target.
 class pair final : public std::enable_shared_from_this<pair>
 {
 public:
@@ -53,7 +53,7 @@
        tcp::socket aNear);
 
   void Start(std::uint16_t aTarget);
-  /// Passes on nothing any more, and keeps both connections open.
+  /// Stops forwarding and keeps both connections open.
   void Silence() noexcept { mIsSilent = true; }
   void Reset();
   [[nodiscard]] bool IsOpen() const noexcept { return mIsOpen; }
@@ -91,7 +91,7 @@
   bool mIsOpen = true;
 };
 
-/// Listens on one port and passes connections on to another, on 127.0.0.1.
+/// Listens on one port and forwards connections to another, both on 127.0.0.1.
 class tunnel
 {
 public:
--- a/standin/upstream/command_line.hpp
+++ b/standin/upstream/command_line.hpp
@@ -7,7 +7,8 @@
 
 namespace currantshed::standin::postgres {
 
-/// Reads the program's flags; gives its exit code when it is not to run.
+/// Reads the command-line flags; returns the exit code if the program is to
+/// exit at once.
 [[nodiscard]] std::optional<int>
 ReadCommandLine(int aCount,
                 const char* const* aValues,
--- a/standin/upstream/control.cpp
+++ b/standin/upstream/control.cpp
@@ -51,7 +51,7 @@
   return answer;
 }
 
-// One request and its answer.
+// One HTTP request and its response.
 class exchange : public std::enable_shared_from_this<exchange>
 {
 public:
--- a/standin/upstream/control.hpp
+++ b/standin/upstream/control.hpp
@@ -11,8 +11,8 @@
 
 class server;
 
-/// HTTP for whoever tests with the stand-in: faults to order, and what the
-/// server holds. No fault touches it.
+/// HTTP control interface for tests: sets faults and reports the server's
+/// state. Injected faults don't affect it.
 class control
 {
 public:
--- a/standin/upstream/control_calls.cpp
+++ b/standin/upstream/control_calls.cpp
@@ -24,7 +24,7 @@
   std::string value;
 };
 
-// Undoes the encoding of a URL's query: %XX, and + for a space.
+// Decodes a URL query component: %XX, and + for a space.
 std::string
 Decode(std::string_view aText)
 {
@@ -124,7 +124,7 @@
   return cells;
 }
 
-// Runs a query on the committed data.
+// Runs a read-only query on the committed data.
 sql_outcome
 Dump(server& aServer, const std::string& aSql, std::string& aText)
 {
--- a/standin/upstream/control_calls.hpp
+++ b/standin/upstream/control_calls.hpp
@@ -8,11 +8,11 @@
 
 class server;
 
-/// How a call at the control port ended.
+/// Result status of a call at the control port.
 enum class call_status
 {
   kDone,
-  /// The call is there, but not with these values.
+  /// The call exists, but its parameters are invalid.
   kWrong,
   kUnknown,
 };
@@ -24,8 +24,8 @@
   std::string text;
 };
 
-/// Carries out one call, given by path and query; one that orders something
-/// is a POST, any other a GET.
+/// Executes one call, given by its path and query. Calls that set something use
+/// POST (aOrders is true), all others GET.
 [[nodiscard]] call_result
 AnswerCall(server& aServer, bool aOrders, std::string_view aTarget);
 
--- a/standin/upstream/database.cpp
+++ b/standin/upstream/database.cpp
@@ -16,8 +16,8 @@
 constexpr std::size_t kCacheLimit = 1000;
 constexpr std::uint64_t kMillisecondsPerSecond = 1000;
 
-// A failure of the stand-in itself, such as no memory, or a replay that
-// differs: there is nothing left to serve.
+// Exits the process after a failure of the stand-in itself, such as out of
+// memory or a replay whose result differs: its data can't be served.
 [[noreturn]] void
 Die(std::string_view aWhat)
 {
@@ -165,7 +165,7 @@
     aAffected += static_cast<std::uint64_t>(sqlite3_changes64(mHandle.get()));
   }
   if (found->Shape().changesData && ChangesSchema(aSql)) {
-    // Shapes may have changed.
+    // A schema change may alter the shapes of cached statements.
     mCache.clear();
   }
   return outcome;
--- a/standin/upstream/database.hpp
+++ b/standin/upstream/database.hpp
@@ -17,9 +17,9 @@
 
 using currantshed::upstream::statement;
 
-/// One SQLite database in memory, with one connection. Whatever would make a
-/// replay of the same statements differ is refused; the time functions give
-/// the time set by SetTime.
+/// One in-memory SQLite database with one connection. Refuses non-deterministic
+/// functions, which would give a different result on replay; the time functions
+/// return the time set by SetTime.
 class database
 {
 public:
@@ -28,11 +28,12 @@
   database& operator=(const database&) = delete;
   ~database();
 
-  /// Prepares a statement and gives its shape, valid until the next call.
+  /// Prepares a statement and returns its shape, valid until the next call.
   [[nodiscard]] sql_outcome Describe(const std::string& aSql,
                                      const statement_shape*& aShape);
 
-  /// Runs a statement to its end; adds the number of changed rows.
+  /// Runs a statement to its end and adds the number of changed rows to
+  /// aAffected.
   [[nodiscard]] sql_outcome Run(const std::string& aSql,
                                 const std::vector<cell>& aParameters,
                                 row_sink aSink,
@@ -43,7 +44,7 @@
   void Rollback();
   [[nodiscard]] bool InTransaction() const noexcept;
 
-  /// Becomes a copy of another database.
+  /// Replaces the contents by a copy of another database.
   void CopyFrom(database& aOther);
 
   void SetTime(std::uint64_t aUnixMs) noexcept;
--- a/standin/upstream/delayed_writer.hpp
+++ b/standin/upstream/delayed_writer.hpp
@@ -14,9 +14,9 @@
 
 namespace currantshed::standin::postgres {
 
-/// Writes to a socket in order, each piece no earlier than its delay after it
-/// was handed over: the delay of a link. What it hands to the event loop keeps
-/// the given owner alive.
+/// Writes to a socket in order, each chunk no earlier than its delay after
+/// Send, which simulates link latency. Pending asynchronous operations keep the
+/// given owner alive.
 class delayed_writer
 {
 public:
@@ -25,11 +25,11 @@
   void Send(const std::shared_ptr<void>& aOwner,
             std::string aBytes,
             clock::duration aDelay);
-  /// Writes nothing more, and drops what waits.
+  /// Stops writing and drops all pending chunks.
   void Freeze();
-  /// Sets what is called after each write, also a failed one.
+  /// Sets the callback invoked after each write, including a failed one.
   void OnWritten(std::function<void()> aWritten);
-  /// Bytes that wait or are being written.
+  /// Bytes that are pending or being written.
   [[nodiscard]] std::size_t Queued() const noexcept;
 
 private:
--- a/standin/upstream/faults.cpp
+++ b/standin/upstream/faults.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::string_view kVmPrefix = "vm:";
-// One hour is as good as for ever.
+// Longest delay accepted; no test runs for an hour.
 constexpr std::chrono::milliseconds kLongest = std::chrono::hours(1);
 
 bool
@@ -59,7 +59,7 @@
   return false;
 }
 
-// Several cuts may stand with commas between them; they replace those before.
+// Reads a comma-separated list of cuts, which replaces the previous one.
 bool
 faults::SetCut(std::string_view aValue)
 {
--- a/standin/upstream/faults.hpp
+++ b/standin/upstream/faults.hpp
@@ -9,14 +9,14 @@
 
 namespace currantshed::standin::postgres {
 
-/// The faults that a server is under at the moment.
+/// The faults currently injected into a server.
 struct faults
 {
-  /// Every connection is dead.
+  /// Every connection is cut.
   bool cutAll = false;
-  /// Connections between the servers are dead.
+  /// Connections between servers are cut.
   bool cutReplication = false;
-  /// Connections from these VMs are dead.
+  /// Connections from these VMs are cut.
   absl::flat_hash_set<std::string> cutVms;
   /// Time between storing a record and applying it.
   std::chrono::milliseconds lag{ 0 };
@@ -28,7 +28,7 @@
   [[nodiscard]] bool CutsReplication() const noexcept;
   [[nodiscard]] bool CutsVm(const std::string& aVm) const;
 
-  /// Changes one fault by its name and value; false when either is unknown.
+  /// Sets one fault by its name and value; returns false if either is unknown.
   [[nodiscard]] bool Set(std::string_view aName, std::string_view aValue);
 
 private:
--- a/standin/upstream/feed.cpp
+++ b/standin/upstream/feed.cpp
@@ -12,7 +12,7 @@
 
 using boost::system::error_code;
 
-// Bytes on their way to one replica.
+// Limit of unacknowledged bytes in flight to one replica.
 constexpr std::size_t kWindow = std::size_t{ 4 } << 20U;
 constexpr std::size_t kBatchSize = std::size_t{ 256 } << 10U;
 
--- a/standin/upstream/feed.hpp
+++ b/standin/upstream/feed.hpp
@@ -16,7 +16,7 @@
 
 class server;
 
-/// What a replica says first: the term it is in, and its log in short.
+/// First message of a replica: its current term, and a summary of its log.
 struct replica_hello
 {
   term_id term = 0;
@@ -28,32 +28,32 @@
 [[nodiscard]] std::optional<replica_hello>
 DecodeHello(std::string_view aBytes);
 
-/// Types of the messages between primary and replica.
+/// Message types between primary and replica.
 namespace replication {
-/// Primary: term, and the last record that both logs share.
+/// From the primary: its term, and the last record that both logs share.
 inline constexpr char kStart = 'S';
-/// Primary: index and bytes of one record.
+/// From the primary: index and bytes of one record.
 inline constexpr char kRecord = 'L';
-/// Primary: nothing new.
+/// From the primary: heartbeat without a record.
 inline constexpr char kHeartbeat = 'H';
-/// Replica: the last index stored.
+/// From the replica: the last index stored.
 inline constexpr char kStored = 'A';
 } // namespace replication
 
-/// One replica of this primary: sends it the records that it lacks, then each
-/// new one, and heartbeats.
+/// Replication stream to one replica of this primary: sends the records that it
+/// lacks, then each new one, and heartbeats.
 class feed : public std::enable_shared_from_this<feed>
 {
 public:
   feed(server& aServer, boost::asio::ip::tcp::socket aSocket);
 
-  /// Begins after the last record shared with the replica.
+  /// Starts after the last record shared with the replica.
   void Start(const replica_hello& aHello);
-  /// Sends records that have not been sent.
+  /// Sends the records not yet sent.
   void Pump();
   void Beat();
   void Close();
-  /// The last index that the replica stored, by its own word.
+  /// The last index that the replica reported as stored.
   [[nodiscard]] log_index Stored() const noexcept;
 
 private:
--- a/standin/upstream/journal.cpp
+++ b/standin/upstream/journal.cpp
@@ -47,7 +47,7 @@
   return true;
 }
 
-// The number of bytes that hold whole entries.
+// The number of bytes that hold complete entries.
 std::size_t
 TakeEntries(std::string_view aBytes, durable_state& aState)
 {
--- a/standin/upstream/journal.hpp
+++ b/standin/upstream/journal.hpp
@@ -9,20 +9,20 @@
 
 namespace currantshed::standin::postgres {
 
-/// What a server must not forget over a restart.
+/// State that a server must keep over a restart.
 struct durable_state
 {
   term_state terms;
   record_log log;
 };
 
-/// A file that keeps a server's term and log over a restart of its process;
-/// each change is written before it is answered. Without a path it keeps
-/// nothing.
+/// A file that holds a server's term and log over a restart of its process.
+/// Each change is written before it is answered. Without a path nothing is
+/// stored.
 class journal
 {
 public:
-  /// Opens the file and reads what it holds; an entry cut short at its end is
+  /// Opens the file and reads its contents; an incomplete entry at its end is
   /// dropped.
   journal(std::string aPath, durable_state& aState);
 
--- a/standin/upstream/log.cpp
+++ b/standin/upstream/log.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// The run that holds a record, which must be there.
+// Returns the run that contains a record, which must exist.
 const term_run&
 RunOf(const log_summary& aSummary, log_index aIndex) noexcept
 {
--- a/standin/upstream/log.hpp
+++ b/standin/upstream/log.hpp
@@ -17,17 +17,18 @@
 using position::log_position;
 using position::term_id;
 
-/// One committed transaction: the statements that changed data, in order.
-/// A record without statements opens a term.
+/// One committed transaction: the statements that changed data, in order. A
+/// record without statements starts a term.
 struct log_record
 {
   term_id term = 0;
-  /// Wall clock of the transaction's start, which its time functions give.
+  /// Wall-clock time of the transaction's start, in milliseconds since the Unix
+  /// epoch, which its time functions return.
   std::uint64_t beganMs = 0;
   std::vector<statement> statements;
 };
 
-/// Records of one term that follow one another.
+/// Consecutive records of one term.
 struct term_run
 {
   term_id term = 0;
@@ -37,29 +38,29 @@
                                        const term_run&) = default;
 };
 
-/// What two servers need to know of each other's log to find where the
-/// histories part: the terms in it, and where it ends.
+/// Summary of a log with which two servers find the point where their histories
+/// diverge: the terms in it, and its end.
 struct log_summary
 {
   std::vector<term_run> runs;
   log_index last = 0;
 
-  /// The term of a record; zero for none.
+  /// The term of a record; zero if there is none.
   [[nodiscard]] term_id TermAt(log_index aIndex) const noexcept;
 };
 
-/// The last record that two logs share. Right because a term has one primary,
-/// which only appends: records of the same term and index are the same, and so
-/// are all before them.
+/// The last record that two logs share. This is correct because a term has one
+/// primary, which only appends: records with the same term and index are the
+/// same, and so are all records before them.
 [[nodiscard]] log_index
 CommonPrefix(const log_summary& aOne, const log_summary& aOther) noexcept;
 
-/// The records of a group at one server, counted from 1.
+/// The records of a group at one server, numbered from 1.
 class record_log
 {
 public:
   void Append(log_record aRecord);
-  /// Drops all records above the index.
+  /// Drops all records after the index.
   void Truncate(log_index aLast);
 
   [[nodiscard]] const log_record& At(log_index aIndex) const;
@@ -72,11 +73,11 @@
   log_summary mSummary;
 };
 
-/// Appends a record's bytes, for a replica or a file.
+/// Appends the encoded record, for a replica or the journal.
 void
 EncodeRecord(const log_record& aRecord, std::string& aTarget);
 
-/// Reads what EncodeRecord made; none when it isn't that.
+/// Decodes a record encoded by EncodeRecord; empty if it is malformed.
 [[nodiscard]] std::optional<log_record>
 DecodeRecord(std::string_view aBytes);
 
--- a/standin/upstream/peers.hpp
+++ b/standin/upstream/peers.hpp
@@ -8,8 +8,8 @@
 
 namespace currantshed::standin::postgres {
 
-/// The address of a server in a list like `id=address:port,id=address:port`;
-/// none when it isn't there or malformed.
+/// Finds the address of a server in a list such as
+/// `id=address:port,id=address:port`; empty if it is missing or malformed.
 [[nodiscard]] std::optional<primary_address>
 FindPeer(std::string_view aPeers, std::string_view aId);
 
--- a/standin/upstream/permits.hpp
+++ b/standin/upstream/permits.hpp
@@ -6,7 +6,7 @@
 
 namespace currantshed::standin::postgres {
 
-/// Waits for a permit.
+/// Callback interface of a party that waits for a permit.
 class permit_waiter
 {
 public:
@@ -15,22 +15,22 @@
   permit_waiter& operator=(const permit_waiter&) = delete;
   virtual ~permit_waiter() = default;
 
-  /// A permit that was waited for is now held.
+  /// Called when the awaited permit has been granted.
   virtual void Granted() = 0;
 };
 
-/// A number of permits, handed out in the order of asking: a server's slots,
-/// or the right to write.
+/// A FIFO semaphore with a fixed number of permits: a server's slots, or the
+/// write lock.
 class permits
 {
 public:
   explicit permits(std::size_t aCount) noexcept;
 
-  /// Takes a permit; false when the waiter is queued instead.
+  /// Acquires a permit; returns false if the waiter was queued instead.
   [[nodiscard]] bool Take(permit_waiter& aWaiter);
-  /// Gives a permit back, or hands it to the first one that waits.
+  /// Releases a permit, or passes it to the first waiter in the queue.
   void Release();
-  /// Drops a waiter from the queue.
+  /// Removes a waiter from the queue.
   void Forget(const permit_waiter& aWaiter);
 
   [[nodiscard]] std::size_t InUse() const noexcept;
--- a/standin/upstream/prepared_statement.cpp
+++ b/standin/upstream/prepared_statement.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// The place of a parameter among those bound: $2 is the second, wherever it
-// stands.
+// The index of a parameter among the bound values: $2 is the second, wherever
+// it occurs in the statement.
 std::size_t
 ParameterNumber(sqlite3_stmt* aStatement, int aIndex)
 {
--- a/standin/upstream/prepared_statement.hpp
+++ b/standin/upstream/prepared_statement.hpp
@@ -18,21 +18,21 @@
 
 using currantshed::upstream::cell;
 
-/// The row at which a statement stands.
+/// The current row of a statement.
 class row_view
 {
 public:
   explicit row_view(sqlite3_stmt* aStatement) noexcept;
 
   [[nodiscard]] int size() const noexcept;
-  /// The value as text; none for NULL. Valid until the next row.
+  /// The value as text; empty for NULL. Valid until the next row.
   [[nodiscard]] std::optional<std::string_view> Cell(int aColumn) const;
 
 private:
   sqlite3_stmt* mStatement;
 };
 
-/// What is known of a statement before it runs.
+/// Properties of a statement that are known before it runs.
 struct statement_shape
 {
   std::vector<std::string> columns;
@@ -40,21 +40,21 @@
   std::size_t parameters = 0;
 };
 
-/// Takes one row; false ends the statement with an error.
+/// Receives one row; returning false aborts the statement with an error.
 using row_sink = absl::FunctionRef<bool(const row_view&)>;
 
-/// A statement that SQLite has prepared, to be run any number of times.
+/// A statement prepared by SQLite, which can be run any number of times.
 class prepared_statement
 {
 public:
-  /// Prepares the statement; comes before all else.
+  /// Prepares the statement; must be called before all other functions.
   [[nodiscard]] sql_outcome Prepare(sqlite3* aDatabase,
                                     const std::string& aSql);
 
   [[nodiscard]] const statement_shape& Shape() const noexcept;
 
-  /// Runs it to its end. Parameters go by their number: $2 is the second,
-  /// wherever it stands.
+  /// Runs the statement to its end. Parameters are bound by number: $2 is the
+  /// second, wherever it occurs in the statement.
   [[nodiscard]] sql_outcome Run(const std::vector<cell>& aParameters,
                                 row_sink aSink);
 
@@ -70,7 +70,7 @@
 
   std::unique_ptr<sqlite3_stmt, finalizer> mHandle;
   statement_shape mShape;
-  /// For each place of a parameter, its number.
+  /// The parameter number for each SQLite parameter index.
   std::vector<std::size_t> mNumbers;
 };
 
--- a/standin/upstream/replica_link.cpp
+++ b/standin/upstream/replica_link.cpp
@@ -142,7 +142,7 @@
   return end == message_end::kPartial && StoreDue();
 }
 
-// False when the primary doesn't keep to the protocol, or this server has
+// Returns false if the primary violates the protocol, or if this server has
 // left the term.
 bool
 replica_link::Take(const message& aMessage)
--- a/standin/upstream/replica_link.hpp
+++ b/standin/upstream/replica_link.hpp
@@ -20,16 +20,16 @@
 
 class server;
 
-/// A replica's connection to the primary of one term: connects once, stores
-/// what the primary sends, and tells what it has stored. When it breaks, it
-/// has the server make another a little later.
+/// A replica's connection to the primary of one term: connects once, stores the
+/// records received, and acknowledges them. After a disconnect it has the
+/// server create another link after the retry interval.
 class replica_link : public std::enable_shared_from_this<replica_link>
 {
 public:
   replica_link(server& aServer, term_id aTerm, primary_address aPrimary);
 
   void Start();
-  /// Ends the link; nothing is stored after this.
+  /// Closes the link; nothing is stored after this call.
   void Close();
 
 private:
--- a/standin/upstream/responses.cpp
+++ b/standin/upstream/responses.cpp
@@ -116,7 +116,8 @@
   writer.Int16(static_cast<std::int16_t>(aColumns.size()));
   for (const auto& name : aColumns) {
     writer.Text(name);
-    // Neither table nor column number, then type, size, modifier and format.
+    // Table OID and column number are zero; then follow type, size, modifier
+    // and format.
     writer.Int32(0);
     writer.Int16(0);
     writer.Int32(kTextType);
--- a/standin/upstream/responses.hpp
+++ b/standin/upstream/responses.hpp
@@ -12,19 +12,20 @@
 
 namespace currantshed::standin::postgres {
 
-/// The messages that a server sends, each appended to a buffer.
+/// Functions that append a server's messages to a buffer.
 void
 PutAuthenticated(std::string& aTarget);
 void
 PutReady(char aTransactionStatus, std::string& aTarget);
-/// A message without a body, by its type.
+/// Appends a message without a body, given its type.
 void
 PutEmpty(char aType, std::string& aTarget);
 void
 PutError(std::string_view aSeverity,
          const sql_error& aError,
          std::string& aTarget);
-/// The columns of a result, or the note that there are none.
+/// Appends the columns of a result (RowDescription), or NoData if there are
+/// none.
 void
 PutColumns(const std::vector<std::string>& aColumns, std::string& aTarget);
 void
@@ -34,7 +35,7 @@
 void
 PutTag(std::string_view aTag, std::string& aTarget);
 
-/// The columns of the row that the statements about a server answer with.
+/// The columns of the row that statements about the server return.
 [[nodiscard]] const std::vector<std::string>&
 StatusColumns();
 void
--- a/standin/upstream/server.cpp
+++ b/standin/upstream/server.cpp
@@ -37,7 +37,7 @@
   StartTerms(aSchema);
 }
 
-// A server that has no term yet begins in term 1.
+// Starts a server without a stored term in term 1.
 void
 server::StartTerms(const std::vector<std::string>& aSchema)
 {
@@ -159,7 +159,7 @@
   }
   if (mFaults.CutsReplication()) {
     CloseFeeds();
-    // Its next attempts wait until the cut is over.
+    // Its next connection attempts wait until the cut is over.
     FollowPrimary();
   }
   ApplyStored();
@@ -218,7 +218,7 @@
   });
 }
 
-// Records of one turn of the event loop go out together.
+// Sends all records of one event-loop iteration together.
 void
 server::Appended()
 {
--- a/standin/upstream/server.hpp
+++ b/standin/upstream/server.hpp
@@ -22,7 +22,7 @@
 
 namespace currantshed::standin::postgres {
 
-/// Counts of a server, for whoever checks it.
+/// Counters of a server, for checks by tests.
 struct server_counts
 {
   std::size_t connections = 0;
@@ -32,8 +32,8 @@
   std::uint64_t statementsRun = 0;
 };
 
-/// One database server of a group: all connections, the data and the faults,
-/// on the one thread that runs the io_context.
+/// One database server of a group, with its connections, data and faults;
+/// single-threaded, on the thread that runs the io_context.
 class server : public store_listener
 {
 public:
@@ -41,7 +41,7 @@
          server_settings aSettings,
          const std::vector<std::string>& aSchema);
 
-  /// Listens, and follows the first primary where there is one.
+  /// Starts listening, and follows the first primary if one is set.
   void Start();
 
   [[nodiscard]] boost::asio::io_context& Context() noexcept;
@@ -50,21 +50,21 @@
   [[nodiscard]] store& Data() noexcept;
   [[nodiscard]] shared_parts& Shared() noexcept;
   [[nodiscard]] server_counts Counts() const;
-  /// What each replica connected has stored.
+  /// The last index stored by each connected replica.
   [[nodiscard]] std::vector<log_index> ReplicaPositions() const;
 
   void SetFaults(faults aFaults);
 
-  /// Counts a connection; false when there are too many.
+  /// Registers a connection; returns false if the connection limit is reached.
   [[nodiscard]] bool Admit();
   void Leave(const std::shared_ptr<session>& aSession, bool aAdmitted);
   void Leave(const std::shared_ptr<feed>& aFeed);
-  /// Takes over the connection of a replica.
+  /// Starts replication on a connection accepted from a replica.
   void StartFeed(boost::asio::ip::tcp::socket aSocket, std::string_view aHello);
-  /// Applies stored records as they come due.
+  /// Applies stored records when their replication lag has passed.
   void ApplyStored();
 
-  /// Makes a new connection to the primary that is followed, if any.
+  /// Opens a new connection to the followed primary, if there is one.
   void FollowPrimary();
 
   void Appended() override;
--- a/standin/upstream/session.cpp
+++ b/standin/upstream/session.cpp
@@ -45,7 +45,8 @@
 {
   error_code ignored;
   mSocket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
-  // Output is held back when the caller doesn't read; go on once it does.
+  // Processing pauses while the caller doesn't read its output, and resumes
+  // once it does.
   mWriter.OnWritten([this] {
     if (!mInput.empty() && !mClosed) {
       Process();
@@ -123,8 +124,8 @@
     });
 }
 
-// What arrives over a cut link is lost. A connection that the server had
-// accepted stays as it is, since nothing tells the server that it has ended.
+// Data that arrives over a cut link is lost. A connection that the server had
+// accepted stays open, since nothing tells the server that the link is cut.
 void
 session::Discard(error_code aError)
 {
@@ -135,8 +136,9 @@
   }
 }
 
-// Runs all that can be run now. What a caller sent before it went away is run
-// too, as a server does that doesn't look at the socket while it works.
+// Runs all complete requests. Requests that a caller sent before it
+// disconnected are run too, as by a server that doesn't check the socket while
+// it executes.
 void
 session::Process()
 {
@@ -265,7 +267,7 @@
   PutReady('I', mOutput);
 }
 
-// Sends an error and closes.
+// Sends an error and closes the connection.
 void
 session::Reject(const sql_error& aError)
 {
@@ -290,7 +292,7 @@
       Refuse(*error);
       return;
     }
-    // A simple query is told its columns, but not that there are none.
+    // A simple query gets a RowDescription, but no NoData message.
     if (columns.front() == 'T') {
       mOutput += columns;
     }
@@ -316,8 +318,8 @@
   PutReady(mRunner.TransactionStatus(), mOutput);
 }
 
-// Answers with an error and skips what follows up to the next sync; for a
-// simple query that is the one queued with it.
+// Answers with an error and skips all messages up to the next Sync; for a
+// simple query that is the Sync queued with it.
 void
 session::Refuse(const sql_error& aError)
 {
--- a/standin/upstream/session.hpp
+++ b/standin/upstream/session.hpp
@@ -20,11 +20,11 @@
 
 class server;
 
-/// The first message of a connection from a replica has this number where a
-/// caller's has the version of the protocol.
+/// A replica sends this code in its first message, in the place of a caller's
+/// protocol version.
 inline constexpr std::int32_t kReplicationCode = 0x43530001;
 
-/// One connection of a caller: reads PostgreSQL's messages, runs them in
+/// One caller's connection: reads PostgreSQL protocol messages, runs them in
 /// order, and answers.
 class session : public std::enable_shared_from_this<session>
 {
@@ -33,17 +33,17 @@
 
   void Start();
   void Close();
-  /// Reads and answers nothing any more, as over a cut link.
+  /// Stops reading and answering, as over a cut link.
   void Freeze();
   [[nodiscard]] bool IsFrozen() const noexcept;
-  /// Closes the connection if a transaction is open and nothing was asked
+  /// Closes the connection if a transaction is open and no request has arrived
   /// since the given time.
   void CloseIfIdle(clock::time_point aSince);
-  /// The name of the application, which is the caller's VM.
+  /// The application_name, which holds the caller's VM.
   [[nodiscard]] const std::string& Vm() const noexcept;
 
 private:
-  /// A statement to run, or the end of an implicit transaction.
+  /// A queued step: a statement to run, or the end of an implicit transaction.
   struct step
   {
     bool sync = false;
@@ -71,7 +71,7 @@
   void Resume();
   void Flush();
   void Reject(const sql_error& aError);
-  /// A statement by its name, or none.
+  /// Finds a prepared statement by name; null if there is none.
   [[nodiscard]] const std::string* FindStatement(std::string_view aName);
 
   static constexpr std::size_t kReadSize = std::size_t{ 64 } << 10U;
--- a/standin/upstream/settings.hpp
+++ b/standin/upstream/settings.hpp
@@ -7,7 +7,7 @@
 
 namespace currantshed::standin::postgres {
 
-/// How one server is set up.
+/// Settings of one server.
 struct server_settings
 {
   std::string id;
@@ -18,19 +18,19 @@
   unsigned slots = 2;
   unsigned connections = 16;
   std::chrono::milliseconds connectDelay{ 0 };
-  /// How long a statement keeps its slot.
+  /// How long a statement holds its slot.
   std::chrono::microseconds serviceTime{ 0 };
-  /// Delay of each answer and each message of replication, one way.
+  /// One-way delay of each answer and each replication message.
   std::chrono::microseconds linkDelay{ 0 };
-  /// After this long without a statement an open transaction is ended.
+  /// Time without a statement after which an open transaction is ended.
   std::chrono::milliseconds transactionIdle{ 15000 };
-  /// `id=address:port` of the servers of the group, with commas between.
+  /// Servers of the group as a comma-separated list of `id=address:port`.
   std::string peers;
   /// The server that starts as primary of term 1.
   std::string firstPrimary;
-  /// A file of SQL, the first record of the first primary's log.
+  /// An SQL file, which becomes the first record of the first primary's log.
   std::string schemaFile;
-  /// Where term and log are kept; nowhere when empty.
+  /// File that stores term and log; nothing is stored if empty.
   std::string dataFile;
 };
 
--- a/standin/upstream/sql_error.cpp
+++ b/standin/upstream/sql_error.cpp
@@ -35,7 +35,8 @@
   std::string_view state;
 };
 
-// SQLite has one code for all of these, and tells them apart by the text.
+// SQLite reports all of these with one code, so they are told apart by the
+// message text.
 constexpr text_row kTexts[] = {
   { "no such table", "42P01" },       { "no such column", "42703" },
   { "has no column named", "42703" }, { "no such function", "42883" },
--- a/standin/upstream/sql_error.hpp
+++ b/standin/upstream/sql_error.hpp
@@ -10,26 +10,26 @@
 
 namespace currantshed::standin::postgres {
 
-/// What a caller is told about a statement that failed.
+/// The error that a caller gets for a failed statement.
 struct sql_error
 {
-  /// Five characters, as in PostgreSQL's list of error codes.
+  /// SQLSTATE code of five characters, from PostgreSQL's list of error codes.
   std::string state;
   std::string message;
 };
 
-/// Nothing, or why a statement failed.
+/// Empty on success, otherwise the error of the statement.
 using sql_outcome = std::optional<sql_error>;
 
-/// Turns SQLite's last error into one of PostgreSQL's.
+/// Converts SQLite's last error to a PostgreSQL error.
 [[nodiscard]] sql_error
 LastError(sqlite3* aDatabase);
 
-/// A refusal for the sake of the server's term.
+/// The error for a request that the server's term forbids.
 [[nodiscard]] sql_error
 StaleTerm(position::term_id aTerm);
 
-/// A change where none is allowed.
+/// The error for a change in a read-only transaction.
 [[nodiscard]] sql_error
 ReadOnly();
 
--- a/standin/upstream/sql_text.cpp
+++ b/standin/upstream/sql_text.cpp
@@ -10,8 +10,8 @@
 
 constexpr std::string_view kSpace = " \t\r\n\f;";
 
-// The offset after whatever begins at an offset: a quoted text, a comment, or
-// one character.
+// The offset after the token at an offset: a quoted string, a comment, or one
+// character.
 std::size_t
 Skip(std::string_view aText, std::size_t aOffset)
 {
--- a/standin/upstream/sql_text.hpp
+++ b/standin/upstream/sql_text.hpp
@@ -7,16 +7,16 @@
 
 namespace currantshed::standin::postgres {
 
-/// Takes a text apart at its semicolons, leaving out those in quotes and
-/// comments; empty statements are dropped.
+/// Splits a text at its semicolons, except those in quotes and comments; empty
+/// statements are dropped.
 [[nodiscard]] std::vector<std::string>
 SplitStatements(std::string_view aText);
 
-/// The first word of a statement in upper case; empty when there is none.
+/// The first word of a statement in upper case; empty if there is none.
 [[nodiscard]] std::string
 FirstWord(std::string_view aSql);
 
-/// Whether the statement has the words READ ONLY one after the other.
+/// Whether the statement contains the words READ ONLY in sequence.
 [[nodiscard]] bool
 SaysReadOnly(std::string_view aSql);
 
--- a/standin/upstream/statement_kind.hpp
+++ b/standin/upstream/statement_kind.hpp
@@ -7,11 +7,12 @@
 
 namespace currantshed::standin::postgres {
 
-/// What a statement asks of the server.
+/// Kinds of statements.
 enum class statement_kind
 {
   kEmpty,
-  /// The four statements about the server itself.
+  /// The four statements about the server itself: status, fence, promote and
+  /// follow.
   kStatus,
   kFence,
   kPromote,
@@ -19,9 +20,9 @@
   kBegin,
   kCommit,
   kRollback,
-  /// Settings of a session, accepted and ignored.
+  /// SET of a session variable, accepted and ignored.
   kSet,
-  /// All that the database runs.
+  /// Any statement that the database runs.
   kData,
 };
 
@@ -35,7 +36,7 @@
   return aKind >= statement_kind::kStatus && aKind <= statement_kind::kFollow;
 }
 
-/// PostgreSQL's tag for a statement that was run by the database.
+/// PostgreSQL's command tag for a statement that the database ran.
 [[nodiscard]] std::string
 DataTag(std::string_view aSql, std::uint64_t aRows, std::uint64_t aAffected);
 
--- a/standin/upstream/statement_runner.cpp
+++ b/standin/upstream/statement_runner.cpp
@@ -22,8 +22,8 @@
     std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
 }
 
-// A number among a statement's parameters; zero, which is no term and no
-// port, for anything else.
+// Reads a number from a statement's parameters; zero, which is neither a valid
+// term nor a valid port, for anything else.
 std::uint64_t
 Number(const statement& aStatement, std::size_t aIndex)
 {
@@ -202,7 +202,7 @@
   return std::nullopt;
 }
 
-// Whether the statement has a slot, and has kept it for its time of service.
+// Whether the statement holds a slot and its service time has passed.
 bool
 statement_runner::IsServed()
 {
--- a/standin/upstream/statement_runner.hpp
+++ b/standin/upstream/statement_runner.hpp
@@ -15,31 +15,31 @@
 
 namespace currantshed::standin::postgres {
 
-/// What all connections of a server share.
+/// Objects shared by all connections of a server.
 struct shared_parts
 {
   store& data;
   permits& slots;
-  /// The right to have the one open write transaction.
+  /// Lock held by the one open write transaction.
   permits& writeLock;
   std::chrono::microseconds serviceTime;
   std::uint64_t statementsRun = 0;
 };
 
-/// How a statement ended for now.
+/// Result of one attempt to run a statement.
 enum class run_end
 {
   kDone,
-  /// It waits for a slot, a lock or its time of service: to be run again
-  /// once the runner says so.
+  /// The statement waits for a slot, a lock or its service time; run it again
+  /// when the runner calls back.
   kWait,
   kFailed,
 };
 
-/// Runs the statements of one connection and keeps its transaction. A
-/// transaction that may write takes the write lock with its first statement
-/// on data. A statement on data waits for the lock first, then for a slot,
-/// which it keeps for its time of service.
+/// Runs the statements of one connection and holds its transaction. A
+/// transaction that may write takes the write lock with its first data
+/// statement. A data statement waits first for the lock, then for a slot, which
+/// it holds for its service time.
 class statement_runner
   : public permit_waiter
   , public write_owner
@@ -52,27 +52,29 @@
   statement_runner& operator=(const statement_runner&) = delete;
   ~statement_runner() override = default;
 
-  /// Ends what is open, and waits for nothing any more; comes before the
-  /// destruction.
+  /// Rolls back an open transaction and cancels all waits; must be called
+  /// before destruction.
   void Close();
 
-  /// Refuses every change from now on.
+  /// Refuses all changes from now on.
   void SetReadOnly();
 
-  /// Appends the columns that a statement will answer with.
+  /// Appends the columns that a statement will return.
   [[nodiscard]] sql_outcome Describe(const std::string& aSql,
                                      bool aWithParameters,
                                      std::string& aTarget);
-  /// Runs a statement and appends rows and tag.
+  /// Runs a statement and appends its rows and command tag.
   [[nodiscard]] run_end Run(const statement& aStatement, std::string& aTarget);
-  /// Why the last statement failed.
+  /// The error of the last failed statement.
   [[nodiscard]] const sql_error& Error() const noexcept;
 
-  /// The connection refused a message: a transaction in progress fails.
+  /// Called when the connection rejects a message: fails a transaction in
+  /// progress.
   void Fail();
-  /// Ends the transaction of statements outside one of their own.
+  /// Ends the implicit transaction of statements outside an explicit one.
   [[nodiscard]] sql_outcome Sync();
-  /// I for none, T for an open transaction, E for a failed one.
+  /// The transaction status byte of the protocol: I for none, T for an open
+  /// transaction, E for a failed one.
   [[nodiscard]] char TransactionStatus() const noexcept;
 
   void Granted() override;
@@ -84,7 +86,7 @@
     kNone,
     kOpen,
     kFailed,
-    /// Rolled back because of a new term.
+    /// Rolled back because the term changed.
     kLost,
   };
 
@@ -122,10 +124,10 @@
   bool mWriting = false;
   bool mHasSlot = false;
   bool mServed = false;
-  /// Which permit is waited for, if any.
+  /// The permits being waited for, or null.
   permits* mAwaited = nullptr;
   sql_error mError;
-  /// Tells a handler of the timer that the runner is gone.
+  /// Lets a timer handler detect that the runner was destroyed.
   std::shared_ptr<bool> mAlive = std::make_shared<bool>(true);
 };
 
--- a/standin/upstream/statement_runner_transaction.cpp
+++ b/standin/upstream/statement_runner_transaction.cpp
@@ -116,7 +116,7 @@
   }
 }
 
-// Rolls back what has not been committed, and gives lock and slot back.
+// Rolls back uncommitted changes and releases the write lock and the slot.
 void
 statement_runner::EndTransaction(transaction aState)
 {
--- a/standin/upstream/store.cpp
+++ b/standin/upstream/store.cpp
@@ -9,9 +9,10 @@
 
 namespace {
 
-// Records applied in one go, so that a long replay doesn't hold up the rest.
+// Maximum number of records applied per call, so that a long replay doesn't
+// block other work.
 constexpr int kApplyBatch = 500;
-// For records that no lag holds up.
+// Storage time of records that are applied without lag.
 constexpr clock::time_point kLongAgo{};
 
 bool
@@ -223,7 +224,8 @@
     mStoredAt.resize(aCommon - mApplied);
     return;
   }
-  // Some of it was applied: the data are built anew from the log.
+  // Truncated records had already been applied: the data is rebuilt from the
+  // log.
   mCommitted = std::make_unique<database>();
   mApplied = 0;
   mStoredAt.assign(aCommon, kLongAgo);
--- a/standin/upstream/store.hpp
+++ b/standin/upstream/store.hpp
@@ -19,7 +19,7 @@
 
 using currantshed::upstream::server_status;
 
-/// Whoever has the open write transaction of a server.
+/// Callback interface of the owner of a server's open write transaction.
 class write_owner
 {
 public:
@@ -28,11 +28,12 @@
   write_owner& operator=(const write_owner&) = delete;
   virtual ~write_owner() = default;
 
-  /// The transaction was rolled back because the server's term changed.
+  /// Called when the transaction was rolled back because the server's term
+  /// changed.
   virtual void Revoked() = 0;
 };
 
-/// Hears of changes of a store.
+/// Callback interface for changes of a store.
 class store_listener
 {
 public:
@@ -41,16 +42,16 @@
   store_listener& operator=(const store_listener&) = delete;
   virtual ~store_listener() = default;
 
-  /// Records were added to a primary's log.
+  /// Called when records were appended to a primary's log.
   virtual void Appended() = 0;
-  /// The term or the role has changed, or the primary that is followed.
+  /// Called when the term, the role or the followed primary has changed.
   virtual void TermsChanged() = 0;
 };
 
-/// One server's term, log and data. The committed data serve the readers,
-/// who are never held up; the one write transaction that may be open has data
-/// of its own, and its statements are replayed on the committed data once it
-/// commits, just as on a replica. Takes the time as a parameter.
+/// One server's term, log and data. Readers use the committed data and are
+/// never blocked. The one open write transaction has its own copy of the data;
+/// on commit its statements are replayed on the committed data, as on a
+/// replica. The current time is passed as a parameter.
 class store
 {
 public:
@@ -68,12 +69,12 @@
   [[nodiscard]] const term_state& Terms() const noexcept;
   [[nodiscard]] const record_log& Log() const noexcept;
 
-  /// Data as of the last record applied.
+  /// The data as of the last applied record.
   [[nodiscard]] database& Committed() noexcept;
-  /// Data as the open write transaction sees them.
+  /// The data as seen by the open write transaction.
   [[nodiscard]] database& Working() noexcept;
 
-  /// Opens the one write transaction; refused unless primary.
+  /// Opens the write transaction; refused unless this server is primary.
   [[nodiscard]] sql_outcome BeginWrite(write_owner& aOwner,
                                        std::uint64_t aUnixMs);
   /// Runs a statement in the open write transaction.
@@ -83,17 +84,18 @@
   void CommitWrite();
   void RollbackWrite();
 
-  /// A replica heard from the primary of the term it is in.
+  /// Records that a replica received a message from the primary of its current
+  /// term.
   void HeardFromPrimary(clock::time_point aNow);
-  /// Drops the records of a replica that its primary's history lacks.
+  /// Drops the replica's records that are not in its primary's log.
   void Align(log_index aCommon);
-  /// Stores a record from the primary of a term; false when that term's
-  /// records aren't taken any more.
+  /// Stores a record from the primary of a term; returns false if records of
+  /// that term are no longer accepted.
   [[nodiscard]] bool Store(term_id aTerm,
                            log_record aRecord,
                            clock::time_point aNow);
-  /// Applies what was stored at least the lag ago, up to a bound; gives the
-  /// time to call again.
+  /// Applies records stored at least the replication lag ago, up to a bounded
+  /// number; returns the time of the next call.
   [[nodiscard]] std::optional<clock::time_point> Apply(clock::time_point aNow,
                                                        clock::duration aLag);
 
@@ -112,7 +114,7 @@
   write_owner* mOwner = nullptr;
   log_record mOpen;
   log_index mApplied = 0;
-  /// When each record that is not applied was stored.
+  /// Time at which each unapplied record was stored.
   std::deque<clock::time_point> mStoredAt;
   clock::time_point mLastHeard;
 };
--- a/standin/upstream/term_state.hpp
+++ b/standin/upstream/term_state.hpp
@@ -12,14 +12,14 @@
 using currantshed::upstream::server_role;
 using position::term_id;
 
-/// What became of a question that names a term.
+/// Result of a request that names a term.
 enum class term_verdict
 {
   /// The state has changed.
   kChanged,
-  /// The state was that already.
+  /// The state was already the requested one.
   kSame,
-  /// Refused; nothing has changed.
+  /// Refused; the state is unchanged.
   kRefused,
 };
 
@@ -33,15 +33,15 @@
                                        const primary_address&) = default;
 };
 
-/// A server's term and role, and the rules by which they change. The term
-/// never goes down, and a server is primary of a term only after it was fenced
-/// at that very term.
+/// A server's term and role, and the rules for changing them. The term never
+/// decreases, and a server becomes primary of a term only after it was fenced
+/// in that same term.
 class term_state
 {
 public:
-  /// A server fenced before any term.
+  /// Starts fenced, without a term.
   term_state() = default;
-  /// As it was before a restart.
+  /// Restores the state from before a restart.
   term_state(term_id aTerm, server_role aRole, primary_address aPrimary);
 
   [[nodiscard]] term_verdict Fence(term_id aTerm);
@@ -54,7 +54,7 @@
 
   [[nodiscard]] term_id Term() const noexcept;
   [[nodiscard]] server_role Role() const noexcept;
-  /// For a replica, the primary that it follows.
+  /// The primary that a replica follows.
   [[nodiscard]] const primary_address& Primary() const noexcept;
 
 private:
--- a/standin/upstream/wire.hpp
+++ b/standin/upstream/wire.hpp
@@ -13,8 +13,8 @@
 
 using currantshed::upstream::cell;
 
-/// Appends messages of PostgreSQL's protocol, version 3, to a buffer: a type
-/// byte, a length that counts itself, then fields in network byte order.
+/// Appends messages of PostgreSQL's protocol version 3 to a buffer: a type
+/// byte, a length that includes itself, then fields in network byte order.
 class message_writer
 {
 public:
@@ -25,13 +25,13 @@
   void Int16(std::int16_t aValue);
   void Int32(std::int32_t aValue);
   void Int64(std::uint64_t aValue);
-  /// A text followed by a zero byte.
+  /// A string with a terminating zero byte.
   void Text(std::string_view aValue);
-  /// A length of four bytes, -1 for NULL, and the bytes.
+  /// A four-byte length, -1 for NULL, followed by the bytes.
   void Cell(std::optional<std::string_view> aValue);
   void End();
 
-  /// Sets an Int16 that was written before, by its offset in the buffer.
+  /// Overwrites an Int16 written before, given its offset in the buffer.
   void PatchInt16(std::size_t aOffset, std::int16_t aValue);
   [[nodiscard]] std::size_t Offset() const noexcept;
 
@@ -40,8 +40,8 @@
   std::size_t mLengthAt = 0;
 };
 
-/// Reads the fields of one message's body. Once a field is missing, Failed
-/// is true and all further fields are empty.
+/// Reads the fields of one message body. Once a field is missing, Failed
+/// returns true and all further fields are empty.
 class message_reader
 {
 public:
@@ -63,16 +63,16 @@
   bool mFailed = false;
 };
 
-/// One message of a byte stream.
+/// One message parsed from a byte stream.
 struct message
 {
   char type = 0;
   std::string_view body;
-  /// Bytes that it takes in the stream.
+  /// Size of the message in the stream, in bytes.
   std::size_t size = 0;
 };
 
-/// What the start of a byte stream holds.
+/// State of the data at the start of a byte stream.
 enum class message_end
 {
   kWhole,
@@ -80,10 +80,10 @@
   kMalformed,
 };
 
-/// Messages above this many bytes are malformed.
+/// Messages larger than this number of bytes are malformed.
 inline constexpr std::size_t kMessageLimit = std::size_t{ 64 } << 20U;
 
-/// Reads the message at the start of a stream. A startup message has no type
+/// Parses the message at the start of a stream. A startup message has no type
 /// byte.
 [[nodiscard]] message_end
 ReadMessage(std::string_view aStream, bool aStartup, message& aMessage);
