--- a/standin/upstream/control.cpp
+++ b/standin/upstream/control.cpp
@@ -29,7 +29,7 @@
   switch (aStatus) {
     case call_status::kDone:
       return http::status::ok;
-    case call_status::kWrong:
+    case call_status::kInvalid:
       return http::status::bad_request;
     default:
       return http::status::not_found;
@@ -41,8 +41,8 @@
 {
   const std::string_view target(aRequest.target().data(),
                                 aRequest.target().size());
-  const bool orders = aRequest.method() == http::verb::post;
-  auto result = AnswerCall(aServer, orders, target);
+  const bool isPost = aRequest.method() == http::verb::post;
+  auto result = AnswerCall(aServer, isPost, target);
   response answer(ToHttp(result.status), aRequest.version());
   answer.set(http::field::content_type, "application/json");
   answer.keep_alive(false);
--- a/standin/upstream/control_calls.cpp
+++ b/standin/upstream/control_calls.cpp
@@ -163,13 +163,13 @@
 {
   if (aQuery.size() != 1 || aQuery.front().name != "sql") {
     aText = R"({"error":"sql is missing"})";
-    return call_status::kWrong;
+    return call_status::kInvalid;
   }
   if (const auto error = Dump(aServer, aQuery.front().value, aText)) {
     const json::object body = { { "error", error->message },
                                 { "sql_state", error->state } };
     aText = json::serialize(body);
-    return call_status::kWrong;
+    return call_status::kInvalid;
   }
   return call_status::kDone;
 }
@@ -184,7 +184,7 @@
     if (!ordered.Set(name, value)) {
       const json::object body = { { "error", "unknown fault " + name } };
       aText = json::serialize(body);
-      return call_status::kWrong;
+      return call_status::kInvalid;
     }
   }
   aServer.SetFaults(std::move(ordered));
@@ -195,18 +195,18 @@
 } // namespace
 
 call_result
-AnswerCall(server& aServer, bool aOrders, std::string_view aTarget)
+AnswerCall(server& aServer, bool aIsPost, std::string_view aTarget)
 {
   const auto mark = std::min(aTarget.find('?'), aTarget.size());
   const auto path = aTarget.substr(0, mark);
   const auto query =
     ReadQuery(aTarget.substr(std::min(mark + 1, aTarget.size())));
   call_result result;
-  if (path == "/state" && !aOrders) {
+  if (path == "/state" && !aIsPost) {
     result.text = StateText(aServer);
-  } else if (path == "/dump" && !aOrders) {
+  } else if (path == "/dump" && !aIsPost) {
     result.status = AnswerDump(aServer, query, result.text);
-  } else if (path == "/fault" && aOrders) {
+  } else if (path == "/fault" && aIsPost) {
     result.status = AnswerFault(aServer, query, result.text);
   } else {
     result = { call_status::kUnknown, R"({"error":"unknown call"})" };
--- a/standin/upstream/control_calls.hpp
+++ b/standin/upstream/control_calls.hpp
@@ -13,7 +13,7 @@
 {
   kDone,
   /// The call exists, but its parameters are invalid.
-  kWrong,
+  kInvalid,
   kUnknown,
 };
 
@@ -25,9 +25,9 @@
 };
 
 /// Executes one call, given by its path and query. Calls that set something use
-/// POST (aOrders is true), all others GET.
+/// POST (aIsPost is true), all others GET.
 [[nodiscard]] call_result
-AnswerCall(server& aServer, bool aOrders, std::string_view aTarget);
+AnswerCall(server& aServer, bool aIsPost, std::string_view aTarget);
 
 } // namespace currantshed::standin::postgres
 
--- a/test/matrix/callers.cpp
+++ b/test/matrix/callers.cpp
@@ -13,35 +13,36 @@
 using outcome::verdict;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kPatience{ 2500 };
-constexpr milliseconds kAskAgain{ 250 };
-constexpr unsigned kAsks = 8;
+constexpr milliseconds kAnswerTimeout{ 2500 };
+constexpr milliseconds kRetryInterval{ 250 };
+constexpr unsigned kOutcomeQueries = 8;
 constexpr unsigned kThinkSpread = 50;
 // Think time once all faults have ended.
 constexpr unsigned kCalmSpread = 400;
 constexpr instant kBusyUntil = milliseconds(3500);
 const std::string kGroup = "claimsbook-1";
 
-told
-ToldBy(verdict aVerdict)
+told_outcome
+ToOutcome(verdict aVerdict)
 {
   switch (aVerdict) {
     case verdict::kDone:
-      return told::kDone;
+      return told_outcome::kDone;
     case verdict::kNotRun:
-      return told::kNotRun;
+      return told_outcome::kNotRun;
     case verdict::kUnknown:
-      return told::kUnknown;
+      return told_outcome::kUnknown;
     case verdict::kRefused:
       break;
   }
-  return told::kRefused;
+  return told_outcome::kRefused;
 }
 
 bool
-IsOpen(told aOutcome)
+IsOpen(told_outcome aOutcome)
 {
-  return aOutcome == told::kNothing || aOutcome == told::kUnknown;
+  return aOutcome == told_outcome::kNothing ||
+         aOutcome == told_outcome::kUnknown;
 }
 
 } // namespace
@@ -128,16 +129,16 @@
     read.bound = work.name == aClass ? work.maxStaleness : read.bound;
   }
   read.sent = mAround.time.Since();
-  Call(request, [=, this](const told_answer& aAnswer) mutable {
+  Call(request, [=, this](const received_answer& aAnswer) mutable {
     read.answered = mAround.time.Since();
     if (aAnswer) {
-      read.outcome = ToldBy(aAnswer->verdict);
+      read.outcome = ToOutcome(aAnswer->verdict);
       read.byReplica = aAnswer->byReplica;
       if (aWithToken && !aAnswer->session.empty()) {
         mToken = aAnswer->session;
       }
     }
-    if (read.outcome == told::kDone) {
+    if (read.outcome == told_outcome::kDone) {
       const auto& results = aAnswer->results;
       read.whole = results.size() == 2 && results[1].cells.size() == 1 &&
                    results[1].cells[0] == own;
@@ -186,15 +187,15 @@
   for (const auto& value : mAround.seen.changes[change].values) {
     request.statements.push_back({ "add " + value, {} });
   }
-  Call(request, [=, this](const told_answer& aAnswer) {
-    Told(change, request, aAnswer);
+  Call(request, [=, this](const received_answer& aAnswer) {
+    OnAnswer(change, request, aAnswer);
   });
 }
 
 void
-session_caller::Told(std::size_t aChange,
-                     const gateway::caller_request& aRequest,
-                     const told_answer& aAnswer)
+session_caller::OnAnswer(std::size_t aChange,
+                         const gateway::caller_request& aRequest,
+                         const received_answer& aAnswer)
 {
   Note(aChange, aAnswer);
   if (!IsOpen(mAround.seen.changes[aChange].outcome)) {
@@ -203,12 +204,12 @@
   }
   const bool again = aRequest.workClass == "draft" && mAround.chance() % 2 == 0;
   if (!again) {
-    AskOutcome(aChange, kAsks);
+    AskOutcome(aChange, kOutcomeQueries);
     return;
   }
   auto request = aRequest;
   request.session = mToken;
-  Call(request, [=, this](const told_answer& aSecond) {
+  Call(request, [=, this](const received_answer& aSecond) {
     // That the retry did not run says nothing about the first attempt, unless
     // the idempotency key itself is void.
     const bool settles = aSecond && (aSecond->verdict == verdict::kDone ||
@@ -216,12 +217,12 @@
     if (settles) {
       Note(aChange, aSecond);
     }
-    AskOutcome(aChange, kAsks);
+    AskOutcome(aChange, kOutcomeQueries);
   });
 }
 
 void
-session_caller::Note(std::size_t aChange, const told_answer& aAnswer)
+session_caller::Note(std::size_t aChange, const received_answer& aAnswer)
 {
   auto& change = mAround.seen.changes[aChange];
   change.answered = mAround.time.Since();
@@ -231,7 +232,7 @@
   if (!aAnswer->session.empty()) {
     mToken = aAnswer->session;
   }
-  change.outcome = ToldBy(aAnswer->verdict);
+  change.outcome = ToOutcome(aAnswer->verdict);
   change.servedBy = aAnswer->servedBy;
   change.repeated = aAnswer->repeated;
   change.why = std::to_string(static_cast<int>(aAnswer->why));
@@ -247,10 +248,10 @@
     Later();
     return;
   }
-  mAround.time.In(kAskAgain, [=, this] {
+  mAround.time.In(kRetryInterval, [=, this] {
     auto request = Request(call_kind::kOutcome, "");
     request.key = mAround.seen.changes[aChange].key;
-    Call(request, [=, this](const told_answer& aAnswer) {
+    Call(request, [=, this](const received_answer& aAnswer) {
       Note(aChange, aAnswer);
       if (aAnswer) {
         mAround.seen.changes[aChange].repeated = true;
@@ -266,10 +267,10 @@
   const auto change = Begin(2);
   auto request = Request(call_kind::kBegin, "report");
   request.key = mAround.seen.changes[change].key;
-  Call(request, [=, this](const told_answer& aAnswer) {
+  Call(request, [=, this](const received_answer& aAnswer) {
     const bool open = aAnswer && aAnswer->verdict == verdict::kDone;
     if (!open) {
-      mAround.seen.changes[change].outcome = told::kNotRun;
+      mAround.seen.changes[change].outcome = told_outcome::kNotRun;
       mAround.seen.changes[change].answered = mAround.time.Since();
       mAround.seen.changes[change].why = "not begun";
       Later();
@@ -293,13 +294,13 @@
   auto request = Request(call_kind::kStatement, "");
   request.transaction = aTransaction;
   request.statements = { { "add " + change.values[aRow], {} } };
-  Call(request, [=, this](const told_answer& aAnswer) {
+  Call(request, [=, this](const received_answer& aAnswer) {
     if (aAnswer && aAnswer->verdict == verdict::kDone) {
       TransactionRow(aChange, aTransaction, aRow + 1);
       return;
     }
     // The transaction is never committed.
-    mAround.seen.changes[aChange].outcome = told::kNotRun;
+    mAround.seen.changes[aChange].outcome = told_outcome::kNotRun;
     mAround.seen.changes[aChange].answered = mAround.time.Since();
     mAround.seen.changes[aChange].why = "not committed";
     Later();
@@ -311,8 +312,8 @@
 {
   auto request = Request(call_kind::kCommit, "");
   request.transaction = aTransaction;
-  Call(request, [=, this](const told_answer& aAnswer) {
-    Told(aChange, request, aAnswer);
+  Call(request, [=, this](const received_answer& aAnswer) {
+    OnAnswer(aChange, request, aAnswer);
   });
 }
 
@@ -327,17 +328,17 @@
     }
   }
   if (running.empty()) {
-    mAround.time.In(kAskAgain, [=, this] { Call(aRequest, aNext); });
+    mAround.time.In(kRetryInterval, [=, this] { Call(aRequest, aNext); });
     return;
   }
   auto* chosen = running[mAround.chance() % running.size()];
   const auto open = std::make_shared<bool>(true);
-  const auto take = [open, aNext](const told_answer& aAnswer) {
+  const auto take = [open, aNext](const received_answer& aAnswer) {
     if (std::exchange(*open, false)) {
       aNext(aAnswer);
     }
   };
-  mAround.time.In(kPatience, [take] { take(std::nullopt); });
+  mAround.time.In(kAnswerTimeout, [take] { take(std::nullopt); });
   chosen->Submit(aRequest, [=, this](const gateway::caller_answer& aAnswer) {
     const auto kept = std::make_shared<const gateway::caller_answer>(aAnswer);
     mAround.time.In(mAround.Transit(), [take, kept] { take(*kept); });
--- a/test/matrix/callers.hpp
+++ b/test/matrix/callers.hpp
@@ -28,8 +28,8 @@
 
 private:
   /// Empty if no answer arrived.
-  using told_answer = std::optional<gateway::caller_answer>;
-  using next_step = std::function<void(const told_answer&)>;
+  using received_answer = std::optional<gateway::caller_answer>;
+  using next_step = std::function<void(const received_answer&)>;
 
   void Next();
   void Later();
@@ -40,11 +40,11 @@
                       const std::string& aTransaction,
                       std::size_t aRow);
   void Commit(std::size_t aChange, const std::string& aTransaction);
-  void Told(std::size_t aChange,
-            const gateway::caller_request& aRequest,
-            const told_answer& aAnswer);
+  void OnAnswer(std::size_t aChange,
+                const gateway::caller_request& aRequest,
+                const received_answer& aAnswer);
   void AskOutcome(std::size_t aChange, unsigned aTries);
-  void Note(std::size_t aChange, const told_answer& aAnswer);
+  void Note(std::size_t aChange, const received_answer& aAnswer);
   [[nodiscard]] std::size_t Begin(std::size_t aRows);
   [[nodiscard]] std::string NewKey();
   [[nodiscard]] gateway::caller_request Request(
--- a/test/matrix/cells.cpp
+++ b/test/matrix/cells.cpp
@@ -108,13 +108,13 @@
   return cells;
 }
 
-const std::vector<proof>&
-Proofs()
+const std::vector<bug_search>&
+BugSearches()
 {
   using f = fault;
-  using p = promise;
-  using v = variant;
-  static const std::vector<proof> kProofs{
+  using p = invariant;
+  using v = seeded_bug;
+  static const std::vector<bug_search> kBugSearches{
     { v::kFloorDropped, p::kReadYourWrites, { f::kReplicaBehind } },
     { v::kBoundRaised, p::kBoundedStaleness, { f::kReplicaBehind } },
     { v::kConfirmationUnasked,
@@ -155,22 +155,23 @@
       { f::kGatewayStops, f::kPoolerStops } },
     { v::kConfigurationLastSeen, p::kConfigurationKept, { f::kStoreSlow } },
   };
-  return kProofs;
+  return kBugSearches;
 }
 
 std::vector<plan>
-CellsFor(const proof& aProof)
+CellsFor(const bug_search& aSearch)
 {
   std::vector<plan> cells;
   for (unsigned seed = 1; cells.size() < kMostSearched; ++seed) {
     for (std::size_t at = 0; at < Steps().size(); ++at) {
-      for (const auto what : aProof.faults) {
+      for (const auto what : aSearch.faults) {
         auto cell = Cell(what, at, LaterOccurrence(Steps()[at]) / 2 + 1);
         cell.seed = seed;
-        cell.broken = aProof.broken;
-        cell.injections.insert(
-          cell.injections.end(), aProof.besides.begin(), aProof.besides.end());
-        cell.failover = cell.failover || aProof.failover;
+        cell.broken = aSearch.broken;
+        cell.injections.insert(cell.injections.end(),
+                               aSearch.additional.begin(),
+                               aSearch.additional.end());
+        cell.failover = cell.failover || aSearch.failover;
         cells.push_back(cell);
       }
     }
--- a/test/matrix/cells.hpp
+++ b/test/matrix/cells.hpp
@@ -23,24 +23,24 @@
 
 /// A disabled rule (seeded bug): the violation the checker must report for it,
 /// and the plans to search.
-struct proof
+struct bug_search
 {
-  variant broken = variant::kNone;
-  promise expected = promise::kNothingLost;
+  seeded_bug broken = seeded_bug::kNone;
+  invariant expected = invariant::kNothingLost;
   /// Faults to inject, each one at every step.
   std::vector<fault> faults;
   /// Whether each plan includes a failover.
   bool failover = false;
   /// Additional faults in every plan.
-  std::vector<injection> besides = {};
+  std::vector<injection> additional = {};
 };
 
-[[nodiscard]] const std::vector<proof>&
-Proofs();
+[[nodiscard]] const std::vector<bug_search>&
+BugSearches();
 
 /// The plans to search for a seeded bug, in order.
 [[nodiscard]] std::vector<plan>
-CellsFor(const proof& aProof);
+CellsFor(const bug_search& aSearch);
 
 } // namespace currantshed::matrix
 
--- a/test/matrix/checker.cpp
+++ b/test/matrix/checker.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::array<std::string_view, kPromises> kNames{
+constexpr std::array<std::string_view, kInvariants> kNames{
   "nothing lost",
   "nothing doubled",
   "read your writes",
@@ -26,12 +26,12 @@
   "recovers",
 };
 
-using breaches = std::vector<breach>;
+using violations = std::vector<violation>;
 
 void
-Note(breaches& aOut, promise aPromise, std::string aText)
+Note(violations& aOut, invariant aInvariant, std::string aText)
 {
-  aOut.push_back({ aPromise, std::move(aText) });
+  aOut.push_back({ aInvariant, std::move(aText) });
 }
 
 std::string
@@ -68,21 +68,21 @@
 };
 
 void
-CheckChanges(breaches& aOut, const history& aHistory, const log_index& aLog)
+CheckChanges(violations& aOut, const history& aHistory, const log_index& aLog)
 {
   for (const auto& change : aHistory.changes) {
     for (const auto& value : change.values) {
       const auto count = aLog.Count(value);
-      if (change.outcome == told::kDone && count == 0) {
-        Note(aOut, promise::kNothingLost, Print(change) + " is gone");
+      if (change.outcome == told_outcome::kDone && count == 0) {
+        Note(aOut, invariant::kNothingLost, Print(change) + " is gone");
       }
       if (count > 1) {
-        Note(aOut, promise::kNothingDoubled, Print(change) + " ran twice");
+        Note(aOut, invariant::kNothingDoubled, Print(change) + " ran twice");
       }
-      const bool denied =
-        change.outcome == told::kNotRun || change.outcome == told::kRefused;
+      const bool denied = change.outcome == told_outcome::kNotRun ||
+                          change.outcome == told_outcome::kRefused;
       if (denied && count > 0) {
-        Note(aOut, promise::kTrueNotRun, Print(change) + " ran");
+        Note(aOut, invariant::kTrueNotRun, Print(change) + " ran");
       }
     }
   }
@@ -90,7 +90,7 @@
 
 /// Checks that each log record holds exactly one whole change.
 void
-CheckRecords(breaches& aOut, const history& aHistory)
+CheckRecords(violations& aOut, const history& aHistory)
 {
   std::map<std::string, const change_record*> owners;
   for (const auto& change : aHistory.changes) {
@@ -105,7 +105,7 @@
     const auto* owner = owners[record.values.front()];
     if (owner == nullptr || owner->values != record.values) {
       Note(aOut,
-           promise::kNothingMixed,
+           invariant::kNothingMixed,
            "a transaction of the log begins with " + record.values.front() +
              " and has " + std::to_string(record.values.size()) + " rows");
     }
@@ -127,16 +127,16 @@
 }
 
 void
-CheckPrimaries(breaches& aOut, const history& aHistory, const log_index& aLog)
+CheckPrimaries(violations& aOut, const history& aHistory, const log_index& aLog)
 {
   for (const auto& change : aHistory.changes) {
     const auto* primary = PrimaryAt(aHistory, change.answered);
-    if (change.outcome != told::kDone || primary == nullptr) {
+    if (change.outcome != told_outcome::kDone || primary == nullptr) {
       continue;
     }
     if (change.servedBy != primary->server) {
       Note(aOut,
-           promise::kNoReplacedPrimary,
+           invariant::kNoReplacedPrimary,
            Print(change) + " while " + primary->server + " led term " +
              std::to_string(primary->term));
       continue;
@@ -146,7 +146,7 @@
                        aHistory.log[place->second].term < primary->term;
     if (older) {
       Note(aOut,
-           promise::kNoReplacedPrimary,
+           invariant::kNoReplacedPrimary,
            Print(change) + " for an older term than " +
              std::to_string(primary->term));
     }
@@ -185,7 +185,7 @@
 }
 
 shown_values
-CheckValues(breaches& aOut,
+CheckValues(violations& aOut,
             const read_record& aRead,
             const value_index& aIndex,
             const log_index& aLog)
@@ -194,22 +194,23 @@
   for (const auto& value : aRead.values) {
     const auto number = aIndex.numbers.find(value);
     if (number == aIndex.numbers.end()) {
-      Note(aOut, promise::kNothingMixed, Print(aRead) + " shows " + value);
+      Note(aOut, invariant::kNothingMixed, Print(aRead) + " shows " + value);
       continue;
     }
     if (shown[number->second]) {
-      Note(aOut, promise::kNothingDoubled, Print(aRead) + " repeats " + value);
+      Note(
+        aOut, invariant::kNothingDoubled, Print(aRead) + " repeats " + value);
     }
     shown[number->second] = true;
     if (aLog.Count(value) == 0) {
-      Note(aOut, promise::kShownIsKept, Print(aRead) + " shows " + value);
+      Note(aOut, invariant::kShownIsKept, Print(aRead) + " shows " + value);
     }
   }
   return shown;
 }
 
 void
-CheckRead(breaches& aOut,
+CheckRead(violations& aOut,
           const read_record& aRead,
           const shown_values& aShown,
           const value_index& aIndex,
@@ -224,38 +225,38 @@
       });
     if (count != 0 && static_cast<std::size_t>(count) != adds.size()) {
       Note(aOut,
-           promise::kWholeAnswers,
+           invariant::kWholeAnswers,
            Print(aRead) + " has a part of " + Print(change));
     }
-    if (change.outcome != told::kDone || count != 0) {
+    if (change.outcome != told_outcome::kDone || count != 0) {
       continue;
     }
     if (aRead.withToken && change.session == aRead.session &&
         change.answered <= aRead.sent) {
       Note(aOut,
-           promise::kReadYourWrites,
+           invariant::kReadYourWrites,
            Print(aRead) + " lacks the session's " + Print(change));
     }
     if (change.answered <= aRead.sent - aRead.bound) {
       Note(aOut,
-           promise::kBoundedStaleness,
+           invariant::kBoundedStaleness,
            Print(aRead) + " lacks " + Print(change));
     }
   }
 }
 
 void
-CheckReads(breaches& aOut, const history& aHistory, const log_index& aLog)
+CheckReads(violations& aOut, const history& aHistory, const log_index& aLog)
 {
   const value_index index(aHistory);
   std::map<unsigned, shown_values> seen;
   for (const auto& read : aHistory.reads) {
-    if (read.outcome != told::kDone) {
+    if (read.outcome != told_outcome::kDone) {
       continue;
     }
     if (!read.whole) {
       Note(aOut,
-           promise::kWholeAnswers,
+           invariant::kWholeAnswers,
            "read " + std::to_string(read.number) + " got another answer");
       continue;
     }
@@ -269,7 +270,7 @@
     for (std::size_t at = 0; at < shown.size(); ++at) {
       if (before[at] && !shown[at]) {
         Note(aOut,
-             promise::kReadYourWrites,
+             invariant::kReadYourWrites,
              Print(read) + " lacks what its session saw before");
         break;
       }
@@ -279,7 +280,7 @@
 }
 
 void
-CheckLeaving(breaches& aOut, const history& aHistory)
+CheckLeaving(violations& aOut, const history& aHistory)
 {
   for (const auto& left : aHistory.leaving) {
     const auto late = std::count_if(
@@ -288,26 +289,26 @@
       });
     if (late > 0) {
       Note(aOut,
-           promise::kLeavingLeftAlone,
+           invariant::kLeavingLeftAlone,
            left.server + " got new work " + std::to_string(late) + " times");
     }
   }
 }
 
 void
-CheckStops(breaches& aOut, const history& aHistory)
+CheckStops(violations& aOut, const history& aHistory)
 {
   for (const auto& stop : aHistory.stops) {
     if (stop.cutOff > 0) {
       Note(aOut,
-           promise::kNothingCutAtStop,
+           invariant::kNothingCutAtStop,
            stop.process + " cut off " + std::to_string(stop.cutOff));
     }
   }
 }
 
 void
-CheckApplied(breaches& aOut, const history& aHistory)
+CheckApplied(violations& aOut, const history& aHistory)
 {
   for (const auto& applied : aHistory.applied) {
     const auto& stored = aHistory.stored;
@@ -315,28 +316,28 @@
       return aStored.declaration == applied.declaration;
     };
     const bool made = std::any_of(stored.begin(), stored.end(), holds);
-    if (applied.outcome == told::kDone && !made) {
+    if (applied.outcome == told_outcome::kDone && !made) {
       Note(aOut,
-           promise::kConfigurationKept,
+           invariant::kConfigurationKept,
            applied.declaration + " was accepted and is gone");
     }
-    if (applied.outcome == told::kNotRun && made) {
+    if (applied.outcome == told_outcome::kNotRun && made) {
       Note(aOut,
-           promise::kTrueNotRun,
+           invariant::kTrueNotRun,
            applied.declaration + " was denied and is in force");
     }
   }
 }
 
 void
-CheckVersions(breaches& aOut, const history& aHistory)
+CheckVersions(violations& aOut, const history& aHistory)
 {
   std::map<std::string, std::uint64_t> inForce;
   for (const auto& taken : aHistory.versions) {
     auto& before = inForce[taken.process];
     if (taken.version < before) {
       Note(aOut,
-           promise::kConfigurationKept,
+           invariant::kConfigurationKept,
            taken.process + " went back from version " + std::to_string(before) +
              " to " + std::to_string(taken.version));
     }
@@ -349,7 +350,7 @@
   for (const auto& process : aHistory.lastProcesses) {
     if (inForce[process] != last) {
       Note(aOut,
-           promise::kConfigurationKept,
+           invariant::kConfigurationKept,
            process + " ends at version " + std::to_string(inForce[process]) +
              " of " + std::to_string(last));
     }
@@ -357,17 +358,17 @@
 }
 
 void
-CheckRecovery(breaches& aOut, const history& aHistory)
+CheckRecovery(violations& aOut, const history& aHistory)
 {
   if (!aHistory.settled) {
-    Note(aOut, promise::kRecovers, "no single primary at the end");
+    Note(aOut, invariant::kRecovers, "no single primary at the end");
   }
   std::size_t late = 0;
   std::size_t done = 0;
   for (const auto& change : aHistory.changes) {
     if (change.sent >= aHistory.healed) {
       ++late;
-      done += change.outcome == told::kDone ? 1 : 0;
+      done += change.outcome == told_outcome::kDone ? 1 : 0;
     }
   }
   // A server that diverged is still being reintegrated at that time, which
@@ -375,7 +376,7 @@
   // required to succeed.
   if (done * 2 < late) {
     Note(aOut,
-         promise::kRecovers,
+         invariant::kRecovers,
          std::to_string(done) + " of " + std::to_string(late) +
            " late changes were done");
   }
@@ -384,15 +385,15 @@
 } // namespace
 
 std::string_view
-Name(promise aPromise)
+Name(invariant aInvariant)
 {
-  return kNames.at(static_cast<std::size_t>(aPromise));
+  return kNames.at(static_cast<std::size_t>(aInvariant));
 }
 
-std::vector<breach>
+std::vector<violation>
 Check(const history& aHistory)
 {
-  breaches out;
+  violations out;
   const log_index log(aHistory);
   CheckChanges(out, aHistory, log);
   CheckRecords(out, aHistory);
--- a/test/matrix/checker.hpp
+++ b/test/matrix/checker.hpp
@@ -11,7 +11,7 @@
 namespace currantshed::matrix {
 
 /// Invariants that every run must satisfy.
-enum class promise
+enum class invariant
 {
   kNothingLost,
   kNothingDoubled,
@@ -29,20 +29,20 @@
   /// Writes succeed again once all faults have ended.
   kRecovers,
 };
-constexpr std::size_t kPromises = 13;
+constexpr std::size_t kInvariants = 13;
 
 [[nodiscard]] std::string_view
-Name(promise aPromise);
+Name(invariant aInvariant);
 
 /// One violation of an invariant.
-struct breach
+struct violation
 {
-  promise broken = promise::kNothingLost;
+  invariant broken = invariant::kNothingLost;
   std::string text;
 };
 
 /// Checks the invariants of a run, using its history alone.
-[[nodiscard]] std::vector<breach>
+[[nodiscard]] std::vector<violation>
 Check(const history& aHistory);
 
 } // namespace currantshed::matrix
--- a/test/matrix/gateway_node.cpp
+++ b/test/matrix/gateway_node.cpp
@@ -16,7 +16,7 @@
 
 constexpr milliseconds kViewInterval{ 100 };
 constexpr milliseconds kDrainCheck{ 10 };
-constexpr milliseconds kTwin{ 20 };
+constexpr milliseconds kDuplicateDelay{ 20 };
 constexpr milliseconds kDeadline{ 1500 };
 constexpr milliseconds kLookupBound{ 300 };
 constexpr milliseconds kCatalogueBound{ 150 };
@@ -123,7 +123,7 @@
 void
 gateway_node::WaitForEnd()
 {
-  const bool atOnce = mAround.rules.Broken(variant::kStopsAtOnce);
+  const bool atOnce = mAround.rules.Broken(seeded_bug::kStopsAtOnce);
   if ((mEngine->Pending() > 0 || Busy()) && !atOnce) {
     mAround.time.In(kDrainCheck, Bind([this] { WaitForEnd(); }));
     return;
@@ -137,7 +137,7 @@
 }
 
 void
-gateway_node::Begun()
+gateway_node::CreateEngines()
 {
   mStopping = false;
   mVersion = 0;
@@ -164,9 +164,10 @@
   }
   for (auto& action : mEngine->TakeActions()) {
     const auto step = StepOf(layer::kGateway, action.index(), moment::kAsked);
-    Want(step, [this, wanted = std::move(action)](const fate& aFate) {
-      std::visit([&](const auto& aAction) { Do(aAction, aFate); }, wanted);
-    });
+    Enqueue(
+      step, [this, wanted = std::move(action)](const fault_effect& aEffect) {
+        std::visit([&](const auto& aAction) { Do(aAction, aEffect); }, wanted);
+      });
   }
 }
 
@@ -183,14 +184,15 @@
 }
 
 void
-gateway_node::Do(const gateway::send_to_pooler& aAction, const fate& aFate)
+gateway_node::Do(const gateway::send_to_pooler& aAction,
+                 const fault_effect& aEffect)
 {
   auto* pooler = Find(aAction.vm);
   if (pooler == nullptr || !pooler->Alive()) {
     mEngine->NotSent(aAction.request.id, mAround.time.Now());
     return;
   }
-  if (aFate.lost || !mAround.servers.Linked(VmName(), aAction.vm)) {
+  if (aEffect.lost || !mAround.servers.Linked(VmName(), aAction.vm)) {
     return;
   }
   auto message = aAction;
@@ -217,18 +219,19 @@
     arrived.request.deadline += mAround.time.Now() - sentAt;
     pooler->Receive(arrived, name, back);
   });
-  mAround.time.In(mAround.Transit() + aFate.delay, arrive);
-  if (aFate.twice) {
-    mAround.time.In(mAround.Transit() + kTwin, arrive);
+  mAround.time.In(mAround.Transit() + aEffect.delay, arrive);
+  if (aEffect.twice) {
+    mAround.time.In(mAround.Transit() + kDuplicateDelay, arrive);
   }
 }
 
 void
-gateway_node::Do(const gateway::cancel_at_pooler& aAction, const fate& aFate)
+gateway_node::Do(const gateway::cancel_at_pooler& aAction,
+                 const fault_effect& aEffect)
 {
   auto* pooler = Find(aAction.vm);
-  if (pooler != nullptr && pooler->Alive() && !aFate.lost) {
-    mAround.time.In(mAround.Transit() + aFate.delay,
+  if (pooler != nullptr && pooler->Alive() && !aEffect.lost) {
+    mAround.time.In(mAround.Transit() + aEffect.delay,
                     pooler->Bind([pooler, aAction, name = VmName()] {
                       pooler->Receive(aAction, name);
                     }));
@@ -236,7 +239,8 @@
 }
 
 void
-gateway_node::Do(const gateway::give_answer& aAction, const fate& aFate)
+gateway_node::Do(const gateway::give_answer& aAction,
+                 const fault_effect& aEffect)
 {
   const auto found = mWaiting.find(aAction.answer.number);
   if (found == mWaiting.end()) {
@@ -246,7 +250,7 @@
   mWaiting.erase(found);
   auto answer = aAction.answer;
   mAround.rules.Given(answer);
-  if (!aFate.lost) {
+  if (!aEffect.lost) {
     done(answer);
   }
 }
@@ -265,9 +269,10 @@
   }
   if (mEngine->Configure({ held.version, Classes() })) {
     mVersion = held.version;
-    mAround.seen.versions.push_back({ VmName() + "/" + std::to_string(Life()),
-                                      held.version,
-                                      held.declaration });
+    mAround.seen.versions.push_back(
+      { VmName() + "/" + std::to_string(StartCount()),
+        held.version,
+        held.declaration });
   }
 }
 
--- a/test/matrix/gateway_node.hpp
+++ b/test/matrix/gateway_node.hpp
@@ -41,7 +41,7 @@
   void Stop();
 
 protected:
-  void Begun() override;
+  void CreateEngines() override;
   void Ended() override;
   void Collect() override;
   void Tick() override;
@@ -55,9 +55,10 @@
     bool early = true;
   };
 
-  void Do(const gateway::send_to_pooler& aAction, const fate& aFate);
-  void Do(const gateway::cancel_at_pooler& aAction, const fate& aFate);
-  void Do(const gateway::give_answer& aAction, const fate& aFate);
+  void Do(const gateway::send_to_pooler& aAction, const fault_effect& aEffect);
+  void Do(const gateway::cancel_at_pooler& aAction,
+          const fault_effect& aEffect);
+  void Do(const gateway::give_answer& aAction, const fault_effect& aEffect);
   void AskForConfiguration();
   void WaitForEnd();
   [[nodiscard]] pooler_node* Find(const std::string& aVm) const;
--- a/test/matrix/history.hpp
+++ b/test/matrix/history.hpp
@@ -13,7 +13,7 @@
 using instant = std::chrono::microseconds;
 
 /// The outcome that a caller was told.
-enum class told
+enum class told_outcome
 {
   kNothing,
   kDone,
@@ -32,7 +32,7 @@
   std::string key;
   instant sent{ 0 };
   instant answered{ 0 };
-  told outcome = told::kNothing;
+  told_outcome outcome = told_outcome::kNothing;
   /// The server named in the answer.
   std::string servedBy;
   /// Whether the answer reports a change made earlier under the same
@@ -51,7 +51,7 @@
   std::chrono::milliseconds bound{ 0 };
   instant sent{ 0 };
   instant answered{ 0 };
-  told outcome = told::kNothing;
+  told_outcome outcome = told_outcome::kNothing;
   std::vector<std::string> values;
   /// Whether every statement was answered, each with its own result.
   bool whole = true;
@@ -109,7 +109,7 @@
 {
   std::string declaration;
   std::uint64_t version = 0;
-  told outcome = told::kNothing;
+  told_outcome outcome = told_outcome::kNothing;
 };
 
 /// Everything recorded in a run: the answers given to callers and operators,
--- a/test/matrix/injector.hpp
+++ b/test/matrix/injector.hpp
@@ -10,7 +10,7 @@
 class process;
 
 /// What the fault does to the current message.
-struct fate
+struct fault_effect
 {
   bool lost = false;
   bool twice = false;
@@ -24,7 +24,7 @@
   virtual ~injector() = default;
 
   /// Reports that a process reached a step, given by its index in Steps().
-  [[nodiscard]] virtual fate Reach(std::size_t aStep, process& aBy) = 0;
+  [[nodiscard]] virtual fault_effect Reach(std::size_t aStep, process& aBy) = 0;
 };
 
 } // namespace currantshed::matrix
--- a/test/matrix/operators.cpp
+++ b/test/matrix/operators.cpp
@@ -16,21 +16,21 @@
 constexpr std::chrono::milliseconds kTimeout{ 300 };
 const std::string kKey = "configuration";
 
-told
-ToldBy(store::apply_outcome aOutcome)
+told_outcome
+ToOutcome(store::apply_outcome aOutcome)
 {
   switch (aOutcome) {
     case store::apply_outcome::kApplied:
-      return told::kDone;
+      return told_outcome::kDone;
     case store::apply_outcome::kLostRace:
     case store::apply_outcome::kNotReached:
     case store::apply_outcome::kTooLarge:
-      return told::kNotRun;
+      return told_outcome::kNotRun;
     case store::apply_outcome::kUnknown:
     case store::apply_outcome::kUnreadable:
       break;
   }
-  return told::kUnknown;
+  return told_outcome::kUnknown;
 }
 
 } // namespace
@@ -49,7 +49,7 @@
 }
 
 void
-operator_call::Begun()
+operator_call::CreateEngines()
 {
   store::apply_request request;
   request.declaration = mDeclaration;
@@ -69,9 +69,10 @@
   }
   for (auto& action : mApplier->TakeActions()) {
     const auto step = StepOf(layer::kApply, action.index(), moment::kAsked);
-    Want(step, [this, wanted = std::move(action)](const fate& aFate) {
-      std::visit([&](const auto& aAction) { Do(aAction, aFate); }, wanted);
-    });
+    Enqueue(
+      step, [this, wanted = std::move(action)](const fault_effect& aEffect) {
+        std::visit([&](const auto& aAction) { Do(aAction, aEffect); }, wanted);
+      });
   }
   Note();
 }
@@ -97,12 +98,12 @@
   }
   mNoted = true;
   mAround.seen.applied.push_back(
-    { mDeclaration, result->version, ToldBy(result->outcome) });
+    { mDeclaration, result->version, ToOutcome(result->outcome) });
 }
 
 void
 operator_call::Do(const store::read_configuration& /*aAction*/,
-                  const fate& aFate)
+                  const fault_effect& aEffect)
 {
   const auto open = std::make_shared<bool>(true);
   const auto end = [this, open](bool aReached, const store::entry& aEntry) {
@@ -115,10 +116,10 @@
   };
   const auto lose = [end] { end(false, {}); };
   mAround.time.In(kTimeout, Bind(lose));
-  if (aFate.lost) {
+  if (aEffect.lost) {
     return;
   }
-  mAround.time.In(aFate.delay, [=, this] {
+  mAround.time.In(aEffect.delay, [=, this] {
     mAround.store.Read(
       kKey, [=, this](bool aReached, const store::entry& aEntry) {
         const auto struck =
@@ -136,7 +137,8 @@
 }
 
 void
-operator_call::Do(const store::swap_configuration& aAction, const fate& aFate)
+operator_call::Do(const store::swap_configuration& aAction,
+                  const fault_effect& aEffect)
 {
   const auto open = std::make_shared<bool>(true);
   const auto end = [this, open](store::swap_outcome aOutcome) {
@@ -146,10 +148,10 @@
   };
   const auto lose = [end] { end(store::swap_outcome::kUnknown); };
   mAround.time.In(kTimeout, Bind(lose));
-  if (aFate.lost) {
+  if (aEffect.lost) {
     return;
   }
-  mAround.time.In(aFate.delay, [=, this] {
+  mAround.time.In(aEffect.delay, [=, this] {
     mAround.store.Swap(
       kKey,
       aAction.value,
--- a/test/matrix/operators.hpp
+++ b/test/matrix/operators.hpp
@@ -21,15 +21,17 @@
   void Apply();
 
 protected:
-  void Begun() override;
+  void CreateEngines() override;
   void Ended() override {}
   void Collect() override;
   void Tick() override;
   [[nodiscard]] clock::time_point NextTick() const override;
 
 private:
-  void Do(const store::read_configuration& aAction, const fate& aFate);
-  void Do(const store::swap_configuration& aAction, const fate& aFate);
+  void Do(const store::read_configuration& aAction,
+          const fault_effect& aEffect);
+  void Do(const store::swap_configuration& aAction,
+          const fault_effect& aEffect);
   void Note();
 
   surroundings& mAround;
--- a/test/matrix/plan.cpp
+++ b/test/matrix/plan.cpp
@@ -21,7 +21,7 @@
   "primary leaves",      "gateway stops",         "pooler stops",
 };
 
-constexpr std::array<std::string_view, kVariants> kVariantNames{
+constexpr std::array<std::string_view, kSeededBugs> kSeededBugNames{
   "none",
   "session floor dropped",
   "staleness bound raised",
@@ -49,9 +49,9 @@
 }
 
 std::string_view
-Name(variant aVariant)
+Name(seeded_bug aBug)
 {
-  return kVariantNames.at(static_cast<std::size_t>(aVariant));
+  return kSeededBugNames.at(static_cast<std::size_t>(aBug));
 }
 
 std::string
--- a/test/matrix/plan.hpp
+++ b/test/matrix/plan.hpp
@@ -44,7 +44,7 @@
 
 /// Rules that can be disabled (seeded bugs), to show that the checker detects
 /// their violation.
-enum class variant
+enum class seeded_bug
 {
   kNone,
   kFloorDropped,
@@ -63,13 +63,13 @@
   kStopsAtOnce,
   kConfigurationLastSeen,
 };
-constexpr std::size_t kVariants = 16;
+constexpr std::size_t kSeededBugs = 16;
 
 [[nodiscard]] std::string_view
 Name(fault aFault);
 
 [[nodiscard]] std::string_view
-Name(variant aVariant);
+Name(seeded_bug aBug);
 
 /// One fault, injected the n-th time that a step is reached, counted from one.
 struct injection
@@ -87,7 +87,7 @@
   /// failover are reached.
   bool failover = false;
   std::uint64_t seed = 1;
-  variant broken = variant::kNone;
+  seeded_bug broken = seeded_bug::kNone;
 };
 
 /// Formats the plan as one line for reports.
--- a/test/matrix/pooler_node.cpp
+++ b/test/matrix/pooler_node.cpp
@@ -135,7 +135,7 @@
 void
 pooler_node::WaitForEnd()
 {
-  const bool atOnce = mAround.rules.Broken(variant::kStopsAtOnce);
+  const bool atOnce = mAround.rules.Broken(seeded_bug::kStopsAtOnce);
   if ((mEngine->Pending() > 0 || Busy()) && !atOnce) {
     mAround.time.In(kDrainCheck, Bind([this] { WaitForEnd(); }));
     return;
@@ -165,12 +165,13 @@
 const wire::configuration&
 pooler_node::Configuration() const
 {
-  return mAround.rules.Broken(variant::kConfigurationLastSeen) ? mLastSeen
-                                                               : mKeeper.Held();
+  return mAround.rules.Broken(seeded_bug::kConfigurationLastSeen)
+           ? mLastSeen
+           : mKeeper.Held();
 }
 
 void
-pooler_node::Begun()
+pooler_node::CreateEngines()
 {
   mStopping = false;
   group::engine_settings engine;
@@ -221,15 +222,17 @@
   }
   for (auto& action : mEngine->TakeActions()) {
     const auto step = StepOf(layer::kGroup, action.index(), moment::kAsked);
-    Want(step, [this, wanted = std::move(action)](const fate& aFate) {
-      std::visit([&](const auto& aAction) { Do(aAction, aFate); }, wanted);
-    });
+    Enqueue(
+      step, [this, wanted = std::move(action)](const fault_effect& aEffect) {
+        std::visit([&](const auto& aAction) { Do(aAction, aEffect); }, wanted);
+      });
   }
   for (auto& action : mCoordinator->TakeActions()) {
     const auto step = StepOf(layer::kFailover, action.index(), moment::kAsked);
-    Want(step, [this, wanted = std::move(action)](const fate& aFate) {
-      std::visit([&](const auto& aAction) { Do(aAction, aFate); }, wanted);
-    });
+    Enqueue(
+      step, [this, wanted = std::move(action)](const fault_effect& aEffect) {
+        std::visit([&](const auto& aAction) { Do(aAction, aEffect); }, wanted);
+      });
   }
 }
 
@@ -247,15 +250,17 @@
 }
 
 void
-pooler_node::Do(const group::open_connection& aAction, const fate& aFate)
+pooler_node::Do(const group::open_connection& aAction,
+                const fault_effect& aEffect)
 {
   const auto id = aAction.connection;
   const auto& target = mAround.servers.At(aAction.server);
   auto session = std::make_shared<server_session>();
   session->server = aAction.server;
   session->readOnly = aAction.readOnly;
-  session->life = target.life;
-  if (mAround.rules.Broken(variant::kConnectionShared) && !aAction.readOnly) {
+  session->startCount = target.startCount;
+  if (mAround.rules.Broken(seeded_bug::kConnectionShared) &&
+      !aAction.readOnly) {
     session = mShared.try_emplace(aAction.server, session).first->second;
   }
   mConnections[id] = { session, false, 0, false };
@@ -275,7 +280,7 @@
     const auto& server = mAround.servers.At(name);
     const bool reached =
       server.alive && !server.frozen && mAround.servers.Linked(VmName(), name);
-    if (!reached || server.life != found->second.session->life) {
+    if (!reached || server.startCount != found->second.session->startCount) {
       fail();
       return;
     }
@@ -286,16 +291,17 @@
   if (!Alive()) {
     return;
   }
-  if (aFate.lost || done.lost) {
+  if (aEffect.lost || done.lost) {
     mAround.time.In(kConnectTime, Bind(fail));
     return;
   }
-  mAround.time.In(kConnectTime + aFate.delay + done.delay,
+  mAround.time.In(kConnectTime + aEffect.delay + done.delay,
                   Arrival(answered, open, fail));
 }
 
 void
-pooler_node::Do(const group::close_connection& aAction, const fate& aFate)
+pooler_node::Do(const group::close_connection& aAction,
+                const fault_effect& aEffect)
 {
   const auto found = mConnections.find(aAction.connection);
   if (found == mConnections.end()) {
@@ -303,13 +309,13 @@
   }
   const auto session = found->second.session;
   mConnections.erase(found);
-  Carry(session->server, mAround.Transit() + aFate.delay, [session] {
+  Deliver(session->server, mAround.Transit() + aEffect.delay, [session] {
     session->transaction.reset();
   });
 }
 
 void
-pooler_node::Do(const group::run_batch& aAction, const fate& aFate)
+pooler_node::Do(const group::run_batch& aAction, const fault_effect& aEffect)
 {
   const auto id = aAction.connection;
   const auto found = mConnections.find(id);
@@ -318,15 +324,15 @@
   }
   found->second.batch = aAction.batch;
   found->second.running = true;
-  if (aFate.lost) {
+  if (aEffect.lost) {
     BreakLater(id);
     return;
   }
-  Carry(found->second.session->server,
-        mAround.Transit() + aFate.delay,
-        [this, id, batch = aAction, session = found->second.session] {
-          Execute(id, batch, session);
-        });
+  Deliver(found->second.session->server,
+          mAround.Transit() + aEffect.delay,
+          [this, id, batch = aAction, session = found->second.session] {
+            Execute(id, batch, session);
+          });
 }
 
 void
@@ -334,7 +340,7 @@
                      const group::run_batch& aBatch,
                      const std::shared_ptr<server_session>& aSession)
 {
-  if (mAround.servers.At(aSession->server).life != aSession->life) {
+  if (mAround.servers.At(aSession->server).startCount != aSession->startCount) {
     return;
   }
   const auto reply = std::make_shared<const upstream::reply>(
@@ -358,9 +364,9 @@
     mEngine->Replied(aConnection, batch, *reply, mAround.time.Now());
   };
   const auto answered = StepOf(layer::kGroup, 2, moment::kAnswered);
-  CarryBack(aSession->server,
-            mAround.Transit() + struck.delay,
-            Arrival(answered, take, lose));
+  DeliverBack(aSession->server,
+              mAround.Transit() + struck.delay,
+              Arrival(answered, take, lose));
 }
 
 void
@@ -370,7 +376,7 @@
   if (link == mConnections.end()) {
     return;
   }
-  if (mAround.rules.Broken(variant::kTornTakenWhole)) {
+  if (mAround.rules.Broken(seeded_bug::kTornTakenWhole)) {
     CutInHalf(aReply);
     link->second.running = false;
     mEngine->Replied(
@@ -409,7 +415,7 @@
 }
 
 void
-pooler_node::Do(const group::ask_status& aAction, const fate& aFate)
+pooler_node::Do(const group::ask_status& aAction, const fault_effect& aEffect)
 {
   question asked;
   asked.server = aAction.server;
@@ -430,11 +436,11 @@
     mAround.rules.Heard(status, primary, aAskedAt, now);
     mEngine->StatusArrived(server, status, aAskedAt, now);
   };
-  Ask(asked, aFate);
+  Ask(asked, aEffect);
 }
 
 void
-pooler_node::Do(const group::give_answer& aAction, const fate& aFate)
+pooler_node::Do(const group::give_answer& aAction, const fault_effect& aEffect)
 {
   const auto found = mOrigins.find(aAction.reply.request);
   if (found == mOrigins.end()) {
@@ -445,7 +451,7 @@
   const auto answer = std::make_shared<group::answer>(aAction.reply);
   answer->request = from.id;
   mAround.rules.Answered(*answer);
-  if (aFate.lost) {
+  if (aEffect.lost) {
     return;
   }
   const auto send = [=, incarnation = Incarnation()] {
@@ -453,14 +459,14 @@
   };
   // The message is already in transit, so it is delivered even if this process
   // is killed.
-  mAround.time.In(aFate.delay, send);
-  if (aFate.twice) {
-    mAround.time.In(aFate.delay + kBreakDelay, send);
+  mAround.time.In(aEffect.delay, send);
+  if (aEffect.twice) {
+    mAround.time.In(aEffect.delay + kBreakDelay, send);
   }
 }
 
 void
-pooler_node::Do(const failover::probe& aAction, const fate& aFate)
+pooler_node::Do(const failover::probe& aAction, const fault_effect& aEffect)
 {
   question asked;
   asked.server = aAction.server;
@@ -478,11 +484,11 @@
         server, *aStatus, aAskedAt, mAround.time.Now());
     }
   };
-  Ask(asked, aFate);
+  Ask(asked, aEffect);
 }
 
 void
-pooler_node::Do(const failover::fence& aAction, const fate& aFate)
+pooler_node::Do(const failover::fence& aAction, const fault_effect& aEffect)
 {
   const auto accepted = std::make_shared<bool>(false);
   question asked;
@@ -497,7 +503,7 @@
                                clock::time_point) {
     auto status = aStatus == nullptr ? upstream::server_status{} : *aStatus;
     bool good = aStatus != nullptr;
-    if (mAround.rules.Broken(variant::kFenceForged)) {
+    if (mAround.rules.Broken(seeded_bug::kFenceForged)) {
       status.term = aAction.term;
       status.role = upstream::server_role::kFenced;
       good = true;
@@ -505,11 +511,11 @@
     mCoordinator->FenceAnswered(
       aAction.server, aAction.term, good, status, mAround.time.Now());
   };
-  Ask(asked, aFate);
+  Ask(asked, aEffect);
 }
 
 void
-pooler_node::Do(const failover::promote& aAction, const fate& aFate)
+pooler_node::Do(const failover::promote& aAction, const fault_effect& aEffect)
 {
   question asked;
   asked.server = aAction.server;
@@ -528,11 +534,11 @@
                                                      : *aStatus,
                                   mAround.time.Now());
   };
-  Ask(asked, aFate);
+  Ask(asked, aEffect);
 }
 
 void
-pooler_node::Do(const failover::follow& aAction, const fate& aFate)
+pooler_node::Do(const failover::follow& aAction, const fault_effect& aEffect)
 {
   question asked;
   asked.server = aAction.server;
@@ -552,18 +558,19 @@
                                                     : *aStatus,
                                  mAround.time.Now());
   };
-  Ask(asked, aFate);
+  Ask(asked, aEffect);
 }
 
 void
-pooler_node::Do(const failover::read_record& /*aAction*/, const fate& aFate)
+pooler_node::Do(const failover::read_record& /*aAction*/,
+                const fault_effect& aEffect)
 {
-  if (aFate.lost) {
+  if (aEffect.lost) {
     return;
   }
   const auto done = StepOf(layer::kFailover, 4, moment::kDone);
   const auto answered = StepOf(layer::kFailover, 4, moment::kAnswered);
-  mAround.time.In(aFate.delay, [=, this] {
+  mAround.time.In(aEffect.delay, [=, this] {
     mAround.store.Read(
       kTermsKey, [=, this](bool aReached, const store::entry& aEntry) {
         const auto struck = mAround.faults.Reach(done, *this);
@@ -579,14 +586,15 @@
 }
 
 void
-pooler_node::Do(const failover::swap_record& aAction, const fate& aFate)
+pooler_node::Do(const failover::swap_record& aAction,
+                const fault_effect& aEffect)
 {
-  if (aFate.lost) {
+  if (aEffect.lost) {
     return;
   }
   const auto done = StepOf(layer::kFailover, 5, moment::kDone);
   const auto answered = StepOf(layer::kFailover, 5, moment::kAnswered);
-  mAround.time.In(aFate.delay, [=, this] {
+  mAround.time.In(aEffect.delay, [=, this] {
     mAround.store.Swap(
       kTermsKey,
       aAction.value,
@@ -604,24 +612,25 @@
 }
 
 void
-pooler_node::Do(const failover::announce& aAction, const fate& aFate)
+pooler_node::Do(const failover::announce& aAction, const fault_effect& aEffect)
 {
-  if (!aFate.lost) {
+  if (!aEffect.lost) {
     mNews = aAction;
   }
 }
 
 void
-pooler_node::Do(const failover::report_suspicion& aAction, const fate& aFate)
+pooler_node::Do(const failover::report_suspicion& aAction,
+                const fault_effect& aEffect)
 {
-  if (!aFate.lost) {
+  if (!aEffect.lost) {
     mWord = aAction.word;
   }
 }
 
 // Each query ends exactly once: with an answer in time, or with none.
 void
-pooler_node::Ask(const question& aQuestion, const fate& aFate)
+pooler_node::Ask(const question& aQuestion, const fault_effect& aEffect)
 {
   const auto askedAt = mAround.time.Now();
   const auto open = std::make_shared<bool>(true);
@@ -631,11 +640,11 @@
     }
   };
   mAround.time.In(aQuestion.patience, Bind(lose));
-  if (aFate.lost) {
+  if (aEffect.lost) {
     mAround.time.In(kBreakDelay, Bind(lose));
     return;
   }
-  Carry(aQuestion.server, mAround.Transit() + aFate.delay, [=, this] {
+  Deliver(aQuestion.server, mAround.Transit() + aEffect.delay, [=, this] {
     const bool accepted = aQuestion.effect();
     const auto status = mAround.servers.Status(aQuestion.server);
     const auto struck = mAround.faults.Reach(
@@ -651,16 +660,16 @@
     };
     const auto step =
       StepOf(aQuestion.of, aQuestion.alternative, moment::kAnswered);
-    CarryBack(aQuestion.server,
-              mAround.Transit() + struck.delay,
-              Arrival(step, take, lose));
+    DeliverBack(aQuestion.server,
+                mAround.Transit() + struck.delay,
+                Arrival(step, take, lose));
   });
 }
 
 void
-pooler_node::Carry(const upstream::server_id& aServer,
-                   clock::duration aDelay,
-                   std::function<void()> aEvent)
+pooler_node::Deliver(const upstream::server_id& aServer,
+                     clock::duration aDelay,
+                     std::function<void()> aEvent)
 {
   mAround.time.In(aDelay, [=, this, event = std::move(aEvent)] {
     const auto& target = mAround.servers.At(aServer);
@@ -668,7 +677,7 @@
       return;
     }
     if (target.frozen || !mAround.servers.Linked(VmName(), aServer)) {
-      Carry(aServer, kRetransmission, event);
+      Deliver(aServer, kRetransmission, event);
       return;
     }
     event();
@@ -676,13 +685,13 @@
 }
 
 void
-pooler_node::CarryBack(const upstream::server_id& aServer,
-                       clock::duration aDelay,
-                       std::function<void()> aEvent)
+pooler_node::DeliverBack(const upstream::server_id& aServer,
+                         clock::duration aDelay,
+                         std::function<void()> aEvent)
 {
   mAround.time.In(aDelay, [=, this, event = std::move(aEvent)] {
     if (!mAround.servers.Linked(VmName(), aServer)) {
-      CarryBack(aServer, kRetransmission, event);
+      DeliverBack(aServer, kRetransmission, event);
       return;
     }
     event();
@@ -724,11 +733,11 @@
       })();
     }
   };
-  const auto life = Life();
+  const auto startCount = StartCount();
   mAround.store.Read(
     kConfigurationKey,
-    [this, life, take](bool aReached, const store::entry& aEntry) {
-      if (Alive() && Life() == life) {
+    [this, startCount, take](bool aReached, const store::entry& aEntry) {
+      if (Alive() && StartCount() == startCount) {
         take(aReached, aEntry);
       }
     });
@@ -744,16 +753,17 @@
   (void)mKeeper.Offer(aOffered);
   mLastSeen = aOffered;
   if (Configuration().version != before) {
-    mAround.seen.versions.push_back({ VmName() + "/" + std::to_string(Life()),
-                                      Configuration().version,
-                                      Configuration().declaration });
+    mAround.seen.versions.push_back(
+      { VmName() + "/" + std::to_string(StartCount()),
+        Configuration().version,
+        Configuration().declaration });
   }
 }
 
 std::string
 pooler_node::Incarnation() const
 {
-  return VmName() + "-" + std::to_string(Life());
+  return VmName() + "-" + std::to_string(StartCount());
 }
 
 } // namespace currantshed::matrix
--- a/test/matrix/pooler_node.hpp
+++ b/test/matrix/pooler_node.hpp
@@ -54,7 +54,7 @@
   [[nodiscard]] const wire::configuration& Configuration() const;
 
 protected:
-  void Begun() override;
+  void CreateEngines() override;
   void Ended() override;
   void Collect() override;
   void Tick() override;
@@ -90,29 +90,30 @@
     std::function<void(const upstream::server_status*, clock::time_point)> done;
   };
 
-  void Do(const group::open_connection& aAction, const fate& aFate);
-  void Do(const group::close_connection& aAction, const fate& aFate);
-  void Do(const group::run_batch& aAction, const fate& aFate);
-  void Do(const group::ask_status& aAction, const fate& aFate);
-  void Do(const group::give_answer& aAction, const fate& aFate);
-  void Do(const failover::probe& aAction, const fate& aFate);
-  void Do(const failover::fence& aAction, const fate& aFate);
-  void Do(const failover::promote& aAction, const fate& aFate);
-  void Do(const failover::follow& aAction, const fate& aFate);
-  void Do(const failover::read_record& aAction, const fate& aFate);
-  void Do(const failover::swap_record& aAction, const fate& aFate);
-  void Do(const failover::announce& aAction, const fate& aFate);
-  void Do(const failover::report_suspicion& aAction, const fate& aFate);
-
-  void Ask(const question& aQuestion, const fate& aFate);
+  void Do(const group::open_connection& aAction, const fault_effect& aEffect);
+  void Do(const group::close_connection& aAction, const fault_effect& aEffect);
+  void Do(const group::run_batch& aAction, const fault_effect& aEffect);
+  void Do(const group::ask_status& aAction, const fault_effect& aEffect);
+  void Do(const group::give_answer& aAction, const fault_effect& aEffect);
+  void Do(const failover::probe& aAction, const fault_effect& aEffect);
+  void Do(const failover::fence& aAction, const fault_effect& aEffect);
+  void Do(const failover::promote& aAction, const fault_effect& aEffect);
+  void Do(const failover::follow& aAction, const fault_effect& aEffect);
+  void Do(const failover::read_record& aAction, const fault_effect& aEffect);
+  void Do(const failover::swap_record& aAction, const fault_effect& aEffect);
+  void Do(const failover::announce& aAction, const fault_effect& aEffect);
+  void Do(const failover::report_suspicion& aAction,
+          const fault_effect& aEffect);
+
+  void Ask(const question& aQuestion, const fault_effect& aEffect);
   /// Runs an event at a server once packets to it get through.
-  void Carry(const upstream::server_id& aServer,
-             clock::duration aDelay,
-             std::function<void()> aEvent);
+  void Deliver(const upstream::server_id& aServer,
+               clock::duration aDelay,
+               std::function<void()> aEvent);
   /// Runs an event here once packets from the server get through.
-  void CarryBack(const upstream::server_id& aServer,
-                 clock::duration aDelay,
-                 std::function<void()> aEvent);
+  void DeliverBack(const upstream::server_id& aServer,
+                   clock::duration aDelay,
+                   std::function<void()> aEvent);
   void Execute(group::connection_id aConnection,
                const group::run_batch& aBatch,
                const std::shared_ptr<server_session>& aSession);
--- a/test/matrix/process.hpp
+++ b/test/matrix/process.hpp
@@ -32,7 +32,7 @@
 
   [[nodiscard]] const std::string& VmName() const noexcept { return mName; }
   [[nodiscard]] bool Alive() const noexcept { return mAlive; }
-  [[nodiscard]] unsigned Life() const noexcept { return mLife; }
+  [[nodiscard]] unsigned StartCount() const noexcept { return mStartCount; }
   [[nodiscard]] bool Paused() const noexcept
   {
     return mPausedUntil > mTimeline.Now();
@@ -41,8 +41,9 @@
   /// Wraps an event so that it runs in the current incarnation only.
   [[nodiscard]] event Bind(event aEvent)
   {
-    return
-      [this, life = mLife, inner = std::move(aEvent)] { Take(life, inner); };
+    return [this, startCount = mStartCount, inner = std::move(aEvent)] {
+      Take(startCount, inner);
+    };
   }
 
   void Pause(clock::duration aTime)
@@ -55,7 +56,7 @@
   void Kill()
   {
     mAlive = false;
-    ++mLife;
+    ++mStartCount;
     mOutbox.clear();
     Ended();
   }
@@ -65,25 +66,25 @@
     mAlive = true;
     mPausedUntil = {};
     mTimerAt = {};
-    Begun();
+    CreateEngines();
     Perform();
   }
 
 protected:
   /// Creates the engines of a new incarnation.
-  virtual void Begun() = 0;
+  virtual void CreateEngines() = 0;
   virtual void Ended() = 0;
   /// Moves the engines' pending actions into the outbox.
   virtual void Collect() = 0;
   virtual void Tick() = 0;
   [[nodiscard]] virtual clock::time_point NextTick() const = 0;
 
-  using deed = std::function<void(const fate&)>;
+  using step_action = std::function<void(const fault_effect&)>;
 
   /// Queues an action, with the step reached when it is requested.
-  void Want(std::size_t aStep, deed aDeed)
+  void Enqueue(std::size_t aStep, step_action aAction)
   {
-    mOutbox.push_back({ aStep, std::move(aDeed), std::nullopt });
+    mOutbox.push_back({ aStep, std::move(aAction), std::nullopt });
   }
 
   /// Whether queued actions remain.
@@ -151,23 +152,23 @@
   [[nodiscard]] timeline& Time() const noexcept { return mTimeline; }
 
 private:
-  struct wanted
+  struct queued_action
   {
     std::size_t step = 0;
-    deed run;
-    std::optional<fate> struck;
+    step_action run;
+    std::optional<fault_effect> struck;
   };
 
   static constexpr std::chrono::microseconds kLeastStep{ 100 };
 
-  void Take(unsigned aLife, const event& aEvent)
+  void Take(unsigned aStartCount, const event& aEvent)
   {
-    if (aLife != mLife || !mAlive) {
+    if (aStartCount != mStartCount || !mAlive) {
       return;
     }
     if (Paused()) {
       mTimeline.At(mPausedUntil,
-                   [this, aLife, aEvent] { Take(aLife, aEvent); });
+                   [this, aStartCount, aEvent] { Take(aStartCount, aEvent); });
       return;
     }
     aEvent();
@@ -198,10 +199,10 @@
   std::string mName;
   bool mAlive = false;
   bool mPerforming = false;
-  unsigned mLife = 0;
+  unsigned mStartCount = 0;
   clock::time_point mPausedUntil;
   clock::time_point mTimerAt;
-  std::deque<wanted> mOutbox;
+  std::deque<queued_action> mOutbox;
 };
 
 } // namespace currantshed::matrix
--- a/test/matrix/report.cpp
+++ b/test/matrix/report.cpp
@@ -32,7 +32,7 @@
   bool struck = false;
   std::size_t changes = 0;
   std::size_t reads = 0;
-  std::vector<breach> breaches;
+  std::vector<violation> violations;
   std::vector<unsigned> reached;
 };
 
@@ -44,7 +44,7 @@
   result.struck = made.struck == aPlan.injections.size();
   result.changes = made.seen.changes.size();
   result.reads = made.seen.reads.size();
-  result.breaches = Check(made.seen);
+  result.violations = Check(made.seen);
   result.reached = std::move(made.reached);
   return result;
 }
@@ -86,16 +86,16 @@
   }
 }
 
-proof_result
-RunProof(const proof& aProof)
+bug_search_result
+RunBugSearch(const bug_search& aSearch)
 {
-  proof_result result;
-  result.broken = aProof.broken;
-  result.expected = aProof.expected;
-  for (const auto& cell : CellsFor(aProof)) {
+  bug_search_result result;
+  result.broken = aSearch.broken;
+  result.expected = aSearch.expected;
+  for (const auto& cell : CellsFor(aSearch)) {
     ++result.runs;
-    for (const auto& found : RunCell(cell).breaches) {
-      if (found.broken == aProof.expected) {
+    for (const auto& found : RunCell(cell).violations) {
+      if (found.broken == aSearch.expected) {
         result.caught = true;
         result.cell = Print(cell);
         result.text = found.text;
@@ -112,10 +112,10 @@
   std::cout << aPart.name << ": " << aPart.cells << " runs, in " << aPart.struck
             << " every fault struck, " << aPart.changes << " changes, "
             << aPart.reads << " reads, " << aPart.bad.size() << " in breach\n";
-  for (std::size_t at = 0; at < kPromises; ++at) {
-    if (aPart.runsInBreach[at] > 0) {
-      std::cout << "  " << Name(static_cast<promise>(at)) << ": "
-                << aPart.runsInBreach[at] << " runs\n";
+  for (std::size_t at = 0; at < kInvariants; ++at) {
+    if (aPart.runsInViolation[at] > 0) {
+      std::cout << "  " << Name(static_cast<invariant>(at)) << ": "
+                << aPart.runsInViolation[at] << " runs\n";
     }
   }
   for (const auto& name : aPart.unreached) {
@@ -125,18 +125,18 @@
   for (std::size_t at = 0; at < shown; ++at) {
     const auto& run = aPart.bad[at];
     std::cout << "  [" << Print(run.cell) << "]\n";
-    const auto texts = std::min(run.breaches.size(), kMostTexts);
+    const auto texts = std::min(run.violations.size(), kMostTexts);
     for (std::size_t text = 0; text < texts; ++text) {
-      std::cout << "    " << Name(run.breaches[text].broken) << ": "
-                << run.breaches[text].text << '\n';
+      std::cout << "    " << Name(run.violations[text].broken) << ": "
+                << run.violations[text].text << '\n';
     }
   }
 }
 
 void
-PrintProofs(const std::vector<proof_result>& aProofs)
+PrintBugSearches(const std::vector<bug_search_result>& aSearches)
 {
-  for (const auto& shown : aProofs) {
+  for (const auto& shown : aSearches) {
     std::cout << (shown.caught ? "caught  " : "MISSED  ") << Name(shown.broken)
               << " (" << Name(shown.expected) << ") after " << shown.runs
               << " runs";
@@ -151,13 +151,13 @@
 ToJson(const part_result& aPart)
 {
   json::object promises;
-  for (std::size_t at = 0; at < kPromises; ++at) {
-    promises[Name(static_cast<promise>(at))] = aPart.runsInBreach[at];
+  for (std::size_t at = 0; at < kInvariants; ++at) {
+    promises[Name(static_cast<invariant>(at))] = aPart.runsInViolation[at];
   }
   json::array bad;
   for (const auto& run : aPart.bad) {
     json::array texts;
-    for (const auto& found : run.breaches) {
+    for (const auto& found : run.violations) {
       texts.emplace_back(std::string(Name(found.broken)) + ": " + found.text);
     }
     bad.push_back(json::object{ { "cell", Print(run.cell) },
@@ -175,20 +175,20 @@
 }
 
 json::object
-ToJson(const proof_result& aProof)
+ToJson(const bug_search_result& aSearch)
 {
-  return { { "rule_switched_off", Name(aProof.broken) },
-           { "promise", Name(aProof.expected) },
-           { "caught", aProof.caught },
-           { "runs", aProof.runs },
-           { "cell", aProof.cell },
-           { "breach", aProof.text } };
+  return { { "rule_switched_off", Name(aSearch.broken) },
+           { "promise", Name(aSearch.expected) },
+           { "caught", aSearch.caught },
+           { "runs", aSearch.runs },
+           { "cell", aSearch.cell },
+           { "breach", aSearch.text } };
 }
 
 void
 WriteJson(const std::string& aFile,
           const std::vector<part_result>& aParts,
-          const std::vector<proof_result>& aProofs)
+          const std::vector<bug_search_result>& aSearches)
 {
   json::array steps;
   for (const auto& listed : Steps()) {
@@ -202,14 +202,14 @@
   for (const auto& part : aParts) {
     parts.push_back(ToJson(part));
   }
-  json::array proofs;
-  for (const auto& proof : aProofs) {
-    proofs.push_back(ToJson(proof));
+  json::array searches;
+  for (const auto& found : aSearches) {
+    searches.push_back(ToJson(found));
   }
   const json::object all{ { "steps", std::move(steps) },
                           { "faults", std::move(faults) },
                           { "parts", std::move(parts) },
-                          { "switched_off_rules", std::move(proofs) } };
+                          { "switched_off_rules", std::move(searches) } };
   std::ofstream out(aFile);
   out << json::serialize(all) << '\n';
   if (!out) {
@@ -309,27 +309,27 @@
     part.struck += result.struck ? 1 : 0;
     part.changes += result.changes;
     part.reads += result.reads;
-    std::array<bool, kPromises> broken{};
-    for (const auto& found : result.breaches) {
+    std::array<bool, kInvariants> broken{};
+    for (const auto& found : result.violations) {
       broken.at(static_cast<std::size_t>(found.broken)) = true;
     }
-    for (std::size_t which = 0; which < kPromises; ++which) {
-      part.runsInBreach[which] += broken[which] ? 1 : 0;
+    for (std::size_t which = 0; which < kInvariants; ++which) {
+      part.runsInViolation[which] += broken[which] ? 1 : 0;
     }
-    if (!result.breaches.empty()) {
-      part.bad.push_back({ aCells[at], std::move(result.breaches) });
+    if (!result.violations.empty()) {
+      part.bad.push_back({ aCells[at], std::move(result.violations) });
     }
   }
   return part;
 }
 
-std::vector<proof_result>
-RunProofs(unsigned aThreads)
+std::vector<bug_search_result>
+RunBugSearches(unsigned aThreads)
 {
-  const auto& proofs = Proofs();
-  std::vector<proof_result> results(proofs.size());
-  Spread(proofs.size(), aThreads, [&](std::size_t aAt) {
-    results[aAt] = RunProof(proofs[aAt]);
+  const auto& searches = BugSearches();
+  std::vector<bug_search_result> results(searches.size());
+  Spread(searches.size(), aThreads, [&](std::size_t aAt) {
+    results[aAt] = RunBugSearch(searches[aAt]);
   });
   return results;
 }
@@ -342,24 +342,24 @@
     return ReplayOnly(asked.only);
   }
   std::vector<part_result> parts;
-  std::vector<proof_result> proofs;
+  std::vector<bug_search_result> searches;
   if (asked.seeded) {
     parts.push_back(
       RunPart("pairs", PairCells(asked.seed, asked.count), asked.threads));
   } else if (asked.proofsOnly) {
-    proofs = RunProofs(asked.threads);
+    searches = RunBugSearches(asked.threads);
   } else {
     parts.push_back(RunPart("single", SingleCells(), asked.threads));
     parts.push_back(RunPart("twice", DoubleCells(), asked.threads));
     parts.push_back(RunPart("pairs", PairCells(1, kPairsInCi), asked.threads));
-    proofs = RunProofs(asked.threads);
+    searches = RunBugSearches(asked.threads);
   }
   for (const auto& part : parts) {
     PrintPart(part);
   }
-  PrintProofs(proofs);
+  PrintBugSearches(searches);
   if (!asked.file.empty()) {
-    WriteJson(asked.file, parts, proofs);
+    WriteJson(asked.file, parts, searches);
   }
   const bool kept =
     std::all_of(parts.begin(), parts.end(), [](const part_result& aPart) {
@@ -367,9 +367,9 @@
     });
   const bool complete =
     parts.empty() || asked.seeded || parts.front().unreached.empty();
-  const bool proved =
-    std::all_of(proofs.begin(), proofs.end(), [](const proof_result& aProof) {
-      return aProof.caught;
+  const bool proved = std::all_of(
+    searches.begin(), searches.end(), [](const bug_search_result& aSearch) {
+      return aSearch.caught;
     });
   return kept && proved && complete ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/test/matrix/report.hpp
+++ b/test/matrix/report.hpp
@@ -16,7 +16,7 @@
 struct bad_run
 {
   plan cell;
-  std::vector<breach> breaches;
+  std::vector<violation> violations;
 };
 
 /// Results of one part of the matrix.
@@ -28,17 +28,17 @@
   std::size_t struck = 0;
   std::size_t changes = 0;
   std::size_t reads = 0;
-  std::array<std::size_t, kPromises> runsInBreach{};
+  std::array<std::size_t, kInvariants> runsInViolation{};
   std::vector<bad_run> bad;
   /// Steps that no cell reached.
   std::vector<std::string> unreached;
 };
 
 /// Whether a seeded bug was detected, and in which cell first.
-struct proof_result
+struct bug_search_result
 {
-  variant broken = variant::kNone;
-  promise expected = promise::kNothingLost;
+  seeded_bug broken = seeded_bug::kNone;
+  invariant expected = invariant::kNothingLost;
   bool caught = false;
   std::size_t runs = 0;
   std::string cell;
@@ -51,8 +51,8 @@
 RunPart(std::string aName, const std::vector<plan>& aCells, unsigned aThreads);
 
 /// Searches for the first cell that exposes each seeded bug.
-[[nodiscard]] std::vector<proof_result>
-RunProofs(unsigned aThreads);
+[[nodiscard]] std::vector<bug_search_result>
+RunBugSearches(unsigned aThreads);
 
 /// Runs the program with the flags `--ci`, `--json FILE`, `--seed N --count N`,
 /// `--threads N`, `--proofs`, `--verbose`. The exit code is zero if no
--- a/test/matrix/rules.cpp
+++ b/test/matrix/rules.cpp
@@ -15,10 +15,10 @@
 void
 rules::Settle(gateway::engine_settings& aSettings) const
 {
-  if (Broken(variant::kValidityEndless)) {
+  if (Broken(seeded_bug::kValidityEndless)) {
     aSettings.validity = kEndless;
   }
-  if (Broken(variant::kAnswersDatedLate)) {
+  if (Broken(seeded_bug::kAnswersDatedLate)) {
     // A short suspicion time, so that gateways soon use a pooler again after
     // its pause.
     aSettings.suspectFor = kShortSuspicion;
@@ -28,7 +28,7 @@
 void
 rules::Settle(group::engine_settings& aSettings) const
 {
-  if (Broken(variant::kValidityEndless)) {
+  if (Broken(seeded_bug::kValidityEndless)) {
     aSettings.validity = kEndless;
   }
 }
@@ -36,7 +36,7 @@
 void
 rules::Settle(failover::coordinator_settings& aSettings) const
 {
-  if (Broken(variant::kNoWaitingOut)) {
+  if (Broken(seeded_bug::kNoWaitingOut)) {
     aSettings.validity = std::chrono::milliseconds(0);
   }
 }
@@ -45,14 +45,15 @@
 rules::Sent(gateway::send_to_pooler& aMessage)
 {
   auto& request = aMessage.request;
-  if (Broken(variant::kFloorDropped)) {
+  if (Broken(seeded_bug::kFloorDropped)) {
     request.floor = {};
     request.fresh = false;
   }
-  if (Broken(variant::kBoundRaised) && request.work.maxStaleness.count() > 0) {
+  if (Broken(seeded_bug::kBoundRaised) &&
+      request.work.maxStaleness.count() > 0) {
     request.work.maxStaleness = kEndless;
   }
-  if (!Broken(variant::kResentWithoutKey)) {
+  if (!Broken(seeded_bug::kResentWithoutKey)) {
     return;
   }
   const auto key = request.key.Text();
@@ -73,7 +74,7 @@
 void
 rules::Answered(group::answer& aAnswer)
 {
-  if (Broken(variant::kAnswersSwapped) && !aAnswer.results.empty()) {
+  if (Broken(seeded_bug::kAnswersSwapped) && !aAnswer.results.empty()) {
     std::swap(mFormer, aAnswer.results);
   }
 }
@@ -81,7 +82,7 @@
 void
 rules::Given(gateway::caller_answer& aAnswer) const
 {
-  if (Broken(variant::kUnknownToldNotRun) &&
+  if (Broken(seeded_bug::kUnknownToldNotRun) &&
       aAnswer.verdict == outcome::verdict::kUnknown) {
     aAnswer.verdict = outcome::verdict::kNotRun;
   }
@@ -93,11 +94,11 @@
              clock::time_point& aAskedAt,
              clock::time_point aNow) const
 {
-  if (Broken(variant::kConfirmationUnasked)) {
+  if (Broken(seeded_bug::kConfirmationUnasked)) {
     aStatus.term = aPrimary.term;
     aStatus.stored = aPrimary.stored;
   }
-  if (Broken(variant::kAnswersDatedLate)) {
+  if (Broken(seeded_bug::kAnswersDatedLate)) {
     aAskedAt = aNow;
   }
 }
@@ -105,7 +106,7 @@
 group::description
 rules::Described(group::description aGroup) const
 {
-  if (Broken(variant::kLeavingHidden)) {
+  if (Broken(seeded_bug::kLeavingHidden)) {
     for (auto& member : aGroup.members) {
       member.leaving = false;
     }
--- a/test/matrix/rules.hpp
+++ b/test/matrix/rules.hpp
@@ -17,12 +17,12 @@
 class rules
 {
 public:
-  explicit rules(variant aBroken)
+  explicit rules(seeded_bug aBroken)
     : mBroken(aBroken)
   {
   }
 
-  [[nodiscard]] bool Broken(variant aRule) const noexcept
+  [[nodiscard]] bool Broken(seeded_bug aRule) const noexcept
   {
     return mBroken == aRule;
   }
@@ -51,7 +51,7 @@
   [[nodiscard]] group::description Described(group::description aGroup) const;
 
 private:
-  variant mBroken;
+  seeded_bug mBroken;
   std::map<std::string, group::request> mWrites;
   std::vector<upstream::result_set> mFormer;
   unsigned mKeys = 0;
--- a/test/matrix/servers.hpp
+++ b/test/matrix/servers.hpp
@@ -26,7 +26,7 @@
   bool alive = true;
   /// Incremented when the server restarts; connections of earlier incarnations
   /// are closed.
-  unsigned life = 1;
+  unsigned startCount = 1;
 };
 
 /// The server's end of one connection.
@@ -34,7 +34,7 @@
 {
   upstream::server_id server;
   bool readOnly = false;
-  unsigned life = 1;
+  unsigned startCount = 1;
   std::optional<test::fake_transaction> transaction;
 };
 
--- a/test/matrix/tests/checker.cpp
+++ b/test/matrix/tests/checker.cpp
@@ -25,7 +25,7 @@
   first.values = { "a" };
   first.sent = milliseconds(100);
   first.answered = milliseconds(110);
-  first.outcome = told::kDone;
+  first.outcome = told_outcome::kDone;
   first.servedBy = "s1";
   change_record second = first;
   second.number = 2;
@@ -36,7 +36,7 @@
   change_record third = first;
   third.number = 3;
   third.values = { "d" };
-  third.outcome = told::kNotRun;
+  third.outcome = told_outcome::kNotRun;
   seen.changes = { first, second, third };
   seen.log = { { 1, {} }, { 1, { "a" } }, { 2, {} }, { 2, { "b", "c" } } };
   read_record read;
@@ -44,7 +44,7 @@
   read.bound = milliseconds(300);
   read.sent = milliseconds(700);
   read.answered = milliseconds(705);
-  read.outcome = told::kDone;
+  read.outcome = told_outcome::kDone;
   read.values = { "a", "b", "c" };
   read_record bounded = read;
   bounded.session = 1;
@@ -55,7 +55,8 @@
   seen.stops = { { "gateway1", 0 } };
   seen.versions = { { "vm1/0", 1, "one" }, { "vm1/0", 2, "two" } };
   seen.stored = { { "store", 1, "one" }, { "store", 2, "two" } };
-  seen.applied = { { "two", 2, told::kDone }, { "three", 2, told::kNotRun } };
+  seen.applied = { { "two", 2, told_outcome::kDone },
+                   { "three", 2, told_outcome::kNotRun } };
   seen.lastProcesses = { "vm1/0" };
   return seen;
 }
@@ -64,21 +65,21 @@
 {
   const char* name;
   void (*spoil)(history&);
-  promise expect;
+  invariant expect;
 };
 
 const row kRows[] = {
   { "lost",
     [](history& aSeen) { aSeen.log.erase(aSeen.log.begin() + 1); },
-    promise::kNothingLost },
+    invariant::kNothingLost },
   { "doubled",
     [](history& aSeen) {
       aSeen.log.push_back({ 2, { "a" } });
     },
-    promise::kNothingDoubled },
+    invariant::kNothingDoubled },
   { "own write unseen",
     [](history& aSeen) { aSeen.reads[0].values = { "a" }; },
-    promise::kReadYourWrites },
+    invariant::kReadYourWrites },
   { "seen before and gone",
     [](history& aSeen) {
       aSeen.changes[0].session = 7;
@@ -86,85 +87,85 @@
       aSeen.reads.push_back(aSeen.reads[0]);
       aSeen.reads[2].values = { "a" };
     },
-    promise::kReadYourWrites },
+    invariant::kReadYourWrites },
   { "older than the bound",
     [](history& aSeen) { aSeen.reads[1].values.clear(); },
-    promise::kBoundedStaleness },
+    invariant::kBoundedStaleness },
   { "fresh read misses a change",
     [](history& aSeen) { aSeen.reads[1].bound = milliseconds(0); },
-    promise::kBoundedStaleness },
+    invariant::kBoundedStaleness },
   { "told by the old primary",
     [](history& aSeen) { aSeen.changes[1].servedBy = "s1"; },
-    promise::kNoReplacedPrimary },
+    invariant::kNoReplacedPrimary },
   { "told late for an older term",
     [](history& aSeen) {
       aSeen.changes[0].answered = milliseconds(550);
       aSeen.changes[0].servedBy = "s2";
     },
-    promise::kNoReplacedPrimary },
+    invariant::kNoReplacedPrimary },
   { "another's row in a transaction",
     [](history& aSeen) {
       aSeen.log[3].values = { "b", "c", "a" };
     },
-    promise::kNothingMixed },
+    invariant::kNothingMixed },
   { "half a transaction is kept",
     [](history& aSeen) { aSeen.log[3].values = { "b" }; },
-    promise::kNothingMixed },
+    invariant::kNothingMixed },
   { "half a transaction is shown",
     [](history& aSeen) {
       aSeen.reads[0].values = { "a", "b" };
     },
-    promise::kWholeAnswers },
+    invariant::kWholeAnswers },
   { "another's answer",
     [](history& aSeen) { aSeen.reads[0].whole = false; },
-    promise::kWholeAnswers },
+    invariant::kWholeAnswers },
   { "not run, but ran",
     [](history& aSeen) {
       aSeen.log.push_back({ 2, { "d" } });
     },
-    promise::kTrueNotRun },
+    invariant::kTrueNotRun },
   { "refused, but ran",
     [](history& aSeen) {
-      aSeen.changes[2].outcome = told::kRefused;
+      aSeen.changes[2].outcome = told_outcome::kRefused;
       aSeen.log.push_back({ 2, { "d" } });
     },
-    promise::kTrueNotRun },
+    invariant::kTrueNotRun },
   { "work to a leaving upstream",
     [](history& aSeen) { aSeen.work[0].at = milliseconds(901); },
-    promise::kLeavingLeftAlone },
+    invariant::kLeavingLeftAlone },
   { "cut off at a stop",
     [](history& aSeen) { aSeen.stops[0].cutOff = 1; },
-    promise::kNothingCutAtStop },
+    invariant::kNothingCutAtStop },
   { "configuration goes back",
     [](history& aSeen) {
       aSeen.versions.push_back({ "vm1/0", 1, "one" });
     },
-    promise::kConfigurationKept },
+    invariant::kConfigurationKept },
   { "accepted configuration is gone",
     [](history& aSeen) { aSeen.stored.pop_back(); },
-    promise::kConfigurationKept },
+    invariant::kConfigurationKept },
   { "a process misses the last version",
     [](history& aSeen) { aSeen.versions.pop_back(); },
-    promise::kConfigurationKept },
+    invariant::kConfigurationKept },
   { "a denied configuration is in force",
     [](history& aSeen) { aSeen.applied[1].declaration = "one"; },
-    promise::kTrueNotRun },
+    invariant::kTrueNotRun },
   { "shown and then gone",
     [](history& aSeen) {
-      aSeen.changes[2].outcome = told::kUnknown;
+      aSeen.changes[2].outcome = told_outcome::kUnknown;
       aSeen.reads[0].values.emplace_back("d");
     },
-    promise::kShownIsKept },
+    invariant::kShownIsKept },
   { "no primary at the end",
     [](history& aSeen) { aSeen.settled = false; },
-    promise::kRecovers },
+    invariant::kRecovers },
   { "nothing is done any more",
     [](history& aSeen) {
       aSeen.healed = instant(0);
-      aSeen.changes[0].outcome = told::kUnknown;
-      aSeen.changes[1].outcome = told::kUnknown;
+      aSeen.changes[0].outcome = told_outcome::kUnknown;
+      aSeen.changes[1].outcome = told_outcome::kUnknown;
     },
-    promise::kRecovers },
+    invariant::kRecovers },
 };
 
 } // namespace
@@ -183,9 +184,9 @@
   for (const auto& row : kRows) {
     auto seen = Good();
     row.spoil(seen);
-    const auto breaches = Check(seen);
-    const bool found =
-      std::any_of(breaches.begin(), breaches.end(), [&](const auto& aBreach) {
+    const auto violations = Check(seen);
+    const bool found = std::any_of(
+      violations.begin(), violations.end(), [&](const auto& aBreach) {
         return aBreach.broken == row.expect;
       });
     CHECK_TEXT(found, row.name);
--- a/test/matrix/world.cpp
+++ b/test/matrix/world.cpp
@@ -97,16 +97,16 @@
   mRunning = false;
   for (const auto& alive : mPoolers) {
     mSeen.lastProcesses.push_back(alive->VmName() + "/" +
-                                  std::to_string(alive->Life()));
+                                  std::to_string(alive->StartCount()));
   }
   for (const auto& alive : mGateways) {
     mSeen.lastProcesses.push_back(alive->VmName() + "/" +
-                                  std::to_string(alive->Life()));
+                                  std::to_string(alive->StartCount()));
   }
   mSeen.healed = kWorksFrom;
   mServers.Finish();
   mTime.Clear();
-  return { std::move(mSeen), mStruck, mReached };
+  return { std::move(mSeen), mInjected, mReached };
 }
 
 void
@@ -122,11 +122,11 @@
   const auto first = policy::NextConfigurationRecord({}, "change-0", "zero");
   (void)mStore.Apply(
     kConfigurationKey, policy::PrintConfigurationRecord(first), 0);
-  SpreadView();
+  PublishView();
   for (const auto& made : mPoolers) {
     made->Start();
   }
-  SpreadView();
+  PublishView();
   for (const auto& made : mGateways) {
     made->Start();
   }
@@ -146,50 +146,50 @@
   }
 }
 
-fate
+fault_effect
 world::Reach(std::size_t aStep, process& aBy)
 {
-  fate met;
+  fault_effect met;
   if (!mRunning || mTime.Since() < kCallersFrom || mTime.Since() >= kHealAt) {
     return met;
   }
   const auto count = ++mReached[aStep];
   for (const auto& injected : mPlan.injections) {
     if (injected.step == aStep && injected.occurrence == count) {
-      ++mStruck;
-      Strike(injected.what, aBy, met);
+      ++mInjected;
+      Inject(injected.what, aBy, met);
     }
   }
   return met;
 }
 
 void
-world::Strike(fault aWhat, process& aBy, fate& aFate)
+world::Inject(fault aWhat, process& aBy, fault_effect& aEffect)
 {
-  if (!StrikeMessage(aWhat, aFate) && !StrikeServer(aWhat) &&
-      !StrikeStore(aWhat)) {
-    StrikeProcess(aWhat, aBy);
+  if (!InjectIntoMessage(aWhat, aEffect) && !InjectIntoServer(aWhat) &&
+      !InjectIntoStore(aWhat)) {
+    InjectIntoProcess(aWhat, aBy);
   }
 }
 
 bool
-world::StrikeMessage(fault aWhat, fate& aFate)
+world::InjectIntoMessage(fault aWhat, fault_effect& aEffect)
 {
   switch (aWhat) {
     case fault::kMessageSlow:
-      aFate.delay += kSlow;
+      aEffect.delay += kSlow;
       return true;
     case fault::kMessageLate:
-      aFate.delay += kLate;
+      aEffect.delay += kLate;
       return true;
     case fault::kMessageOvertaken:
-      aFate.delay += kOvertaken;
+      aEffect.delay += kOvertaken;
       return true;
     case fault::kMessageLost:
-      aFate.lost = true;
+      aEffect.lost = true;
       return true;
     case fault::kMessageTwice:
-      aFate.twice = true;
+      aEffect.twice = true;
       return true;
     default:
       return false;
@@ -197,7 +197,7 @@
 }
 
 bool
-world::StrikeServer(fault aWhat)
+world::InjectIntoServer(fault aWhat)
 {
   const auto primary = mServers.PrimaryId();
   const auto replica = mServers.ReplicaId();
@@ -247,7 +247,7 @@
 }
 
 bool
-world::StrikeStore(fault aWhat)
+world::InjectIntoStore(fault aWhat)
 {
   switch (aWhat) {
     case fault::kStoreDown:
@@ -275,7 +275,7 @@
 }
 
 void
-world::StrikeProcess(fault aWhat, process& aBy)
+world::InjectIntoProcess(fault aWhat, process& aBy)
 {
   auto& pooler = PoolerFor(aBy);
   auto& gateway = GatewayFor(aBy);
@@ -344,7 +344,7 @@
     return;
   }
   killed.alive = false;
-  ++killed.life;
+  ++killed.startCount;
   for (const auto& pooler : mPoolers) {
     if (pooler->Alive()) {
       pooler->ServerDied(aServer);
@@ -368,10 +368,10 @@
   for (const auto& gateway : mGateways) {
     gateway->PoolerDied(aPooler.VmName());
   }
-  mTime.In(kViewLag, [this] { SpreadView(); });
+  mTime.In(kViewLag, [this] { PublishView(); });
   mTime.In(kRestart, [this, &aPooler] {
     aPooler.Start();
-    SpreadView();
+    PublishView();
   });
 }
 
@@ -402,7 +402,7 @@
 {
   mTime.In(kListLag, [this, aServer, aGrace] {
     mServers.SetLeaving(aServer, aGrace);
-    SpreadView();
+    PublishView();
   });
 }
 
@@ -423,7 +423,7 @@
 }
 
 void
-world::SpreadView()
+world::PublishView()
 {
   const auto ranked = Ranked();
   const auto owners = static_cast<unsigned>(ranked.size());
--- a/test/matrix/world.hpp
+++ b/test/matrix/world.hpp
@@ -36,17 +36,17 @@
   /// Runs the simulation to its end and returns its history.
   [[nodiscard]] run_result Run();
 
-  [[nodiscard]] fate Reach(std::size_t aStep, process& aBy) override;
+  [[nodiscard]] fault_effect Reach(std::size_t aStep, process& aBy) override;
 
 private:
   void Begin();
-  void Strike(fault aWhat, process& aBy, fate& aFate);
+  void Inject(fault aWhat, process& aBy, fault_effect& aEffect);
   /// Applies a fault that affects the current message alone; returns false for
   /// any other fault.
-  [[nodiscard]] bool StrikeMessage(fault aWhat, fate& aFate);
-  [[nodiscard]] bool StrikeServer(fault aWhat);
-  [[nodiscard]] bool StrikeStore(fault aWhat);
-  void StrikeProcess(fault aWhat, process& aBy);
+  [[nodiscard]] bool InjectIntoMessage(fault aWhat, fault_effect& aEffect);
+  [[nodiscard]] bool InjectIntoServer(fault aWhat);
+  [[nodiscard]] bool InjectIntoStore(fault aWhat);
+  void InjectIntoProcess(fault aWhat, process& aBy);
   void Partition(const std::string& aServer, bool aWholly);
   void KillServer(const upstream::server_id& aServer);
   void KillPooler(pooler_node& aPooler);
@@ -55,7 +55,7 @@
   void Replace(process& aProcess);
   void WatchStopping(pooler_node& aPooler);
   void Heal();
-  void SpreadView();
+  void PublishView();
   void Apply(const std::string& aDeclaration);
   [[nodiscard]] pooler_node& PoolerFor(process& aBy);
   [[nodiscard]] gateway_node& GatewayFor(process& aBy);
@@ -71,7 +71,7 @@
   rules mRules;
   surroundings mAround;
   std::vector<unsigned> mReached;
-  unsigned mStruck = 0;
+  unsigned mInjected = 0;
   bool mRunning = false;
   std::uint64_t mViewVersion = 0;
   std::vector<std::unique_ptr<pooler_node>> mPoolers;
