--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -1,6 +1,6 @@
-// Drives the engine of one group in virtual time: declares a class of work,
-// answers the engine's questions as three idle servers would, and runs one
-// read that may lag.
+// Drives the engine of one group in virtual time: declares a work class,
+// answers the engine's requests as three idle servers would, and runs one read
+// that allows stale data.
 
 #include <chrono>
 #include <exception>
@@ -39,7 +39,7 @@
   return server;
 }
 
-/// The status of a server in term 1 that has all ten records of the log.
+/// The status of a server in term 1 that has all ten log records.
 upstream::server_status
 StatusOf(const upstream::server_id& aServer)
 {
@@ -52,7 +52,7 @@
   return status;
 }
 
-/// The row that a server's status statement brings.
+/// The result row of a server's status statement.
 upstream::result_set
 StatusRow(const upstream::server_id& aServer)
 {
@@ -68,7 +68,7 @@
            0 };
 }
 
-/// Plays servers and network for one engine.
+/// Simulates the servers and the network for one engine.
 class playground
 {
 public:
@@ -122,7 +122,7 @@
   bool mIsAnswered = false;
 };
 
-/// Runs the read; 0 where it was answered.
+/// Runs the read; returns 0 if it was answered.
 int
 Run()
 {
--- a/test/main.cpp
+++ b/test/main.cpp
@@ -1,8 +1,8 @@
 #include <CppUTest/CommandLineTestRunner.h>
 #include <CppUTest/MemoryLeakWarningPlugin.h>
 
-/// Counts memory under a lock, since libraries under test run threads of
-/// their own.
+/// Enables CppUTest's thread-safe memory leak detection, since libraries under
+/// test run their own threads.
 int
 main(int aCount, char** aValues)
 {
--- a/test/standin/upstream/journal.cpp
+++ b/test/standin/upstream/journal.cpp
@@ -18,7 +18,7 @@
   return (std::filesystem::temp_directory_path() / name).string();
 }
 
-// What a server would find after a restart.
+// The state that a server would read back after a restart.
 durable_state
 Reload(const std::string& aPath)
 {
--- a/test/standin/upstream/statement_runner.cpp
+++ b/test/standin/upstream/statement_runner.cpp
@@ -17,7 +17,7 @@
   void TermsChanged() override {}
 };
 
-// A primary of term 1, and connections to it.
+// A primary of term 1 with connections to it.
 struct primary
 {
   boost::asio::io_context context;
@@ -51,7 +51,7 @@
   statement_runner runner;
 };
 
-// What one statement came to: ok, wait, or a SQLSTATE.
+// The result of one statement: ok, wait, or an SQLSTATE.
 std::string
 Run(connection& aConnection, const std::string& aSql)
 {
--- a/test/standin/upstream/store.cpp
+++ b/test/standin/upstream/store.cpp
@@ -25,7 +25,7 @@
   int revoked = 0;
 };
 
-// One server's parts, without a file.
+// The components of one server, without its journal file.
 struct node
 {
   durable_state state;
@@ -77,7 +77,8 @@
   aStore.CommitWrite();
 }
 
-// Does what the connection between the servers does.
+// Copies the records from primary to replica, in place of the replication
+// connection.
 void
 Replicate(store& aFrom, store& aTo)
 {
--- a/tools/lib/cluster.sh
+++ b/tools/lib/cluster.sh
@@ -34,12 +34,12 @@
 declare -A CLUSTER_FIRST=()
 CLUSTER_LOCKED=no
 CLUSTER_VMS=()
-# The key that seals sessions' tokens: one for every gateway, new each time.
+# The key that signs session tokens: shared by all gateways, new in each run.
 CURRANTSHED_TOKEN_KEYS=k1:$(od -An -N32 -tx1 /dev/urandom | tr -d ' \n')
 export CURRANTSHED_TOKEN_KEYS
 CLUSTER_UPSTREAMS=()
 
-# Repeats a command until it succeeds, at most for the seconds given.
+# Repeats a command until it succeeds, at most for the given number of seconds.
 cluster_await() {
   local until=$((SECONDS + $1))
   shift
@@ -49,7 +49,7 @@
   done
 }
 
-# Whether every process that was started still runs; names one that does not.
+# Whether every started process is still running; names one that is not.
 cluster_alive() {
   local name
   for name in "${!CLUSTER_PID[@]}"; do
@@ -61,8 +61,8 @@
   done
 }
 
-# Repeats a command as cluster_await does, but gives up at once when a process
-# has ended.
+# Repeats a command as cluster_await does, but fails at once if a process has
+# exited.
 cluster_await_start() {
   local until=$((SECONDS + $1)) what=$2
   shift 2
@@ -77,9 +77,9 @@
   cluster_alive
 }
 
-# Takes the deployment's ports for this run: two on the same ports would answer
-# each other's questions. The lock is passed on to what is started, so that
-# left-overs of a killed run hold it too.
+# Locks the deployment's ports for this run: two deployments on the same ports
+# would answer each other's requests. Child processes inherit the lock, so that
+# left-over processes of a killed run hold it too.
 cluster_lock() {
   local file=${TMPDIR:-/tmp}/currantshed-ports-$CLUSTER_PLATFORM_PORT.lock
   exec {CLUSTER_LOCK}>>"$file"
@@ -168,7 +168,7 @@
     "${CLUSTER_GATEWAY_FLAGS[@]}"
 }
 
-# The peers that a pooler may ask before the platform has told any.
+# The peers that a pooler may contact before the platform has listed any.
 cluster_peers_of() {
   local other address domain request peer list=
   for other in "${CLUSTER_VMS[@]}"; do
@@ -179,7 +179,7 @@
   echo "$list"
 }
 
-# Whether a VM's pooler and gateway both say that they are ready.
+# Whether a VM's pooler and gateway both report that they are ready.
 cluster_vm_ready() {
   local address domain request peer status caller
   read -r address domain request peer status caller <<<"${CLUSTER_VM[$1]}"
@@ -206,8 +206,8 @@
     "http://$CLUSTER_PLATFORM_ADDRESS:$CLUSTER_PLATFORM_PORT/control/fault?$1"
 }
 
-# Marks a VM, or a database server, in the platform's list: live, leaving or
-# gone.
+# Sets the state of a VM or a database server in the platform's list: live,
+# leaving or gone.
 cluster_platform_vm() {
   curl -sf -m 2 -o /dev/null -X POST \
     "http://$CLUSTER_PLATFORM_ADDRESS:$CLUSTER_PLATFORM_PORT/control/vm?id=$1&state=$2"
@@ -223,8 +223,8 @@
     "http://$CLUSTER_PLATFORM_ADDRESS:$CLUSTER_PLATFORM_PORT/control/counts"
 }
 
-# Whether every group has terms reserved by so many poolers, as each of its
-# owners does within about a second.
+# Whether the given number of poolers have reserved terms for every group, which
+# each owner does within about a second.
 cluster_reserved() {
   local group record
   for group in "${!CLUSTER_FIRST[@]}"; do
@@ -255,13 +255,14 @@
   kill -s "$2" "${CLUSTER_PID[$1]}"
 }
 
-# Whether a process has ended.
+# Whether a process has exited.
 cluster_gone() {
   ! kill -0 "$1" 2>/dev/null
 }
 
-# Ends one process by its id: asks first, and kills after the seconds given.
-# Fails when the process had to be killed or did not end well.
+# Stops one process by its id: SIGTERM first, then SIGKILL after the given
+# number of seconds. Fails if the process had to be killed or exited with an
+# error.
 cluster_end() {
   local name=$1 seconds=$2 pid=${CLUSTER_PID[$1]:-}
   [ -n "$pid" ] || return 0
@@ -336,8 +337,8 @@
   done
 }
 
-# Ends all that runs, callers' side first; everything is asked before
-# anything is waited for.
+# Stops all processes, the callers' side first; all are signalled before any is
+# waited for.
 cluster_stop() {
   local name pid
   for name in "${!CLUSTER_PID[@]}"; do
--- a/tools/lib/control.awk
+++ b/tools/lib/control.awk
@@ -1,7 +1,7 @@
 # Reads the rows of control.sh and prints medians by size, and the slopes of a
 # least-squares fit over the medians of each VM, as one JSON object.
 
-# Sorts values[1..count] in place, and gives the share asked for.
+# Sorts values[1..count] in place, and returns the given quantile.
 function percentile(values, count, share,   at, to, held) {
   for (at = 2; at <= count; ++at) {
     held = values[at]
@@ -26,7 +26,8 @@
     percentile(list, count, 0.9))
 }
 
-# Solves the normal equations by Gauss and Jordan; sets slope[] and error[].
+# Solves the normal equations by Gauss-Jordan elimination; sets slope[] and
+# error[].
 function fit(field, from,   n, row, a, b, k, m, pivot, factor, y, e, rest) {
   k = 4
   for (a = 1; a <= k; ++a)
--- a/tools/lib/control.sh
+++ b/tools/lib/control.sh
@@ -13,10 +13,10 @@
 CONTROL_POOLER_FLAGS=${CONTROL_POOLER_FLAGS:-}
 CONTROL_CONNECTIONS=${CONTROL_CONNECTIONS:-0 3000 9000}
 CONTROL_DOMAINS=5
-# Until lists were read, ranks are known and what starts has started.
+# Time until lists are read, ranks are known and start-up work has ended.
 CONTROL_SETTLE_SECONDS=5
 
-# Prints a deployment of so many VMs and groups of three servers.
+# Prints a deployment of the given number of VMs and groups of three servers.
 control_shape() {
   awk -v daemons="$1" -v groups="$2" -v domains=$CONTROL_DOMAINS \
     -v declaration="$3" 'BEGIN {
@@ -36,7 +36,7 @@
     }'
 }
 
-# Prints a declaration; each number makes another one.
+# Prints a declaration; each number gives a different one.
 control_declaration() {
   echo "classes:"
   echo "  lookup:"
@@ -78,14 +78,14 @@
   cluster_await 30 control_wait_once
 }
 
-# Whether every VM has the configuration that was applied last.
+# Whether every VM has the last applied configuration.
 control_wait_once() {
   "$BUILD/currantshedctl" wait --platform-url http://127.0.0.1:25000 \
     --version "$((control_changed + 1))" --timeout 19s \
     >>"$CLUSTER_DIR/apply.log" 2>&1
 }
 
-# Prints a page of every pooler, each line with the VM's name before it.
+# Prints a status page of every pooler, each line prefixed by the VM's name.
 control_pages() {
   local id address status addresses=()
   for id in "${CLUSTER_VMS[@]}"; do
@@ -98,7 +98,7 @@
       { print name[at], $0 }'
 }
 
-# Prints owned and led groups of each VM.
+# Prints the number of groups that each VM owns and leads.
 control_owned() {
   control_pages /status | awk '{
     led[$1] += gsub(/"rank":0/, "&")
@@ -106,9 +106,9 @@
     END { for (vm in owned) print vm, owned[vm], led[vm] }'
 }
 
-# Prints, for each VM, the counters as they stand: processor seconds of the
-# control thread and of the process, resident kB, heartbeat bytes and calls of
-# the platform, and bytes at its TCP sockets that are open.
+# Prints the current counters of each VM: processor seconds of the control
+# thread and of the process, resident kB, heartbeat bytes and platform calls,
+# and bytes at its open TCP sockets.
 control_snapshot() {
   local id list=
   for id in "${CLUSTER_VMS[@]}"; do
@@ -146,7 +146,7 @@
         sockets[vm] }'
 }
 
-# Prints one row for each VM between two snapshots: size, changes a second,
+# Prints one row for each VM between two snapshots: size, changes per second,
 # owned and led groups, then control %, process %, MB, heartbeat bytes/s,
 # platform calls/s, socket bytes/s.
 control_rows() {
@@ -168,7 +168,7 @@
   awk -v from="$1" -v to="$EPOCHREALTIME" 'BEGIN { print to - from }'
 }
 
-# One sample; what is given runs while it lasts.
+# Takes one sample; the given command runs while it lasts.
 control_sample() {
   local size=$1 changes=$2 from
   shift 2
@@ -176,7 +176,8 @@
   control_snapshot >"$scratch/before"
   "$@" || return 1
   control_snapshot >"$scratch/after"
-  # Both snapshots take the same time, so that the starts are compared.
+  # Both snapshots take equally long, so the interval is measured between their
+  # starts.
   control_rows "$size" "$scratch/before" "$scratch/after" \
     "$(control_between "$from" "$control_again")" "$changes"
 }
@@ -190,8 +191,8 @@
   control_again=$EPOCHREALTIME
 }
 
-# Applies changes one after another, and writes how long each took to be in
-# force at every VM.
+# Applies changes one after another, and writes how long each took to take
+# effect at every VM.
 control_change() {
   local round from
   for ((round = 1; round <= CONTROL_CHANGES; ++round)); do
@@ -221,7 +222,7 @@
   cluster_stop
 }
 
-# Bytes of the platform's two lists at this size.
+# Size in bytes of the platform's two lists.
 control_lists() {
   local list
   for list in currantshed upstream; do
@@ -242,7 +243,7 @@
   cluster_await 10 curl -sf -m 2 -o /dev/null "http://$address:25004/readyz"
 }
 
-# Opens so many connections to a gateway that send nothing, and prints its
+# Opens the given number of idle connections to a gateway, and prints its
 # resident memory and its processor time over one second.
 control_idle_callers() {
   local count=$1 address=$2 pid=$3 file opened=0
--- a/tools/lib/counts.sh
+++ b/tools/lib/counts.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Judges a run of ctest by its lines:
+# Evaluates a ctest run by its output lines:
 #   counts.sh LOG KNOWN_RED TOTAL
 # LOG is ctest's output, KNOWN_RED the list of tests that may fail (one a
 # line: test, cause, issue; it need not exist), TOTAL the number of tests that
--- a/tools/lib/measure.sh
+++ b/tools/lib/measure.sh
@@ -1,7 +1,7 @@
-# The verbs of tools/measure. To be sourced after cluster.sh, with shape,
-# rounds and scratch set; each prints its figures as one JSON object.
+# The verbs of tools/measure. To be sourced after cluster.sh, with shape, rounds
+# and scratch set; each prints its figures as one JSON object.
 
-# Prints a field of a summary: the first one of that name.
+# Prints the first field of that name in a summary.
 measure_field() {
   grep -oE "\"$1\":[^,{}]*" "$2" | head -n 1 | cut -d : -f 2
 }
@@ -11,7 +11,7 @@
   paste -sd, -
 }
 
-# The load of one round, with the given name and flags.
+# Runs the load of one round, with the given name and flags.
 measure_load() {
   local name=$1
   shift
@@ -21,12 +21,12 @@
   [ -s "$scratch/$name.json" ]
 }
 
-# Starts the deployment; its processes are this shell's own.
+# Starts the deployment; its processes are children of this shell.
 measure_start() {
   cluster_start "shapes/$shape.json" "$scratch/logs" >&2
 }
 
-# A deployment without delays and with limits far above what is asked of it.
+# A deployment without delays, and with limits far above the load.
 measure_bare_shape() {
   sed -E -e 's/"slots": [0-9]+/"slots": 256/' \
     -e 's/"connections": [0-9]+/"connections": 1024/' \
@@ -35,8 +35,8 @@
     "shapes/$shape.json" >"$scratch/bare.json"
 }
 
-# Compares at each number of connections, for a class whose reads are fresh
-# and for one whose reads may lag.
+# Compares at each number of connections, for a class with fresh reads and for
+# one that allows stale reads.
 measure_overhead() {
   local group server address port vm gateway caller processes work count list=()
   measure_bare_shape
@@ -64,7 +64,8 @@
     printf '%s\n' "${list[@]}" | measure_join)]}"
 }
 
-# The shape's class whose reads are fresh, and the one that may lag most.
+# The shape's class with fresh reads, and the one with the largest staleness
+# bound.
 measure_read_classes() {
   case $shape in
     qasr) echo quote catalogue-browsing ;;
@@ -86,11 +87,12 @@
   return 1
 }
 
-# One round of one kind of platform: each group's primary is cut in turn.
+# One round against a platform that is up, slow or down: each group's primary is
+# partitioned in turn.
 measure_failover_round() {
   local name=$1 order=$2 at=2000 group cuts=
   measure_start || return 1
-  # An outage within the first second finds no terms reserved.
+  # In an outage within the first second no terms would be reserved yet.
   cluster_await 20 cluster_reserved 3 || return 1
   cluster_platform "$order" || return 1
   for group in $(printf '%s\n' "${!CLUSTER_FIRST[@]}" | sort); do
@@ -128,15 +130,15 @@
     printf '%s\n' "${parts[@]}" | measure_join),\"rounds_with_breaches\":$breaches}"
 }
 
-# The given percentile of numbers, one a line.
+# The given percentile of numbers, one per line.
 measure_percentile() {
   sort -g | awk -v share="$1" '{ value[NR] = $1 }
     END { rank = int((NR * share + 99) / 100); print value[rank < 1 ? 1 : rank] }'
 }
 
-# For each lag, the mix of the shape's classes by sessions that also write; and
-# sessions that only read, of a class that allows each of these lags, so that
-# each of their reads may be served by a replica.
+# For each replication lag, runs the mix of the shape's classes in sessions that
+# also write, and read-only sessions of a class that allows each of these lags,
+# so that each of their reads may be served by a replica.
 measure_reads() {
   local lag id parts=() allowed
   allowed=$(measure_lagging_classes)
@@ -156,8 +158,8 @@
     printf '%s\n' "${parts[@]}" | measure_join)]}"
 }
 
-# A class that writes, for the row that dates reads, and the class that may
-# lag most.
+# A writing class, for the row that dates reads, and the class with the largest
+# staleness bound.
 measure_lagging_classes() {
   case $shape in
     qasr) echo design-save,catalogue-browsing ;;
@@ -174,8 +176,8 @@
   echo "{$line}"
 }
 
-# The capacity is what sessions that wait for their answers reach; then the
-# same mix begins at multiples of it, answered or not.
+# The capacity is the throughput of closed-loop sessions; then the same mix is
+# started at multiples of it, in an open loop.
 measure_overload() {
   local length=8 capacity share parts=()
   measure_start || return 1
@@ -217,7 +219,7 @@
     cat "$scratch/connections.json")}"
 }
 
-# Whether a load has run for so many seconds.
+# Whether a load has run for the given number of seconds.
 measure_progress() {
   grep -q "seconds=$2 " "$scratch/$1.progress" 2>/dev/null
 }
