--- a/test/process/graceful_shutdown.sh
+++ b/test/process/graceful_shutdown.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# A VM is asked to end under load: it ends by itself, and no request that it
-# took is cut off.
+# A VM is asked to shut down under load: it exits by itself, and no request that
+# it accepted is cut off.
 source "$(dirname "$0")/support/common.sh"
 test_start 26800 3
 load_start --length-ms 8000
--- a/test/process/leaving_upstream.sh
+++ b/test/process/leaving_upstream.sh
@@ -1,13 +1,14 @@
 #!/usr/bin/env bash
-# A replica that the platform marks as leaving gets no new work after a few
-# seconds. What it still runs is its own status.
+# A replica that the platform marks as leaving (draining) gets no new work after
+# a few seconds, apart from its own status statements.
 source "$(dirname "$0")/support/common.sh"
 test_start 26900 3
 leaving=$GROUP-1
 served() {
   grep -c "\"served_by\":\"$leaving\"" "$SCRATCH/records"
 }
-# A read served by the server, begun after the given microsecond of the run.
+# The last read served by the server that began after the given microsecond of
+# the run.
 last_served() {
   grep "\"served_by\":\"$leaving\"" "$SCRATCH/records" |
     sed -E 's/.*"sent_us":([0-9]+).*/\1/' | sort -n | tail -n 1
--- a/test/process/node_calm.sh
+++ b/test/process/node_calm.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# A calm stretch of the users' platform over real sockets: three VMs before the
-# stand-in for store and servers. Callers check every answer while the
-# configuration changes, a primary is lost, a leaving primary is replaced, and
-# a VM stops and starts again.
+# Operation without injected network faults over real sockets: three VMs with
+# the stand-in for store and servers. Callers check every answer while the
+# configuration changes, a primary is lost, a leaving primary is replaced, and a
+# VM stops and restarts.
 source "$(dirname "$0")/support/node.sh"
 node_start 28300 3
 
--- a/test/process/node_soak.sh
+++ b/test/process/node_soak.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# Faults in a seeded order against the real programs, while callers check every
-# answer: VMs are killed, paused and stopped, primaries are lost or leave, servers
-# start again empty under their ids, ways to the store and to servers are delayed,
-# held, cut one way, silenced or reset. From seed 1000 on the store may also be away
-# and come back from an older copy, once or twice in a row, before, during and after
-# other faults.
-# Faults of ways last while others begin. SEEDS names the seeds to play; with
-# none, those that CI plays each time. SOAK_BASE names the first port, so that
-# several runs may go side by side.
+# Injects faults in a seeded order into the real programs, while callers check
+# every answer: VMs are killed, paused and stopped, primaries are lost or
+# drained, servers restart empty under their ids, and paths to the store and to
+# servers are delayed, held, cut in one direction, silenced or reset. From seed
+# 1000 on the store may also be unavailable and be restored from an older
+# snapshot, once or twice in a row, before, during and after other faults.
+# Path faults overlap with later faults. SEEDS names the seeds to run; if empty,
+# those that CI runs each time. SOAK_BASE names the first port, so that several
+# runs can share a machine.
 source "$(dirname "$0")/support/node.sh"
 proxied=yes
 node_start "${SOAK_BASE:-28400}" 4
@@ -20,7 +20,7 @@
   fi
 }
 
-# A fault that ends by itself after so many seconds.
+# Injects a fault that ends by itself after the given number of seconds.
 passing_fault() {
   local way=$1 lasts=$2
   shift 2
@@ -31,7 +31,7 @@
   ) &
 }
 
-# The store loses its last seconds, at times again right after its return.
+# The store loses its last seconds, sometimes again right after the restore.
 store_returns() {
   local span=$((RANDOM % 3000)) away=$((RANDOM % 2500 + 100)) twice=$((RANDOM % 3))
   echo "the store loses $span ms, away for $away ms, twice: $((twice == 0))"
@@ -64,7 +64,8 @@
 version=1
 for seed in ${SEEDS:-1 1001}; do
   RANDOM=$seed
-  # A third of all faults are such returns; earlier seeds stay what they were.
+  # From seed 1000 on a third of all faults are store restores; the sequences of
+  # earlier seeds are unchanged.
   faults=11
   [ "$seed" -lt 1000 ] || faults=16
   echo "seed $seed"
@@ -74,8 +75,8 @@
   callers_end
   check "seed $seed: a change took effect twice" \
     grep -q '"doubled":0' <<<"$(tell /test/report)"
-  # Whatever went wrong has ended: all is served again, and what is configured from
-  # now on is in force in time.
+  # All faults have ended: all requests are served again, and new configurations
+  # take effect in time.
   sleep 3
   version=$((version + 1))
   tell "/test/configure?version=$version" >/dev/null
--- a/test/process/operators_race.sh
+++ b/test/process/operators_race.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Two operators apply against the version that both saw: exactly one wins, the
-# other is told so, and every VM reports the winner's version.
+# Two operators apply a change on top of the same version: exactly one succeeds,
+# the other is told of the conflict, and every VM reports the winner's version.
 source "$(dirname "$0")/support/common.sh"
 lost_race=4
 test_start 26600 2
--- a/test/process/platform_outage.sh
+++ b/test/process/platform_outage.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The platform hangs, and in the middle of its outage a primary is cut off:
-# the failover ends without it.
+# The platform hangs, and a primary is partitioned during its outage: the
+# failover completes without the platform.
 source "$(dirname "$0")/support/common.sh"
 test_start 26500 3
 old=$(cluster_primary "$GROUP")
--- a/test/process/pooler_frozen.sh
+++ b/test/process/pooler_frozen.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
 # The pooler that leads a group is frozen under load, in the middle of a
-# transaction that holds the primary's lock, and woken after another one has
-# taken the group over. Nobody but the server can end that transaction, by its
-# own bound on idle ones; what the pooler does when it wakes harms nothing.
+# transaction that holds a lock at the primary, and resumed after another one
+# has taken the group over. Only the server can end that transaction, by its
+# idle timeout; what the pooler does after it resumes must do no harm.
 source "$(dirname "$0")/support/common.sh"
 CLUSTER_UPSTREAM_FLAGS=(--transaction-idle-ms 2000)
 test_start 26400 3
--- a/test/process/pooler_killed.sh
+++ b/test/process/pooler_killed.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # The pooler that leads a group is killed under load: another owner serves the
-# group, and callers who lost their answers are told the truth.
+# group, and callers whose answers were lost are told the true outcome.
 source "$(dirname "$0")/support/common.sh"
 test_start 26300 3
 load_start --length-ms 10000
--- a/test/process/ports_taken.sh
+++ b/test/process/ports_taken.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# A second deployment on the ports of one that runs fails at once and says who
-# has them; so does one whose program can't take its port.
+# A second deployment on the ports of a running one fails at once and reports
+# who holds them, and so does one whose program can't bind its port.
 source "$(dirname "$0")/support/common.sh"
 test_start 29000 1
 
-# In a shell of its own, which knows nothing of what runs here.
+# Runs in a separate shell that does not know the processes started here.
 second_start() {
   bash -c 'source tools/lib/cluster.sh; CLUSTER_BUILD=$1
     trap cluster_stop EXIT
@@ -16,7 +16,7 @@
 echo "$told"
 check "it is not told who has the ports" grep -q "process $$ " <<<"$told"
 
-# Another platform port passes the lock, and the servers' ports are taken.
+# With another platform port the lock is free, but the servers' ports are taken.
 sed 's/"port": 29000}/"port": 29001}/' "$SCRATCH/shape.json" \
   >"$SCRATCH/other.json"
 begin=$SECONDS
--- a/test/process/primary_cut.sh
+++ b/test/process/primary_cut.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# A primary is cut off under load: another one takes over, and nothing that
-# was acknowledged is lost; the old one follows when it is back.
+# A primary is partitioned under load: another server takes over, and no
+# acknowledged write is lost; the old primary follows once it is reachable
+# again.
 source "$(dirname "$0")/support/common.sh"
 test_start 26100 3
 old=$(cluster_primary "$GROUP")
--- a/test/process/primary_frozen.sh
+++ b/test/process/primary_frozen.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# A primary is frozen under load and woken after another one took over. It
-# still believes that it leads, and nothing it does then may be acknowledged:
-# the checker would find it lost.
+# A primary is frozen under load and resumed after another one has taken over.
+# It still considers itself primary, and none of its writes from then on may be
+# acknowledged: the checker would find them lost.
 source "$(dirname "$0")/support/common.sh"
 test_start 26200 3
 old=$(cluster_primary "$GROUP")
--- a/test/process/rolling_replacement.sh
+++ b/test/process/rolling_replacement.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Every VM is replaced under load by one of another name: the new one starts
-# and is ready, then the old one is asked to end.
+# Every VM is replaced under load by one with another name: the new VM starts
+# and becomes ready, then the old one is asked to shut down.
 source "$(dirname "$0")/support/common.sh"
 CLUSTER_SPARES="vm-4 vm-5 vm-6"
 test_start 26700 6
--- a/test/process/store_returns.sh
+++ b/test/process/store_returns.sh
@@ -1,13 +1,14 @@
 #!/usr/bin/env bash
-# The store was away for a moment and came back from a copy some seconds old, and
-# for twelve seconds no VM put a configuration in force that was written from then
-# on, though each was acknowledged within 30 ms. The store gave out revisions again
-# that every VM had seen before; each VM took what it read for an older state, left
-# it out, and asked again at once.
-#   configuration_ignored version=23 in_force=23    6 to 14 times a second and VM
-#   calls of the store: 130 to 150 a second, 60 of them refused; before, 20
+# Guards against configurations that are not applied after the store was
+# unavailable for a moment and was restored from a snapshot some seconds old.
+# The store then issues revisions again that every VM has already seen. VMs that
+# took such a read for an older state ignored it and retried at once:
+# configurations acknowledged within 30 ms took effect at no VM for 12 seconds.
+# Symptoms:
+#   configuration_ignored version=23 in_force=23    6 to 14 times a second per VM
+#   store calls: 130 to 150 per second, 60 of them refused, instead of 20
 # Here three VMs see configurations up to 30, the store loses most of them, and
-# version 31 must be in force within three seconds of its acknowledgement.
+# version 31 must take effect within three seconds of its acknowledgement.
 source "$(dirname "$0")/support/node.sh"
 node_start 28600 3
 
--- a/test/process/support/common.sh
+++ b/test/process/support/common.sh
@@ -1,12 +1,12 @@
-# What the process tests share. To be sourced first; each test has a block of
-# a hundred ports of its own.
+# Functions shared by the process tests. To be sourced first; each test uses its
+# own block of a hundred ports.
 #
-#   test_start BASE VMS   starts a deployment of so many VMs and one group of
+#   test_start BASE VMS   starts a deployment of VMS VMs and one group of
 #                         three servers, on ports from BASE on
 #   load_start ARGS...    starts the load in the background
-#   load_reaches SECONDS  waits until the load has run for so long
-#   load_end              waits for the load's end, prints its summary, and
-#                         fails the test where a promise was broken
+#   load_reaches SECONDS  waits until the load has run for SECONDS
+#   load_end              waits for the end of the load, prints its summary and
+#                         fails the test if an invariant was violated
 #   field NAME            prints a field of the load's summary
 #   check WHAT COMMAND... fails the test when the command fails
 
@@ -44,7 +44,7 @@
   "$@" || fail "$what"
 }
 
-# Writes a shape; delays are those of the Stadtwerke.
+# Writes a shape, with the delays of the Stadtwerke deployment.
 make_shape() {
   local base=$1 vms=$2 i port
   {
@@ -146,7 +146,7 @@
   return 1
 }
 
-# Whether another server than the given one is primary now.
+# Whether a server other than the given one is primary.
 primary_is_not() {
   local now
   now=$(cluster_primary "$GROUP") && [ "$now" != "$1" ]
@@ -157,7 +157,7 @@
   cluster_state "$1" | grep -q '"role":"replica"'
 }
 
-# Waits until so many changes more than now have been acknowledged.
+# Waits until the given number of further changes have been acknowledged.
 load_acknowledges_more() {
   local goal=$(($(load_acknowledged) + $1))
   cluster_await 30 load_acknowledged_above "$goal"
--- a/test/process/support/node.sh
+++ b/test/process/support/node.sh
@@ -1,6 +1,6 @@
-# What the tests of currantshed-node share: VMs on 127.0.0.1 before the stand-in
-# for the users' platform, and callers that check what they are told. Only
-# processes started here are ended, by their ids.
+# Functions shared by the tests of currantshed-node: VMs on 127.0.0.1 with the
+# stand-in for the users' platform, and callers that check the answers they get.
+# Stops only processes started here, by their ids.
 set -uo pipefail
 build=${BUILD:-build}
 scratch=$(mktemp -d)
@@ -8,8 +8,8 @@
 fleet_pid=
 callers_pid=
 proxy_pids=
-# Set before node_start, it puts a proxy before each server and on each VM's way
-# to the store.
+# If set before node_start, a proxy is put before each server and on each VM's
+# path to the store.
 proxied=
 readonly GROUPS_OF_SERVERS=2
 
@@ -38,7 +38,7 @@
   "$@" || fail "$what"
 }
 
-# Waits for a command to succeed, for so many seconds at most.
+# Waits for a command to succeed, for at most the given number of seconds.
 await() {
   local end=$((SECONDS + $1))
   shift
@@ -70,7 +70,7 @@
   done
 }
 
-# The port by which a VM reaches the store, and the one of a server, by number.
+# The port on which a VM reaches the store, and the port of a server, by number.
 way_to_store() {
   if [ -n "$proxied" ]; then
     echo $((base + 59 + $1))
@@ -80,7 +80,7 @@
 }
 way_to_server() { echo $((base + 70 + $1)); }
 
-# Has a way do what the proxy calls "pass", "delay MS", "hold", "hold_answers",
+# Sets the fault of a path's proxy: "pass", "delay MS", "hold", "hold_answers",
 # "silence" or "reset".
 fault() {
   local port=$1 control=$((base + 80))
@@ -131,7 +131,8 @@
   kill -s CONT "${vm_pid[$1]}"
 }
 
-# Starts the stand-in and so many VMs, from a port on.
+# Starts the stand-in and the given number of VMs, on ports from the given one
+# on.
 node_start() {
   base=$1
   store_port=$((base + 1))
@@ -159,7 +160,8 @@
   callers_pid=$!
 }
 
-# Whether any VM has acknowledged something: callers may all be at some of them.
+# Whether any VM has acknowledged a request; all callers may be connected to
+# only some of the VMs.
 served() {
   local vm
   for vm in "${!vm_pid[@]}"; do
@@ -180,17 +182,17 @@
     fail "hardly any change was acknowledged"
 }
 
-# The server of a group that calls itself primary.
+# The server of a group that considers itself primary.
 primary_of() {
   tell "/test/primary?group=$1" | tr -d ' '
 }
 
-# Has one server of the group, which may be its primary, start again under its id
-# with nothing of what it held.
+# Restarts one server of the group, possibly its primary, under the same id and
+# with empty data.
 restarted() { tell "/test/restart?server=$1-$((RANDOM % 3))" >/dev/null; }
 
-# Stops or drains the group's primary, waits for another one, and brings the
-# old one back.
+# Stops or drains the group's primary, waits for another one, and starts the old
+# one again.
 replaced() {
   local group=$1 how=$2 old
   old=$(primary_of "$group")
--- a/test/process/thin_path.sh
+++ b/test/process/thin_path.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The whole path with the fewest parts: a change through one gateway is read
-# through the other at once, and then from a replica too.
+# The complete path with the fewest components: a change through one gateway is
+# read through the other at once, and then from a replica as well.
 source "$(dirname "$0")/support/common.sh"
 test_start 26000 2
 
--- a/test/tools/counts.sh
+++ b/test/tools/counts.sh
@@ -1,7 +1,6 @@
 #!/usr/bin/env bash
-# Table of what tools/lib/counts.sh makes of a run of ctest: name, lines of
-# the log, lines of KNOWN-RED.txt, total, and the closing line and success
-# that are expected.
+# Table test of tools/lib/counts.sh: name, lines of the ctest log, lines of
+# KNOWN-RED.txt, total, and the expected closing line and success.
 set -uo pipefail
 cd "$(dirname "$0")/../.."
 scratch=$(mktemp -d)
--- a/test/tools/groups.sh
+++ b/test/tools/groups.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Compares the groups that a CppUTest program has with those given:
+# Compares the groups of a CppUTest program with those given:
 #   groups.sh PROGRAM GROUP...
 set -uo pipefail
 program=$1
--- a/test/tools/platform_words.sh
+++ b/test/tools/platform_words.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# The users' platform's own words stand in platform/ alone: none of those in
-# platform_words.txt may stand in the product.
+# Words specific to the users' platform may occur in platform/ only: none of
+# those in platform_words.txt may occur in the product.
 cd "$(dirname "$0")/../.."
 if found=$(grep -rnFf test/tools/platform_words.txt --include='*.[ch]pp' \
   --include='*.proto' src bin); then
