--- a/standin/callers/main.cpp
+++ b/standin/callers/main.cpp
@@ -355,16 +355,16 @@
   options chosen;
   currantshed::settings::parser parser(
     "currantshed-standin-callers",
-    "Callers that write and read through VMs on 127.0.0.1, check each answer, "
-    "and print what they saw as one line of JSON; exit code 1 if any answer "
-    "was wrong.");
-  parser.Text(chosen.ports, "ports", "Ports of the VMs, by commas", true);
+    "Runs callers that write and read through VMs on 127.0.0.1, check each "
+    "answer and print totals as one line of JSON; the exit code is 1 if any "
+    "answer was wrong.");
+  parser.Text(chosen.ports, "ports", "Ports of the VMs, comma-separated", true);
   parser.Count(chosen.callers, "callers", "Callers", 1, 1000);
   parser.Count(chosen.groups, "groups", "Groups of servers", 1, 8);
-  parser.Count(chosen.seed, "seed", "Seed of what they do", 0, 1000000);
+  parser.Count(chosen.seed, "seed", "Seed of the random choices", 0, 1000000);
   parser.Milliseconds(chosen.length,
                       "length-ms",
-                      "How long they go on",
+                      "Run time in milliseconds",
                       milliseconds{ 100 },
                       milliseconds{ 600000 });
   const auto parsed = parser.Parse(aCount, aValues);
@@ -376,7 +376,7 @@
        std::vector<std::string>(absl::StrSplit(chosen.ports, ','))) {
     std::uint32_t port = 0;
     if (!absl::SimpleAtoi(text, &port) || port == 0 || port > 65535) {
-      std::cerr << "ports: " << text << " is no port\n";
+      std::cerr << "ports: " << text << " is not a port number\n";
       return currantshed::settings::kUsageExitCode;
     }
     ports.push_back(static_cast<std::uint16_t>(port));
--- a/standin/proxy/main.cpp
+++ b/standin/proxy/main.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 using boost::asio::ip::tcp;
-using currantshed::standin::proxy::FaultNamed;
+using currantshed::standin::proxy::FindFault;
 using currantshed::standin::proxy::tunnel;
 
 struct options
@@ -91,16 +91,16 @@
     std::string name;
     long delay = 0;
     in >> port >> name >> delay;
-    const auto what = FaultNamed(name);
+    const auto what = FindFault(name);
     const auto found =
       std::find_if(mTunnels.begin(), mTunnels.end(), [port](const auto& aOne) {
         return aOne.Port() == port;
       });
     if (!what || found == mTunnels.end()) {
-      std::cerr << "no such fault or port: " << port << ' ' << name << '\n';
+      std::cerr << "unknown fault or port: " << port << ' ' << name << '\n';
       return;
     }
-    found->Put({ *what, std::chrono::milliseconds{ delay } });
+    found->SetCondition({ *what, std::chrono::milliseconds{ delay } });
     std::cout << port << ' ' << name << ' ' << delay << '\n' << std::flush;
   }
 
@@ -116,13 +116,14 @@
   options chosen;
   currantshed::settings::parser parser(
     "currantshed-standin-proxy",
-    "Passes connections on to ports of 127.0.0.1, and delays, holds, silences "
-    "or resets them when told so.");
-  parser.Port(chosen.control, "control", "Port for faults", true);
+    "Forwards connections to ports of 127.0.0.1, and delays, holds, silences "
+    "or resets them on command.");
+  parser.Port(chosen.control, "control", "Control port for faults", true);
   parser.Port(chosen.first, "first", "First port to listen on", true);
-  parser.Port(chosen.target, "target", "First port to pass on to", true);
-  parser.Count(chosen.targets, "targets", "Ports to pass on to", 1, 64);
-  parser.Count(chosen.fan, "fan", "Ways to each of them", 1, 16);
+  parser.Port(chosen.target, "target", "First port to forward to", true);
+  parser.Count(
+    chosen.targets, "targets", "Number of ports to forward to", 1, 64);
+  parser.Count(chosen.fan, "fan", "Listening ports for each target", 1, 16);
   const auto parsed = parser.Parse(aCount, aValues);
   if (parsed.end == currantshed::settings::parse_end::kExit) {
     return parsed.exitCode;
--- a/standin/proxy/tunnel.cpp
+++ b/standin/proxy/tunnel.cpp
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 
 // Interval at which held data is checked for whether it may be forwarded.
-constexpr milliseconds kLook{ 10 };
+constexpr milliseconds kHoldPollInterval{ 10 };
 
 struct named_fault
 {
@@ -29,7 +29,7 @@
 } // namespace
 
 std::optional<fault>
-FaultNamed(std::string_view aName)
+FindFault(std::string_view aName)
 {
   for (const auto& one : kNames) {
     if (one.name == aName) {
@@ -39,109 +39,111 @@
   return std::nullopt;
 }
 
-pair::pair(boost::asio::io_context& aContext,
-           const condition& aCondition,
-           tcp::socket aNear)
+connection_pair::connection_pair(boost::asio::io_context& aContext,
+                                 const condition& aCondition,
+                                 tcp::socket aClient)
   : mCondition(aCondition)
-  , mNear(std::move(aNear))
-  , mFar(aContext)
-  , mThere(aContext, false)
-  , mBack(aContext, true)
+  , mClient(std::move(aClient))
+  , mServer(aContext)
+  , mToTarget(aContext, false)
+  , mFromTarget(aContext, true)
 {
 }
 
 void
-pair::Start(std::uint16_t aTarget)
+connection_pair::Start(std::uint16_t aTarget)
 {
   const tcp::endpoint target(boost::asio::ip::address_v4::loopback(), aTarget);
-  mFar.async_connect(
+  mServer.async_connect(
     target,
     [self = shared_from_this()](const boost::system::error_code& aError) {
       if (aError) {
         self->Reset();
         return;
       }
-      self->Read(self->mNear, self->mFar, self->mThere);
-      self->Read(self->mFar, self->mNear, self->mBack);
+      self->Read(self->mClient, self->mServer, self->mToTarget);
+      self->Read(self->mServer, self->mClient, self->mFromTarget);
     });
 }
 
 void
-pair::Reset()
+connection_pair::Reset()
 {
   boost::system::error_code ignored;
   const boost::asio::socket_base::linger atOnce(true, 0);
-  mNear.set_option(atOnce, ignored);
-  mFar.set_option(atOnce, ignored);
+  mClient.set_option(atOnce, ignored);
+  mServer.set_option(atOnce, ignored);
   Close();
 }
 
 void
-pair::Close()
+connection_pair::Close()
 {
   boost::system::error_code ignored;
   mIsOpen = false;
-  mNear.close(ignored);
-  mFar.close(ignored);
+  mClient.close(ignored);
+  mServer.close(ignored);
 }
 
 void
-pair::Read(tcp::socket& aFrom, tcp::socket& aTo, direction& aWay)
+connection_pair::Read(tcp::socket& aFrom,
+                      tcp::socket& aTo,
+                      direction& aDirection)
 {
   aFrom.async_read_some(
-    boost::asio::buffer(aWay.bytes),
-    [self = shared_from_this(), &aFrom, &aTo, &aWay](
+    boost::asio::buffer(aDirection.bytes),
+    [self = shared_from_this(), &aFrom, &aTo, &aDirection](
       const boost::system::error_code& aError, std::size_t aSize) {
       if (aError) {
         self->Close();
         return;
       }
       const bool isDelayed = self->mCondition.now == fault::kDelay;
-      aWay.timer.expires_after(isDelayed ? self->mCondition.delay
-                                         : milliseconds{ 0 });
-      aWay.timer.async_wait(
-        [self, &aFrom, &aTo, &aWay, aSize](const boost::system::error_code&) {
-          self->PassOn(aFrom, aTo, aWay, aSize);
-        });
+      aDirection.timer.expires_after(isDelayed ? self->mCondition.delay
+                                               : milliseconds{ 0 });
+      aDirection.timer.async_wait([self, &aFrom, &aTo, &aDirection, aSize](
+                                    const boost::system::error_code&) {
+        self->Forward(aFrom, aTo, aDirection, aSize);
+      });
     });
 }
 
 void
-pair::PassOn(tcp::socket& aFrom,
-             tcp::socket& aTo,
-             direction& aWay,
-             std::size_t aSize)
+connection_pair::Forward(tcp::socket& aFrom,
+                         tcp::socket& aTo,
+                         direction& aDirection,
+                         std::size_t aSize)
 {
   if (!mIsOpen || mIsSilent) {
     return;
   }
-  if (IsHeld(aWay)) {
-    aWay.timer.expires_after(kLook);
-    aWay.timer.async_wait(
-      [self = shared_from_this(), &aFrom, &aTo, &aWay, aSize](
+  if (IsHeld(aDirection)) {
+    aDirection.timer.expires_after(kHoldPollInterval);
+    aDirection.timer.async_wait(
+      [self = shared_from_this(), &aFrom, &aTo, &aDirection, aSize](
         const boost::system::error_code&) {
-        self->PassOn(aFrom, aTo, aWay, aSize);
+        self->Forward(aFrom, aTo, aDirection, aSize);
       });
     return;
   }
   boost::asio::async_write(
     aTo,
-    boost::asio::buffer(aWay.bytes.data(), aSize),
-    [self = shared_from_this(), &aFrom, &aTo, &aWay](
+    boost::asio::buffer(aDirection.bytes.data(), aSize),
+    [self = shared_from_this(), &aFrom, &aTo, &aDirection](
       const boost::system::error_code& aError, std::size_t) {
       if (aError) {
         self->Close();
         return;
       }
-      self->Read(aFrom, aTo, aWay);
+      self->Read(aFrom, aTo, aDirection);
     });
 }
 
 bool
-pair::IsHeld(const direction& aWay) const noexcept
+connection_pair::IsHeld(const direction& aDirection) const noexcept
 {
   return mCondition.now == fault::kHold ||
-         (mCondition.now == fault::kHoldAnswers && aWay.answers);
+         (mCondition.now == fault::kHoldAnswers && aDirection.answers);
 }
 
 tunnel::tunnel(boost::asio::io_context& aContext,
@@ -164,21 +166,22 @@
       if (aError) {
         return;
       }
-      std::erase_if(mPairs, [](const auto& aOne) { return !aOne->IsOpen(); });
-      mPairs.push_back(
-        std::make_shared<pair>(mContext, mCondition, std::move(aSocket)));
-      mPairs.back()->Start(mTarget);
+      std::erase_if(mConnections,
+                    [](const auto& aOne) { return !aOne->IsOpen(); });
+      mConnections.push_back(std::make_shared<connection_pair>(
+        mContext, mCondition, std::move(aSocket)));
+      mConnections.back()->Start(mTarget);
       Accept();
     });
 }
 
 void
-tunnel::Put(const condition& aCondition)
+tunnel::SetCondition(const condition& aCondition)
 {
   const bool isOnce =
     aCondition.now == fault::kSilence || aCondition.now == fault::kReset;
   mCondition = isOnce ? condition{} : aCondition;
-  for (const auto& one : mPairs) {
+  for (const auto& one : mConnections) {
     if (aCondition.now == fault::kSilence) {
       one->Silence();
     } else if (aCondition.now == fault::kReset) {
--- a/standin/proxy/tunnel.hpp
+++ b/standin/proxy/tunnel.hpp
@@ -36,7 +36,7 @@
 
 /// Finds a fault by name; empty if the name is unknown.
 [[nodiscard]] std::optional<fault>
-FaultNamed(std::string_view aName);
+FindFault(std::string_view aName);
 
 struct condition
 {
@@ -45,12 +45,13 @@
 };
 
 /// An accepted connection and its connection to the target.
-class pair final : public std::enable_shared_from_this<pair>
+class connection_pair final
+  : public std::enable_shared_from_this<connection_pair>
 {
 public:
-  pair(boost::asio::io_context& aContext,
-       const condition& aCondition,
-       tcp::socket aNear);
+  connection_pair(boost::asio::io_context& aContext,
+                  const condition& aCondition,
+                  tcp::socket aClient);
 
   void Start(std::uint16_t aTarget);
   /// Stops forwarding and keeps both connections open.
@@ -59,7 +60,7 @@
   [[nodiscard]] bool IsOpen() const noexcept { return mIsOpen; }
 
 private:
-  static constexpr std::size_t kPiece = 16384;
+  static constexpr std::size_t kChunkSize = 16384;
 
   struct direction
   {
@@ -69,24 +70,24 @@
     {
     }
 
-    std::array<char, kPiece> bytes{};
+    std::array<char, kChunkSize> bytes{};
     boost::asio::steady_timer timer;
     bool answers;
   };
 
-  void Read(tcp::socket& aFrom, tcp::socket& aTo, direction& aWay);
-  void PassOn(tcp::socket& aFrom,
-              tcp::socket& aTo,
-              direction& aWay,
-              std::size_t aSize);
-  [[nodiscard]] bool IsHeld(const direction& aWay) const noexcept;
+  void Read(tcp::socket& aFrom, tcp::socket& aTo, direction& aDirection);
+  void Forward(tcp::socket& aFrom,
+               tcp::socket& aTo,
+               direction& aDirection,
+               std::size_t aSize);
+  [[nodiscard]] bool IsHeld(const direction& aDirection) const noexcept;
   void Close();
 
   const condition& mCondition;
-  tcp::socket mNear;
-  tcp::socket mFar;
-  direction mThere;
-  direction mBack;
+  tcp::socket mClient;
+  tcp::socket mServer;
+  direction mToTarget;
+  direction mFromTarget;
   bool mIsSilent = false;
   bool mIsOpen = true;
 };
@@ -99,7 +100,7 @@
          std::uint16_t aPort,
          std::uint16_t aTarget);
 
-  void Put(const condition& aCondition);
+  void SetCondition(const condition& aCondition);
   [[nodiscard]] std::uint16_t Port() const noexcept { return mPort; }
 
 private:
@@ -110,7 +111,7 @@
   std::uint16_t mPort;
   std::uint16_t mTarget;
   condition mCondition;
-  std::vector<std::shared_ptr<pair>> mPairs;
+  std::vector<std::shared_ptr<connection_pair>> mConnections;
 };
 
 } // namespace currantshed::standin::proxy
--- a/standin/upstream/command_line.cpp
+++ b/standin/upstream/command_line.cpp
@@ -25,20 +25,26 @@
     CURRANTSHED_VERSION);
   text_flag id("", "id", "name of the server", true, "", "id", line);
   text_flag address(
-    "", "address", "IP number to listen at", false, "127.0.0.1", "ip", line);
-  port_flag port("", "port", "port for callers", true, 0, "port", line);
-  port_flag control(
-    "", "control-port", "port for faults and checks", true, 0, "port", line);
+    "", "address", "IP address to listen on", false, "127.0.0.1", "ip", line);
+  port_flag port(
+    "", "port", "port for client connections", true, 0, "port", line);
+  port_flag control("",
+                    "control-port",
+                    "HTTP port for faults and state",
+                    true,
+                    0,
+                    "port",
+                    line);
   text_flag group("", "group", "name of the group", false, "group", "g", line);
   number_flag slots(
-    "", "slots", "statements that run at a time", false, 2, "n", line);
+    "", "slots", "statements that run at once", false, 2, "n", line);
   number_flag connections(
-    "", "connections", "connections accepted", false, 16, "n", line);
+    "", "connections", "maximum number of connections", false, 16, "n", line);
   number_flag connectDelay(
     "", "connect-delay-ms", "time to open a connection", false, 0, "ms", line);
   number_flag service("",
                       "service-time-us",
-                      "time that a statement holds its slot",
+                      "time for which a statement holds its slot",
                       false,
                       0,
                       "us",
@@ -52,7 +58,7 @@
                    line);
   number_flag idle("",
                    "transaction-idle-ms",
-                   "time after which an idle transaction ends",
+                   "idle time after which a transaction is ended",
                    false,
                    15000,
                    "ms",
@@ -74,7 +80,7 @@
   text_flag schema(
     "", "schema", "SQL for the first log record", false, "", "file", line);
   text_flag data(
-    "", "data", "file that keeps term and log", false, "", "file", line);
+    "", "data", "file that stores term and log", false, "", "file", line);
   line.setExceptionHandling(false);
   line.parse(aCount, aValues);
   aSettings.id = id.getValue();
--- a/standin/upstream/database.cpp
+++ b/standin/upstream/database.cpp
@@ -70,7 +70,7 @@
   const int flags =
     SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_NOMUTEX;
   if (sqlite3_open_v2(":memory:", &handle, flags, nullptr) != SQLITE_OK) {
-    Die("can't open");
+    Die("can't open the in-memory database");
   }
   mHandle.reset(handle);
   sqlite3_extended_result_codes(handle, 1);
@@ -205,11 +205,11 @@
   auto* backup =
     sqlite3_backup_init(mHandle.get(), "main", aOther.mHandle.get(), "main");
   if (backup == nullptr) {
-    Die("can't copy");
+    Die("can't copy the database");
   }
   const int state = sqlite3_backup_step(backup, -1);
   if (sqlite3_backup_finish(backup) != SQLITE_OK || state != SQLITE_DONE) {
-    Die("can't copy");
+    Die("can't copy the database");
   }
 }
 
--- a/standin/upstream/delayed_writer.cpp
+++ b/standin/upstream/delayed_writer.cpp
@@ -31,7 +31,7 @@
   const auto due = aDelay == clock::duration::zero()
                      ? clock::time_point{}
                      : std::chrono::steady_clock::now() + aDelay;
-  mPieces.push_back({ due, std::move(aBytes) });
+  mChunks.push_back({ due, std::move(aBytes) });
   Pump(aOwner);
 }
 
@@ -39,7 +39,7 @@
 delayed_writer::Freeze()
 {
   mFrozen = true;
-  mPieces.clear();
+  mChunks.clear();
   mTimer.cancel();
 }
 
@@ -58,16 +58,16 @@
 void
 delayed_writer::Pump(const std::shared_ptr<void>& aOwner)
 {
-  if (mBusy || mFrozen || mPieces.empty()) {
+  if (mBusy || mFrozen || mChunks.empty()) {
     return;
   }
-  const auto due = mPieces.front().due;
+  const auto due = mChunks.front().due;
   if (due != clock::time_point{} && due > std::chrono::steady_clock::now()) {
     WaitUntil(due, aOwner);
     return;
   }
-  mCurrent = std::move(mPieces.front().bytes);
-  mPieces.pop_front();
+  mCurrent = std::move(mChunks.front().bytes);
+  mChunks.pop_front();
   Write(aOwner);
 }
 
--- a/standin/upstream/delayed_writer.hpp
+++ b/standin/upstream/delayed_writer.hpp
@@ -33,7 +33,7 @@
   [[nodiscard]] std::size_t Queued() const noexcept;
 
 private:
-  struct piece
+  struct chunk
   {
     clock::time_point due;
     std::string bytes;
@@ -45,7 +45,7 @@
 
   boost::asio::ip::tcp::socket& mSocket;
   boost::asio::steady_timer mTimer;
-  std::deque<piece> mPieces;
+  std::deque<chunk> mChunks;
   std::string mCurrent;
   std::size_t mQueued = 0;
   bool mBusy = false;
--- a/standin/upstream/server.cpp
+++ b/standin/upstream/server.cpp
@@ -51,7 +51,8 @@
   }
   const auto primary = FindPeer(mSettings.peers, mSettings.firstPrimary);
   if (!primary) {
-    throw std::invalid_argument("the first primary is not among the peers");
+    throw std::invalid_argument(
+      "the first primary is not in the list of peers");
   }
   static_cast<void>(
     mStore.Follow(1, *primary, std::chrono::steady_clock::now()));
--- a/standin/upstream/store.cpp
+++ b/standin/upstream/store.cpp
@@ -13,7 +13,7 @@
 // block other work.
 constexpr int kApplyBatch = 500;
 // Storage time of records that are applied without lag.
-constexpr clock::time_point kLongAgo{};
+constexpr clock::time_point kNoLag{};
 
 bool
 IgnoreRow(const row_view& /*aRow*/)
@@ -30,7 +30,7 @@
   , mLog(std::move(aState.log))
   , mCommitted(std::make_unique<database>())
 {
-  mStoredAt.resize(mLog.Last().index, kLongAgo);
+  mStoredAt.resize(mLog.Last().index, kNoLag);
   ApplyAll();
   if (mTerms.Role() == server_role::kPrimary) {
     mWorking.CopyFrom(*mCommitted);
@@ -201,7 +201,7 @@
 {
   mJournal.WriteRecord(aRecord);
   mLog.Append(std::move(aRecord));
-  mStoredAt.push_back(kLongAgo);
+  mStoredAt.push_back(kNoLag);
   ApplyAll();
 }
 
@@ -228,7 +228,7 @@
   // log.
   mCommitted = std::make_unique<database>();
   mApplied = 0;
-  mStoredAt.assign(aCommon, kLongAgo);
+  mStoredAt.assign(aCommon, kNoLag);
 }
 
 bool
@@ -278,7 +278,8 @@
     const auto error =
       mCommitted->Run(change.sql, change.parameters, IgnoreRow, affected);
     if (error) {
-      std::cerr << "store: replay differs: " << error->message << '\n';
+      std::cerr << "store: replay gave a different result: " << error->message
+                << '\n';
       std::exit(EXIT_FAILURE);
     }
   }
--- a/test/matrix/checker.cpp
+++ b/test/matrix/checker.cpp
@@ -74,15 +74,21 @@
     for (const auto& value : change.values) {
       const auto count = aLog.Count(value);
       if (change.outcome == told_outcome::kDone && count == 0) {
-        Note(aOut, invariant::kNothingLost, Print(change) + " is gone");
+        Note(aOut,
+             invariant::kNothingLost,
+             Print(change) + " is missing from the log");
       }
       if (count > 1) {
-        Note(aOut, invariant::kNothingDoubled, Print(change) + " ran twice");
+        Note(aOut,
+             invariant::kNothingDoubled,
+             Print(change) + " is in the log more than once");
       }
       const bool denied = change.outcome == told_outcome::kNotRun ||
                           change.outcome == told_outcome::kRefused;
       if (denied && count > 0) {
-        Note(aOut, invariant::kTrueNotRun, Print(change) + " ran");
+        Note(aOut,
+             invariant::kTrueNotRun,
+             Print(change) + " is in the log although it was denied");
       }
     }
   }
@@ -319,12 +325,12 @@
     if (applied.outcome == told_outcome::kDone && !made) {
       Note(aOut,
            invariant::kConfigurationKept,
-           applied.declaration + " was accepted and is gone");
+           applied.declaration + " was accepted and is not stored");
     }
     if (applied.outcome == told_outcome::kNotRun && made) {
       Note(aOut,
            invariant::kTrueNotRun,
-           applied.declaration + " was denied and is in force");
+           applied.declaration + " was denied and is stored");
     }
   }
 }
--- a/test/matrix/pooler_node.cpp
+++ b/test/matrix/pooler_node.cpp
@@ -376,7 +376,7 @@
   if (link == mConnections.end()) {
     return;
   }
-  if (mAround.rules.Broken(seeded_bug::kTornTakenWhole)) {
+  if (mAround.rules.Broken(seeded_bug::kPartialAnswerAccepted)) {
     CutInHalf(aReply);
     link->second.running = false;
     mEngine->Replied(
--- a/test/matrix/rules.cpp
+++ b/test/matrix/rules.cpp
@@ -36,7 +36,7 @@
 void
 rules::Settle(failover::coordinator_settings& aSettings) const
 {
-  if (Broken(seeded_bug::kNoWaitingOut)) {
+  if (Broken(seeded_bug::kNoValidityWait)) {
     aSettings.validity = std::chrono::milliseconds(0);
   }
 }
--- a/test/matrix/servers.cpp
+++ b/test/matrix/servers.cpp
@@ -104,7 +104,7 @@
     made.following = "s1";
     made.log.push_back({ 1 });
     made.applied = 1;
-    made.heardAt = mTimeline.Now();
+    made.lastContactAt = mTimeline.Now();
     mServers[member.id] = std::move(made);
   }
   mServers.at("s1").role = server_role::kPrimary;
@@ -189,8 +189,8 @@
   status.stored = asked.Stored();
   status.applied = asked.Applied();
   if (asked.role == server_role::kReplica && !asked.following.empty()) {
-    status.sincePrimary =
-      std::chrono::duration_cast<milliseconds>(mTimeline.Now() - asked.heardAt);
+    status.sincePrimary = std::chrono::duration_cast<milliseconds>(
+      mTimeline.Now() - asked.lastContactAt);
   }
   return status;
 }
@@ -237,7 +237,7 @@
   joined.term = aTerm;
   joined.role = server_role::kReplica;
   joined.following = aPrimary;
-  joined.heardAt = mTimeline.Now();
+  joined.lastContactAt = mTimeline.Now();
   return true;
 }
 
@@ -407,7 +407,7 @@
     if (!follows || !replica.alive || replica.frozen || !Linked(id, aPrimary)) {
       continue;
     }
-    replica.heardAt = mTimeline.Now();
+    replica.lastContactAt = mTimeline.Now();
     if (!replica.lagging) {
       CopyLog(primary, replica);
     }
--- a/test/matrix/servers.hpp
+++ b/test/matrix/servers.hpp
@@ -22,7 +22,7 @@
 struct server : test::fake_server
 {
   /// Time of the last message from the primary that it follows.
-  clock::time_point heardAt;
+  clock::time_point lastContactAt;
   bool alive = true;
   /// Incremented when the server restarts; connections of earlier incarnations
   /// are closed.
--- a/test/matrix/steps.cpp
+++ b/test/matrix/steps.cpp
@@ -96,7 +96,7 @@
       return at;
     }
   }
-  throw std::logic_error("an action without its step");
+  throw std::logic_error("the action has no step");
 }
 
 } // namespace currantshed::matrix
--- a/test/process/node_soak.sh
+++ b/test/process/node_soak.sh
@@ -12,16 +12,16 @@
 proxied=yes
 node_start "${SOAK_BASE:-28400}" 4
 
-any_way() {
+random_path() {
   if ((RANDOM % 2)); then
-    way_to_store $((RANDOM % 4 + 1))
+    path_to_store $((RANDOM % 4 + 1))
   else
-    way_to_server $((RANDOM % 6))
+    path_to_server $((RANDOM % 6))
   fi
 }
 
 # Injects a fault that ends by itself after the given number of seconds.
-passing_fault() {
+temporary_fault() {
   local way=$1 lasts=$2
   shift 2
   fault "$way" "$@"
@@ -32,9 +32,9 @@
 }
 
 # The store loses its last seconds, sometimes again right after the restore.
-store_returns() {
+store_restored() {
   local span=$((RANDOM % 3000)) away=$((RANDOM % 2500 + 100)) twice=$((RANDOM % 3))
-  echo "the store loses $span ms, away for $away ms, twice: $((twice == 0))"
+  echo "store loses $span ms, unavailable for $away ms, twice: $((twice == 0))"
   tell "/test/lose?span_ms=$span&away_ms=$away" >/dev/null
   [ "$twice" -ne 0 ] || {
     sleep "$((away / 1000 + 1))"
@@ -44,20 +44,20 @@
 
 one_fault() {
   local vm=$((RANDOM % 4 + 1)) group=$((RANDOM % 2)) way lasts=$((RANDOM % 3 + 1))
-  way=$(any_way)
+  way=$(random_path)
   case $((RANDOM % faults)) in
     0) echo "kill vm-$vm"; node_kill "$vm" KILL; node_run "$vm" ;;
     1) echo "pause vm-$vm"; node_pause "$vm" 2 ;;
     2) echo "stop vm-$vm"; node_stop "$vm"; node_run "$vm" ;;
     3) echo "lose group-$group"; replaced "group-$group" stop || true ;;
     4) echo "leave group-$group"; replaced "group-$group" drain || true ;;
-    5) passing_fault "$way" "$lasts" hold ;;
-    6) passing_fault "$way" "$lasts" hold_answers ;;
-    7) passing_fault "$way" "$lasts" delay $((RANDOM % 300)) ;;
+    5) temporary_fault "$way" "$lasts" hold ;;
+    6) temporary_fault "$way" "$lasts" hold_answers ;;
+    7) temporary_fault "$way" "$lasts" delay $((RANDOM % 300)) ;;
     8) fault "$way" silence ;;
     9) fault "$way" reset ;;
     10) echo "restart in group-$group"; restarted "group-$group" ;;
-    *) store_returns ;;
+    *) store_restored ;;
   esac
 }
 
--- a/test/process/support/node.sh
+++ b/test/process/support/node.sh
@@ -71,14 +71,14 @@
 }
 
 # The port on which a VM reaches the store, and the port of a server, by number.
-way_to_store() {
+path_to_store() {
   if [ -n "$proxied" ]; then
     echo $((base + 59 + $1))
   else
     echo "$store_port"
   fi
 }
-way_to_server() { echo $((base + 70 + $1)); }
+path_to_server() { echo $((base + 70 + $1)); }
 
 # Sets the fault of a path's proxy: "pass", "delay MS", "hold", "hold_answers",
 # "silence" or "reset".
@@ -86,17 +86,17 @@
   local port=$1 control=$((base + 80))
   [ "$port" -ge "$((base + 70))" ] && control=$((base + 81))
   shift
-  echo "way $port: $*"
+  echo "path $port: $*"
   echo "$port $*" >"/dev/tcp/127.0.0.1/$control"
 }
 
 proxies_start() {
   "$build/currantshed-standin-proxy" --control "$((base + 80))" \
-    --first "$(way_to_store 1)" --target "$store_port" --fan "$1" \
+    --first "$(path_to_store 1)" --target "$store_port" --fan "$1" \
     >>"$scratch/proxy.log" 2>&1 &
   proxy_pids+=" $!"
   "$build/currantshed-standin-proxy" --control "$((base + 81))" \
-    --first "$(way_to_server 0)" --target "$((base + 90))" \
+    --first "$(path_to_server 0)" --target "$((base + 90))" \
     --targets $((GROUPS_OF_SERVERS * 3)) >>"$scratch/proxy.log" 2>&1 &
   proxy_pids+=" $!"
 }
@@ -110,7 +110,7 @@
  "listen": {"front": "127.0.0.1:$first", "ready": "127.0.0.1:$((first + 1))"},
  "limits": {"max_fds": 1024},
  "bounds": {"grace_s": 4, "config_apply_ms": 3000},
- "platform": {"address": "127.0.0.1:$(way_to_store "$vm")", "ttl_min_ms": 1000},
+ "platform": {"address": "127.0.0.1:$(path_to_store "$vm")", "ttl_min_ms": 1000},
  "cloud_api": {"address": "127.0.0.1:$store_port"}}
 END
   "$build/currantshed-node" --config "$scratch/vm-$vm.json" \
@@ -138,7 +138,7 @@
   store_port=$((base + 1))
   "$build/currantshed-standin-fleet" --port "$store_port" \
     --servers-port "$((base + 90))" --groups "$GROUPS_OF_SERVERS" \
-    ${proxied:+--listed-port "$(way_to_server 0)"} \
+    ${proxied:+--listed-port "$(path_to_server 0)"} \
     >"$scratch/fleet.log" 2>&1 &
   fleet_pid=$!
   [ -z "$proxied" ] || proxies_start "$2"
@@ -179,7 +179,7 @@
   cat "$scratch/callers.log"
   [ "$status" -eq 0 ] || fail "callers saw a wrong answer"
   grep -Eq '"acknowledged":[1-9][0-9]' "$scratch/callers.log" ||
-    fail "hardly any change was acknowledged"
+    fail "fewer than 10 changes were acknowledged"
 }
 
 # The server of a group that considers itself primary.
--- a/tools/lib/cluster.sh
+++ b/tools/lib/cluster.sh
@@ -4,15 +4,15 @@
 #
 #   cluster_start SHAPE DIR   starts all, applies the declaration, waits until
 #                             every VM is ready; logs go to DIR
-#   cluster_stop              stops all that was started and waits for it
+#   cluster_stop              stops all started processes and waits for them
 #   cluster_vm_start ID       starts a VM's pooler and gateway
 #   cluster_vm_stop ID        asks both to end (SIGTERM) and waits
 #   cluster_vm_kill ID        kills both
 #   cluster_kill NAME         kills one process
 #   cluster_signal NAME SIG   signals one process: platform, upstream.ID,
 #                             pooler.ID or gateway.ID
-#   cluster_fault ID QUERY    orders a fault of a database server (cut=all)
-#   cluster_platform QUERY    orders a fault of the platform (outage=on)
+#   cluster_fault ID QUERY    sets a fault of a database server (cut=all)
+#   cluster_platform QUERY    sets a fault of the platform (outage=on)
 #   cluster_primary GROUP     prints the server that is the primary of the
 #                             highest term
 #   cluster_reserved N        whether N poolers have reserved terms for every
@@ -21,8 +21,9 @@
 #
 # Variables: CLUSTER_BUILD, the folder of the programs; CLUSTER_LOAD_DELAYS=no
 # leaves the shape's delays out; CLUSTER_UPSTREAM_FLAGS, CLUSTER_POOLER_FLAGS
-# and CLUSTER_GATEWAY_FLAGS, more flags for each program of the kind; CLUSTER_SPARES, VMs of the shape that are not
-# started and that the platform does not list at first.
+# and CLUSTER_GATEWAY_FLAGS, more flags for each program of the kind;
+# CLUSTER_SPARES, VMs of the shape that are not started and that the platform
+# does not list at first.
 
 CLUSTER_BUILD=${CLUSTER_BUILD:-${BUILD:-build}}
 CLUSTER_SCHEMA=$(dirname "${BASH_SOURCE[0]}")/schema.sql
