--- a/test/matrix/gateway_node.cpp
+++ b/test/matrix/gateway_node.cpp
@@ -201,15 +201,15 @@
   const auto done = StepOf(layer::kGateway, 0, moment::kDone);
   const auto back = [this, answered, done](const group::answer& aAnswer,
                                            const std::string& aIncarnation) {
-    const auto struck = mAround.faults.Reach(done, *this);
-    if (struck.lost || !Alive()) {
+    const auto effect = mAround.faults.Reach(done, *this);
+    if (effect.lost || !Alive()) {
       return;
     }
     const auto kept = std::make_shared<const group::answer>(aAnswer);
     const auto take = [this, kept, aIncarnation] {
       mEngine->PoolerAnswered(*kept, aIncarnation, mAround.time.Now());
     };
-    mAround.time.In(mAround.Transit() + struck.delay,
+    mAround.time.In(mAround.Transit() + effect.delay,
                     Arrival(answered, take, [] {}));
   };
   const auto sentAt = mAround.time.Now();
--- a/test/matrix/operators.cpp
+++ b/test/matrix/operators.cpp
@@ -122,12 +122,12 @@
   mAround.time.In(aEffect.delay, [=, this] {
     mAround.store.Read(
       kKey, [=, this](bool aReached, const store::entry& aEntry) {
-        const auto struck =
+        const auto effect =
           mAround.faults.Reach(StepOf(layer::kApply, 0, moment::kDone), *this);
-        if (struck.lost) {
+        if (effect.lost) {
           return;
         }
-        mAround.time.In(struck.delay,
+        mAround.time.In(effect.delay,
                         Arrival(
                           StepOf(layer::kApply, 0, moment::kAnswered),
                           [=] { end(aReached, aEntry); },
@@ -157,12 +157,12 @@
       aAction.value,
       aAction.expected,
       [=, this](store::swap_outcome aOutcome) {
-        const auto struck =
+        const auto effect =
           mAround.faults.Reach(StepOf(layer::kApply, 1, moment::kDone), *this);
-        if (struck.lost) {
+        if (effect.lost) {
           return;
         }
-        mAround.time.In(struck.delay,
+        mAround.time.In(effect.delay,
                         Arrival(
                           StepOf(layer::kApply, 1, moment::kAnswered),
                           [=] { end(aOutcome); },
--- a/test/matrix/pooler_node.cpp
+++ b/test/matrix/pooler_node.cpp
@@ -346,12 +346,12 @@
   const auto reply = std::make_shared<const upstream::reply>(
     mAround.servers.Run(*aSession, aBatch.statements));
   const auto batch = aBatch.batch;
-  const auto struck =
+  const auto effect =
     mAround.faults.Reach(StepOf(layer::kGroup, 2, moment::kDone), *this);
   const auto lose = [this, aConnection, reply] {
     TearWith(aConnection, *reply);
   };
-  if (struck.lost) {
+  if (effect.lost) {
     mAround.time.In(kBreakDelay, Bind(lose));
     return;
   }
@@ -365,7 +365,7 @@
   };
   const auto answered = StepOf(layer::kGroup, 2, moment::kAnswered);
   DeliverBack(aSession->server,
-              mAround.Transit() + struck.delay,
+              mAround.Transit() + effect.delay,
               Arrival(answered, take, lose));
 }
 
@@ -573,14 +573,14 @@
   mAround.time.In(aEffect.delay, [=, this] {
     mAround.store.Read(
       kTermsKey, [=, this](bool aReached, const store::entry& aEntry) {
-        const auto struck = mAround.faults.Reach(done, *this);
-        if (struck.lost) {
+        const auto effect = mAround.faults.Reach(done, *this);
+        if (effect.lost) {
           return;
         }
         const auto take = [this, aReached, aEntry] {
           mCoordinator->RecordRead(aReached, aEntry, mAround.time.Now());
         };
-        mAround.time.In(struck.delay, Arrival(answered, take, [] {}));
+        mAround.time.In(effect.delay, Arrival(answered, take, [] {}));
       });
   });
 }
@@ -600,13 +600,13 @@
       aAction.value,
       aAction.expected,
       [=, this](store::swap_outcome aOutcome) {
-        const auto struck = mAround.faults.Reach(done, *this);
+        const auto effect = mAround.faults.Reach(done, *this);
         const auto outcome =
-          struck.lost ? store::swap_outcome::kUnknown : aOutcome;
+          effect.lost ? store::swap_outcome::kUnknown : aOutcome;
         const auto take = [this, outcome] {
           mCoordinator->RecordSwapped(outcome, mAround.time.Now());
         };
-        mAround.time.In(struck.delay, Arrival(answered, take, [] {}));
+        mAround.time.In(effect.delay, Arrival(answered, take, [] {}));
       });
   });
 }
@@ -647,9 +647,9 @@
   Deliver(aQuestion.server, mAround.Transit() + aEffect.delay, [=, this] {
     const bool accepted = aQuestion.effect();
     const auto status = mAround.servers.Status(aQuestion.server);
-    const auto struck = mAround.faults.Reach(
+    const auto effect = mAround.faults.Reach(
       StepOf(aQuestion.of, aQuestion.alternative, moment::kDone), *this);
-    if (struck.lost) {
+    if (effect.lost) {
       mAround.time.In(kBreakDelay, Bind(lose));
       return;
     }
@@ -661,7 +661,7 @@
     const auto step =
       StepOf(aQuestion.of, aQuestion.alternative, moment::kAnswered);
     DeliverBack(aQuestion.server,
-                mAround.Transit() + struck.delay,
+                mAround.Transit() + effect.delay,
                 Arrival(step, take, lose));
   });
 }
--- a/test/matrix/process.hpp
+++ b/test/matrix/process.hpp
@@ -101,20 +101,20 @@
   {
     return Bind(
       [this, aStep, taken = std::move(aTake), lost = std::move(aLost)] {
-        const auto struck = mFaults.Reach(aStep, *this);
+        const auto effect = mFaults.Reach(aStep, *this);
         if (!mAlive) {
           return;
         }
-        if (struck.lost) {
+        if (effect.lost) {
           lost();
           return;
         }
-        if (Paused() || struck.delay > clock::duration(0)) {
-          mTimeline.In(struck.delay, Bind(taken));
+        if (Paused() || effect.delay > clock::duration(0)) {
+          mTimeline.In(effect.delay, Bind(taken));
         } else {
           taken();
         }
-        if (struck.twice) {
+        if (effect.twice) {
           mTimeline.In(std::chrono::milliseconds(3), Bind(taken));
         }
       });
@@ -131,13 +131,13 @@
     while (!mOutbox.empty() && mAlive && !Paused()) {
       auto next = std::move(mOutbox.front());
       mOutbox.pop_front();
-      if (!next.struck) {
-        next.struck = mFaults.Reach(next.step, *this);
+      if (!next.effect) {
+        next.effect = mFaults.Reach(next.step, *this);
       }
       if (mAlive && Paused()) {
         mOutbox.push_front(std::move(next));
       } else if (mAlive) {
-        next.run(*next.struck);
+        next.run(*next.effect);
       }
       if (mAlive) {
         Collect();
@@ -156,7 +156,7 @@
   {
     std::size_t step = 0;
     step_action run;
-    std::optional<fault_effect> struck;
+    std::optional<fault_effect> effect;
   };
 
   static constexpr std::chrono::microseconds kLeastStep{ 100 };
