--- a/test/matrix/pooler_node.cpp
+++ b/test/matrix/pooler_node.cpp
@@ -417,7 +417,7 @@
 void
 pooler_node::Do(const group::ask_status& aAction, const fault_effect& aEffect)
 {
-  question asked;
+  server_query asked;
   asked.server = aAction.server;
   asked.of = layer::kGroup;
   asked.alternative = 3;
@@ -468,7 +468,7 @@
 void
 pooler_node::Do(const failover::probe& aAction, const fault_effect& aEffect)
 {
-  question asked;
+  server_query asked;
   asked.server = aAction.server;
   asked.of = layer::kFailover;
   asked.alternative = 0;
@@ -491,7 +491,7 @@
 pooler_node::Do(const failover::fence& aAction, const fault_effect& aEffect)
 {
   const auto accepted = std::make_shared<bool>(false);
-  question asked;
+  server_query asked;
   asked.server = aAction.server;
   asked.of = layer::kFailover;
   asked.alternative = 1;
@@ -517,7 +517,7 @@
 void
 pooler_node::Do(const failover::promote& aAction, const fault_effect& aEffect)
 {
-  question asked;
+  server_query asked;
   asked.server = aAction.server;
   asked.of = layer::kFailover;
   asked.alternative = 2;
@@ -540,7 +540,7 @@
 void
 pooler_node::Do(const failover::follow& aAction, const fault_effect& aEffect)
 {
-  question asked;
+  server_query asked;
   asked.server = aAction.server;
   asked.of = layer::kFailover;
   asked.alternative = 3;
@@ -630,37 +630,36 @@
 
 // Each query ends exactly once: with an answer in time, or with none.
 void
-pooler_node::Ask(const question& aQuestion, const fault_effect& aEffect)
+pooler_node::Ask(const server_query& aQuery, const fault_effect& aEffect)
 {
   const auto askedAt = mAround.time.Now();
   const auto open = std::make_shared<bool>(true);
-  const auto lose = [open, done = aQuestion.done, askedAt] {
+  const auto lose = [open, done = aQuery.done, askedAt] {
     if (std::exchange(*open, false)) {
       done(nullptr, askedAt);
     }
   };
-  mAround.time.In(aQuestion.patience, Bind(lose));
+  mAround.time.In(aQuery.patience, Bind(lose));
   if (aEffect.lost) {
     mAround.time.In(kBreakDelay, Bind(lose));
     return;
   }
-  Deliver(aQuestion.server, mAround.Transit() + aEffect.delay, [=, this] {
-    const bool accepted = aQuestion.effect();
-    const auto status = mAround.servers.Status(aQuestion.server);
+  Deliver(aQuery.server, mAround.Transit() + aEffect.delay, [=, this] {
+    const bool accepted = aQuery.effect();
+    const auto status = mAround.servers.Status(aQuery.server);
     const auto effect = mAround.faults.Reach(
-      StepOf(aQuestion.of, aQuestion.alternative, moment::kDone), *this);
+      StepOf(aQuery.of, aQuery.alternative, moment::kDone), *this);
     if (effect.lost) {
       mAround.time.In(kBreakDelay, Bind(lose));
       return;
     }
-    const auto take = [=, done = aQuestion.done] {
+    const auto take = [=, done = aQuery.done] {
       if (std::exchange(*open, false)) {
         done(accepted ? &status : nullptr, askedAt);
       }
     };
-    const auto step =
-      StepOf(aQuestion.of, aQuestion.alternative, moment::kAnswered);
-    DeliverBack(aQuestion.server,
+    const auto step = StepOf(aQuery.of, aQuery.alternative, moment::kAnswered);
+    DeliverBack(aQuery.server,
                 mAround.Transit() + effect.delay,
                 Arrival(step, take, lose));
   });
--- a/test/matrix/pooler_node.hpp
+++ b/test/matrix/pooler_node.hpp
@@ -80,7 +80,7 @@
 
   /// A query to a server on its control connection, and the handler of its
   /// answer.
-  struct question
+  struct server_query
   {
     upstream::server_id server;
     layer of = layer::kGroup;
@@ -105,7 +105,7 @@
   void Do(const failover::report_suspicion& aAction,
           const fault_effect& aEffect);
 
-  void Ask(const question& aQuestion, const fault_effect& aEffect);
+  void Ask(const server_query& aQuery, const fault_effect& aEffect);
   /// Runs an event at a server once packets to it get through.
   void Deliver(const upstream::server_id& aServer,
                clock::duration aDelay,
--- a/test/process/store_returns.sh
+++ b/test/process/store_returns.sh
@@ -5,7 +5,7 @@
 # took such a read for an older state ignored it and retried at once:
 # configurations acknowledged within 30 ms took effect at no VM for 12 seconds.
 # Symptoms:
-#   configuration_ignored version=23 in_force=23    6 to 14 times a second per VM
+#   configuration_ignored version=23 in_force=23: 6 to 14 times a second per VM
 #   store calls: 130 to 150 per second, 60 of them refused, instead of 20
 # Here three VMs see configurations up to 30, the store loses most of them, and
 # version 31 must take effect within three seconds of its acknowledgement.
