--- a/standin/proxy/tunnel.hpp
+++ b/standin/proxy/tunnel.hpp
@@ -17,26 +17,26 @@
 
 using tcp = boost::asio::ip::tcp;
 
-/// What happens to the bytes of one way through the proxy.
+/// Fault applied to the bytes forwarded by one tunnel.
 enum class fault
 {
   kNone,
-  /// Each piece arrives later.
+  /// Each chunk is delayed.
   kDelay,
-  /// Nothing is passed on, on old connections and new ones, until the fault
+  /// Nothing is forwarded, on existing or new connections, until the fault
   /// ends.
   kHold,
-  /// The same for what comes back only.
+  /// The same, but for data from the target only.
   kHoldAnswers,
-  /// The connections of now pass on nothing any more, for good; new ones work.
+  /// Existing connections never forward anything again; new ones work.
   kSilence,
-  /// The connections of now are reset; new ones work.
+  /// Existing connections are reset; new ones work.
   kReset,
 };
 
-/// The fault of that name, none for an unknown one.
+/// Finds a fault by name; empty if the name is unknown.
 [[nodiscard]] std::optional<fault>
-FaultNamed(std::string_view aName);
+FindFault(std::string_view aName);
 
 struct condition
 {
@@ -44,22 +44,23 @@
   std::chrono::milliseconds delay{ 0 };
 };
 
-/// One connection and the one beyond the proxy that belongs to it.
-class pair final : public std::enable_shared_from_this<pair>
+/// An accepted connection and its connection to the target.
+class connection_pair final
+  : public std::enable_shared_from_this<connection_pair>
 {
 public:
-  pair(boost::asio::io_context& aContext,
-       const condition& aCondition,
-       tcp::socket aNear);
+  connection_pair(boost::asio::io_context& aContext,
+                  const condition& aCondition,
+                  tcp::socket aClient);
 
   void Start(std::uint16_t aTarget);
-  /// Passes on nothing any more, and keeps both connections open.
+  /// Stops forwarding and keeps both connections open.
   void Silence() noexcept { mIsSilent = true; }
   void Reset();
   [[nodiscard]] bool IsOpen() const noexcept { return mIsOpen; }
 
 private:
-  static constexpr std::size_t kPiece = 16384;
+  static constexpr std::size_t kChunkSize = 16384;
 
   struct direction
   {
@@ -69,29 +70,29 @@
     {
     }
 
-    std::array<char, kPiece> bytes{};
+    std::array<char, kChunkSize> bytes{};
     boost::asio::steady_timer timer;
     bool answers;
   };
 
-  void Read(tcp::socket& aFrom, tcp::socket& aTo, direction& aWay);
-  void PassOn(tcp::socket& aFrom,
-              tcp::socket& aTo,
-              direction& aWay,
-              std::size_t aSize);
-  [[nodiscard]] bool IsHeld(const direction& aWay) const noexcept;
+  void Read(tcp::socket& aFrom, tcp::socket& aTo, direction& aDirection);
+  void Forward(tcp::socket& aFrom,
+               tcp::socket& aTo,
+               direction& aDirection,
+               std::size_t aSize);
+  [[nodiscard]] bool IsHeld(const direction& aDirection) const noexcept;
   void Close();
 
   const condition& mCondition;
-  tcp::socket mNear;
-  tcp::socket mFar;
-  direction mThere;
-  direction mBack;
+  tcp::socket mClient;
+  tcp::socket mServer;
+  direction mToTarget;
+  direction mFromTarget;
   bool mIsSilent = false;
   bool mIsOpen = true;
 };
 
-/// Listens on one port and passes connections on to another, on 127.0.0.1.
+/// Listens on one port and forwards connections to another, both on 127.0.0.1.
 class tunnel
 {
 public:
@@ -99,7 +100,7 @@
          std::uint16_t aPort,
          std::uint16_t aTarget);
 
-  void Put(const condition& aCondition);
+  void SetCondition(const condition& aCondition);
   [[nodiscard]] std::uint16_t Port() const noexcept { return mPort; }
 
 private:
@@ -110,7 +111,7 @@
   std::uint16_t mPort;
   std::uint16_t mTarget;
   condition mCondition;
-  std::vector<std::shared_ptr<pair>> mPairs;
+  std::vector<std::shared_ptr<connection_pair>> mConnections;
 };
 
 } // namespace currantshed::standin::proxy
--- a/standin/upstream/control_calls.cpp
+++ b/standin/upstream/control_calls.cpp
@@ -24,7 +24,7 @@
   std::string value;
 };
 
-// Undoes the encoding of a URL's query: %XX, and + for a space.
+// Decodes a URL query component: %XX, and + for a space.
 std::string
 Decode(std::string_view aText)
 {
@@ -124,7 +124,7 @@
   return cells;
 }
 
-// Runs a query on the committed data.
+// Runs a read-only query on the committed data.
 sql_outcome
 Dump(server& aServer, const std::string& aSql, std::string& aText)
 {
@@ -163,13 +163,13 @@
 {
   if (aQuery.size() != 1 || aQuery.front().name != "sql") {
     aText = R"({"error":"sql is missing"})";
-    return call_status::kWrong;
+    return call_status::kInvalid;
   }
   if (const auto error = Dump(aServer, aQuery.front().value, aText)) {
     const json::object body = { { "error", error->message },
                                 { "sql_state", error->state } };
     aText = json::serialize(body);
-    return call_status::kWrong;
+    return call_status::kInvalid;
   }
   return call_status::kDone;
 }
@@ -184,7 +184,7 @@
     if (!ordered.Set(name, value)) {
       const json::object body = { { "error", "unknown fault " + name } };
       aText = json::serialize(body);
-      return call_status::kWrong;
+      return call_status::kInvalid;
     }
   }
   aServer.SetFaults(std::move(ordered));
@@ -195,18 +195,18 @@
 } // namespace
 
 call_result
-AnswerCall(server& aServer, bool aOrders, std::string_view aTarget)
+AnswerCall(server& aServer, bool aIsPost, std::string_view aTarget)
 {
   const auto mark = std::min(aTarget.find('?'), aTarget.size());
   const auto path = aTarget.substr(0, mark);
   const auto query =
     ReadQuery(aTarget.substr(std::min(mark + 1, aTarget.size())));
   call_result result;
-  if (path == "/state" && !aOrders) {
+  if (path == "/state" && !aIsPost) {
     result.text = StateText(aServer);
-  } else if (path == "/dump" && !aOrders) {
+  } else if (path == "/dump" && !aIsPost) {
     result.status = AnswerDump(aServer, query, result.text);
-  } else if (path == "/fault" && aOrders) {
+  } else if (path == "/fault" && aIsPost) {
     result.status = AnswerFault(aServer, query, result.text);
   } else {
     result = { call_status::kUnknown, R"({"error":"unknown call"})" };
--- a/standin/upstream/database.cpp
+++ b/standin/upstream/database.cpp
@@ -16,8 +16,8 @@
 constexpr std::size_t kCacheLimit = 1000;
 constexpr std::uint64_t kMillisecondsPerSecond = 1000;
 
-// A failure of the stand-in itself, such as no memory, or a replay that
-// differs: there is nothing left to serve.
+// Exits the process after a failure of the stand-in itself, such as out of
+// memory or a replay whose result differs: its data can't be served.
 [[noreturn]] void
 Die(std::string_view aWhat)
 {
@@ -70,7 +70,7 @@
   const int flags =
     SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_NOMUTEX;
   if (sqlite3_open_v2(":memory:", &handle, flags, nullptr) != SQLITE_OK) {
-    Die("can't open");
+    Die("can't open the in-memory database");
   }
   mHandle.reset(handle);
   sqlite3_extended_result_codes(handle, 1);
@@ -165,7 +165,7 @@
     aAffected += static_cast<std::uint64_t>(sqlite3_changes64(mHandle.get()));
   }
   if (found->Shape().changesData && ChangesSchema(aSql)) {
-    // Shapes may have changed.
+    // A schema change may alter the shapes of cached statements.
     mCache.clear();
   }
   return outcome;
@@ -205,11 +205,11 @@
   auto* backup =
     sqlite3_backup_init(mHandle.get(), "main", aOther.mHandle.get(), "main");
   if (backup == nullptr) {
-    Die("can't copy");
+    Die("can't copy the database");
   }
   const int state = sqlite3_backup_step(backup, -1);
   if (sqlite3_backup_finish(backup) != SQLITE_OK || state != SQLITE_DONE) {
-    Die("can't copy");
+    Die("can't copy the database");
   }
 }
 
--- a/standin/upstream/server.cpp
+++ b/standin/upstream/server.cpp
@@ -37,7 +37,7 @@
   StartTerms(aSchema);
 }
 
-// A server that has no term yet begins in term 1.
+// Starts a server without a stored term in term 1.
 void
 server::StartTerms(const std::vector<std::string>& aSchema)
 {
@@ -51,7 +51,8 @@
   }
   const auto primary = FindPeer(mSettings.peers, mSettings.firstPrimary);
   if (!primary) {
-    throw std::invalid_argument("the first primary is not among the peers");
+    throw std::invalid_argument(
+      "the first primary is not in the list of peers");
   }
   static_cast<void>(
     mStore.Follow(1, *primary, std::chrono::steady_clock::now()));
@@ -159,7 +160,7 @@
   }
   if (mFaults.CutsReplication()) {
     CloseFeeds();
-    // Its next attempts wait until the cut is over.
+    // Its next connection attempts wait until the cut is over.
     FollowPrimary();
   }
   ApplyStored();
@@ -218,7 +219,7 @@
   });
 }
 
-// Records of one turn of the event loop go out together.
+// Sends all records of one event-loop iteration together.
 void
 server::Appended()
 {
--- a/standin/upstream/store.cpp
+++ b/standin/upstream/store.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-// Records applied in one go, so that a long replay doesn't hold up the rest.
+// Maximum number of records applied per call, so that a long replay doesn't
+// block other work.
 constexpr int kApplyBatch = 500;
-// For records that no lag holds up.
-constexpr clock::time_point kLongAgo{};
+// Storage time of records that are applied without lag.
+constexpr clock::time_point kNoLag{};
 
 bool
 IgnoreRow(const row_view& /*aRow*/)
@@ -29,7 +30,7 @@
   , mLog(std::move(aState.log))
   , mCommitted(std::make_unique<database>())
 {
-  mStoredAt.resize(mLog.Last().index, kLongAgo);
+  mStoredAt.resize(mLog.Last().index, kNoLag);
   ApplyAll();
   if (mTerms.Role() == server_role::kPrimary) {
     mWorking.CopyFrom(*mCommitted);
@@ -200,7 +201,7 @@
 {
   mJournal.WriteRecord(aRecord);
   mLog.Append(std::move(aRecord));
-  mStoredAt.push_back(kLongAgo);
+  mStoredAt.push_back(kNoLag);
   ApplyAll();
 }
 
@@ -223,10 +224,11 @@
     mStoredAt.resize(aCommon - mApplied);
     return;
   }
-  // Some of it was applied: the data are built anew from the log.
+  // Truncated records had already been applied: the data is rebuilt from the
+  // log.
   mCommitted = std::make_unique<database>();
   mApplied = 0;
-  mStoredAt.assign(aCommon, kLongAgo);
+  mStoredAt.assign(aCommon, kNoLag);
 }
 
 bool
@@ -276,7 +278,8 @@
     const auto error =
       mCommitted->Run(change.sql, change.parameters, IgnoreRow, affected);
     if (error) {
-      std::cerr << "store: replay differs: " << error->message << '\n';
+      std::cerr << "store: replay gave a different result: " << error->message
+                << '\n';
       std::exit(EXIT_FAILURE);
     }
   }
--- a/test/matrix/cells.cpp
+++ b/test/matrix/cells.cpp
@@ -19,7 +19,8 @@
   return aStep.of == layer::kFailover;
 }
 
-/// Steps of the applier and of failover are reached but a few times.
+/// Steps of the configuration applier and of failover are reached only a few
+/// times per run, so late occurrences are not tried there.
 unsigned
 LaterOccurrence(const step& aStep)
 {
@@ -49,7 +50,7 @@
   return drawn;
 }
 
-/// The same fault at the first occurrences of one step.
+/// Injects the same fault at the first occurrences of one step.
 std::vector<injection>
 Series(fault aFault, std::size_t aStep, unsigned aCount)
 {
@@ -107,13 +108,13 @@
   return cells;
 }
 
-const std::vector<proof>&
-Proofs()
+const std::vector<bug_search>&
+BugSearches()
 {
   using f = fault;
-  using p = promise;
-  using v = variant;
-  static const std::vector<proof> kProofs{
+  using p = invariant;
+  using v = seeded_bug;
+  static const std::vector<bug_search> kBugSearches{
     { v::kFloorDropped, p::kReadYourWrites, { f::kReplicaBehind } },
     { v::kBoundRaised, p::kBoundedStaleness, { f::kReplicaBehind } },
     { v::kConfirmationUnasked,
@@ -124,7 +125,7 @@
       { f::kGatewayPaused, f::kPoolerPaused },
       true },
     { v::kAnswersDatedLate, p::kBoundedStaleness, { f::kPoolerPaused }, true },
-    { v::kNoWaitingOut,
+    { v::kNoValidityWait,
       p::kNoReplacedPrimary,
       { f::kPrimaryLeaves },
       false,
@@ -135,7 +136,8 @@
       p::kNothingLost,
       { f::kReplicaLags },
       true,
-      // The fences of the old primary and of the replica that has all.
+      // Drops the fence requests to the old primary and to the most advanced
+      // replica.
       { { f::kMessageLost, StepOf(layer::kFailover, 1, moment::kAsked), 1 },
         { f::kMessageLost, StepOf(layer::kFailover, 1, moment::kAsked), 3 } } },
     { v::kResentWithoutKey,
@@ -145,7 +147,7 @@
       p::kTrueNotRun,
       { f::kReplicasBehind, f::kPrimaryPartitioned } },
     { v::kConnectionShared, p::kNothingMixed, { f::kMessageLate } },
-    { v::kTornTakenWhole, p::kWholeAnswers, { f::kMessageLost } },
+    { v::kPartialAnswerAccepted, p::kWholeAnswers, { f::kMessageLost } },
     { v::kAnswersSwapped, p::kWholeAnswers, { f::kMessageLate } },
     { v::kLeavingHidden, p::kLeavingLeftAlone, { f::kReplicaLeaves } },
     { v::kStopsAtOnce,
@@ -153,22 +155,23 @@
       { f::kGatewayStops, f::kPoolerStops } },
     { v::kConfigurationLastSeen, p::kConfigurationKept, { f::kStoreSlow } },
   };
-  return kProofs;
+  return kBugSearches;
 }
 
 std::vector<plan>
-CellsFor(const proof& aProof)
+CellsFor(const bug_search& aSearch)
 {
   std::vector<plan> cells;
   for (unsigned seed = 1; cells.size() < kMostSearched; ++seed) {
     for (std::size_t at = 0; at < Steps().size(); ++at) {
-      for (const auto what : aProof.faults) {
+      for (const auto what : aSearch.faults) {
         auto cell = Cell(what, at, LaterOccurrence(Steps()[at]) / 2 + 1);
         cell.seed = seed;
-        cell.broken = aProof.broken;
-        cell.injections.insert(
-          cell.injections.end(), aProof.besides.begin(), aProof.besides.end());
-        cell.failover = cell.failover || aProof.failover;
+        cell.broken = aSearch.broken;
+        cell.injections.insert(cell.injections.end(),
+                               aSearch.additional.begin(),
+                               aSearch.additional.end());
+        cell.failover = cell.failover || aSearch.failover;
         cells.push_back(cell);
       }
     }
--- a/test/matrix/checker.hpp
+++ b/test/matrix/checker.hpp
@@ -10,8 +10,8 @@
 
 namespace currantshed::matrix {
 
-/// What must hold in every run.
-enum class promise
+/// Invariants that every run must satisfy.
+enum class invariant
 {
   kNothingLost,
   kNothingDoubled,
@@ -24,25 +24,25 @@
   kLeavingLeftAlone,
   kNothingCutAtStop,
   kConfigurationKept,
-  /// What a read shows is kept.
+  /// A value returned by a read is in the final log.
   kShownIsKept,
-  /// Work goes on once all faults are over.
+  /// Writes succeed again once all faults have ended.
   kRecovers,
 };
-constexpr std::size_t kPromises = 13;
+constexpr std::size_t kInvariants = 13;
 
 [[nodiscard]] std::string_view
-Name(promise aPromise);
+Name(invariant aInvariant);
 
-/// One thing that went wrong.
-struct breach
+/// One violation of an invariant.
+struct violation
 {
-  promise broken = promise::kNothingLost;
+  invariant broken = invariant::kNothingLost;
   std::string text;
 };
 
-/// Judges a run from what was seen alone.
-[[nodiscard]] std::vector<breach>
+/// Checks the invariants of a run, using its history alone.
+[[nodiscard]] std::vector<violation>
 Check(const history& aHistory);
 
 } // namespace currantshed::matrix
--- a/test/matrix/injector.hpp
+++ b/test/matrix/injector.hpp
@@ -9,22 +9,22 @@
 
 class process;
 
-/// What becomes of the message at hand.
-struct fate
+/// What the fault does to the current message.
+struct fault_effect
 {
   bool lost = false;
   bool twice = false;
   clock::duration delay{ 0 };
 };
 
-/// Told of every step that is reached; lets the planned faults strike.
+/// Notified of every step that is reached; injects the planned faults.
 class injector
 {
 public:
   virtual ~injector() = default;
 
-  /// A process has reached a step, by its place in the list of steps.
-  [[nodiscard]] virtual fate Reach(std::size_t aStep, process& aBy) = 0;
+  /// Reports that a process reached a step, given by its index in Steps().
+  [[nodiscard]] virtual fault_effect Reach(std::size_t aStep, process& aBy) = 0;
 };
 
 } // namespace currantshed::matrix
--- a/test/matrix/operators.hpp
+++ b/test/matrix/operators.hpp
@@ -11,25 +11,27 @@
 
 namespace currantshed::matrix {
 
-/// One operator who applies one change of the configuration.
+/// An operator that applies one configuration change.
 class operator_call final : public process
 {
 public:
   operator_call(surroundings& aAround, std::string aDeclaration);
 
-  /// Applies the change over the version that the store holds now.
+  /// Applies the change on top of the version that the store holds now.
   void Apply();
 
 protected:
-  void Begun() override;
+  void CreateEngines() override;
   void Ended() override {}
   void Collect() override;
   void Tick() override;
   [[nodiscard]] clock::time_point NextTick() const override;
 
 private:
-  void Do(const store::read_configuration& aAction, const fate& aFate);
-  void Do(const store::swap_configuration& aAction, const fate& aFate);
+  void Do(const store::read_configuration& aAction,
+          const fault_effect& aEffect);
+  void Do(const store::swap_configuration& aAction,
+          const fault_effect& aEffect);
   void Note();
 
   surroundings& mAround;
--- a/test/matrix/process.hpp
+++ b/test/matrix/process.hpp
@@ -12,8 +12,9 @@
 
 namespace currantshed::matrix {
 
-/// A process that can be paused, killed and started again. What happens to it
-/// while it is paused waits; what was meant for an earlier life is dropped.
+/// A simulated process that can be paused, killed and restarted. Events that
+/// arrive while it is paused are deferred; events for an earlier incarnation
+/// are dropped.
 class process
 {
 public:
@@ -31,17 +32,18 @@
 
   [[nodiscard]] const std::string& VmName() const noexcept { return mName; }
   [[nodiscard]] bool Alive() const noexcept { return mAlive; }
-  [[nodiscard]] unsigned Life() const noexcept { return mLife; }
+  [[nodiscard]] unsigned StartCount() const noexcept { return mStartCount; }
   [[nodiscard]] bool Paused() const noexcept
   {
     return mPausedUntil > mTimeline.Now();
   }
 
-  /// An event bound to the present life.
+  /// Wraps an event so that it runs in the current incarnation only.
   [[nodiscard]] event Bind(event aEvent)
   {
-    return
-      [this, life = mLife, inner = std::move(aEvent)] { Take(life, inner); };
+    return [this, startCount = mStartCount, inner = std::move(aEvent)] {
+      Take(startCount, inner);
+    };
   }
 
   void Pause(clock::duration aTime)
@@ -54,7 +56,7 @@
   void Kill()
   {
     mAlive = false;
-    ++mLife;
+    ++mStartCount;
     mOutbox.clear();
     Ended();
   }
@@ -64,28 +66,28 @@
     mAlive = true;
     mPausedUntil = {};
     mTimerAt = {};
-    Begun();
+    CreateEngines();
     Perform();
   }
 
 protected:
-  /// Makes the engines of a new life.
-  virtual void Begun() = 0;
+  /// Creates the engines of a new incarnation.
+  virtual void CreateEngines() = 0;
   virtual void Ended() = 0;
-  /// Puts what the engines want done into the outbox.
+  /// Moves the engines' pending actions into the outbox.
   virtual void Collect() = 0;
   virtual void Tick() = 0;
   [[nodiscard]] virtual clock::time_point NextTick() const = 0;
 
-  using deed = std::function<void(const fate&)>;
+  using step_action = std::function<void(const fault_effect&)>;
 
-  /// Puts an action into the outbox, with the step at which it is asked for.
-  void Want(std::size_t aStep, deed aDeed)
+  /// Queues an action, with the step reached when it is requested.
+  void Enqueue(std::size_t aStep, step_action aAction)
   {
-    mOutbox.push_back({ aStep, std::move(aDeed), std::nullopt });
+    mOutbox.push_back({ aStep, std::move(aAction), std::nullopt });
   }
 
-  /// Whether something wanted has not been done yet.
+  /// Whether queued actions remain.
   [[nodiscard]] bool Busy() const noexcept
   {
     return mPerforming || !mOutbox.empty();
@@ -93,32 +95,32 @@
 
   [[nodiscard]] injector& Faults() const noexcept { return mFaults; }
 
-  /// An answer that arrives: reaches its step, then is taken, unless it is
-  /// lost.
+  /// Wraps the arrival of an answer: reaches its step, then handles the answer,
+  /// unless a fault drops it.
   [[nodiscard]] event Arrival(std::size_t aStep, event aTake, event aLost)
   {
     return Bind(
       [this, aStep, taken = std::move(aTake), lost = std::move(aLost)] {
-        const auto struck = mFaults.Reach(aStep, *this);
+        const auto effect = mFaults.Reach(aStep, *this);
         if (!mAlive) {
           return;
         }
-        if (struck.lost) {
+        if (effect.lost) {
           lost();
           return;
         }
-        if (Paused() || struck.delay > clock::duration(0)) {
-          mTimeline.In(struck.delay, Bind(taken));
+        if (Paused() || effect.delay > clock::duration(0)) {
+          mTimeline.In(effect.delay, Bind(taken));
         } else {
           taken();
         }
-        if (struck.twice) {
+        if (effect.twice) {
           mTimeline.In(std::chrono::milliseconds(3), Bind(taken));
         }
       });
   }
 
-  /// Does what the engines want, up to a pause.
+  /// Performs the queued actions, until the process is paused.
   void Perform()
   {
     if (mPerforming) {
@@ -129,13 +131,13 @@
     while (!mOutbox.empty() && mAlive && !Paused()) {
       auto next = std::move(mOutbox.front());
       mOutbox.pop_front();
-      if (!next.struck) {
-        next.struck = mFaults.Reach(next.step, *this);
+      if (!next.effect) {
+        next.effect = mFaults.Reach(next.step, *this);
       }
       if (mAlive && Paused()) {
         mOutbox.push_front(std::move(next));
       } else if (mAlive) {
-        next.run(*next.struck);
+        next.run(*next.effect);
       }
       if (mAlive) {
         Collect();
@@ -150,23 +152,23 @@
   [[nodiscard]] timeline& Time() const noexcept { return mTimeline; }
 
 private:
-  struct wanted
+  struct queued_action
   {
     std::size_t step = 0;
-    deed run;
-    std::optional<fate> struck;
+    step_action run;
+    std::optional<fault_effect> effect;
   };
 
   static constexpr std::chrono::microseconds kLeastStep{ 100 };
 
-  void Take(unsigned aLife, const event& aEvent)
+  void Take(unsigned aStartCount, const event& aEvent)
   {
-    if (aLife != mLife || !mAlive) {
+    if (aStartCount != mStartCount || !mAlive) {
       return;
     }
     if (Paused()) {
       mTimeline.At(mPausedUntil,
-                   [this, aLife, aEvent] { Take(aLife, aEvent); });
+                   [this, aStartCount, aEvent] { Take(aStartCount, aEvent); });
       return;
     }
     aEvent();
@@ -197,10 +199,10 @@
   std::string mName;
   bool mAlive = false;
   bool mPerforming = false;
-  unsigned mLife = 0;
+  unsigned mStartCount = 0;
   clock::time_point mPausedUntil;
   clock::time_point mTimerAt;
-  std::deque<wanted> mOutbox;
+  std::deque<queued_action> mOutbox;
 };
 
 } // namespace currantshed::matrix
--- a/test/matrix/world.cpp
+++ b/test/matrix/world.cpp
@@ -14,7 +14,8 @@
 
 using std::chrono::milliseconds;
 
-// Callers begin, every fault ends, calls must succeed again, callers end.
+// Phases of a run: callers start, every fault ends, calls must succeed again,
+// callers stop.
 constexpr instant kCallersFrom = milliseconds(400);
 constexpr instant kHealAt = milliseconds(3000);
 constexpr instant kWorksFrom = milliseconds(6000);
@@ -96,16 +97,16 @@
   mRunning = false;
   for (const auto& alive : mPoolers) {
     mSeen.lastProcesses.push_back(alive->VmName() + "/" +
-                                  std::to_string(alive->Life()));
+                                  std::to_string(alive->StartCount()));
   }
   for (const auto& alive : mGateways) {
     mSeen.lastProcesses.push_back(alive->VmName() + "/" +
-                                  std::to_string(alive->Life()));
+                                  std::to_string(alive->StartCount()));
   }
   mSeen.healed = kWorksFrom;
   mServers.Finish();
   mTime.Clear();
-  return { std::move(mSeen), mStruck, mReached };
+  return { std::move(mSeen), mInjected, mReached };
 }
 
 void
@@ -121,11 +122,11 @@
   const auto first = policy::NextConfigurationRecord({}, "change-0", "zero");
   (void)mStore.Apply(
     kConfigurationKey, policy::PrintConfigurationRecord(first), 0);
-  SpreadView();
+  PublishView();
   for (const auto& made : mPoolers) {
     made->Start();
   }
-  SpreadView();
+  PublishView();
   for (const auto& made : mGateways) {
     made->Start();
   }
@@ -145,50 +146,50 @@
   }
 }
 
-fate
+fault_effect
 world::Reach(std::size_t aStep, process& aBy)
 {
-  fate met;
+  fault_effect met;
   if (!mRunning || mTime.Since() < kCallersFrom || mTime.Since() >= kHealAt) {
     return met;
   }
   const auto count = ++mReached[aStep];
   for (const auto& injected : mPlan.injections) {
     if (injected.step == aStep && injected.occurrence == count) {
-      ++mStruck;
-      Strike(injected.what, aBy, met);
+      ++mInjected;
+      Inject(injected.what, aBy, met);
     }
   }
   return met;
 }
 
 void
-world::Strike(fault aWhat, process& aBy, fate& aFate)
+world::Inject(fault aWhat, process& aBy, fault_effect& aEffect)
 {
-  if (!StrikeMessage(aWhat, aFate) && !StrikeServer(aWhat) &&
-      !StrikeStore(aWhat)) {
-    StrikeProcess(aWhat, aBy);
+  if (!InjectIntoMessage(aWhat, aEffect) && !InjectIntoServer(aWhat) &&
+      !InjectIntoStore(aWhat)) {
+    InjectIntoProcess(aWhat, aBy);
   }
 }
 
 bool
-world::StrikeMessage(fault aWhat, fate& aFate)
+world::InjectIntoMessage(fault aWhat, fault_effect& aEffect)
 {
   switch (aWhat) {
     case fault::kMessageSlow:
-      aFate.delay += kSlow;
+      aEffect.delay += kSlow;
       return true;
     case fault::kMessageLate:
-      aFate.delay += kLate;
+      aEffect.delay += kLate;
       return true;
     case fault::kMessageOvertaken:
-      aFate.delay += kOvertaken;
+      aEffect.delay += kOvertaken;
       return true;
     case fault::kMessageLost:
-      aFate.lost = true;
+      aEffect.lost = true;
       return true;
     case fault::kMessageTwice:
-      aFate.twice = true;
+      aEffect.twice = true;
       return true;
     default:
       return false;
@@ -196,7 +197,7 @@
 }
 
 bool
-world::StrikeServer(fault aWhat)
+world::InjectIntoServer(fault aWhat)
 {
   const auto primary = mServers.PrimaryId();
   const auto replica = mServers.ReplicaId();
@@ -246,7 +247,7 @@
 }
 
 bool
-world::StrikeStore(fault aWhat)
+world::InjectIntoStore(fault aWhat)
 {
   switch (aWhat) {
     case fault::kStoreDown:
@@ -274,7 +275,7 @@
 }
 
 void
-world::StrikeProcess(fault aWhat, process& aBy)
+world::InjectIntoProcess(fault aWhat, process& aBy)
 {
   auto& pooler = PoolerFor(aBy);
   auto& gateway = GatewayFor(aBy);
@@ -317,8 +318,8 @@
   }
 }
 
-// The primary keeps its links to the pooler that leads unless it is cut off
-// wholly, so that it goes on believing that it leads.
+// Unless it is isolated completely, the primary keeps its links to the leading
+// pooler, so that it continues to consider itself primary.
 void
 world::Partition(const std::string& aServer, bool aWholly)
 {
@@ -334,7 +335,7 @@
   mTime.In(kPartition, [this] { mServers.HealAll(); });
 }
 
-// It comes back as what it was, with its log.
+// The server restarts with its previous role and log.
 void
 world::KillServer(const upstream::server_id& aServer)
 {
@@ -343,7 +344,7 @@
     return;
   }
   killed.alive = false;
-  ++killed.life;
+  ++killed.startCount;
   for (const auto& pooler : mPoolers) {
     if (pooler->Alive()) {
       pooler->ServerDied(aServer);
@@ -367,10 +368,10 @@
   for (const auto& gateway : mGateways) {
     gateway->PoolerDied(aPooler.VmName());
   }
-  mTime.In(kViewLag, [this] { SpreadView(); });
+  mTime.In(kViewLag, [this] { PublishView(); });
   mTime.In(kRestart, [this, &aPooler] {
     aPooler.Start();
-    SpreadView();
+    PublishView();
   });
 }
 
@@ -401,7 +402,7 @@
 {
   mTime.In(kListLag, [this, aServer, aGrace] {
     mServers.SetLeaving(aServer, aGrace);
-    SpreadView();
+    PublishView();
   });
 }
 
@@ -422,7 +423,7 @@
 }
 
 void
-world::SpreadView()
+world::PublishView()
 {
   const auto ranked = Ranked();
   const auto owners = static_cast<unsigned>(ranked.size());
--- a/test/matrix/world.hpp
+++ b/test/matrix/world.hpp
@@ -15,36 +15,38 @@
 
 namespace currantshed::matrix {
 
-/// What came of one run.
+/// The result of one run.
 struct run_result
 {
   history seen;
-  /// Faults of the plan that struck.
+  /// Number of planned faults that were injected.
   unsigned struck = 0;
-  /// How often each step was reached while faults may strike.
+  /// How often each step was reached while faults may be injected.
   std::vector<unsigned> reached;
 };
 
-/// Two gateways, three poolers, one group of three servers, the platform's
-/// store, operators and callers, in virtual time, with the faults of a plan.
+/// Simulates two gateways, three poolers, one group of three servers, the
+/// platform's store, operators and callers in virtual time, and injects the
+/// faults of a plan.
 class world final : public injector
 {
 public:
   explicit world(const plan& aPlan);
 
-  /// Runs to the end and gives what was seen.
+  /// Runs the simulation to its end and returns its history.
   [[nodiscard]] run_result Run();
 
-  [[nodiscard]] fate Reach(std::size_t aStep, process& aBy) override;
+  [[nodiscard]] fault_effect Reach(std::size_t aStep, process& aBy) override;
 
 private:
   void Begin();
-  void Strike(fault aWhat, process& aBy, fate& aFate);
-  /// Strikes that only concern the message at hand; false for any other.
-  [[nodiscard]] bool StrikeMessage(fault aWhat, fate& aFate);
-  [[nodiscard]] bool StrikeServer(fault aWhat);
-  [[nodiscard]] bool StrikeStore(fault aWhat);
-  void StrikeProcess(fault aWhat, process& aBy);
+  void Inject(fault aWhat, process& aBy, fault_effect& aEffect);
+  /// Applies a fault that affects the current message alone; returns false for
+  /// any other fault.
+  [[nodiscard]] bool InjectIntoMessage(fault aWhat, fault_effect& aEffect);
+  [[nodiscard]] bool InjectIntoServer(fault aWhat);
+  [[nodiscard]] bool InjectIntoStore(fault aWhat);
+  void InjectIntoProcess(fault aWhat, process& aBy);
   void Partition(const std::string& aServer, bool aWholly);
   void KillServer(const upstream::server_id& aServer);
   void KillPooler(pooler_node& aPooler);
@@ -53,11 +55,11 @@
   void Replace(process& aProcess);
   void WatchStopping(pooler_node& aPooler);
   void Heal();
-  void SpreadView();
+  void PublishView();
   void Apply(const std::string& aDeclaration);
   [[nodiscard]] pooler_node& PoolerFor(process& aBy);
   [[nodiscard]] gateway_node& GatewayFor(process& aBy);
-  /// The poolers of live processes, in rank order.
+  /// The live poolers, in rank order.
   [[nodiscard]] std::vector<pooler_node*> Ranked();
 
   plan mPlan;
@@ -69,7 +71,7 @@
   rules mRules;
   surroundings mAround;
   std::vector<unsigned> mReached;
-  unsigned mStruck = 0;
+  unsigned mInjected = 0;
   bool mRunning = false;
   std::uint64_t mViewVersion = 0;
   std::vector<std::unique_ptr<pooler_node>> mPoolers;
--- a/test/process/node_soak.sh
+++ b/test/process/node_soak.sh
@@ -1,27 +1,27 @@
 #!/usr/bin/env bash
-# Faults in a seeded order against the real programs, while callers check every
-# answer: VMs are killed, paused and stopped, primaries are lost or leave, servers
-# start again empty under their ids, ways to the store and to servers are delayed,
-# held, cut one way, silenced or reset. From seed 1000 on the store may also be away
-# and come back from an older copy, once or twice in a row, before, during and after
-# other faults.
-# Faults of ways last while others begin. SEEDS names the seeds to play; with
-# none, those that CI plays each time. SOAK_BASE names the first port, so that
-# several runs may go side by side.
+# Injects faults in a seeded order into the real programs, while callers check
+# every answer: VMs are killed, paused and stopped, primaries are lost or
+# drained, servers restart empty under their ids, and paths to the store and to
+# servers are delayed, held, cut in one direction, silenced or reset. From seed
+# 1000 on the store may also be unavailable and be restored from an older
+# snapshot, once or twice in a row, before, during and after other faults.
+# Path faults overlap with later faults. SEEDS names the seeds to run; if empty,
+# those that CI runs each time. SOAK_BASE names the first port, so that several
+# runs can share a machine.
 source "$(dirname "$0")/support/node.sh"
 proxied=yes
 node_start "${SOAK_BASE:-28400}" 4
 
-any_way() {
+random_path() {
   if ((RANDOM % 2)); then
-    way_to_store $((RANDOM % 4 + 1))
+    path_to_store $((RANDOM % 4 + 1))
   else
-    way_to_server $((RANDOM % 6))
+    path_to_server $((RANDOM % 6))
   fi
 }
 
-# A fault that ends by itself after so many seconds.
-passing_fault() {
+# Injects a fault that ends by itself after the given number of seconds.
+temporary_fault() {
   local way=$1 lasts=$2
   shift 2
   fault "$way" "$@"
@@ -31,10 +31,10 @@
   ) &
 }
 
-# The store loses its last seconds, at times again right after its return.
-store_returns() {
+# The store loses its last seconds, sometimes again right after the restore.
+store_restored() {
   local span=$((RANDOM % 3000)) away=$((RANDOM % 2500 + 100)) twice=$((RANDOM % 3))
-  echo "the store loses $span ms, away for $away ms, twice: $((twice == 0))"
+  echo "store loses $span ms, unavailable for $away ms, twice: $((twice == 0))"
   tell "/test/lose?span_ms=$span&away_ms=$away" >/dev/null
   [ "$twice" -ne 0 ] || {
     sleep "$((away / 1000 + 1))"
@@ -44,27 +44,28 @@
 
 one_fault() {
   local vm=$((RANDOM % 4 + 1)) group=$((RANDOM % 2)) way lasts=$((RANDOM % 3 + 1))
-  way=$(any_way)
+  way=$(random_path)
   case $((RANDOM % faults)) in
     0) echo "kill vm-$vm"; node_kill "$vm" KILL; node_run "$vm" ;;
     1) echo "pause vm-$vm"; node_pause "$vm" 2 ;;
     2) echo "stop vm-$vm"; node_stop "$vm"; node_run "$vm" ;;
     3) echo "lose group-$group"; replaced "group-$group" stop || true ;;
     4) echo "leave group-$group"; replaced "group-$group" drain || true ;;
-    5) passing_fault "$way" "$lasts" hold ;;
-    6) passing_fault "$way" "$lasts" hold_answers ;;
-    7) passing_fault "$way" "$lasts" delay $((RANDOM % 300)) ;;
+    5) temporary_fault "$way" "$lasts" hold ;;
+    6) temporary_fault "$way" "$lasts" hold_answers ;;
+    7) temporary_fault "$way" "$lasts" delay $((RANDOM % 300)) ;;
     8) fault "$way" silence ;;
     9) fault "$way" reset ;;
     10) echo "restart in group-$group"; restarted "group-$group" ;;
-    *) store_returns ;;
+    *) store_restored ;;
   esac
 }
 
 version=1
 for seed in ${SEEDS:-1 1001}; do
   RANDOM=$seed
-  # A third of all faults are such returns; earlier seeds stay what they were.
+  # From seed 1000 on a third of all faults are store restores; the sequences of
+  # earlier seeds are unchanged.
   faults=11
   [ "$seed" -lt 1000 ] || faults=16
   echo "seed $seed"
@@ -74,8 +75,8 @@
   callers_end
   check "seed $seed: a change took effect twice" \
     grep -q '"doubled":0' <<<"$(tell /test/report)"
-  # Whatever went wrong has ended: all is served again, and what is configured from
-  # now on is in force in time.
+  # All faults have ended: all requests are served again, and new configurations
+  # take effect in time.
   sleep 3
   version=$((version + 1))
   tell "/test/configure?version=$version" >/dev/null
--- a/test/process/support/node.sh
+++ b/test/process/support/node.sh
@@ -1,6 +1,6 @@
-# What the tests of currantshed-node share: VMs on 127.0.0.1 before the stand-in
-# for the users' platform, and callers that check what they are told. Only
-# processes started here are ended, by their ids.
+# Functions shared by the tests of currantshed-node: VMs on 127.0.0.1 with the
+# stand-in for the users' platform, and callers that check the answers they get.
+# Stops only processes started here, by their ids.
 set -uo pipefail
 build=${BUILD:-build}
 scratch=$(mktemp -d)
@@ -8,8 +8,8 @@
 fleet_pid=
 callers_pid=
 proxy_pids=
-# Set before node_start, it puts a proxy before each server and on each VM's way
-# to the store.
+# If set before node_start, a proxy is put before each server and on each VM's
+# path to the store.
 proxied=
 readonly GROUPS_OF_SERVERS=2
 
@@ -38,7 +38,7 @@
   "$@" || fail "$what"
 }
 
-# Waits for a command to succeed, for so many seconds at most.
+# Waits for a command to succeed, for at most the given number of seconds.
 await() {
   local end=$((SECONDS + $1))
   shift
@@ -70,33 +70,33 @@
   done
 }
 
-# The port by which a VM reaches the store, and the one of a server, by number.
-way_to_store() {
+# The port on which a VM reaches the store, and the port of a server, by number.
+path_to_store() {
   if [ -n "$proxied" ]; then
     echo $((base + 59 + $1))
   else
     echo "$store_port"
   fi
 }
-way_to_server() { echo $((base + 70 + $1)); }
+path_to_server() { echo $((base + 70 + $1)); }
 
-# Has a way do what the proxy calls "pass", "delay MS", "hold", "hold_answers",
+# Sets the fault of a path's proxy: "pass", "delay MS", "hold", "hold_answers",
 # "silence" or "reset".
 fault() {
   local port=$1 control=$((base + 80))
   [ "$port" -ge "$((base + 70))" ] && control=$((base + 81))
   shift
-  echo "way $port: $*"
+  echo "path $port: $*"
   echo "$port $*" >"/dev/tcp/127.0.0.1/$control"
 }
 
 proxies_start() {
   "$build/currantshed-standin-proxy" --control "$((base + 80))" \
-    --first "$(way_to_store 1)" --target "$store_port" --fan "$1" \
+    --first "$(path_to_store 1)" --target "$store_port" --fan "$1" \
     >>"$scratch/proxy.log" 2>&1 &
   proxy_pids+=" $!"
   "$build/currantshed-standin-proxy" --control "$((base + 81))" \
-    --first "$(way_to_server 0)" --target "$((base + 90))" \
+    --first "$(path_to_server 0)" --target "$((base + 90))" \
     --targets $((GROUPS_OF_SERVERS * 3)) >>"$scratch/proxy.log" 2>&1 &
   proxy_pids+=" $!"
 }
@@ -110,7 +110,7 @@
  "listen": {"front": "127.0.0.1:$first", "ready": "127.0.0.1:$((first + 1))"},
  "limits": {"max_fds": 1024},
  "bounds": {"grace_s": 4, "config_apply_ms": 3000},
- "platform": {"address": "127.0.0.1:$(way_to_store "$vm")", "ttl_min_ms": 1000},
+ "platform": {"address": "127.0.0.1:$(path_to_store "$vm")", "ttl_min_ms": 1000},
  "cloud_api": {"address": "127.0.0.1:$store_port"}}
 END
   "$build/currantshed-node" --config "$scratch/vm-$vm.json" \
@@ -131,13 +131,14 @@
   kill -s CONT "${vm_pid[$1]}"
 }
 
-# Starts the stand-in and so many VMs, from a port on.
+# Starts the stand-in and the given number of VMs, on ports from the given one
+# on.
 node_start() {
   base=$1
   store_port=$((base + 1))
   "$build/currantshed-standin-fleet" --port "$store_port" \
     --servers-port "$((base + 90))" --groups "$GROUPS_OF_SERVERS" \
-    ${proxied:+--listed-port "$(way_to_server 0)"} \
+    ${proxied:+--listed-port "$(path_to_server 0)"} \
     >"$scratch/fleet.log" 2>&1 &
   fleet_pid=$!
   [ -z "$proxied" ] || proxies_start "$2"
@@ -159,7 +160,8 @@
   callers_pid=$!
 }
 
-# Whether any VM has acknowledged something: callers may all be at some of them.
+# Whether any VM has acknowledged a request; all callers may be connected to
+# only some of the VMs.
 served() {
   local vm
   for vm in "${!vm_pid[@]}"; do
@@ -177,20 +179,20 @@
   cat "$scratch/callers.log"
   [ "$status" -eq 0 ] || fail "callers saw a wrong answer"
   grep -Eq '"acknowledged":[1-9][0-9]' "$scratch/callers.log" ||
-    fail "hardly any change was acknowledged"
+    fail "fewer than 10 changes were acknowledged"
 }
 
-# The server of a group that calls itself primary.
+# The server of a group that considers itself primary.
 primary_of() {
   tell "/test/primary?group=$1" | tr -d ' '
 }
 
-# Has one server of the group, which may be its primary, start again under its id
-# with nothing of what it held.
+# Restarts one server of the group, possibly its primary, under the same id and
+# with empty data.
 restarted() { tell "/test/restart?server=$1-$((RANDOM % 3))" >/dev/null; }
 
-# Stops or drains the group's primary, waits for another one, and brings the
-# old one back.
+# Stops or drains the group's primary, waits for another one, and starts the old
+# one again.
 replaced() {
   local group=$1 how=$2 old
   old=$(primary_of "$group")
