--- a/src/currantshed/policy/yaml_reader.cpp
+++ b/src/currantshed/policy/yaml_reader.cpp
@@ -267,7 +267,7 @@
     return std::nullopt;
   }
   const auto time =
-    settings::ParseDuration(*text, settings::unitless_number::kRefused);
+    settings::ParseDuration(*text, settings::unitless_number::kRejected);
   if (!time || *time < aBounds.lowest || *time > aBounds.highest) {
     Add(aField.value.Mark(),
         absl::StrCat(aField.key, " must be ", expected, "; is ", Quote(*text)));
