--- a/src/currantshed/net/errors.cpp
+++ b/src/currantshed/net/errors.cpp
@@ -17,13 +17,13 @@
   {
     switch (static_cast<net_errc>(aValue)) {
       case net_errc::kAddressInUse:
-        return "port is in use";
+        return "port in use";
       case net_errc::kAddressNotAvailable:
-        return "address not available on this VM";
+        return "address not usable on this VM";
       case net_errc::kQueueFull:
-        return "send queue is full or peer is not connected";
+        return "queue to the peer is full or not connected";
       case net_errc::kUnreachable:
-        return "peer is not connected";
+        return "peer has gone";
       case net_errc::kClosed:
         return "socket is closed";
       case net_errc::kSystem:
--- a/src/currantshed/upstream/errors.cpp
+++ b/src/currantshed/upstream/errors.cpp
@@ -21,19 +21,19 @@
   {
     switch (static_cast<errc>(aValue)) {
       case errc::kConnectFailed:
-        return "server unreachable or connection rejected";
+        return "the server could not be reached or refused the connection";
       case errc::kTooManyConnections:
-        return "server is at its connection limit";
+        return "the server accepts no further connection";
       case errc::kConnectTimeout:
-        return "connection attempt timed out";
+        return "the server did not accept the connection in time";
       case errc::kConnectionLost:
-        return "connection lost";
+        return "the connection broke";
       case errc::kAnswerTooLarge:
-        return "answer exceeds its size limit";
+        return "the answer passed the limit on its size";
       case errc::kProtocol:
-        return "protocol violation by the server";
+        return "the server did not keep to the protocol";
     }
-    return "unknown upstream error";
+    return "unknown error";
   }
 };
 
--- a/src/currantshed/upstream/pq_session.cpp
+++ b/src/currantshed/upstream/pq_session.cpp
@@ -91,7 +91,7 @@
   if (!std::all_of(aStatements.begin(), aStatements.end(), CanBeSent)) {
     mReply.end = batch_end::kServerError;
     mReply.sqlState = kUnsendableTextSqlState;
-    mReply.message = "statement text or parameter contains a zero byte";
+    mReply.message = "a text with a zero byte can't be sent";
     PostStep([](pq_session& aSelf) { aSelf.Finish(); });
     return;
   }
--- a/src/currantshed/wire/errors.cpp
+++ b/src/currantshed/wire/errors.cpp
@@ -17,7 +17,7 @@
       case wire_errc::kMalformed:
         return "malformed message";
       case wire_errc::kTooLarge:
-        return "message exceeds its size limit";
+        return "message over its size bound";
       case wire_errc::kOutOfRange:
         return "value out of range in message";
       case wire_errc::kInvalidKey:
