--- a/src/currantshed/pooler/failover_step_timer.cpp
+++ b/src/currantshed/pooler/failover_step_timer.cpp
@@ -16,7 +16,7 @@
 failover_step_timer::On(const failover::report_suspicion& aEvent,
                         clock::time_point aNow)
 {
-  if (aEvent.word.primary.empty()) {
+  if (aEvent.report.primary.empty()) {
     mSuspectedAt.reset();
   } else if (!mSuspectedAt) {
     mSuspectedAt = aNow;
--- a/src/currantshed/pooler/group_monitor.cpp
+++ b/src/currantshed/pooler/group_monitor.cpp
@@ -109,14 +109,14 @@
 group_monitor::OnHeartbeat(const member::heartbeat& aBeat)
 {
   const auto now = Now();
-  failover::suspicion word{ mName, 0, {} };
+  failover::suspicion suspicion{ mName, 0, {} };
   for (const auto& reported : aBeat.suspicions) {
     if (reported.group == mName) {
-      word = reported;
+      suspicion = reported;
     }
   }
   mCoordinator->PeerSuspects(
-    aBeat.sender.id, aBeat.sender.failureDomain, word, now);
+    aBeat.sender.id, aBeat.sender.failureDomain, suspicion, now);
   for (const auto& update : aBeat.terms) {
     if (update.group == mName) {
       mCoordinator->PeerAnnounces(update.term, update.primary, now);
@@ -142,7 +142,7 @@
   }
   mIsExecuting = false;
   CheckReachability();
-  mTimer.At(mCoordinator->NextTick());
+  mTimer.ScheduleAt(mCoordinator->NextTick());
 }
 
 void
@@ -321,13 +321,13 @@
 group_monitor::Execute(const failover::report_suspicion& aAction)
 {
   log::Write(log::level::kInfo,
-             aAction.word.primary.empty() ? "suspicion_withdrawn"
-                                          : "primary_suspected",
+             aAction.report.primary.empty() ? "suspicion_withdrawn"
+                                            : "primary_suspected",
              { { "group", mName },
-               { "term", Number(aAction.word.term) },
-               { "primary", aAction.word.primary } });
-  mReachability.Suspect(aAction.word);
-  mListener.suspected(aAction.word);
+               { "term", Number(aAction.report.term) },
+               { "primary", aAction.report.primary } });
+  mReachability.Suspect(aAction.report);
+  mListener.suspected(aAction.report);
 }
 
 void
