--- a/bench/currantshed/control/planned_size.cpp
+++ b/bench/currantshed/control/planned_size.cpp
@@ -19,8 +19,8 @@
 constexpr std::size_t kDomains = 5;
 constexpr std::size_t kGroups = 740;
 /// Number of groups in benchmarks in which the fleet changes. Computing the
-/// owners of all groups at each change of each roster would take hours in one
-/// thread.
+/// owners of all groups at each change of each membership would take hours in
+/// one thread.
 constexpr std::size_t kFewGroups = 40;
 constexpr std::size_t kMembers = 3;
 constexpr unsigned kOwners = 3;
@@ -162,7 +162,7 @@
 }
 
 // The whole fleet without changes. Real time divided by vm_seconds is the CPU
-// time of one VM's roster and of encoding for one second.
+// time of one VM's membership and of encoding for one second.
 void
 FleetAtRest(benchmark::State& aState)
 {
--- a/src/currantshed/group/dispatch.cpp
+++ b/src/currantshed/group/dispatch.cpp
@@ -219,9 +219,10 @@
       found->second.currentStage != stage::kRunning) {
     return;
   }
-  upstream::reply torn;
-  torn.end = upstream::batch_end::kIndeterminate;
-  auto next = found->second.requestFlow->Replied(std::move(torn), aNow);
+  upstream::reply indeterminate;
+  indeterminate.end = upstream::batch_end::kIndeterminate;
+  auto next =
+    found->second.requestFlow->Replied(std::move(indeterminate), aNow);
   next.fate = connection_fate::kClose;
   ApplyReply(aRequest, std::move(next), aNow);
 }
--- a/src/currantshed/group/engine.hpp
+++ b/src/currantshed/group/engine.hpp
@@ -112,8 +112,8 @@
   virtual void ConnectionFailed(connection_id aConnection,
                                 clock::time_point aNow) = 0;
 
-  /// An open connection broke. A batch in progress on it is reported as torn by
-  /// Replied first.
+  /// An open connection broke. A batch in progress on it is reported as
+  /// interrupted by Replied first.
   virtual void ConnectionLost(connection_id aConnection,
                               clock::time_point aNow) = 0;
 
--- a/src/currantshed/group/flow.hpp
+++ b/src/currantshed/group/flow.hpp
@@ -95,7 +95,7 @@
     const dispatch& aDispatch) = 0;
 
   /// Whether to stop waiting for the reply to the batch in progress. The
-  /// connection is then closed and the batch counts as torn.
+  /// connection is then closed and the batch counts as indeterminate.
   [[nodiscard]] virtual bool ShouldAbort(clock::time_point aNow) const;
 
   /// Processes the reply to the batch in progress.
--- a/src/currantshed/group/statement_connections.cpp
+++ b/src/currantshed/group/statement_connections.cpp
@@ -27,7 +27,7 @@
 std::vector<request_id>
 statement_connections::Configure(const description& aGroup)
 {
-  auto torn = CloseAllBut(aGroup);
+  auto interrupted = CloseAllBut(aGroup);
   std::vector<server> servers;
   for (const auto& member : aGroup.members) {
     server next;
@@ -40,13 +40,13 @@
     servers.push_back(std::move(next));
   }
   mServers = std::move(servers);
-  return torn;
+  return interrupted;
 }
 
 std::vector<request_id>
 statement_connections::CloseAllBut(const description& aGroup)
 {
-  std::vector<request_id> torn;
+  std::vector<request_id> interrupted;
   std::vector<connection_id> closed;
   for (const auto& [id, state] : mStates) {
     const auto* known = Find(state.server);
@@ -62,13 +62,13 @@
     }
     closed.push_back(id);
     if (state.running && state.request) {
-      torn.push_back(*state.request);
+      interrupted.push_back(*state.request);
     }
   }
   for (const auto id : closed) {
     Close(id);
   }
-  return torn;
+  return interrupted;
 }
 
 bool
--- a/src/currantshed/group/transaction_flows.cpp
+++ b/src/currantshed/group/transaction_flows.cpp
@@ -198,7 +198,8 @@
     result.byReplica = open->role != server_role::kPrimary;
   }
   Context().transactions.Remove(Request().transaction);
-  // If the reply is torn, the server rolls the transaction back itself.
+  // If the reply is indeterminate, the server rolls the transaction back
+  // itself.
   return { finish{ std::move(result) },
            aReply.end == batch_end::kComplete ? connection_fate::kKeep
                                               : connection_fate::kClose };
--- a/test/currantshed/group/fake_server.hpp
+++ b/test/currantshed/group/fake_server.hpp
@@ -65,7 +65,7 @@
   bool tearNextReply = false;
   /// Drops the next batch of a caller before its effect, and tears the answer.
   bool tearNextBatch = false;
-  /// A torn answer also reports that it was too large.
+  /// An indeterminate answer also reports that it was too large.
   bool oversize = false;
   /// Callers' statements that it received.
   std::vector<std::string> executed;
--- a/test/matrix/pooler_node.cpp
+++ b/test/matrix/pooler_node.cpp
@@ -38,11 +38,11 @@
 }
 
 upstream::reply
-Torn()
+IndeterminateReply()
 {
-  upstream::reply torn;
-  torn.end = batch_end::kIndeterminate;
-  return torn;
+  upstream::reply indeterminate;
+  indeterminate.end = batch_end::kIndeterminate;
+  return indeterminate;
 }
 
 /// Passes on half of the rows of an interrupted reply as if they were all of
@@ -409,7 +409,7 @@
     return;
   }
   if (broken.running) {
-    mEngine->Replied(aConnection, broken.batch, Torn(), now);
+    mEngine->Replied(aConnection, broken.batch, IndeterminateReply(), now);
   }
   mEngine->ConnectionLost(aConnection, now);
 }
@@ -422,7 +422,7 @@
   asked.server = aAction.server;
   asked.of = layer::kGroup;
   asked.alternative = 3;
-  asked.patience = kProbeTimeout;
+  asked.timeout = kProbeTimeout;
   asked.effect = [] { return true; };
   asked.done = [this,
                 server = aAction.server](const upstream::server_status* aStatus,
@@ -473,7 +473,7 @@
   asked.server = aAction.server;
   asked.of = layer::kFailover;
   asked.alternative = 0;
-  asked.patience = kProbeTimeout;
+  asked.timeout = kProbeTimeout;
   asked.effect = [] { return true; };
   asked.done = [this,
                 server = aAction.server](const upstream::server_status* aStatus,
@@ -496,7 +496,7 @@
   asked.server = aAction.server;
   asked.of = layer::kFailover;
   asked.alternative = 1;
-  asked.patience = kCommandTimeout;
+  asked.timeout = kCommandTimeout;
   asked.effect = [this, aAction] {
     return mAround.servers.Fence(aAction.server, aAction.term);
   };
@@ -522,7 +522,7 @@
   asked.server = aAction.server;
   asked.of = layer::kFailover;
   asked.alternative = 2;
-  asked.patience = kCommandTimeout;
+  asked.timeout = kCommandTimeout;
   asked.effect = [this, aAction] {
     return mAround.servers.Promote(aAction.server, aAction.term);
   };
@@ -545,7 +545,7 @@
   asked.server = aAction.server;
   asked.of = layer::kFailover;
   asked.alternative = 3;
-  asked.patience = kCommandTimeout;
+  asked.timeout = kCommandTimeout;
   asked.effect = [this, aAction] {
     return mAround.servers.Follow(
       aAction.server, aAction.term, aAction.primary);
@@ -640,7 +640,7 @@
       done(nullptr, askedAt);
     }
   };
-  mAround.time.In(aQuery.patience, Bind(lose));
+  mAround.time.In(aQuery.timeout, Bind(lose));
   if (aEffect.lost) {
     mAround.time.In(kBreakDelay, Bind(lose));
     return;
--- a/test/matrix/pooler_node.hpp
+++ b/test/matrix/pooler_node.hpp
@@ -85,7 +85,7 @@
     upstream::server_id server;
     layer of = layer::kGroup;
     std::size_t alternative = 0;
-    clock::duration patience{ 0 };
+    clock::duration timeout{ 0 };
     std::function<bool()> effect;
     std::function<void(const upstream::server_status*, clock::time_point)> done;
   };
