--- a/src/currantshed/group/dispatch.cpp
+++ b/src/currantshed/group/dispatch.cpp
@@ -36,11 +36,11 @@
 void
 group_engine::DispatchTransactions(clock::time_point aNow)
 {
-  std::vector<request_id> queued_request;
+  std::vector<request_id> waiting;
   for (const auto& request : mTransactions.Entries()) {
-    queued_request.push_back(request.request);
+    waiting.push_back(request.request);
   }
-  for (const auto request : queued_request) {
+  for (const auto request : waiting) {
     static_cast<void>(TrySend(request, aNow));
   }
 }
@@ -51,19 +51,19 @@
   mConnections.BeginPass();
   // All queues in one order of priority. Only the first requests are examined,
   // since those behind them would wait for the same servers.
-  std::vector<admit::queued_request> queued_request;
+  std::vector<admit::queued_request> waiting;
   for (const auto* queue : { &mReads, &mFreshReads, &mWrites }) {
     int examined = 0;
     for (const auto& request : queue->Entries()) {
       if (++examined > kMaxExamined) {
         break;
       }
-      queued_request.push_back(request);
+      waiting.push_back(request);
     }
   }
-  std::sort(queued_request.begin(), queued_request.end());
+  std::sort(waiting.begin(), waiting.end());
   std::size_t sent = 0;
-  for (const auto& request : queued_request) {
+  for (const auto& request : waiting) {
     sent += TrySend(request.request, aNow) ? 1 : 0;
     if (sent >= aMaxSent) {
       return;
--- a/src/currantshed/group/submit.cpp
+++ b/src/currantshed/group/submit.cpp
@@ -202,13 +202,13 @@
 {
   const auto& request = aEntry.requestFlow->Request();
   const auto id = request.id;
-  const auto queued_request = WaitingOf(request);
+  const auto waiting = WaitingOf(request);
   auto& queue = QueueOf(aEntry.queue);
   if (aEntry.currentStage == stage::kQueued) {
     const auto hasRoom =
       mEntries.size() < kEntriesPerWaiting * mContext.settings.queueLimit;
     const auto offered =
-      hasRoom ? queue.TryAdmit(queued_request, aNow) : admit::admission{};
+      hasRoom ? queue.TryAdmit(waiting, aNow) : admit::admission{};
     if (!offered.admitted) {
       auto result = NotRun(request, reason::kOverloaded);
       result.retryAfter = queue.RetryAfter(id, aNow);
